--- a/include/rattanrill/batch/statemachine.h
+++ b/include/rattanrill/batch/statemachine.h
@@ -10,22 +10,22 @@
 namespace rattanrill::batch {
 
 /// Failed tries after which an item ends as failed.
-constexpr int maxFailedTries = 3;
+constexpr int maxFailedAttempts = 3;
 /// Leases of one item that may expire before it ends as failed with lease_expired. An expired lease
 /// is mostly the fault of a lost entry and so is no failed try, but an item that stops every entry
 /// that runs it must not hold up its job.
 constexpr int maxExpiredLeases = 10;
 /// How long the status of a job outlives its results; ReadResults then fails with ResultExpired.
-constexpr std::int64_t expiredJobKeepMs = 24 * 3600 * 1000;
+constexpr std::int64_t expiredJobRetentionMs = 24 * 3600 * 1000;
 /// How long a file without a job is kept after its last use.
-constexpr std::int64_t unusedFileKeepMs = 7LL * 24 * 3600 * 1000;
+constexpr std::int64_t unusedFileRetentionMs = 7LL * 24 * 3600 * 1000;
 /// Claims that may be running at once; above it new claims fail with QueueFull. Claims that run for
 /// longer than their keepMs do not count, so that lost holders can't use the limit up.
 constexpr std::size_t maxRunningClaims = 100000;
 /// How long a holder that abandoned a claim can't win it again; longer than a command is delayed.
-constexpr std::int64_t abandonedClaimKeepMs = 10 * 60 * 1000;
+constexpr std::int64_t abandonedClaimRetentionMs = 10 * 60 * 1000;
 /// Item or result texts in one answer; an answer holds at least one item.
-constexpr std::size_t maxAnswerBytes = 4u << 20;
+constexpr std::size_t maxResponseBytes = 4u << 20;
 
 /// File id under which the results of a job are read.
 std::string resultFileId(std::string_view jobId);
--- a/include/rattanrill/controlclient/controlclient.h
+++ b/include/rattanrill/controlclient/controlclient.h
@@ -41,8 +41,8 @@
     void read(const std::string &group, std::string query, absl::Duration timeout,
               Callback<std::string> callback);
     /// One long poll of the directory, from any control instance.
-    void follow(const wire::FollowRequest &request, absl::Duration timeout,
-                Callback<wire::FollowResponse> callback);
+    void pollDirectory(const wire::PollChangesRequest &request, absl::Duration timeout,
+                       Callback<wire::PollChangesResponse> callback);
     void heartbeat(const wire::HeartbeatRequest &request, absl::Duration timeout,
                    Callback<wire::HeartbeatResponse> callback);
     /// Fails open calls with Stopped; no callback runs after return.
--- a/include/rattanrill/directory/controlpollsource.h
+++ b/include/rattanrill/directory/controlpollclient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/directory/pollsource.h"
+#include "rattanrill/directory/directorypollclient.h"
 
 namespace rattanrill::controlclient {
 class ControlClient;
@@ -9,14 +9,14 @@
 namespace rattanrill::directory {
 
 /// Polls the control instances. Programs that use it link rattanrill_controlclient.
-class ControlPollSource : public PollSource
+class ControlPollClient : public DirectoryPollClient
 {
 public:
-    explicit ControlPollSource(controlclient::ControlClient &client)
+    explicit ControlPollClient(controlclient::ControlClient &client)
         : m_client(client)
     {}
 
-    void poll(const wire::FollowRequest &request, absl::Duration timeout,
+    void poll(const wire::PollChangesRequest &request, absl::Duration timeout,
               Callback callback) override;
 
 private:
--- a/include/rattanrill/directory/pollsource.h
+++ b/include/rattanrill/directory/directorypollclient.h
@@ -11,13 +11,13 @@
 
 /// Sends one long poll of the directory. The callback runs exactly once, on any thread, also before
 /// poll() returns; with a failure at the latest after \a timeout.
-class PollSource
+class DirectoryPollClient
 {
 public:
-    using Callback = std::function<void(Outcome<wire::FollowResponse>)>;
+    using Callback = std::function<void(Outcome<wire::PollChangesResponse>)>;
 
-    virtual ~PollSource() = default;
-    virtual void poll(const wire::FollowRequest &request, absl::Duration timeout,
+    virtual ~DirectoryPollClient() = default;
+    virtual void poll(const wire::PollChangesRequest &request, absl::Duration timeout,
                       Callback callback) = 0;
 };
 
--- a/include/rattanrill/directory/follower.h
+++ b/include/rattanrill/directory/directorysubscriber.h
@@ -2,8 +2,8 @@
 
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/timerservice.h"
-#include "rattanrill/directory/pollsource.h"
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directorypollclient.h"
+#include "rattanrill/directory/directoryview.h"
 
 #include "absl/time/time.h"
 
@@ -13,7 +13,7 @@
 
 namespace rattanrill::directory {
 
-struct FollowerOptions
+struct SubscriberOptions
 {
     std::string instance;
     /// How long the control instance may hold a poll. The age of a view swings between this and
@@ -30,16 +30,17 @@
 };
 
 /// Keeps a View up to date by long polls, one at a time.
-class Follower
+class DirectorySubscriber
 {
 public:
-    using Listener = std::function<void(const std::shared_ptr<const View> &)>;
+    using Listener = std::function<void(const std::shared_ptr<const DirectoryView> &)>;
 
     /// \a source, \a timers and \a clock must outlive the follower.
-    Follower(FollowerOptions options, PollSource &source, TimerService &timers, const Clock &clock);
-    ~Follower();
-    Follower(const Follower &) = delete;
-    Follower &operator=(const Follower &) = delete;
+    DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &source,
+                        TimerService &timers, const Clock &clock);
+    ~DirectorySubscriber();
+    DirectorySubscriber(const DirectorySubscriber &) = delete;
+    DirectorySubscriber &operator=(const DirectorySubscriber &) = delete;
 
     /// Sends the first poll.
     void start();
@@ -47,7 +48,7 @@
     void stop();
 
     /// Never null; empty with revision 0 before the first answer.
-    std::shared_ptr<const View> view() const;
+    std::shared_ptr<const DirectoryView> view() const;
     /// Time since the last successfully answered poll was sent: the view holds everything that was
     /// committed by then. Infinite before the first answer.
     absl::Duration age() const;
--- a/include/rattanrill/engine/cancellation.h
+++ b/include/rattanrill/engine/abortsignal.h
@@ -9,7 +9,7 @@
 
 /// Lets another thread abort a blocking call. An abort closes the connection; to let the engine
 /// finish the stream in order, use EngineClient::cancel() instead.
-class Cancellation
+class AbortSignal
 {
 public:
     /// Aborts the call that runs now and every later one.
--- a/include/rattanrill/engine/engineclient.h
+++ b/include/rattanrill/engine/engineclient.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/result.h"
-#include "rattanrill/engine/cancellation.h"
+#include "rattanrill/engine/abortsignal.h"
 #include "rattanrill/engine/streamevents.h"
 
 #include "absl/time/time.h"
@@ -24,7 +24,7 @@
     /// A stream without any event for this long is broken.
     absl::Duration idleTimeout = absl::Seconds(10);
     /// For cancel, export and load.
-    absl::Duration controlTimeout = absl::Seconds(2);
+    absl::Duration auxiliaryCallTimeout = absl::Seconds(2);
 };
 
 /// One try of a completion.
@@ -37,13 +37,13 @@
     /// Unique per try.
     std::string requestId;
     /// Tokens already delivered by earlier tries.
-    std::uint64_t resumeAfter = 0;
+    std::uint64_t deliveredTokens = 0;
     /// Of a KV export by an earlier try; may be empty.
     std::string kvHandle;
     absl::Time deadline = absl::InfiniteFuture();
 };
 
-struct EngineLoad
+struct EngineLoadReport
 {
     std::int64_t running = 0;
     std::int64_t waiting = 0;
@@ -51,7 +51,7 @@
     std::int64_t kvCapacityTokens = 0;
     std::int64_t maxBatch = 0;
     /// How old the figures were when the engine sent them.
-    absl::Duration age;
+    absl::Duration ageWhenSent;
 };
 
 /// An event of the engine's prefix cache.
@@ -94,15 +94,15 @@
 
     /// Streams a completion and passes each checked token to \a onToken, in order and without
     /// repetition. Fails with UpstreamUnavailable or UpstreamBusy (NotRun), UnknownModel,
-    /// InvalidRequest, UpstreamFailed, StreamBroken, Timeout (deadline) or ClientGone (aborted by
-    /// \a cancellation), which are MayHaveRun unless the engine said otherwise.
-    Outcome<StreamEnd> stream(const StreamRequest &request, Cancellation &cancellation,
-                              const TokenHandler &onToken);
+    /// InvalidRequest, UpstreamFailed, StreamBroken, Timeout (deadline) or ClientDisconnected
+    /// (aborted by \a cancellation), which are MayHaveRun unless the engine said otherwise.
+    Outcome<StreamSummary> stream(const StreamRequest &request, AbortSignal &cancellation,
+                                  const TokenHandler &onToken);
     /// Asks the engine to end a stream; returns whether the engine knew it.
     Outcome<bool> cancel(const std::string &requestId);
     /// Ends a stream and keeps its KV cache for a later try.
     Outcome<ExportedCache> exportCache(const std::string &requestId);
-    Outcome<EngineLoad> load();
+    Outcome<EngineLoadReport> load();
     /// Events of the prefix cache after number \a after; they come late and with gaps.
     Outcome<CacheEventPage> cacheEvents(std::uint64_t after);
     /// Whether the engine answers at all. UpstreamUnavailable means that nothing listens there.
--- a/include/rattanrill/engine/streamevents.h
+++ b/include/rattanrill/engine/streamevents.h
@@ -14,7 +14,7 @@
 };
 
 /// How a stream ended.
-struct StreamEnd
+struct StreamSummary
 {
     /// "stop", "length" or "cancelled".
     std::string finishReason;
--- a/include/rattanrill/fakes/answerstream.h
+++ b/include/rattanrill/fakes/engineeventqueue.h
@@ -22,7 +22,7 @@
 };
 
 /// Queue of events from the step loop to the connection of one request.
-class AnswerStream
+class EngineEventQueue
 {
 public:
     /// \a event may be taken from \a readyAt on; times do not decrease.
--- a/include/rattanrill/fakes/enginehost.h
+++ b/include/rattanrill/fakes/enginehost.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/fakes/answerstream.h"
+#include "rattanrill/fakes/engineeventqueue.h"
 #include "rattanrill/fakes/enginemodel.h"
 #include "rattanrill/fakes/faults.h"
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 #include "absl/base/thread_annotations.h"
 #include "absl/synchronization/mutex.h"
@@ -17,18 +17,18 @@
 namespace rattanrill::fakes {
 
 /// Drives an EngineModel in real time on one thread and hands its events to the streams of the
-/// connections. Lock order: this mutex, then those of Faults, RecordBook and AnswerStream.
+/// connections. Lock order: this mutex, then those of Faults, RequestLog and EngineEventQueue.
 class EngineHost
 {
 public:
-    EngineHost(EngineModelSettings settings, Faults &faults, RecordBook &records,
+    EngineHost(EngineModelSettings settings, Faults &faults, RequestLog &records,
                const Clock &clock = SystemClock::instance());
     ~EngineHost();
     EngineHost(const EngineHost &) = delete;
     EngineHost &operator=(const EngineHost &) = delete;
 
     /// Queues a request; its events arrive at the returned stream. \a recordSeq is its record.
-    Result<std::shared_ptr<AnswerStream>> submit(EngineRequest request, std::int64_t recordSeq);
+    Result<std::shared_ptr<EngineEventQueue>> submit(EngineRequest request, std::int64_t recordSeq);
     std::optional<std::int64_t> cancel(const std::string &requestId);
     std::optional<KvExport> exportKv(const std::string &requestId);
     /// Load as the lagging report has it.
@@ -43,7 +43,7 @@
 private:
     struct Route
     {
-        std::shared_ptr<AnswerStream> stream;
+        std::shared_ptr<EngineEventQueue> stream;
         std::shared_ptr<const EngineRequest> request;
         std::int64_t recordSeq = 0;
         bool running = false;
@@ -57,7 +57,7 @@
 
     const EngineModelSettings m_settings;
     Faults &m_faults;
-    RecordBook &m_records;
+    RequestLog &m_records;
     const Clock &m_clock;
     mutable absl::Mutex m_mutex;
     absl::CondVar m_changed;
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -2,8 +2,8 @@
 
 #include "rattanrill/base/result.h"
 #include "rattanrill/fakes/cacheeventfeed.h"
+#include "rattanrill/fakes/loadedmodels.h"
 #include "rattanrill/fakes/loadhistory.h"
-#include "rattanrill/fakes/orderbook.h"
 #include "rattanrill/fakes/prefixcache.h"
 
 #include "absl/time/time.h"
@@ -149,7 +149,7 @@
     PrefixCache m_cache;
     CacheEventFeed m_cacheEvents;
     LoadHistory m_history;
-    OrderBook m_orders;
+    LoadedModels m_orders;
     std::deque<Sequence> m_waiting;
     std::vector<Sequence> m_running;
     std::vector<EngineEvent> m_events;
--- a/include/rattanrill/fakes/orderbook.h
+++ b/include/rattanrill/fakes/loadedmodels.h
@@ -39,10 +39,10 @@
 
 /// What an engine was ordered to load. Some engines refuse an order with an old fencing number,
 /// others carry it out.
-class OrderBook
+class LoadedModels
 {
 public:
-    OrderBook(std::vector<std::string> models, bool checksFence, absl::Duration loadTime);
+    LoadedModels(std::vector<std::string> models, bool checksFence, absl::Duration loadTime);
 
     OrderAnswer apply(absl::Time now, const Order &order);
     /// Whether \a model is loaded; a model ordered later is so after the load time.
--- a/include/rattanrill/fakes/recordbook.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -38,13 +38,13 @@
 /// The newest requests that a fake saw. With a file, each record is also appended to it as a JSON
 /// line when it is added, when its work starts and when it ends, so that the record of a process
 /// that crashes survives; the last line of a seq is the valid one.
-class RecordBook
+class RequestLog
 {
 public:
-    explicit RecordBook(const RecordSettings &settings = {});
-    ~RecordBook();
-    RecordBook(const RecordBook &) = delete;
-    RecordBook &operator=(const RecordBook &) = delete;
+    explicit RequestLog(const RecordSettings &settings = {});
+    ~RequestLog();
+    RequestLog(const RequestLog &) = delete;
+    RequestLog &operator=(const RequestLog &) = delete;
 
     /// Returns the sequence number of the new record.
     std::int64_t add(Record record);
--- a/include/rattanrill/fleet/fleetfollower.h
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -14,7 +14,7 @@
 
 namespace rattanrill::fleet {
 
-struct FollowerSettings
+struct FleetClientSettings
 {
     /// How this process announces itself.
     wire::FleetMember self;
@@ -33,7 +33,7 @@
 {
     std::uint64_t configurationVersion = 0;
     std::string configuration;
-    std::vector<wire::LiveMember> members;
+    std::vector<wire::FleetMemberStatus> members;
     /// The list of members is complete.
     bool membersSettled = false;
     std::vector<std::string> storeFounders;
@@ -44,24 +44,24 @@
 /// Announces this process to the leader of the fleet group and keeps a copy of the deployment's
 /// state, by long polls. Finds the leader through its seeds, through members that it has learned
 /// of, and by the hints of those that do not lead. Used on the event loop only.
-class FleetFollower
+class FleetClient
 {
 public:
     using Listener = std::function<void(const FleetState &state)>;
 
-    FleetFollower(net::EventLoop &loop, peer::ChannelPool &channels, FollowerSettings settings,
-                  const Clock &clock);
-    ~FleetFollower();
-    FleetFollower(const FleetFollower &) = delete;
-    FleetFollower &operator=(const FleetFollower &) = delete;
+    FleetClient(net::EventLoop &loop, peer::ChannelPool &channels, FleetClientSettings settings,
+                const Clock &clock);
+    ~FleetClient();
+    FleetClient(const FleetClient &) = delete;
+    FleetClient &operator=(const FleetClient &) = delete;
 
     /// \a listener is called after each change of the state. Call before start().
     void onChange(Listener listener);
     /// Says with each poll whether this process leads the store group, and its replicas.
-    void setStoreReport(std::function<void(wire::SyncRequest &)> report);
+    void setStoreReport(std::function<void(wire::FleetSyncRequest &)> report);
     void start();
     /// Tells the leader at once what it would learn with the next poll.
-    void announce();
+    void sendHeartbeat();
     /// Tells the leader that this process leaves; no poll follows.
     void leave();
     void stop();
@@ -69,7 +69,7 @@
     void setSeeds(std::vector<std::string> seeds);
     const FleetState &state() const;
     /// Time since the last answered poll was sent; infinite before the first one.
-    absl::Duration age() const;
+    absl::Duration staleness() const;
     /// Peer address of the leader of the fleet group, as last known.
     std::string leaderAddress() const;
 
--- a/include/rattanrill/fleet/syncservice.h
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -15,17 +15,17 @@
 namespace rattanrill::fleet {
 
 /// Reads the platform's list of upstreams.
-class UpstreamList
+class UpstreamDiscovery
 {
 public:
     using Callback = std::function<void(Outcome<std::vector<wire::FleetUpstream>>)>;
 
-    virtual ~UpstreamList() = default;
+    virtual ~UpstreamDiscovery() = default;
     /// \a callback runs on the event loop, exactly once.
     virtual void read(Callback callback) = 0;
 };
 
-struct SyncSettings
+struct FleetServiceSettings
 {
     /// A process that was silent for this long is not alive.
     absl::Duration memberTimeout = absl::Seconds(2);
@@ -34,16 +34,16 @@
     absl::Duration listPeriod = absl::Seconds(1);
 };
 
-/// Serves the polls of FleetFollower on the leader of the fleet group: keeps the FleetView, reads
+/// Serves the polls of FleetClient on the leader of the fleet group: keeps the FleetView, reads
 /// the platform's list for everybody, founds the store group. Used on the event loop only.
-class SyncService
+class FleetService
 {
 public:
-    SyncService(net::EventLoop &loop, GroupReplica &replica, UpstreamList &list,
-                SyncSettings settings, const Clock &clock);
-    ~SyncService();
-    SyncService(const SyncService &) = delete;
-    SyncService &operator=(const SyncService &) = delete;
+    FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
+                 FleetServiceSettings settings, const Clock &clock);
+    ~FleetService();
+    FleetService(const FleetService &) = delete;
+    FleetService &operator=(const FleetService &) = delete;
 
     void install(peer::Server &server);
     void start();
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/fleet/membershipkeeper.h"
+#include "rattanrill/fleet/membershipchange.h"
 #include "rattanrill/wire/fleetmessages.h"
 
 #include "absl/time/time.h"
@@ -22,25 +22,25 @@
     explicit FleetView(absl::Duration memberTimeout);
 
     /// Starts over for a term of leadership; what was heard in another one is forgotten.
-    void begin(std::uint64_t term, absl::Time now);
+    void beginTerm(std::uint64_t term, absl::Time now);
     std::uint64_t term() const { return m_term; }
     std::uint64_t sequence() const { return m_sequence; }
 
-    void setRecords(const wire::FleetRecords &records);
-    const wire::FleetRecords &records() const { return m_records; }
+    void setRecords(const wire::FleetSnapshot &records);
+    const wire::FleetSnapshot &records() const { return m_records; }
     /// The platform's list, as read just now.
     void setUpstreams(std::vector<wire::FleetUpstream> upstreams);
-    void heard(const wire::SyncRequest &request, absl::Time now);
+    void recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now);
     /// Marks silent processes; forgets those that were silent for very long.
     void expire(absl::Time now);
 
     /// This leader has led for long enough to have heard of every process that lives.
     bool isSettled() const { return m_settled; }
-    bool isCurrent(const wire::SyncRequest &request) const;
-    wire::SyncResponse answer(const wire::SyncRequest &request) const;
+    bool isCurrent(const wire::FleetSyncRequest &request) const;
+    wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
     /// Processes of \a role, for decisions on the voters of their group; none before the view is
     /// settled, when a voter that has not called yet would look lost.
-    std::vector<VoterCandidate> candidates(wire::MemberRole role) const;
+    std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
     /// First voters of the store group, when it can be founded now: enough stores are there, or
     /// those that are there have waited long enough for others. Empty otherwise.
     std::vector<std::string> storeFounders(absl::Time now) const;
@@ -48,11 +48,11 @@
 private:
     struct Known
     {
-        wire::LiveMember live;
+        wire::FleetMemberStatus live;
         absl::Time heardAt;
     };
 
-    void noteStoreLeader(const wire::SyncRequest &request);
+    void noteStoreLeader(const wire::FleetSyncRequest &request);
     bool isRetiring(const std::string &replica) const;
     void changed() { ++m_sequence; }
 
@@ -61,7 +61,7 @@
     std::uint64_t m_sequence = 0;
     absl::Time m_begunAt;
     bool m_settled = false;
-    wire::FleetRecords m_records;
+    wire::FleetSnapshot m_records;
     bool m_upstreamsKnown = false;
     std::vector<wire::FleetUpstream> m_upstreams;
     /// By instance.
--- a/include/rattanrill/fleet/groupreplica.h
+++ b/include/rattanrill/fleet/groupreplica.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/fleet/membershipkeeper.h"
+#include "rattanrill/fleet/membershipchange.h"
 #include "rattanrill/fleet/replicaidentity.h"
 #include "rattanrill/net/eventloop.h"
 #include "rattanrill/peer/channelpool.h"
 #include "rattanrill/peer/server.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include "absl/time/time.h"
 
@@ -26,7 +26,7 @@
     /// Long enough for a machine with a seventh of a core that also serves its other work.
     absl::Duration electionTimeout = absl::Milliseconds(450);
     /// Until a leader has been heard; leaves time for a vote, which takes two synced writes.
-    absl::Duration firstElectionTimeout = absl::Milliseconds(120);
+    absl::Duration initialElectionTimeout = absl::Milliseconds(120);
     std::uint64_t snapshotAfterBytes = std::uint64_t(8) << 20;
     /// A proposal that was passed on to the leader fails after this long without an answer.
     absl::Duration forwardTimeout = absl::Milliseconds(900);
@@ -38,11 +38,11 @@
 class GroupReplica
 {
 public:
-    using Callback = replication::ReplicatedGroup::Callback;
+    using Callback = replication::RaftNode::Callback;
     /// Processes that can hold a replica, as known just now.
-    using Candidates = std::function<std::vector<VoterCandidate>()>;
+    using CandidateSource = std::function<std::vector<VoterCandidate>()>;
     /// Called with true when this replica begins to lead, and with false when it no longer does.
-    using LeadListener = std::function<void(bool leads)>;
+    using LeadershipListener = std::function<void(bool leads)>;
 
     GroupReplica(net::EventLoop &loop, peer::ChannelPool &channels, GroupReplicaSettings settings,
                  const Clock &clock);
@@ -52,24 +52,24 @@
 
     /// Serves the messages of the group; before the server starts.
     void install(peer::Server &server);
-    /// Opens the data folder. Fails as replication::openGroup().
+    /// Opens the data folder. Fails as replication::startRaftNode().
     Result<void> open(const ReplicaIdentity &identity,
                       std::unique_ptr<replication::StateMachine> machine);
     bool isOpen() const;
-    void setCandidates(Candidates candidates);
-    void onLead(LeadListener listener);
+    void setCandidates(CandidateSource candidates);
+    void onLeadershipChange(LeadershipListener listener);
     /// Calls \a listener on the loop after commands were applied.
     void onApplied(std::function<void()> listener);
 
-    bool leads() const;
-    replication::GroupStatus status() const;
+    bool isLeader() const;
+    replication::RaftNodeStatus status() const;
     /// Proposes here or, when another replica leads, there. Callbacks run on the loop. Fails as
-    /// ReplicatedGroup::propose().
+    /// RaftNode::propose().
     void propose(std::string command, Callback callback);
     /// Linearizable read on the leader.
     void read(std::string query, Callback callback);
     /// Linearizable read that any replica serves.
-    void readIndexed(std::string query, Callback callback);
+    void linearizableRead(std::string query, Callback callback);
     /// Hands leadership over, for a graceful stop.
     void transferLeadership();
     void stop();
--- a/include/rattanrill/fleet/membershipkeeper.h
+++ b/include/rattanrill/fleet/membershipchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <cstddef>
 #include <optional>
@@ -38,7 +38,7 @@
 /// an operator. A voter leaves only together with the arrival of a process that has caught up, so
 /// that the number of copies never falls, except for a retiring one when enough others remain.
 /// Without candidates nothing is known, and nothing is changed.
-std::optional<MembershipChange> nextMembershipChange(const replication::GroupStatus &status,
+std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
                                                      const MembershipRules &rules);
 
--- a/include/rattanrill/fleet/replicaidentity.h
+++ b/include/rattanrill/fleet/replicaidentity.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/result.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <string>
 #include <vector>
@@ -17,12 +17,13 @@
     std::vector<replication::ReplicaId> founders;
 };
 
-/// Replica id at \a peerAddress ("host:port"). \a mark tells apart the replicas that one address
-/// has had.
-replication::ReplicaId replicaId(const std::string &peerAddress, const std::string &mark);
+/// Replica id at \a peerAddress ("host:port"). \a incarnation tells apart the replicas that one
+/// address has had.
+replication::ReplicaId makeReplicaId(const std::string &peerAddress,
+                                     const std::string &incarnation);
 
 /// Mark of the replicas that found a deployment; known to all of them without an exchange.
-constexpr const char *founderMark = "founder";
+constexpr const char *founderIncarnation = "founder";
 
 /// Peer address inside a replica id.
 std::string peerAddressOf(const replication::ReplicaId &replica);
--- a/include/rattanrill/fleet/statemachine.h
+++ b/include/rattanrill/fleet/statemachine.h
@@ -12,7 +12,7 @@
 constexpr const char *storeGroup = "store";
 
 /// State of the fleet group: applies wire::FleetCommand, answered by a wire::FleetResult, and
-/// answers wire::FleetQuery by wire::FleetRecords.
+/// answers wire::FleetQuery by wire::FleetSnapshot.
 ///
 /// A configuration whose version is not above the one held changes nothing and is answered like
 /// one that was taken, so that a resent or overtaken change is acknowledged. The store group is
--- a/include/rattanrill/gateway/gateway.h
+++ b/include/rattanrill/gateway/gateway.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/jobs/jobclient.h"
 #include "rattanrill/net/server.h"
-#include "rattanrill/serving/passthrough.h"
+#include "rattanrill/serving/proxyrequest.h"
 
 #include <list>
 #include <memory>
--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "rattanrill/fleet/operatordialect.h"
-#include "rattanrill/fleet/syncservice.h"
+#include "rattanrill/fleet/fleetservice.h"
+#include "rattanrill/fleet/operatorprotocoladapter.h"
 #include "rattanrill/gateway/processsettings.h"
 #include "rattanrill/net/eventloop.h"
-#include "rattanrill/serving/dialect.h"
+#include "rattanrill/serving/protocoladapter.h"
 
 #include <functional>
 #include <memory>
@@ -12,15 +12,15 @@
 namespace rattanrill::gateway {
 
 /// What a process needs from its surroundings. All members outlive it.
-struct ProcessParts
+struct ProcessContext
 {
     net::EventLoop &loop;
-    const serving::Dialect &dialect;
-    const fleet::OperatorDialect &operatorDialect;
+    const serving::ProtocolAdapter &protocol;
+    const fleet::OperatorProtocolAdapter &operatorProtocol;
     /// Reads the platform's list; used by control processes.
-    fleet::UpstreamList &upstreamList;
+    fleet::UpstreamDiscovery &upstreamList;
     /// True for a request that asks whether the process wants new connections.
-    std::function<bool(const net::Request &)> isReadinessQuestion;
+    std::function<bool(const net::Request &)> isReadinessProbe;
 };
 
 /// One process of a deployment. Used on the event loop only.
@@ -39,18 +39,19 @@
 
 /// Takes callers' requests.
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
-                                          const ProcessParts &parts);
+                                          const ProcessContext &parts);
 /// Holds a replica of the fleet group and serves operators.
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
-                                            const ProcessParts &parts);
+                                            const ProcessContext &parts);
 /// Holds a replica of the store group; its leader runs batch items and gives out places.
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessParts &parts);
+                                          const ProcessContext &parts);
 
 /// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
 /// the settings again.
-using MakeProcess = std::unique_ptr<Process> (*)(const ProcessSettings &, const ProcessParts &);
-int runProcess(const ProcessSettings &settings, const ProcessParts &parts, MakeProcess make,
+using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
+                                                    const ProcessContext &);
+int runProcess(const ProcessSettings &settings, const ProcessContext &parts, ProcessFactory make,
                std::function<std::vector<std::string>()> readSeeds);
 
 } // namespace rattanrill::gateway
--- a/include/rattanrill/gateway/processsettings.h
+++ b/include/rattanrill/gateway/processsettings.h
@@ -26,21 +26,21 @@
     /// Operator addresses of control processes.
     std::vector<std::string> seeds;
     /// The deployment starts for the first time.
-    bool founding = false;
+    bool bootstrap = false;
     /// Empty on machines without a disk.
     std::string dataFolder;
     std::string clusterSecret;
     /// Address of the platform's list of upstreams.
-    std::string listAddress;
+    std::string upstreamListAddress;
     /// Time from the order to stop to the end of the process.
-    absl::Duration grace = absl::Seconds(8);
+    absl::Duration shutdownTimeout = absl::Seconds(8);
     /// What the count of a workspace's requests may exceed rate and burst by, in any window of this
     /// length: a share of it, and requests beside.
     absl::Duration rateWindow = absl::Seconds(5);
-    double rateOver = 0;
-    double rateSlack = 0;
+    double rateToleranceFraction = 0;
+    double rateToleranceRequests = 0;
     /// Machines with a disk that may be lost at once.
-    int lossTolerance = 1;
+    int toleratedFailures = 1;
 
     std::string peerAddress() const;
     /// Peer addresses of the seeds.
--- a/include/rattanrill/jobs/jobclient.h
+++ b/include/rattanrill/jobs/jobclient.h
@@ -36,7 +36,8 @@
               Callback<wire::ReadJobResponse> callback);
     void readItem(const wire::ReadItemRequest &request, absl::Duration timeout,
                   Callback<wire::ReadItemResponse> callback);
-    void end(const wire::EndJobRequest &request, absl::Duration timeout, Callback<Done> callback);
+    void cancel(const wire::EndJobRequest &request, absl::Duration timeout,
+                Callback<Done> callback);
     void stop();
 
 private:
--- a/include/rattanrill/jobs/jobexecutor.h
+++ b/include/rattanrill/jobs/jobexecutor.h
@@ -3,11 +3,11 @@
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/fleet/groupreplica.h"
+#include "rattanrill/net/connectionpool.h"
 #include "rattanrill/net/eventloop.h"
-#include "rattanrill/net/upstreampool.h"
 #include "rattanrill/serving/deployment.h"
-#include "rattanrill/serving/dialect.h"
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/protocoladapter.h"
+#include "rattanrill/serving/slotbroker.h"
 #include "rattanrill/wire/jobmessages.h"
 
 #include <functional>
@@ -17,14 +17,14 @@
 namespace rattanrill::jobs {
 
 /// What the executor works with. All members outlive it.
-struct ExecutorContext
+struct JobExecutorContext
 {
     net::EventLoop &loop;
     const Clock &clock;
     Metrics &metrics;
-    const serving::Dialect &dialect;
-    net::UpstreamPool &upstreams;
-    serving::PlaceBroker &broker;
+    const serving::ProtocolAdapter &protocol;
+    net::ConnectionPool &upstreams;
+    serving::SlotBroker &broker;
     fleet::GroupReplica &replica;
     std::string failureDomain;
 };
@@ -34,21 +34,21 @@
 class JobExecutor
 {
 public:
-    explicit JobExecutor(const ExecutorContext &context);
+    explicit JobExecutor(const JobExecutorContext &context);
     ~JobExecutor();
     JobExecutor(const JobExecutor &) = delete;
     JobExecutor &operator=(const JobExecutor &) = delete;
 
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Calls \a listener with the job's id after a result was stored.
-    void onStored(std::function<void(const std::string &job)> listener);
+    void onResultStored(std::function<void(const std::string &job)> listener);
     /// Adds a job that was accepted; one that is known already changes nothing.
     void add(const wire::OpenJob &job);
     /// The job was ended: its items stop.
-    void end(const std::string &job);
+    void cancel(const std::string &job);
     /// This replica no longer leads: everything stops.
-    void clear();
-    std::size_t openItems() const;
+    void stopAll();
+    std::size_t openItemCount() const;
 
 private:
     struct Impl;
--- a/include/rattanrill/jobs/jobservice.h
+++ b/include/rattanrill/jobs/jobservice.h
@@ -12,7 +12,7 @@
 class JobService
 {
 public:
-    JobService(const ExecutorContext &context, JobExecutor &executor);
+    JobService(const JobExecutorContext &context, JobExecutor &executor);
     ~JobService();
     JobService(const JobService &) = delete;
     JobService &operator=(const JobService &) = delete;
@@ -20,7 +20,7 @@
     void install(peer::Server &server);
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Leadership of the store group began or ended.
-    void leadChanged(bool leads);
+    void leadershipChanged(bool leads);
     void stop();
 
 private:
--- a/include/rattanrill/net/upstreampool.h
+++ b/include/rattanrill/net/connectionpool.h
@@ -15,7 +15,7 @@
 namespace rattanrill::net {
 
 /// How a call to an upstream ended.
-enum class CallEnd {
+enum class CallStatus {
     /// The whole answer arrived.
     Complete,
     /// No connection was made; nothing was sent.
@@ -24,7 +24,7 @@
     Broken,
 };
 
-std::string_view name(CallEnd end);
+std::string_view name(CallStatus end);
 
 /// Receives the answer of one call, on the event loop.
 struct CallHandlers
@@ -33,31 +33,31 @@
     std::function<bool(const ResponseHead &)> head;
     std::function<void(std::string_view)> body;
     /// Called exactly once unless the call is cancelled.
-    std::function<void(CallEnd)> end;
+    std::function<void(CallStatus)> end;
 };
 
-struct UpstreamPoolOptions
+struct ConnectionPoolOptions
 {
     absl::Duration connectTimeout = absl::Seconds(1);
     /// A kept connection is used again for this share of the time that its upstream announces, so
     /// that a request does not cross the upstream's close.
     double keepShare = 0.5;
-    /// Announced time of upstreams that announce none.
+    /// Announced time of upstreams that sendHeartbeat none.
     absl::Duration defaultKeep = absl::Seconds(4);
     /// Kept connections per address.
     std::size_t maxIdle = 16;
 };
 
 /// Kept connections to upstreams, one request at a time on each. Used on the event loop only.
-class UpstreamPool
+class ConnectionPool
 {
 public:
     using CallId = std::uint64_t;
 
-    UpstreamPool(EventLoop &loop, UpstreamPoolOptions options);
-    ~UpstreamPool();
-    UpstreamPool(const UpstreamPool &) = delete;
-    UpstreamPool &operator=(const UpstreamPool &) = delete;
+    ConnectionPool(EventLoop &loop, ConnectionPoolOptions options);
+    ~ConnectionPool();
+    ConnectionPool(const ConnectionPool &) = delete;
+    ConnectionPool &operator=(const ConnectionPool &) = delete;
 
     /// Sends \a request, a serialized request, to \a address ("host:port").
     CallId call(const std::string &address, std::string request, CallHandlers handlers);
--- a/include/rattanrill/net/requestreader.h
+++ b/include/rattanrill/net/requestparser.h
@@ -16,7 +16,7 @@
 };
 
 /// Reads requests from the bytes of one connection, apart from any input or output.
-class RequestReader
+class RequestParser
 {
 public:
     enum class State {
@@ -30,8 +30,8 @@
         Refused,
     };
 
-    explicit RequestReader(RequestLimits limits);
-    ~RequestReader();
+    explicit RequestParser(RequestLimits limits);
+    ~RequestParser();
 
     /// Takes bytes; those after a complete request are kept for the next one.
     void feed(std::string_view bytes);
--- a/include/rattanrill/net/responsereader.h
+++ b/include/rattanrill/net/responseparser.h
@@ -11,7 +11,7 @@
 
 /// Reads one response from the bytes of a connection, apart from any input or output. Interim
 /// responses and responses to other requests are passed over.
-class ResponseReader
+class ResponseParser
 {
 public:
     enum class State {
@@ -29,8 +29,8 @@
         std::function<void(std::string_view)> body;
     };
 
-    explicit ResponseReader(Handlers handlers);
-    ~ResponseReader();
+    explicit ResponseParser(Handlers handlers);
+    ~ResponseParser();
 
     void feed(std::string_view bytes);
     /// The connection was closed in order by the other side.
--- a/include/rattanrill/net/server.h
+++ b/include/rattanrill/net/server.h
@@ -38,7 +38,7 @@
     /// Time at which the request was complete.
     virtual absl::Time receivedAt() const = 0;
     /// Calls \a handler once if the client leaves before the answer is complete.
-    virtual void onClientGone(std::function<void()> handler) = 0;
+    virtual void onClientDisconnected(std::function<void()> handler) = 0;
     virtual void respond(Response response) = 0;
     /// Starts an answer of unknown length.
     virtual void startStream(ResponseHead head) = 0;
--- a/include/rattanrill/peer/channel.h
+++ b/include/rattanrill/peer/channel.h
@@ -23,10 +23,11 @@
     /// or UnsupportedVersion (all NotRun), or with what the other side answered. While the channel
     /// waits for the next attempt to connect, calls fail at once, so that the caller can turn to
     /// another process. \a reply runs on a network thread and returns soon.
-    void call(wire::Method method, std::string body, absl::Duration timeout, Reply reply);
+    void call(wire::Method method, std::string body, absl::Duration timeout,
+              ResponseCallback reply);
     /// Sends without an answer. Waits for a connection that is being made; dropped while the
     /// channel waits for the next attempt to connect, or when the queue is full.
-    void push(wire::Method method, std::string body);
+    void sendOneWay(wire::Method method, std::string body);
     const std::string &address() const;
     bool connected() const;
     /// Fails all open calls with Stopped; no reply runs after return.
--- a/include/rattanrill/peer/channelpool.h
+++ b/include/rattanrill/peer/channelpool.h
@@ -17,7 +17,7 @@
     /// Channel to \a address ("host:port"); stays valid while the caller holds it.
     std::shared_ptr<Channel> channel(const std::string &address);
     /// Closes and forgets the channel of a process that has left.
-    void drop(const std::string &address);
+    void remove(const std::string &address);
     void close();
 
 private:
--- a/include/rattanrill/peer/server.h
+++ b/include/rattanrill/peer/server.h
@@ -16,7 +16,7 @@
     Server &operator=(const Server &) = delete;
 
     /// Sets the handler of \a method; before start() only.
-    void handle(wire::Method method, Handler handler);
+    void handle(wire::Method method, MethodHandler handler);
     /// Listens on \a host and \a port; port 0 takes a free one. Fails with AddressInUse or
     /// InvalidArgument.
     Result<void> start(const std::string &host, int port);
--- a/include/rattanrill/peer/transport.h
+++ b/include/rattanrill/peer/transport.h
@@ -38,10 +38,11 @@
 };
 
 /// Receives the response body or the failure of a call. Called exactly once.
-using Reply = std::function<void(Outcome<std::string>)>;
+using ResponseCallback = std::function<void(Outcome<std::string>)>;
 
 /// Serves one method. Runs on a network thread: it returns soon and replies now or later, from any
 /// thread.
-using Handler = std::function<void(const PeerIdentity &from, std::string body, Reply reply)>;
+using MethodHandler =
+        std::function<void(const PeerIdentity &from, std::string body, ResponseCallback reply)>;
 
 } // namespace rattanrill::peer
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/policy/outlierdetector.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -48,10 +48,10 @@
     const OutlierDetector &outlier() const { return m_outlier; }
 
     void loadReported(absl::Time now, const EngineLoad &load);
-    void workStarted(absl::Time now, WorkKind kind, std::int64_t prefillTokens,
+    void workStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                      std::int64_t totalTokens);
-    void firstToken(WorkKind kind, std::int64_t prefillTokens);
-    void workEnded(absl::Time now, WorkKind kind, std::int64_t totalTokens);
+    void firstToken(TaskKind kind, std::int64_t prefillTokens);
+    void workEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens);
 
     bool hasReport() const { return m_reports > 0; }
     /// Number of reports so far.
@@ -61,11 +61,11 @@
     absl::Time reportedAt() const { return m_reportedAt; }
     std::int64_t maxBatch() const { return m_load.maxBatch; }
     /// Own work on the engine.
-    std::int64_t own(WorkKind kind) const;
+    std::int64_t own(TaskKind kind) const;
     /// Own prompt tokens that have not led to a first token yet.
-    std::int64_t ownPrefill(WorkKind kind) const;
+    std::int64_t ownPrefill(TaskKind kind) const;
     /// Own starts minus own ends since the time that the last report describes.
-    std::int64_t ownChange(WorkKind kind) const;
+    std::int64_t ownChange(TaskKind kind) const;
     /// Reported requests plus own changes since.
     double requestsSeen() const;
     /// Requests expected on the engine now, running and waiting, when \a entries share it.
@@ -77,7 +77,7 @@
     struct Change
     {
         absl::Time at;
-        WorkKind kind;
+        TaskKind kind;
         int delta;
         std::int64_t tokens;
     };
@@ -90,7 +90,7 @@
     EngineLoad m_load;
     std::uint64_t m_reports = 0;
     absl::Time m_reportedAt = absl::InfinitePast();
-    /// Indexed by WorkKind, as are the next two.
+    /// Indexed by TaskKind, as are the next two.
     std::array<std::int64_t, 2> m_own{};
     std::array<std::int64_t, 2> m_ownPrefill{};
     std::array<std::int64_t, 2> m_ownChange{};
--- a/include/rattanrill/policy/fairqueue.h
+++ b/include/rattanrill/policy/fairqueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -22,44 +22,44 @@
     /// Sets the weight of a workspace; 1 when never set. Values <= 0 count as the smallest weight.
     void setWeight(const std::string &workspace, double weight);
     /// Where work of equal due time goes within its workspace.
-    enum class Order {
+    enum class TieBreak {
         /// Work with progress: its delivered tokens take memory somewhere until it ends.
-        First,
+        Resumed,
         ByArrival,
     };
 
     /// Adds waiting work. \a due orders within the workspace.
-    void push(const std::string &workspace, WorkId work, absl::Time due,
-              Order order = Order::ByArrival);
+    void push(const std::string &workspace, TaskId task, absl::Time due,
+              TieBreak tieBreak = TieBreak::ByArrival);
     /// Removes waiting work; false when it does not wait here.
-    bool remove(WorkId work);
+    bool remove(TaskId task);
     /// Work that is next; nothing is removed or charged.
-    std::optional<WorkId> front() const;
+    std::optional<TaskId> front() const;
     /// Work that would go last: the last one of the workspace with the most service.
-    std::optional<WorkId> back() const;
+    std::optional<TaskId> back() const;
     /// Charges \a tokens of service. Charge estimates at the start and settle the difference
     /// (which may be negative) at the end.
     void charge(const std::string &workspace, double tokens);
 
-    bool empty() const { return m_places.empty(); }
-    std::size_t size() const { return m_places.size(); }
+    bool empty() const { return m_positions.empty(); }
+    std::size_t size() const { return m_positions.size(); }
     std::size_t waiting(const std::string &workspace) const;
 
 private:
-    using Place = std::tuple<absl::Time, Order, std::uint64_t>;
+    using Position = std::tuple<absl::Time, TieBreak, std::uint64_t>;
 
     struct Flow
     {
         double weight = 1;
         /// Served tokens / weight, in the queue's virtual time.
         double virtualTime = 0;
-        std::map<Place, WorkId> waiting;
+        std::map<Position, TaskId> waiting;
     };
 
     std::map<std::string, Flow> m_flows;
     /// Flows with waiting work by virtual time.
     std::map<std::pair<double, std::string>, Flow *> m_active;
-    std::map<WorkId, std::pair<std::string, Place>> m_places;
+    std::map<TaskId, std::pair<std::string, Position>> m_positions;
     double m_virtualTime = 0;
     std::uint64_t m_nextSequence = 0;
 };
--- a/include/rattanrill/policy/leaseorder.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/policy/fairqueue.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -15,7 +15,7 @@
 
 namespace rattanrill::policy {
 
-struct LeaseOrderSettings
+struct LeaseQueueSettings
 {
     /// Longest run time of an item, waits at the entry included.
     absl::Duration runTime = absl::Seconds(15);
@@ -29,27 +29,27 @@
 /// workspaces and earliest due first within one. Shares give way when waiting would make items
 /// late: once the items due up to some time need all the time that is left, the earliest due goes
 /// first, whatever its workspace.
-class LeaseOrder
+class LeaseQueue
 {
 public:
-    explicit LeaseOrder(LeaseOrderSettings settings);
+    explicit LeaseQueue(LeaseQueueSettings settings);
 
     void setWeight(const std::string &workspace, double weight);
-    void push(const std::string &workspace, WorkId item, absl::Time due);
+    void push(const std::string &workspace, TaskId item, absl::Time due);
     /// Removes an item that was cancelled; false when it does not wait here.
-    bool remove(WorkId item);
+    bool remove(TaskId item);
     /// Takes the next item. \a tokens is the estimated service charged to its workspace.
-    std::optional<WorkId> pop(absl::Time now, double tokens);
+    std::optional<TaskId> pop(absl::Time now, double tokens);
     std::size_t size() const { return m_queue.size(); }
 
 private:
     /// The items due first need all the time that is left.
     bool isUrgent(absl::Time now) const;
 
-    LeaseOrderSettings m_settings;
+    LeaseQueueSettings m_settings;
     FairQueue m_queue;
-    std::set<std::pair<absl::Time, WorkId>> m_byDue;
-    std::unordered_map<WorkId, std::pair<std::string, absl::Time>> m_items;
+    std::set<std::pair<absl::Time, TaskId>> m_byDue;
+    std::unordered_map<TaskId, std::pair<std::string, absl::Time>> m_items;
     /// Number of waiting items by due time.
     std::map<absl::Time, std::size_t> m_dueCounts;
 };
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -17,7 +17,7 @@
     absl::Duration firstEjection = absl::Seconds(2);
     absl::Duration longestEjection = absl::Seconds(30);
     /// After an ejection the upstream's share grows from a tenth to the whole over this time.
-    absl::Duration returnTime = absl::Seconds(10);
+    absl::Duration rampUpTime = absl::Seconds(10);
 };
 
 /// Detection of a faulty upstream from its answers. An ejected upstream gets no work; afterwards
@@ -35,7 +35,7 @@
 
     /// Share of normal work that the upstream may get at \a now: 0 while ejected, then growing
     /// to 1.
-    double share(absl::Time now) const;
+    double trafficShare(absl::Time now) const;
     bool ejected(absl::Time now) const { return now < m_ejectedUntil; }
     absl::Time ejectedUntil() const { return m_ejectedUntil; }
     absl::Duration smoothedFirstToken() const { return m_smoothed; }
--- a/include/rattanrill/policy/quarantine.h
+++ b/include/rattanrill/policy/quarantine.h
@@ -17,17 +17,17 @@
     /// How long a request that ran beside others on a crashed upstream stays a suspect.
     absl::Duration suspectTime = absl::Seconds(30);
     /// How long a fingerprint is held unless an operator releases it.
-    absl::Duration holdTime = absl::Hours(24);
+    absl::Duration blockTime = absl::Hours(24);
 };
 
 /// What may be done with a request.
-enum class Standing {
+enum class QuarantineStatus {
     /// Nothing known against it.
-    Clear,
+    Allowed,
     /// It ran on an upstream that crashed: it runs only where no other suspect runs.
     Suspect,
     /// It is refused.
-    Held,
+    Blocked,
 };
 
 /// Requests that may have crashed an upstream. Suspects run isolated from each other, so that a
@@ -44,13 +44,13 @@
                                      const std::vector<std::string> &fingerprints, bool alone);
     /// The crash of \a upstream had a cause outside the requests it ran, such as the loss of its
     /// failure domain: it no longer counts against \a fingerprints that are not held.
-    void exonerate(const std::string &upstream, const std::vector<std::string> &fingerprints);
+    void retractCrash(const std::string &upstream, const std::vector<std::string> &fingerprints);
     /// A request completed: clears a suspect, but never a held fingerprint.
     void succeeded(const std::string &fingerprint);
     /// Merges a record of the directory; an empty list of upstreams releases the fingerprint.
     void setRecord(absl::Time now, const std::string &fingerprint,
                    const std::vector<std::string> &crashedUpstreams, bool held);
-    Standing standing(absl::Time now, const std::string &fingerprint) const;
+    QuarantineStatus status(absl::Time now, const std::string &fingerprint) const;
     /// Upstreams known to have crashed with the fingerprint.
     std::size_t crashes(const std::string &fingerprint) const;
     /// \a upstream is known to have crashed with the fingerprint.
--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -17,7 +17,7 @@
     /// Unused budget is kept up to this, so that the streams of a lost failure domain can be
     /// retried at once.
     double budgetLimit = 50;
-    int tries = 3;
+    int maxAttempts = 3;
     absl::Duration firstBackoff = absl::Milliseconds(20);
     absl::Duration longestBackoff = absl::Seconds(1);
 };
@@ -30,7 +30,7 @@
     explicit RetryPolicy(RetrySettings settings);
 
     /// A first try was sent; earns budget.
-    void firstTry();
+    void firstAttempt();
     /// True when a request may be repeated after try number \a attempt (from 1). Takes budget.
     bool mayRetry(int attempt, RunState run, bool idempotent);
     /// Wait before the try that follows try \a attempt: exponential with full jitter.
--- a/include/rattanrill/policy/router.h
+++ b/include/rattanrill/policy/router.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/policy/enginestate.h"
 #include "rattanrill/policy/prefixindex.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -50,14 +50,14 @@
 public:
     Router(RouterSettings settings, std::string failureDomain);
 
-    /// Index in \a candidates of the best engine for \a work, or -1 when every one is leaving,
-    /// ejected, or in \a avoided. \a random breaks ties and thins out returning engines.
-    int choose(absl::Time now, const Work &work, const std::vector<RouteCandidate> &candidates,
-               const std::vector<std::string> &avoided, const PrefixIndex &prefixes,
+    /// Index in \a candidates of the best engine for \a task, or -1 when every one is leaving,
+    /// ejected, or in \a excluded. \a random breaks ties and thins out returning engines.
+    int choose(absl::Time now, const Task &task, const std::vector<RouteCandidate> &candidates,
+               const std::vector<std::string> &excluded, const PrefixIndex &prefixes,
                std::size_t entries, std::mt19937_64 &random) const;
 
 private:
-    double cost(absl::Time now, const Work &work, const EngineState &engine, double leastLoad,
+    double cost(absl::Time now, const Task &task, const EngineState &engine, double leastLoad,
                 const PrefixIndex &prefixes, std::size_t entries) const;
 
     RouterSettings m_settings;
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -5,7 +5,7 @@
 #include "rattanrill/policy/quarantine.h"
 #include "rattanrill/policy/retrypolicy.h"
 #include "rattanrill/policy/router.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -42,7 +42,7 @@
     /// Engine prefill speed (tokens/s) used until first tokens have been observed.
     double prefillTokensPerSecond = 8000;
     /// Failed tries of a batch item after which it counts as impossible.
-    int batchTries = 4;
+    int maxBatchAttempts = 4;
     /// Cost in load of sending online work to an engine where batch prompts are being prefilled.
     double batchPrefillCost = 0.3;
     RouterSettings router;
@@ -53,7 +53,7 @@
 };
 
 /// Contract values of one workspace that the scheduler uses.
-struct WorkspaceShare
+struct WorkspaceWeights
 {
     std::string workspace;
     /// Weight of online work, by convention the contract's rate.
@@ -62,10 +62,10 @@
     double batchWeight = 1;
 };
 
-/// Start \a work on \a engine as try \a attempt. Answers that belong to an earlier try are ignored.
-struct StartWork
+/// Start \a task on \a engine as try \a attempt. Answers that belong to an earlier try are ignored.
+struct StartTask
 {
-    WorkId work = 0;
+    TaskId task = 0;
     std::string engine;
     /// Number of the try, from 1; part of the engine's request id.
     int attempt = 0;
@@ -82,20 +82,20 @@
 
 std::string_view name(PreemptMethod method);
 
-/// End batch \a work on \a engine and answer with Scheduler::preempted(). The scheduler keeps the
+/// End batch \a task on \a engine and answer with Scheduler::preempted(). The scheduler keeps the
 /// work and starts it again from its progress.
-struct PreemptWork
+struct PreemptTask
 {
-    WorkId work = 0;
+    TaskId task = 0;
     std::string engine;
     int attempt = 0;
     PreemptMethod method = PreemptMethod::Cancel;
 };
 
-/// End \a work with a failure. The scheduler has forgotten it.
-struct RefuseWork
+/// End \a task with a failure. The scheduler has forgotten it.
+struct RejectTask
 {
-    WorkId work = 0;
+    TaskId task = 0;
     /// RunState::NotRun only when no try can have run.
     Failure failure;
     /// For the Retry-After header; zero when a retry is pointless.
@@ -109,10 +109,10 @@
     std::string engine;
 };
 
-using Decision = std::variant<StartWork, PreemptWork, RefuseWork, RecordCrash>;
+using SchedulerDecision = std::variant<StartTask, PreemptTask, RejectTask, RecordCrash>;
 
 /// How a try failed.
-struct TryFailure
+struct AttemptFailure
 {
     enum class Kind {
         /// The engine refused (503, no connection): nothing ran.
@@ -147,7 +147,7 @@
     /// caller reports its end; a leaving engine gets no new work.
     void setEngines(absl::Time now, const std::vector<EngineInfo> &engines);
     /// Replaces weights of workspaces.
-    void setWorkspaces(const std::vector<WorkspaceShare> &workspaces);
+    void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces);
     /// Replaces the list of entries that share the engines. \a self is this entry's instance and
     /// is in the list. All entries derive from it which of them tests suspects on which engine.
     void setEntries(const std::string &self, const std::vector<std::string> &instances);
@@ -164,37 +164,37 @@
     void cacheEvents(absl::Time now, const std::string &engine,
                      const std::vector<CacheEvent> &events);
 
-    /// New work. Its outcome is RefuseWork or the caller's own finished().
-    void arrived(absl::Time now, const Work &work);
+    /// New work. Its outcome is RejectTask or the caller's own finished().
+    void arrived(absl::Time now, const Task &task);
     /// The caller or the job gave the work up; the caller of this class ends a running try itself.
-    void withdrawn(absl::Time now, WorkId work);
+    void cancelled(absl::Time now, TaskId task);
     /// The engine accepted the try.
-    void started(absl::Time now, WorkId work, int attempt);
-    void firstToken(absl::Time now, WorkId work, int attempt);
+    void started(absl::Time now, TaskId task, int attempt);
+    void firstToken(absl::Time now, TaskId task, int attempt);
     /// \a deliveredTokens counts all tokens of the answer, those of earlier tries included. Call at
     /// least every few hundred milliseconds, not for every token.
-    void progress(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens);
+    void progress(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens);
     /// Complete answer; the scheduler forgets the work.
-    void finished(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens);
+    void finished(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens);
     /// The try failed; the scheduler retries or refuses with the next decide().
-    void failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure);
-    /// A PreemptWork was carried out. \a kvHandle is empty after a cancel.
-    void preempted(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens,
+    void failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure);
+    /// A PreemptTask was carried out. \a kvHandle is empty after a cancel.
+    void preempted(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens,
                    const std::string &kvHandle);
 
     /// Decisions due at \a now, to be carried out in order.
-    std::vector<Decision> decide(absl::Time now);
+    std::vector<SchedulerDecision> decide(absl::Time now);
     /// Latest time for the next call of decide() when no event comes before.
     absl::Time nextDecision() const;
     /// Batch items to lease now, so that room that opens is filled at once; 0 while engines are
     /// busy or enough items wait.
-    std::size_t batchRoom(absl::Time now) const;
-    /// As batchRoom(), for one model.
-    std::size_t batchRoom(absl::Time now, std::string_view model) const;
+    std::size_t batchCapacity(absl::Time now) const;
+    /// As batchCapacity(), for one model.
+    std::size_t batchCapacity(absl::Time now, std::string_view model) const;
 
     /// Figures for metrics.
-    std::size_t waiting(WorkKind kind) const;
-    std::size_t running(WorkKind kind) const;
+    std::size_t waiting(TaskKind kind) const;
+    std::size_t running(TaskKind kind) const;
     /// State of an engine as this entry sees it; nullptr when unknown.
     const EngineState *engine(std::string_view name) const;
 
--- a/include/rattanrill/policy/placetable.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/policy/fairqueue.h"
 #include "rattanrill/policy/outlierdetector.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -21,7 +21,7 @@
 namespace rattanrill::policy {
 
 /// An upstream with the number of requests that it runs at once.
-struct PlaceUpstream
+struct SlotUpstream
 {
     std::string id;
     std::string service;
@@ -32,7 +32,7 @@
 };
 
 /// A request that wants a place at an upstream.
-struct PlaceWork
+struct SlotTask
 {
     /// Unique among open works.
     std::string id;
@@ -40,74 +40,74 @@
     std::string workspace;
     /// Of the process that will send it.
     std::string failureDomain;
-    WorkKind kind = WorkKind::Online;
+    TaskKind kind = TaskKind::Online;
     /// 0 is served first.
     int priority = 0;
     /// Tokens that it is expected to cost, for fairness between workspaces.
     double tokens = 1;
     /// Online: refused without a place by then. Batch: due time, the earliest goes first.
-    absl::Time due = absl::InfiniteFuture();
+    absl::Time deadline = absl::InfiniteFuture();
     /// Batch: time for which it held places before; what it has produced is kept.
-    absl::Duration served;
+    absl::Duration priorRunTime;
     /// Longest Retry-After that its caller can use.
-    absl::Duration longestReturn = absl::InfiniteDuration();
+    absl::Duration maxRetryAfter = absl::InfiniteDuration();
     /// Upstreams that it was sent to before.
     std::vector<std::string> excluded;
 };
 
 /// How a work left its place, as far as it says something of the upstream.
-enum class PlaceEnd {
-    Served,
+enum class ReleaseReason {
+    Completed,
     /// The work was given up, which says nothing.
-    Abandoned,
+    Cancelled,
     /// The upstream refused, broke off or was silent.
     Failed,
     /// Nothing, or another upstream, answers at the address.
-    Gone,
+    Unreachable,
 };
 
-std::string_view name(PlaceEnd end);
-std::optional<PlaceEnd> placeEndFromName(std::string_view name);
+std::string_view name(ReleaseReason end);
+std::optional<ReleaseReason> releaseReasonFromName(std::string_view name);
 
 /// The work may be sent to the upstream.
-struct GrantPlace
+struct GrantSlot
 {
-    std::string work;
+    std::string task;
     std::string upstream;
     std::string address;
 };
 
 /// No place will be free in time; the table has forgotten the work.
-struct RefusePlace
+struct RejectSlot
 {
-    std::string work;
+    std::string task;
     absl::Duration retryAfter;
 };
 
 /// The batch work must leave its place at once; the table has forgotten it, and its owner asks
 /// again.
-struct YieldPlace
+struct PreemptSlot
 {
-    std::string work;
+    std::string task;
 };
 
-using PlaceDecision = std::variant<GrantPlace, RefusePlace, YieldPlace>;
+using SlotDecision = std::variant<GrantSlot, RejectSlot, PreemptSlot>;
 
-struct PlaceTableSettings
+struct SlotSchedulerSettings
 {
     OutlierSettings outlier;
     /// Time that an online request holds a place, used until some have ended.
     absl::Duration expectedHold = absl::Milliseconds(700);
     /// Shortest Retry-After of a refusal for want of a place.
-    absl::Duration shortestReturn = absl::Milliseconds(300);
+    absl::Duration minRetryAfter = absl::Milliseconds(300);
     /// Share of the places that are expected to be free for callers that return.
-    double returnShare = 0.5;
+    double retryShare = 0.5;
     /// A report of requests at an upstream that this table did not place counts for this long.
     absl::Duration reportLifetime = absl::Seconds(1);
     /// Places at each upstream that batch work leaves free.
-    std::int64_t reserve = 0;
+    std::int64_t onlineReserve = 0;
     /// For this long after begin(), requests of a process that is gone may still run somewhere.
-    absl::Duration lingerTime = absl::Milliseconds(1500);
+    absl::Duration takeoverGracePeriod = absl::Milliseconds(1500);
     /// Requests that an upstream runs at once in that time before its first report.
     int probes = 2;
 };
@@ -126,35 +126,35 @@
 /// (places shrink by what upstreams report beyond the own work); a table that follows another one
 /// (the places that are held are adopted, and upstreams are probed until they have reported). Apart
 /// from input and output; not thread-safe.
-class PlaceTable
+class SlotScheduler
 {
 public:
-    explicit PlaceTable(PlaceTableSettings settings);
+    explicit SlotScheduler(SlotSchedulerSettings settings);
 
     /// Another table has given out places until now.
-    void begin(absl::Time now);
+    void beginTakeover(absl::Time now);
     /// Replaces the list. Works on upstreams that left it keep their places until released.
-    void setUpstreams(const std::vector<PlaceUpstream> &upstreams);
-    void request(absl::Time now, const PlaceWork &work);
+    void setUpstreams(const std::vector<SlotUpstream> &upstreams);
+    void request(absl::Time now, const SlotTask &task);
     /// The work holds a place that another table granted. Nothing changes when the upstream is not
     /// listed or the work is known.
-    void adopt(absl::Time now, const PlaceWork &work, const std::string &upstream);
+    void adopt(absl::Time now, const SlotTask &task, const std::string &upstream);
     /// The work has left its place.
-    void release(absl::Time now, const std::string &work, PlaceEnd end);
+    void release(absl::Time now, const std::string &task, ReleaseReason end);
     /// The work's caller no longer wants a place; a held one is released.
-    void withdraw(const std::string &work);
+    void cancel(const std::string &task);
     /// The upstream says that it has \a requests, from all senders.
     void loadReported(absl::Time now, const std::string &upstream, std::int64_t requests);
     /// Decisions due at \a now, to be carried out in order.
-    std::vector<PlaceDecision> decide(absl::Time now);
+    std::vector<SlotDecision> decide(absl::Time now);
     /// Latest time for the next decide() when nothing else happens.
     absl::Time nextDecision() const;
 
-    std::size_t waiting(const std::string &service, WorkKind kind) const;
-    std::size_t held(const std::string &service, WorkKind kind) const;
+    std::size_t waiting(const std::string &service, TaskKind kind) const;
+    std::size_t runningCount(const std::string &service, TaskKind kind) const;
     /// Places of all upstreams of a service that take new work.
-    std::int64_t places(const std::string &service) const;
-    bool knows(const std::string &work) const { return m_items.count(work) != 0; }
+    std::int64_t slotCount(const std::string &service) const;
+    bool contains(const std::string &task) const { return m_items.count(task) != 0; }
 
 private:
     struct Upstream;
@@ -171,8 +171,8 @@
 
     struct Item
     {
-        PlaceWork work;
-        WorkId number = 0;
+        SlotTask task;
+        TaskId number = 0;
         Queue queue = Queue::None;
         /// Counted in the probes of its upstream.
         bool isProbe = false;
@@ -184,7 +184,7 @@
 
     struct Upstream
     {
-        PlaceUpstream info;
+        SlotUpstream info;
         OutlierDetector outlier{OutlierSettings()};
         bool removed = false;
         std::set<Item *> online;
@@ -223,18 +223,18 @@
         /// Time that a batch work holds places from its start to its end; zero until one has ended.
         absl::Duration meanBatchHold;
         /// When the last refused caller was asked to return.
-        absl::Time lastReturn = absl::InfinitePast();
+        absl::Time lastRetryAt = absl::InfinitePast();
     };
 
     Service &service(const std::string &name);
-    Item *itemOf(WorkId number);
+    Item *itemOf(TaskId number);
     void enqueue(absl::Time now, Service &service, Item &item);
     void enqueueLate(Service &service, Item &item);
     bool isLate(absl::Time now, const Service &service, const Item &item) const;
     void moveLate(absl::Time now, Service &service);
     Item *nextBatch(absl::Time now, Service &service);
     bool isOverfull(absl::Time now, const Upstream &upstream) const;
-    std::int64_t unprobedPlaces(absl::Time now, const Service &service) const;
+    std::int64_t unprobedSlots(absl::Time now, const Service &service) const;
     bool isLoadUnknown(absl::Time now, const Upstream &upstream) const;
     Upstream *freeUpstream(absl::Time now, const Service &service, const Item &item) const;
     Upstream *yieldingUpstream(absl::Time now, const Service &service, const Item &item) const;
@@ -248,20 +248,20 @@
     void yieldOne(absl::Time now, Upstream &upstream);
     void grant(absl::Time now, Service &service, Item &item, Upstream &upstream);
     void dequeue(Service &service, Item &item);
-    void leavePlace(Item &item);
+    void leaveSlot(Item &item);
     void forget(Item &item);
     absl::Duration spacing(const Service &service) const;
 
-    const PlaceTableSettings m_settings;
+    const SlotSchedulerSettings m_settings;
     std::map<std::string, std::unique_ptr<Upstream>> m_upstreams;
     std::map<std::string, Service> m_services;
     std::map<std::string, std::unique_ptr<Item>> m_items;
-    std::map<WorkId, Item *> m_numbers;
+    std::map<TaskId, Item *> m_numbers;
     /// Online works that wait, by due time.
-    std::set<std::pair<absl::Time, WorkId>> m_onlineDue;
-    absl::Time m_begunAt = absl::InfinitePast();
-    WorkId m_nextNumber = 1;
-    std::vector<PlaceDecision> m_decisions;
+    std::set<std::pair<absl::Time, TaskId>> m_onlineDue;
+    absl::Time m_takeoverAt = absl::InfinitePast();
+    TaskId m_nextNumber = 1;
+    std::vector<SlotDecision> m_decisions;
 };
 
 } // namespace rattanrill::policy
--- a/include/rattanrill/policy/work.h
+++ b/include/rattanrill/policy/task.h
@@ -10,27 +10,27 @@
 namespace rattanrill::policy {
 
 /// Number of one request or batch item, unique within an entry process. All tries share it.
-using WorkId = std::uint64_t;
+using TaskId = std::uint64_t;
 
-enum class WorkKind {
+enum class TaskKind {
     Online,
     Batch,
 };
 
-std::string_view name(WorkKind kind);
+std::string_view name(TaskKind kind);
 
 /// One request or batch item as the scheduler needs to know it.
-struct Work
+struct Task
 {
-    WorkId id = 0;
+    TaskId id = 0;
     std::string workspace;
-    WorkKind kind = WorkKind::Online;
+    TaskKind kind = TaskKind::Online;
     std::string model;
     std::int64_t promptTokens = 0;
     std::int64_t maxTokens = 0;
     /// Online: latest time at which the caller still wants the first token. Batch: time by which
     /// the job must be done.
-    absl::Time due = absl::InfiniteFuture();
+    absl::Time deadline = absl::InfiniteFuture();
     /// Stable hashes of the first 64, 128, 256, ... bytes of the prompt, shortest first.
     std::vector<std::uint64_t> prefixHashes;
     /// Stable hash of workspace, model and body; equal when a caller resends the request.
--- a/include/rattanrill/replication/replicatedgroup.h
+++ b/include/rattanrill/replication/raftnode.h
@@ -28,7 +28,7 @@
 
 std::string_view name(Role role);
 
-struct GroupOptions
+struct RaftNodeOptions
 {
     std::string group;
     ReplicaId self;
@@ -43,12 +43,12 @@
     /// Takes the place of the election timeout until a leader has been heard: replicas that all
     /// start again have none to wait for. Pre-votes keep a replica that starts alone from harm.
     /// Zero: the election timeout.
-    absl::Duration firstElectionTimeout;
+    absl::Duration initialElectionTimeout;
     /// A snapshot is taken after this many log bytes.
     std::uint64_t snapshotAfterBytes = 16u << 20;
 };
 
-struct GroupStatus
+struct RaftNodeStatus
 {
     std::string group;
     Role role = Role::Follower;
@@ -66,21 +66,21 @@
 };
 
 /// Carries Raft messages to other replicas; may lose, delay, repeat and reorder them.
-class GroupTransport
+class RaftTransport
 {
 public:
-    virtual ~GroupTransport() = default;
+    virtual ~RaftTransport() = default;
     virtual void send(const ReplicaId &to, const std::string &group, std::string message) = 0;
 };
 
 /// One replica of one group: Raft core, storage and state machine on a thread of its own.
-class ReplicatedGroup
+class RaftNode
 {
 public:
     /// Receives what the state machine answered (its wire::CommandResult unpacked), or the failure.
     using Callback = std::function<void(Outcome<std::string>)>;
 
-    virtual ~ReplicatedGroup() = default;
+    virtual ~RaftNode() = default;
 
     /// Replicates \a command and applies it. Fails with NotLeader (NotRun; the detail is the
     /// leader's id or empty), ProposalLost (MayHaveRun), NoQuorum, DiskFull (NotRun), QueueFull
@@ -90,17 +90,17 @@
     virtual void read(std::string query, Callback callback) = 0;
     /// Answers \a query from local state once it includes everything that was committed when the
     /// leader confirmed its leadership after this call; also served by followers.
-    virtual void readIndexed(std::string query, Callback callback) = 0;
+    virtual void linearizableRead(std::string query, Callback callback) = 0;
     /// A message from another replica.
     virtual void receive(const ReplicaId &from, std::string message) = 0;
-    virtual GroupStatus status() const = 0;
+    virtual RaftNodeStatus status() const = 0;
     /// Calls \a listener with the applied index after each batch of applied commands.
     virtual void onApplied(std::function<void(std::uint64_t)> listener) = 0;
     /// Adds a replica as learner and makes it a voter after it has caught up; replaces \a replaced
     /// when that is not empty. Single-step changes, leader only.
-    virtual void addMember(const ReplicaId &member, const ReplicaId &replaced,
-                           Callback callback) = 0;
-    virtual void removeMember(const ReplicaId &member, Callback callback) = 0;
+    virtual void addReplica(const ReplicaId &member, const ReplicaId &replaced,
+                            Callback callback) = 0;
+    virtual void removeReplica(const ReplicaId &member, Callback callback) = 0;
     /// Hands leadership to the most advanced follower; for a graceful stop.
     virtual void transferLeadership() = 0;
     /// Ends the thread; open calls fail with Stopped.
@@ -109,8 +109,8 @@
 
 /// Opens the data folder, recovers and starts. Fails with CorruptData, UnsupportedFormat,
 /// IdentityMismatch (the folder belongs to another replica) or IoError.
-Result<std::unique_ptr<ReplicatedGroup>> openGroup(const GroupOptions &options,
-                                                   std::unique_ptr<StateMachine> machine,
-                                                   GroupTransport &transport, const Clock &clock);
+Result<std::unique_ptr<RaftNode>> startRaftNode(const RaftNodeOptions &options,
+                                                std::unique_ptr<StateMachine> machine,
+                                                RaftTransport &transport, const Clock &clock);
 
 } // namespace rattanrill::replication
--- a/include/rattanrill/service/credentials.h
+++ b/include/rattanrill/service/credentials.h
@@ -10,9 +10,9 @@
 
 /// \a query without parameters that carry a credential: those of the usual names, and any whose
 /// name or value contains \a key, the key that the caller presented (plain or percent-encoded).
-std::string withoutCredentials(std::string_view query, std::string_view key);
+std::string stripCredentials(std::string_view query, std::string_view key);
 
 /// Whether \a text contains \a key, plain or percent-encoded. An empty key is contained in nothing.
-bool containsKey(std::string_view text, std::string_view key);
+bool containsApiKey(std::string_view text, std::string_view key);
 
 } // namespace rattanrill::service
--- a/include/rattanrill/service/serviceclient.h
+++ b/include/rattanrill/service/serviceclient.h
@@ -18,7 +18,7 @@
     int port = 0;
     absl::Duration connectTimeout = absl::Seconds(1);
     absl::Duration loadTimeout = absl::Seconds(2);
-    std::size_t maxAnswerBytes = 16u << 20;
+    std::size_t maxResponseBytes = 16u << 20;
 };
 
 /// A caller's request as it goes to a plain service. It has no member for credentials, so none can
@@ -36,18 +36,18 @@
     absl::Time deadline = absl::InfiniteFuture();
 };
 
-struct ServiceAnswer
+struct ServiceResponse
 {
     int status = 0;
     std::string contentType;
     std::string body;
 };
 
-struct ServiceLoad
+struct ServiceLoadReport
 {
     std::int64_t running = 0;
     std::int64_t capacity = 0;
-    absl::Duration age;
+    absl::Duration ageWhenSent;
 };
 
 /// Client of one plain service; the protocol is in docs/upstream-protocol.md. Calls block and may
@@ -66,8 +66,8 @@
     /// Fails with UpstreamUnavailable, UpstreamBusy (NotRun), Timeout, ConnectionLost or
     /// UpstreamFailed (MayHaveRun; also for the answer to another request). Any other status of
     /// the service is an answer.
-    Outcome<ServiceAnswer> call(const ServiceRequest &request);
-    Outcome<ServiceLoad> load();
+    Outcome<ServiceResponse> call(const ServiceRequest &request);
+    Outcome<ServiceLoadReport> load();
     /// Whether anything listens at the service's address.
     Outcome<Done> probe();
     /// Answers dropped because they carried the id of another request.
--- a/include/rattanrill/serving/deployment.h
+++ b/include/rattanrill/serving/deployment.h
@@ -49,13 +49,13 @@
     /// Time to the whole answer, or to the first event, that counts as prompt.
     absl::Duration latencyObjective = absl::Seconds(1);
     /// Longest pause between two events that counts as prompt; zero when the route has no streams.
-    absl::Duration gapObjective;
+    absl::Duration interEventObjective;
     /// 0 is served first.
     int priority = 0;
     /// Upstreams that one request may be sent to.
     int maxAttempts = 1;
     /// No key is asked for.
-    bool open = false;
+    bool allowsAnonymous = false;
     /// A stream may go on at another upstream after its last event.
     bool resumable = false;
     /// Batch: after the job was handed in, its results are due after this time, and what is not
@@ -113,7 +113,7 @@
 
 /// Service that a request goes to, drawn by the weights of the route's targets from \a key, so that
 /// all tries of a request agree.
-const std::string &targetService(const Route &route, std::string_view key);
+const std::string &selectService(const Route &route, std::string_view key);
 
 /// Lookups in one version; immutable.
 class DeploymentIndex
--- a/include/rattanrill/serving/eventstream.h
+++ b/include/rattanrill/serving/eventstream.h
@@ -36,8 +36,8 @@
 };
 
 /// What becomes of an event of a stream that may have been resumed.
-enum class EventVerdict {
-    Deliver,
+enum class SequenceCheck {
+    InOrder,
     /// It was delivered before.
     Repeated,
     /// An event before it is missing.
@@ -54,7 +54,7 @@
     {}
 
     /// Notes a delivered event.
-    EventVerdict take(const StreamEvent &event);
+    SequenceCheck advance(const StreamEvent &event);
     /// Last delivered id; absent before the first one.
     std::optional<std::int64_t> lastId() const { return m_lastId; }
 
--- a/include/rattanrill/serving/dialect.h
+++ b/include/rattanrill/serving/protocoladapter.h
@@ -21,9 +21,9 @@
     std::string id;
     std::string host;
     /// Empty when the caller presents none.
-    std::string key;
+    std::string apiKey;
     /// How long the caller waits, from the arrival of the request.
-    absl::Duration patience = absl::InfiniteDuration();
+    absl::Duration timeout = absl::InfiniteDuration();
     /// The caller has the events up to this one.
     std::optional<std::int64_t> resumeAfter;
     std::int64_t promptTokens = 0;
@@ -31,28 +31,28 @@
 };
 
 /// One try of a request at an upstream.
-struct UpstreamTry
+struct UpstreamAttempt
 {
     /// Instance that is expected at the address; another one refuses.
-    std::string upstream;
+    std::string expectedInstance;
     /// Workspace for which the request runs; empty on open routes.
     std::string workspace;
-    /// What is left of the caller's patience.
-    absl::Duration patience = absl::InfiniteDuration();
+    /// What is left of the caller's remainingTime.
+    absl::Duration remainingTime = absl::InfiniteDuration();
     std::optional<std::int64_t> resumeAfter;
 };
 
 /// What an upstream's answer says besides its bytes.
-struct AnswerFacts
+struct ResponseInfo
 {
     /// Request that it answers; empty when it does not say.
     std::string requestId;
     /// The upstream says that the request did not run.
     bool notRun = false;
     /// Another instance than the expected one answered.
-    bool isOtherInstance = false;
+    bool isInstanceMismatch = false;
     /// Requests that the upstream runs or that wait there, when it says so.
-    std::optional<std::int64_t> requests;
+    std::optional<std::int64_t> outstandingRequests;
 };
 
 /// Call about a batch job, as a caller makes it.
@@ -82,32 +82,33 @@
 using JobCall = std::variant<SubmitJobCall, ReadJobCall, ReadItemCall, EndJobCall>;
 
 /// How callers and upstreams of a deployment speak: names, formats and encodings, no decisions.
-class Dialect
+class ProtocolAdapter
 {
 public:
-    virtual ~Dialect() = default;
+    virtual ~ProtocolAdapter() = default;
 
     /// Fails with InvalidRequest.
-    virtual Result<CallerRequest> readRequest(const net::Request &request) const = 0;
+    virtual Result<CallerRequest> parseRequest(const net::Request &request) const = 0;
     /// The caller's request as sent to an upstream: method, path and body are unchanged, and no key
     /// is in it.
     virtual net::Request upstreamRequest(const net::Request &request,
-                                         const UpstreamTry &attempt) const = 0;
+                                         const UpstreamAttempt &attempt) const = 0;
     virtual net::Request itemRequest(const wire::JobItem &item, const std::string &host,
-                                     const UpstreamTry &attempt) const = 0;
-    virtual AnswerFacts readAnswer(const net::ResponseHead &head) const = 0;
+                                     const UpstreamAttempt &attempt) const = 0;
+    virtual ResponseInfo parseResponse(const net::ResponseHead &head) const = 0;
     /// True when \a head begins a series of events.
     virtual bool isEventStream(const net::ResponseHead &head) const = 0;
 
     /// True when \a request concerns a job that exists already, on a path outside all routes.
     virtual bool isJobCall(const net::Request &request) const = 0;
     /// Fails with InvalidRequest or NotFound.
-    virtual Result<JobCall> readJobCall(const net::Request &request,
-                                        const CallerRequest &caller) const = 0;
-    virtual net::Response jobResults(const wire::ReadJobResponse &results) const = 0;
+    virtual Result<JobCall> parseJobCall(const net::Request &request,
+                                         const CallerRequest &caller) const = 0;
+    virtual net::Response jobResultsResponse(const wire::ReadJobResponse &results) const = 0;
 
     /// Refusal of a request. \a retryAfter of zero says nothing about a return.
-    virtual net::Response refusal(const Failure &failure, absl::Duration retryAfter) const = 0;
+    virtual net::Response errorResponse(const Failure &failure,
+                                        absl::Duration retryAfter) const = 0;
 };
 
 } // namespace rattanrill::serving
--- a/include/rattanrill/serving/passthrough.h
+++ b/include/rattanrill/serving/proxyrequest.h
@@ -2,12 +2,12 @@
 
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/metrics.h"
+#include "rattanrill/net/connectionpool.h"
 #include "rattanrill/net/eventloop.h"
 #include "rattanrill/net/server.h"
-#include "rattanrill/net/upstreampool.h"
 #include "rattanrill/serving/deployment.h"
-#include "rattanrill/serving/dialect.h"
-#include "rattanrill/serving/placeclient.h"
+#include "rattanrill/serving/protocoladapter.h"
+#include "rattanrill/serving/slotclient.h"
 
 #include <memory>
 #include <string>
@@ -15,7 +15,7 @@
 namespace rattanrill::serving {
 
 /// How this entry names itself.
-struct EntryIdentity
+struct InstanceIdentity
 {
     std::string instance;
     std::string failureDomain;
@@ -27,10 +27,10 @@
     net::EventLoop &loop;
     const Clock &clock;
     Metrics &metrics;
-    const Dialect &dialect;
-    net::UpstreamPool &upstreams;
-    PlaceClient &places;
-    EntryIdentity self;
+    const ProtocolAdapter &protocol;
+    net::ConnectionPool &upstreams;
+    SlotClient &slotClient;
+    InstanceIdentity identity;
 };
 
 /// A caller's request whose route and workspace are known.
@@ -48,7 +48,7 @@
 /// unchanged, event by event on streams. A request that may run again goes on at another upstream
 /// when the first one breaks off; a refusal that says "not run" is true. Keeps itself alive until
 /// the exchange has ended.
-void passThrough(const ServingContext &context, RoutedRequest request,
-                 std::shared_ptr<net::Exchange> exchange);
+void proxyRequest(const ServingContext &context, RoutedRequest request,
+                  std::shared_ptr<net::Exchange> exchange);
 
 } // namespace rattanrill::serving
--- a/include/rattanrill/serving/placebroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/timerservice.h"
-#include "rattanrill/policy/placetable.h"
+#include "rattanrill/policy/slotscheduler.h"
 #include "rattanrill/policy/tokenbucket.h"
 #include "rattanrill/serving/deployment.h"
 #include "rattanrill/wire/fleetmessages.h"
@@ -18,20 +18,20 @@
 
 namespace rattanrill::serving {
 
-struct BrokerSettings
+struct SlotBrokerSettings
 {
-    policy::PlaceTableSettings table;
+    policy::SlotSchedulerSettings table;
     /// What the contracts' count may exceed in a window, as the deployment allows: a share of rate
     /// and burst, and requests beside. A broker that follows another one starts with as much, half
     /// of it for a second change in the same window.
     absl::Duration rateWindow = absl::Seconds(5);
-    double rateOver = 0;
-    double rateSlack = 0;
+    double rateToleranceFraction = 0;
+    double rateToleranceRequests = 0;
     /// Share of a request's latency objective for which it may wait for a place; the rest is for
     /// the way to the upstream and its first event.
     double waitShare = 0.7;
     /// Retry-After is at most this share of the time that the caller has left.
-    double returnShareOfPatience = 0.3;
+    double maxRetryAfterFraction = 0.3;
     /// A request that waits for a place is told so after this long, and asks again.
     absl::Duration waitSlice = absl::Milliseconds(40);
     /// A place is taken back this long after its request's deadline, when its holder is silent.
@@ -39,56 +39,57 @@
 };
 
 /// What a broker gives out.
-struct BrokerShare
+struct CapacityShare
 {
     /// Part of each workspace's rate.
-    double rate = 1;
+    double rateFraction = 1;
     /// Part of each upstream's places.
-    double places = 1;
+    double slotFraction = 1;
 };
 
 /// Gives out the places at the upstreams and charges the workspaces' rates. One process of the
 /// deployment gives out all of them; an entry that can't reach it uses a broker of its own over its
 /// share. Used on the event loop only.
-class PlaceBroker
+class SlotBroker
 {
 public:
-    using Answer = std::function<void(const wire::PlaceResponse &)>;
+    using ResponseCallback = std::function<void(const wire::SlotResponse &)>;
 
     /// How batch work learns of its place.
     struct BatchHandlers
     {
         std::function<void(const std::string &upstream, const std::string &address)> granted;
         /// The work must leave its place at once; the broker has forgotten it.
-        std::function<void()> yield;
+        std::function<void()> preempted;
     };
 
-    PlaceBroker(TimerService &timers, const Clock &clock, BrokerSettings settings);
-    ~PlaceBroker();
-    PlaceBroker(const PlaceBroker &) = delete;
-    PlaceBroker &operator=(const PlaceBroker &) = delete;
+    SlotBroker(TimerService &timers, const Clock &clock, SlotBrokerSettings settings);
+    ~SlotBroker();
+    SlotBroker(const SlotBroker &) = delete;
+    SlotBroker &operator=(const SlotBroker &) = delete;
 
     /// Forgets all places and starts with empty rate buckets and unknown loads: another process may
     /// have given out everything just now.
     void reset();
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
     /// What this broker gives out.
-    void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams, const BrokerShare &share);
+    void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                      const CapacityShare &share);
 
     /// The answer says Waiting when the request has to ask again.
-    void place(const wire::PlaceRequest &request, Answer answer);
-    void release(const wire::PlaceRelease &release);
+    void acquire(const wire::SlotRequest &request, ResponseCallback answer);
+    void release(const wire::SlotRelease &release);
     /// Places that a process got from a former broker or from its own share.
-    void adopt(const wire::HeldPlaces &held);
-    void loadReported(const wire::UpstreamLoad &load);
+    void restoreHeldSlots(const wire::HeldSlots &held);
+    void updateLoad(const wire::UpstreamLoad &load);
     /// Takes back the places of processes that are not in \a instances.
-    void keepInstances(const std::vector<std::string> &instances);
+    void setLiveInstances(const std::vector<std::string> &instances);
 
-    void placeBatch(const policy::PlaceWork &work, BatchHandlers handlers);
-    void releaseBatch(const std::string &work, policy::PlaceEnd end);
-    void withdrawBatch(const std::string &work);
+    void acquireBatch(const policy::SlotTask &task, BatchHandlers handlers);
+    void releaseBatch(const std::string &task, policy::ReleaseReason end);
+    void cancelBatch(const std::string &task);
 
-    const policy::PlaceTable &table() const { return m_table; }
+    const policy::SlotScheduler &table() const { return m_table; }
 
 private:
     struct Online
@@ -99,20 +100,20 @@
         bool isGranted = false;
         absl::Time expires;
         /// Null between two questions of the asker.
-        Answer answer;
+        ResponseCallback answer;
         /// What was decided between two questions.
-        std::optional<wire::PlaceResponse> decided;
+        std::optional<wire::SlotResponse> decided;
         TimerService::TimerId sliceTimer = 0;
     };
 
     policy::TokenBucket *bucket(const std::string &workspace);
     policy::RateContract contractOf(const Workspace &workspace) const;
     void decide();
-    void carryOut(const policy::GrantPlace &decision);
-    void carryOut(const policy::RefusePlace &decision);
-    void carryOut(const policy::YieldPlace &decision);
+    void carryOut(const policy::GrantSlot &decision);
+    void carryOut(const policy::RejectSlot &decision);
+    void carryOut(const policy::PreemptSlot &decision);
     void refuseRate(const std::string &id, absl::Duration wait);
-    void give(const std::string &id, const wire::PlaceResponse &response);
+    void give(const std::string &id, const wire::SlotResponse &response);
     void startSlice(const std::string &id);
     void forget(const std::string &id);
     policy::TokenBucket freshBucket(const policy::RateContract &contract) const;
@@ -121,10 +122,10 @@
 
     TimerService &m_timers;
     const Clock &m_clock;
-    const BrokerSettings m_settings;
-    policy::PlaceTable m_table;
+    const SlotBrokerSettings m_settings;
+    policy::SlotScheduler m_table;
     std::shared_ptr<const DeploymentIndex> m_deployment;
-    BrokerShare m_share;
+    CapacityShare m_share;
     std::map<std::string, policy::TokenBucket> m_buckets;
     /// By work id.
     std::map<std::string, Online> m_online;
--- a/include/rattanrill/serving/placeclient.h
+++ b/include/rattanrill/serving/slotclient.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/net/eventloop.h"
 #include "rattanrill/peer/channelpool.h"
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/slotbroker.h"
 
 #include "absl/time/time.h"
 
@@ -11,7 +11,7 @@
 
 namespace rattanrill::serving {
 
-struct PlaceClientSettings
+struct SlotClientSettings
 {
     /// Time for the way to the broker and back, beside the time for which it may hold a question.
     absl::Duration answerSlack = absl::Milliseconds(60);
@@ -20,32 +20,32 @@
     double placeFactor = 2;
     /// After a call without an answer, places come from the own share for this long.
     absl::Duration avoidFor = absl::Milliseconds(500);
-    BrokerSettings own;
+    SlotBrokerSettings own;
 };
 
 /// Asks the deployment's broker for places, and falls back on the entry's own share while the
 /// broker can't be reached. Used on the event loop only.
-class PlaceClient
+class SlotClient
 {
 public:
     /// \a fromOwnShare: the broker did not answer.
-    using Answer = std::function<void(const wire::PlaceResponse &, bool fromOwnShare)>;
+    using ResponseCallback = std::function<void(const wire::SlotResponse &, bool fromOwnShare)>;
 
-    PlaceClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
-                PlaceClientSettings settings);
-    ~PlaceClient();
-    PlaceClient(const PlaceClient &) = delete;
-    PlaceClient &operator=(const PlaceClient &) = delete;
+    SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
+               SlotClientSettings settings);
+    ~SlotClient();
+    SlotClient(const SlotClient &) = delete;
+    SlotClient &operator=(const SlotClient &) = delete;
 
     /// \a address: the broker's peer address; empty when none is known.
     void setBroker(const std::string &address);
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
     /// \a entries: entries that share the upstreams.
     void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams, std::size_t entries);
-    void place(const wire::PlaceRequest &request, Answer answer);
+    void acquire(const wire::SlotRequest &request, ResponseCallback answer);
     /// Also for a request whose answer has not come.
-    void release(const wire::PlaceRelease &release);
-    void loadReported(const wire::UpstreamLoad &load);
+    void release(const wire::SlotRelease &release);
+    void reportLoad(const wire::UpstreamLoad &load);
     void stop();
 
 private:
--- a/include/rattanrill/wire/codec.h
+++ b/include/rattanrill/wire/codec.h
@@ -27,7 +27,7 @@
 
 /// What a state machine answers: an encoded CommandResult with the message or the failure.
 template <typename Message>
-std::string encodeAnswer(const Outcome<Message> &outcome)
+std::string encodeCommandResult(const Outcome<Message> &outcome)
 {
     CommandResult answer;
     if (outcome.ok())
--- a/include/rattanrill/wire/directorymessages.h
+++ b/include/rattanrill/wire/directorymessages.h
@@ -23,13 +23,13 @@
 
 enum class RecordKind {
     Contract,
-    Key,
+    ApiKey,
     Config,
     Route,
     Upstream,
     Member,
-    Fence,
-    HeldRequest,
+    FencingToken,
+    QuarantinedRequest,
 };
 
 std::string_view name(UpstreamKind kind);
@@ -55,7 +55,7 @@
 };
 
 /// A caller's key. The key itself is never stored.
-struct Key
+struct ApiKey
 {
     std::string keyId;
     /// SHA-256 of the key, hexadecimal.
@@ -114,7 +114,7 @@
 };
 
 /// Highest fencing number issued for orders to an upstream.
-struct Fence
+struct FencingToken
 {
     std::string upstream;
     std::uint64_t number = 0;
@@ -122,7 +122,7 @@
 };
 
 /// A request fingerprint with the upstreams that crashed while running it.
-struct HeldRequest
+struct QuarantinedRequest
 {
     std::string fingerprint;
     std::vector<std::string> crashedUpstreams;
@@ -147,10 +147,10 @@
 struct AddKey
 {
     static constexpr std::string_view kind = "add_key";
-    Key key;
+    ApiKey key;
 };
 
-struct WithdrawKey
+struct RevokeKey
 {
     static constexpr std::string_view kind = "withdraw_key";
     std::string keyId;
@@ -200,7 +200,7 @@
     std::string incarnation;
 };
 
-struct IssueFence
+struct IssueFencingToken
 {
     static constexpr std::string_view kind = "issue_fence";
     std::string upstream;
@@ -215,16 +215,16 @@
     std::int64_t holdMs = 0;
 };
 
-struct ReleaseHeld
+struct ReleaseQuarantined
 {
     static constexpr std::string_view kind = "release_held";
     std::string fingerprint;
 };
 
 using DirectoryOperation =
-        std::variant<PutContract, WithdrawContract, AddKey, WithdrawKey, PutConfig, PutRoute,
-                     RemoveRoute, PutUpstream, RemoveUpstream, JoinMember, RemoveMember, IssueFence,
-                     ReportCrash, ReleaseHeld>;
+        std::variant<PutContract, WithdrawContract, AddKey, RevokeKey, PutConfig, PutRoute,
+                     RemoveRoute, PutUpstream, RemoveUpstream, JoinMember, RemoveMember,
+                     IssueFencingToken, ReportCrash, ReleaseQuarantined>;
 
 /// A write to the directory.
 struct DirectoryCommand
@@ -244,7 +244,7 @@
 {
     /// Revision of the directory after the command.
     std::uint64_t revision = 0;
-    /// Number that IssueFence drew.
+    /// Number that IssueFencingToken drew.
     std::uint64_t fence = 0;
     /// ReportCrash: the request is held from now on.
     bool held = false;
@@ -253,7 +253,7 @@
 };
 
 /// One changed record.
-struct Change
+struct RecordChange
 {
     std::uint64_t revision = 0;
     RecordKind kind = RecordKind::Contract;
@@ -263,8 +263,8 @@
     std::string body;
 };
 
-/// Request of Method::Follow.
-struct FollowRequest
+/// Request of Method::PollChanges.
+struct PollChangesRequest
 {
     std::string instance;
     /// Last revision that the follower has.
@@ -273,14 +273,14 @@
     std::int64_t waitMs = 0;
 };
 
-/// Response of Method::Follow.
-struct FollowResponse
+/// Response of Method::PollChanges.
+struct PollChangesResponse
 {
     /// Directory revision that the leader confirmed after the request had arrived.
     std::uint64_t revision = 0;
     /// The changes replace the whole view (the follower was too far behind).
     bool snapshot = false;
-    std::vector<Change> changes;
+    std::vector<RecordChange> changes;
     /// Revision of the last member change. A snapshot does not show removals, and all entries must
     /// choose owners of rate buckets by the same revision.
     std::uint64_t memberRevision = 0;
@@ -307,7 +307,7 @@
 };
 
 /// A request for rate grants, several callers' requests at once. Method::Grant.
-struct GrantRequest
+struct RateGrantRequest
 {
     std::string workspace;
     /// Revision of the membership by which the sender chose the owner.
@@ -317,7 +317,7 @@
     std::int64_t maxWaitMs = 0;
 };
 
-struct GrantResponse
+struct RateGrantResponse
 {
     /// Number of requests granted, in order of arrival.
     std::int64_t granted = 0;
@@ -328,7 +328,7 @@
 };
 
 /// Level of a workspace's rate bucket.
-struct RateLevel
+struct RateBucketLevel
 {
     std::string workspace;
     /// Units left; negative while granted ones wait.
@@ -336,14 +336,14 @@
 };
 
 /// Pushed by an entry that has seen its ownership of workspaces end to the one that owns them now.
-/// Method::HandOver.
-struct RateHandOver
+/// Method::TransferRateBuckets.
+struct RateBucketTransfer
 {
     /// Former owner, which grants no more.
     std::string instance;
     /// Revision of the membership by which the receiver is the owner.
     std::uint64_t memberRevision = 0;
-    std::vector<RateLevel> levels;
+    std::vector<RateBucketLevel> levels;
 };
 
 } // namespace rattanrill::wire
--- a/include/rattanrill/wire/fleetmessages.h
+++ b/include/rattanrill/wire/fleetmessages.h
@@ -59,13 +59,13 @@
 };
 
 /// Names the first voters of the store group, once in the life of a deployment.
-struct FoundStoreGroup
+struct BootstrapStoreGroup
 {
     static constexpr std::string_view kind = "found_store_group";
     std::vector<std::string> voters;
 };
 
-using FleetOperation = std::variant<PutConfiguration, RetireStore, FoundStoreGroup>;
+using FleetOperation = std::variant<PutConfiguration, RetireStore, BootstrapStoreGroup>;
 
 struct FleetCommand
 {
@@ -85,7 +85,7 @@
 };
 
 /// State of the fleet group.
-struct FleetRecords
+struct FleetSnapshot
 {
     std::uint64_t configurationVersion = 0;
     std::string configuration;
@@ -94,7 +94,7 @@
 };
 
 /// A member with what the leader of the fleet group knows about its life.
-struct LiveMember
+struct FleetMemberStatus
 {
     FleetMember member;
     /// The leader heard of it within the member timeout.
@@ -108,7 +108,7 @@
 };
 
 /// Request of Method::Sync: a heartbeat and a long poll in one.
-struct SyncRequest
+struct FleetSyncRequest
 {
     FleetMember self;
     bool leadsStores = false;
@@ -123,14 +123,14 @@
     std::int64_t waitMs = 0;
 };
 
-struct SyncResponse
+struct FleetSyncResponse
 {
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::uint64_t configurationVersion = 0;
     /// Empty when the asker has this version.
     std::string configuration;
-    std::vector<LiveMember> members;
+    std::vector<FleetMemberStatus> members;
     /// The leader has led for long enough to have heard of every process that lives.
     bool membersSettled = false;
     std::vector<std::string> storeFounders;
@@ -139,8 +139,8 @@
     std::vector<FleetUpstream> upstreams;
 };
 
-/// Request of Method::Place: asks for a place at an upstream for one request.
-struct PlaceRequest
+/// Request of Method::RequestSlot: asks for a place at an upstream for one request.
+struct SlotRequest
 {
     /// Asks again for one that waits.
     bool again = false;
@@ -163,26 +163,26 @@
     std::vector<std::string> excluded;
 };
 
-enum class PlaceVerdict {
+enum class SlotOutcome {
     Granted,
     /// The workspace has used up its rate.
     OverRate,
     /// No place will be free in time.
-    NoPlace,
+    NoSlot,
     /// It waits; the asker asks again, by which both know that the other one lives.
     Waiting,
 };
 
-struct PlaceResponse
+struct SlotResponse
 {
-    PlaceVerdict verdict = PlaceVerdict::NoPlace;
+    SlotOutcome verdict = SlotOutcome::NoSlot;
     std::string upstream;
     std::string address;
     std::int64_t retryAfterMs = 0;
 };
 
 /// A place that a process holds.
-struct HeldPlace
+struct HeldSlot
 {
     std::string requestId;
     std::string service;
@@ -192,11 +192,11 @@
     std::int64_t deadlineMs = 0;
 };
 
-/// Push of Method::Hold: tells a new broker which places are taken.
-struct HeldPlaces
+/// Push of Method::ReportHeldSlots: tells a new broker which places are taken.
+struct HeldSlots
 {
     std::string instance;
-    std::vector<HeldPlace> places;
+    std::vector<HeldSlot> places;
 };
 
 /// Push of Method::Load: what an upstream said of its load with the head of an answer.
@@ -207,13 +207,13 @@
     std::int64_t requests = 0;
 };
 
-/// Push of Method::Release: a granted place is free again.
-struct PlaceRelease
+/// Push of Method::ReleaseSlot: a granted place is free again.
+struct SlotRelease
 {
     std::string instance;
     std::string requestId;
     std::string upstream;
-    /// Name of a policy::PlaceEnd.
+    /// Name of a policy::ReleaseReason.
     std::string end;
 };
 
--- a/src/batch/batchstate.cpp
+++ b/src/batch/batchstate.cpp
@@ -100,7 +100,7 @@
         }
         job.expire();
         releaseFile(job);
-        m_jobExpiry.emplace(time + expiredJobKeepMs, number);
+        m_jobExpiry.emplace(time + expiredJobRetentionMs, number);
     }
 }
 
@@ -149,16 +149,16 @@
 void BatchState::removeFile(const std::string &fileId)
 {
     const auto file = m_files.find(fileId);
-    m_fileExpiry.erase({file->second.lastUsedMs + unusedFileKeepMs, fileId});
+    m_fileExpiry.erase({file->second.lastUsedMs + unusedFileRetentionMs, fileId});
     m_files.erase(file);
 }
 
 void BatchState::touchFile(ItemFile &file)
 {
-    m_fileExpiry.erase({file.lastUsedMs + unusedFileKeepMs, file.fileId()});
+    m_fileExpiry.erase({file.lastUsedMs + unusedFileRetentionMs, file.fileId()});
     file.lastUsedMs = m_nowMs;
     if (file.jobs == 0)
-        m_fileExpiry.emplace(file.lastUsedMs + unusedFileKeepMs, file.fileId());
+        m_fileExpiry.emplace(file.lastUsedMs + unusedFileRetentionMs, file.fileId());
 }
 
 Job *BatchState::job(const std::string &jobId)
@@ -361,7 +361,7 @@
         const Job &job = m_jobs.emplace(number, std::move(read)).first->second;
         indexJob(number, job);
         const std::int64_t expiresAtMs =
-                job.retainedUntilMs() + (job.isExpired() ? expiredJobKeepMs : 0);
+                job.retainedUntilMs() + (job.isExpired() ? expiredJobRetentionMs : 0);
         if (job.isEnded())
             m_jobExpiry.emplace(expiresAtMs, number);
         if (job.isExpired())
@@ -373,7 +373,7 @@
     }
     for (auto &[id, file] : m_files) {
         if (file.jobs == 0)
-            m_fileExpiry.emplace(file.lastUsedMs + unusedFileKeepMs, id);
+            m_fileExpiry.emplace(file.lastUsedMs + unusedFileRetentionMs, id);
     }
 }
 
--- a/src/batch/batchstatemachine.cpp
+++ b/src/batch/batchstatemachine.cpp
@@ -109,7 +109,7 @@
 
 std::string BatchStateMachine::apply(std::uint64_t, std::string_view bytes)
 {
-    return wire::encodeAnswer(outcomeOf([&]() -> Applied {
+    return wire::encodeCommandResult(outcomeOf([&]() -> Applied {
         BOOST_LEAF_AUTO(command, wire::decode<wire::BatchCommand>(bytes));
         return applyCommand(command);
     }));
@@ -125,7 +125,7 @@
 
 std::string BatchStateMachine::query(std::string_view bytes) const
 {
-    return wire::encodeAnswer(outcomeOf([&]() -> Answered {
+    return wire::encodeCommandResult(outcomeOf([&]() -> Answered {
         BOOST_LEAF_AUTO(message, wire::decode<wire::BatchQueryMessage>(bytes));
         return std::visit([this](const auto &query) { return answer(query); }, message.query);
     }));
@@ -272,7 +272,7 @@
     BatchResult result;
     std::size_t bytes = 0;
     const auto limit = static_cast<std::size_t>(operation.maxItems);
-    while (result.leased.size() < limit && bytes < maxAnswerBytes
+    while (result.leased.size() < limit && bytes < maxResponseBytes
            && m_state->nextJob() != nullptr) {
         result.leased.push_back(leaseNext(operation));
         bytes += result.leased.back().spec.body.size();
@@ -334,7 +334,7 @@
     const bool counts = operation.failedTry && !job.isCancelling();
     if (counts)
         job.countFailedTry(lease.index);
-    if (counts && job.item(lease.index).failedTries >= maxFailedTries)
+    if (counts && job.item(lease.index).failedTries >= maxFailedAttempts)
         m_state->finish(number, ItemState::Failed, {0, {}, reasonOf(operation.reason)});
     else
         m_state->giveBack(number, operation.backoffMs);
@@ -434,7 +434,7 @@
     for (; index < job->itemCount(); ++index) {
         if (!isReadable(job->item(index).state()))
             continue;
-        if (result.results.size() >= limit || bytes >= maxAnswerBytes)
+        if (result.results.size() >= limit || bytes >= maxResponseBytes)
             break;
         result.results.push_back(resultLine(*job, file, index));
         bytes += result.results.back().body.size();
--- a/src/batch/claimtable.cpp
+++ b/src/batch/claimtable.cpp
@@ -98,7 +98,7 @@
     Claim claim;
     claim.holder = request.holder;
     claim.state = State::Abandoned;
-    claim.expiresAtMs = nowMs + abandonedClaimKeepMs;
+    claim.expiresAtMs = nowMs + abandonedClaimRetentionMs;
     store(key, std::move(claim));
     return {};
 }
--- a/src/batch/main_bench.cpp
+++ b/src/batch/main_bench.cpp
@@ -4,8 +4,8 @@
 #include "rattanrill/base/hash.h"
 #include "rattanrill/base/json.h"
 #include "rattanrill/batch/statemachine.h"
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/directory/statemachine.h"
-#include "rattanrill/directory/view.h"
 #include "rattanrill/wire/batchmessages.h"
 #include "rattanrill/wire/codec.h"
 #include "rattanrill/wire/envelope.h"
@@ -249,17 +249,17 @@
                                      {"restore_ms", restoring * 1e3}});
     }
 
-    directory::View next(const directory::View &view)
+    directory::DirectoryView next(const directory::DirectoryView &view)
     {
         const std::string query = wire::encode(wire::DirectoryQuery{view.revision()});
-        const auto response = unpack<wire::FollowResponse>(m_machine->query(query));
-        return outcomeOf([&] { return view.with(response); }).value();
+        const auto response = unpack<wire::PollChangesResponse>(m_machine->query(query));
+        return outcomeOf([&] { return view.withChanges(response); }).value();
     }
 
     void follow()
     {
         const double before = heapBytes();
-        directory::View view;
+        directory::DirectoryView view;
         const double first = secondsOf([&] { view = next(view); });
         const double bytes = heapBytes() - before;
         double changes = 0;
--- a/src/control/controlnode.cpp
+++ b/src/control/controlnode.cpp
@@ -19,12 +19,12 @@
 
 } // namespace
 
-ControlNode::ControlNode(ControlSettings settings, const Clock &clock, OpenGroup openGroup)
+ControlNode::ControlNode(ControlSettings settings, const Clock &clock, OpenGroup startRaftNode)
     : m_settings(std::move(settings))
     , m_clock(clock)
     , m_timers(clock)
     , m_channels(transport())
-    , m_groups(m_settings, m_channels, clock, std::move(openGroup))
+    , m_groups(m_settings, m_channels, clock, std::move(startRaftNode))
     , m_peerServer(transport())
     , m_client(m_channels, peerAddresses(m_settings), m_timers, clock)
     , m_monitor(m_groups, m_metrics, m_timers)
@@ -63,9 +63,10 @@
 {
     m_follow = std::make_shared<FollowService>(m_groups.directory(), m_timers, m_clock);
     m_pollSource = std::make_unique<LocalPollSource>(m_follow);
-    directory::FollowerOptions options;
+    directory::SubscriberOptions options;
     options.instance = m_settings.instance;
-    m_view = std::make_unique<directory::Follower>(options, *m_pollSource, m_timers, m_clock);
+    m_view = std::make_unique<directory::DirectorySubscriber>(options, *m_pollSource, m_timers,
+                                                              m_clock);
     m_members = std::make_shared<MemberWatch>(m_settings, m_groups, *m_view, m_timers, m_clock);
     m_partitions = std::make_shared<PartitionClock>(m_settings, m_groups, m_timers, m_clock);
     m_peerService = std::make_unique<PeerService>(m_groups, m_follow, m_members, m_partitions,
--- a/src/control/controlnode.h
+++ b/src/control/controlnode.h
@@ -14,7 +14,7 @@
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/base/timerservice.h"
 #include "rattanrill/controlclient/controlclient.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/peer/channelpool.h"
 #include "rattanrill/peer/server.h"
 
@@ -26,12 +26,12 @@
 class ControlNode
 {
 public:
-    ControlNode(ControlSettings settings, const Clock &clock, OpenGroup openGroup);
+    ControlNode(ControlSettings settings, const Clock &clock, OpenGroup startRaftNode);
     ~ControlNode();
     ControlNode(const ControlNode &) = delete;
     ControlNode &operator=(const ControlNode &) = delete;
 
-    /// Opens the groups and serves. Fails as openGroup() or with AddressInUse.
+    /// Opens the groups and serves. Fails as startRaftNode() or with AddressInUse.
     Result<void> start();
     /// Hands leadership over, ends serving and closes the groups.
     void stop();
@@ -56,7 +56,7 @@
     // Made by start(), when the groups are open.
     std::shared_ptr<FollowService> m_follow;
     std::unique_ptr<LocalPollSource> m_pollSource;
-    std::unique_ptr<directory::Follower> m_view;
+    std::unique_ptr<directory::DirectorySubscriber> m_view;
     std::shared_ptr<MemberWatch> m_members;
     std::shared_ptr<PartitionClock> m_partitions;
     std::unique_ptr<PeerService> m_peerService;
--- a/src/control/directorywrites.cpp
+++ b/src/control/directorywrites.cpp
@@ -61,7 +61,7 @@
 Result<Operation> withdrawKey(const std::string &id, const Json &body)
 {
     BOOST_LEAF_CHECK(checkMembers(body, {}));
-    return Operation(wire::WithdrawKey{id});
+    return Operation(wire::RevokeKey{id});
 }
 
 Result<Operation> putConfig(const std::string &id, const Json &body)
@@ -121,7 +121,7 @@
 Result<Operation> releaseHeld(const std::string &id, const Json &body)
 {
     BOOST_LEAF_CHECK(checkMembers(body, {}));
-    return Operation(wire::ReleaseHeld{id});
+    return Operation(wire::ReleaseQuarantined{id});
 }
 
 } // namespace
--- a/src/control/followservice.cpp
+++ b/src/control/followservice.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-FollowService::FollowService(replication::ReplicatedGroup &directory, TimerService &timers,
+FollowService::FollowService(replication::RaftNode &directory, TimerService &timers,
                              const Clock &clock)
     : m_directory(directory)
     , m_timers(timers)
@@ -52,7 +52,7 @@
     });
 }
 
-void FollowService::poll(const wire::FollowRequest &request, peer::Reply reply)
+void FollowService::poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply)
 {
     const absl::Duration wait =
             std::clamp(absl::Milliseconds(request.waitMs), absl::ZeroDuration(), maxWait);
@@ -73,8 +73,8 @@
     if (stopped)
         return answerAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
     const std::string query = wire::encode(wire::DirectoryQuery{afterRevision});
-    m_directory.readIndexed(query, [self = shared_from_this(), afterRevision, appliedBatches,
-                                    polls](const Outcome<std::string> &outcome) {
+    m_directory.linearizableRead(query, [self = shared_from_this(), afterRevision, appliedBatches,
+                                         polls](const Outcome<std::string> &outcome) {
         self->confirmed(afterRevision, appliedBatches, polls, outcome);
     });
 }
@@ -85,7 +85,7 @@
     if (!outcome.ok())
         return answerAll(polls, pollFailure(outcome.failure()));
     const auto response =
-            outcomeOf([&] { return wire::decode<wire::FollowResponse>(outcome.value()); });
+            outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(outcome.value()); });
     if (!response.ok())
         return answerAll(polls, notRun(ErrorCode::Internal, response.failure().detail));
     if (response.value().revision > afterRevision)
--- a/src/control/followservice.h
+++ b/src/control/followservice.h
@@ -3,7 +3,7 @@
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/timerservice.h"
 #include "rattanrill/peer/transport.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 #include "rattanrill/wire/directorymessages.h"
 
 #include "absl/base/thread_annotations.h"
@@ -22,21 +22,20 @@
 class FollowService : public std::enable_shared_from_this<FollowService>
 {
 public:
-    FollowService(replication::ReplicatedGroup &directory, TimerService &timers,
-                  const Clock &clock);
+    FollowService(replication::RaftNode &directory, TimerService &timers, const Clock &clock);
 
     void start();
-    /// Answers with an encoded wire::FollowResponse. Fails with NoQuorum when no leader confirms,
-    /// with StaleRevision when the caller is ahead of the directory, or with Stopped; always
-    /// NotRun.
-    void poll(const wire::FollowRequest &request, peer::Reply reply);
+    /// Answers with an encoded wire::PollChangesResponse. Fails with NoQuorum when no leader
+    /// confirms, with StaleRevision when the caller is ahead of the directory, or with Stopped;
+    /// always NotRun.
+    void poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply);
     /// Fails the polls that wait with Stopped.
     void stop();
 
 private:
     struct Poll
     {
-        peer::Reply reply;
+        peer::ResponseCallback reply;
         absl::Time due;
     };
     using Polls = std::vector<Poll>;
@@ -48,7 +47,7 @@
     void applied();
     void confirmDue();
 
-    replication::ReplicatedGroup &m_directory;
+    replication::RaftNode &m_directory;
     TimerService &m_timers;
     const Clock &m_clock;
     TimerService::TimerId m_timer = 0;
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -18,11 +18,11 @@
 } // namespace
 
 GroupHost::GroupHost(const ControlSettings &settings, peer::ChannelPool &channels,
-                     const Clock &clock, OpenGroup openGroup)
+                     const Clock &clock, OpenGroup startRaftNode)
     : m_settings(settings)
     , m_channels(channels)
     , m_clock(clock)
-    , m_openGroup(std::move(openGroup))
+    , m_openGroup(std::move(startRaftNode))
 {}
 
 Result<void> GroupHost::open()
@@ -38,7 +38,7 @@
 Result<void> GroupHost::openOne(const std::string &group,
                                 std::unique_ptr<replication::StateMachine> machine)
 {
-    replication::GroupOptions options;
+    replication::RaftNodeOptions options;
     options.group = group;
     options.self = m_settings.instance;
     if (!m_settings.join) {
@@ -54,13 +54,13 @@
     return {};
 }
 
-replication::ReplicatedGroup *GroupHost::find(const std::string &group) const
+replication::RaftNode *GroupHost::find(const std::string &group) const
 {
     const auto found = m_groups.find(group);
     return found == m_groups.end() ? nullptr : found->second.get();
 }
 
-replication::ReplicatedGroup &GroupHost::directory() const
+replication::RaftNode &GroupHost::directory() const
 {
     return *m_groups.at(controlclient::directoryGroup);
 }
@@ -86,7 +86,8 @@
     if (target == nullptr)
         return;
     m_channels.channel(target->peerAddress)
-            ->push(wire::Method::Raft, wire::encode(wire::RaftEnvelope{group, std::move(message)}));
+            ->sendOneWay(wire::Method::Raft,
+                         wire::encode(wire::RaftEnvelope{group, std::move(message)}));
 }
 
 const Replica *GroupHost::replica(const replication::ReplicaId &id) const
--- a/src/control/grouphost.h
+++ b/src/control/grouphost.h
@@ -3,7 +3,7 @@
 #include "controlsettings.h"
 
 #include "rattanrill/peer/channelpool.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <functional>
 #include <map>
@@ -13,25 +13,25 @@
 
 namespace rattanrill::control {
 
-/// Opens a group; replication::openGroup() except in tests.
-using OpenGroup = std::function<Result<std::unique_ptr<replication::ReplicatedGroup>>(
-        const replication::GroupOptions &options,
-        std::unique_ptr<replication::StateMachine> machine, replication::GroupTransport &transport,
+/// Opens a group; replication::startRaftNode() except in tests.
+using OpenGroup = std::function<Result<std::unique_ptr<replication::RaftNode>>(
+        const replication::RaftNodeOptions &options,
+        std::unique_ptr<replication::StateMachine> machine, replication::RaftTransport &transport,
         const Clock &clock)>;
 
 /// The replicas of all groups on this instance, and the way of their messages.
-class GroupHost : public replication::GroupTransport
+class GroupHost : public replication::RaftTransport
 {
 public:
     GroupHost(const ControlSettings &settings, peer::ChannelPool &channels, const Clock &clock,
-              OpenGroup openGroup);
+              OpenGroup startRaftNode);
 
-    /// Opens the directory and all partitions; fails as openGroup().
+    /// Opens the directory and all partitions; fails as startRaftNode().
     Result<void> open();
     /// Null when there is no such group.
-    replication::ReplicatedGroup *find(const std::string &group) const;
+    replication::RaftNode *find(const std::string &group) const;
     /// After open() only.
-    replication::ReplicatedGroup &directory() const;
+    replication::RaftNode &directory() const;
     std::vector<std::string> names() const;
     bool leads(const std::string &group) const;
 
@@ -58,7 +58,7 @@
     const Clock &m_clock;
     const OpenGroup m_openGroup;
     /// Unchanged after open().
-    std::map<std::string, std::unique_ptr<replication::ReplicatedGroup>> m_groups;
+    std::map<std::string, std::unique_ptr<replication::RaftNode>> m_groups;
 };
 
 } // namespace rattanrill::control
--- a/src/control/groupmonitor.cpp
+++ b/src/control/groupmonitor.cpp
@@ -37,14 +37,14 @@
 void GroupMonitor::check()
 {
     for (const std::string &name : m_groups.names()) {
-        const replication::GroupStatus now = m_groups.find(name)->status();
+        const replication::RaftNodeStatus now = m_groups.find(name)->status();
         compare(m_last[name], now);
         m_last[name] = now;
     }
 }
 
-void GroupMonitor::compare(const replication::GroupStatus &before,
-                           const replication::GroupStatus &now)
+void GroupMonitor::compare(const replication::RaftNodeStatus &before,
+                           const replication::RaftNodeStatus &now)
 {
     if (now.leader != before.leader && !now.leader.empty())
         m_metrics.count("rattanrill_control_leader_changes_total", {{"group", now.group}});
--- a/src/control/groupmonitor.h
+++ b/src/control/groupmonitor.h
@@ -22,14 +22,14 @@
 
 private:
     void check();
-    void compare(const replication::GroupStatus &before, const replication::GroupStatus &now);
+    void compare(const replication::RaftNodeStatus &before, const replication::RaftNodeStatus &now);
 
     const GroupHost &m_groups;
     Metrics &m_metrics;
     TimerService &m_timers;
     TimerService::TimerId m_timer = 0;
     /// Used by the timer thread only.
-    std::map<std::string, replication::GroupStatus> m_last;
+    std::map<std::string, replication::RaftNodeStatus> m_last;
 };
 
 } // namespace rattanrill::control
--- a/src/control/localpollsource.cpp
+++ b/src/control/localpollsource.cpp
@@ -11,12 +11,14 @@
 {}
 
 /// The group answers or fails every read by itself, so \a timeout is not needed.
-void LocalPollSource::poll(const wire::FollowRequest &request, absl::Duration, Callback callback)
+void LocalPollSource::poll(const wire::PollChangesRequest &request, absl::Duration,
+                           Callback callback)
 {
     m_service->poll(request, [callback = std::move(callback)](const Outcome<std::string> &outcome) {
         if (!outcome.ok())
             return callback(outcome.failure());
-        callback(outcomeOf([&] { return wire::decode<wire::FollowResponse>(outcome.value()); }));
+        callback(outcomeOf(
+                [&] { return wire::decode<wire::PollChangesResponse>(outcome.value()); }));
     });
 }
 
--- a/src/control/localpollsource.h
+++ b/src/control/localpollsource.h
@@ -2,19 +2,19 @@
 
 #include "followservice.h"
 
-#include "rattanrill/directory/pollsource.h"
+#include "rattanrill/directory/directorypollclient.h"
 
 #include <memory>
 
 namespace rattanrill::control {
 
 /// Polls of this instance's own directory replica, for its own view.
-class LocalPollSource : public directory::PollSource
+class LocalPollSource : public directory::DirectoryPollClient
 {
 public:
     explicit LocalPollSource(std::shared_ptr<FollowService> service);
 
-    void poll(const wire::FollowRequest &request, absl::Duration timeout,
+    void poll(const wire::PollChangesRequest &request, absl::Duration timeout,
               Callback callback) override;
 
 private:
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -26,7 +26,7 @@
         reportFailure("settings-refused", read.failure());
         return exitUsage;
     }
-    ControlNode node(std::move(settings), SystemClock::instance(), replication::openGroup);
+    ControlNode node(std::move(settings), SystemClock::instance(), replication::startRaftNode);
     const auto started = outcomeOf([&] { return node.start(); });
     if (!started.ok())
         return reportFailure("start-failed", started.failure());
--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -40,7 +40,8 @@
 } // namespace
 
 MemberWatch::MemberWatch(const ControlSettings &settings, const GroupHost &groups,
-                         const directory::Follower &view, TimerService &timers, const Clock &clock)
+                         const directory::DirectorySubscriber &view, TimerService &timers,
+                         const Clock &clock)
     : m_settings(settings)
     , m_groups(groups)
     , m_view(view)
@@ -64,9 +65,9 @@
         m_timers.unsubscribe(m_timer);
 }
 
-void MemberWatch::heartbeat(const wire::HeartbeatRequest &request, peer::Reply reply)
+void MemberWatch::heartbeat(const wire::HeartbeatRequest &request, peer::ResponseCallback reply)
 {
-    const replication::GroupStatus status = m_groups.directory().status();
+    const replication::RaftNodeStatus status = m_groups.directory().status();
     if (status.role != replication::Role::Leader)
         return reply(m_groups.withPeerAddress(notRun(ErrorCode::NotLeader, status.leader)));
     if (!note(request, status.term))
@@ -114,7 +115,7 @@
     return wire::encode(command);
 }
 
-void MemberWatch::join(const wire::Member &member, peer::Reply reply)
+void MemberWatch::join(const wire::Member &member, peer::ResponseCallback reply)
 {
     const auto done = [self = shared_from_this(), member,
                        reply = std::move(reply)](const Outcome<std::string> &outcome) {
@@ -136,7 +137,7 @@
     m_groups.directory().propose(command(wire::JoinMember{member}), done);
 }
 
-void MemberWatch::leave(const wire::Member &member, peer::Reply reply)
+void MemberWatch::leave(const wire::Member &member, peer::ResponseCallback reply)
 {
     remove(member, "leaving",
            [self = shared_from_this(),
@@ -174,7 +175,7 @@
 
 void MemberWatch::removeSilent()
 {
-    const replication::GroupStatus status = m_groups.directory().status();
+    const replication::RaftNodeStatus status = m_groups.directory().status();
     const bool leads = status.role == replication::Role::Leader && m_view.age() < maxViewAge;
     const std::vector<wire::Member> silent = silentMembers(leads ? status.term : 0);
     if (!leads)
@@ -204,7 +205,8 @@
     return silent;
 }
 
-std::vector<std::string> MemberWatch::lacking(std::uint64_t revision, const directory::View &view)
+std::vector<std::string> MemberWatch::lacking(std::uint64_t revision,
+                                              const directory::DirectoryView &view)
 {
     std::vector<std::string> lacking;
     absl::MutexLock lock(&m_mutex);
--- a/src/control/memberwatch.h
+++ b/src/control/memberwatch.h
@@ -4,7 +4,7 @@
 #include "grouphost.h"
 
 #include "rattanrill/base/timerservice.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/peer/transport.h"
 #include "rattanrill/wire/directorymessages.h"
 
@@ -28,16 +28,17 @@
 public:
     /// \a view is this instance's own copy of the directory.
     MemberWatch(const ControlSettings &settings, const GroupHost &groups,
-                const directory::Follower &view, TimerService &timers, const Clock &clock);
+                const directory::DirectorySubscriber &view, TimerService &timers,
+                const Clock &clock);
 
     void start();
     void stop();
     /// Answers with an encoded wire::HeartbeatResponse. Fails with NotLeader, with the leader's
     /// peer address as detail, with NotMember for an incarnation that has left or was replaced, or
-    /// as ReplicatedGroup::propose().
-    void heartbeat(const wire::HeartbeatRequest &request, peer::Reply reply);
+    /// as RaftNode::propose().
+    void heartbeat(const wire::HeartbeatRequest &request, peer::ResponseCallback reply);
     /// Members whose last heartbeat to this leader reported less than \a revision, or none.
-    std::vector<std::string> lacking(std::uint64_t revision, const directory::View &view);
+    std::vector<std::string> lacking(std::uint64_t revision, const directory::DirectoryView &view);
     /// Removes members that have been silent; a timer calls it.
     void removeSilent();
 
@@ -51,8 +52,8 @@
 
     bool isJoined(const wire::Member &member) const;
     bool note(const wire::HeartbeatRequest &request, std::uint64_t term);
-    void join(const wire::Member &member, peer::Reply reply);
-    void leave(const wire::Member &member, peer::Reply reply);
+    void join(const wire::Member &member, peer::ResponseCallback reply);
+    void leave(const wire::Member &member, peer::ResponseCallback reply);
     void remove(const wire::Member &member, std::string_view reason,
                 std::function<void(const Outcome<std::string> &)> done);
     void observeTerm(std::uint64_t term) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
@@ -61,7 +62,7 @@
 
     const ControlSettings &m_settings;
     const GroupHost &m_groups;
-    const directory::Follower &m_view;
+    const directory::DirectorySubscriber &m_view;
     TimerService &m_timers;
     const Clock &m_clock;
     TimerService::TimerId m_timer = 0;
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -53,7 +53,7 @@
 } // namespace
 
 OperatorApi::OperatorApi(const ControlSettings &settings, const GroupHost &groups,
-                         const directory::Follower &view, MemberWatch &members,
+                         const directory::DirectorySubscriber &view, MemberWatch &members,
                          controlclient::ControlClient &client, const Clock &clock)
     : m_settings(settings)
     , m_groups(groups)
@@ -99,7 +99,7 @@
     BOOST_LEAF_CHECK(checkMembers(request.body, {"workspace"}));
     BOOST_LEAF_AUTO(workspace, jsonMember<std::string>(request.body, "workspace"));
     const std::string text = "rk_" + randomHex(keyBytes);
-    wire::Key key;
+    wire::ApiKey key;
     key.keyId = "key_" + randomHex(keyIdBytes);
     key.hash = sha256Hex(text);
     key.workspace = workspace;
@@ -111,7 +111,7 @@
     return answer;
 }
 
-Outcome<wire::FollowResponse> OperatorApi::readDirectory(std::uint64_t afterRevision)
+Outcome<wire::PollChangesResponse> OperatorApi::readDirectory(std::uint64_t afterRevision)
 {
     PendingOutcome pending;
     m_groups.directory().read(wire::encode(wire::DirectoryQuery{afterRevision}),
@@ -119,7 +119,7 @@
     const auto bytes = pending.wait(groupTimeout);
     if (!bytes.ok())
         return asRead(bytes.failure());
-    return outcomeOf([&] { return wire::decode<wire::FollowResponse>(bytes.value()); });
+    return outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(bytes.value()); });
 }
 
 Outcome<Json> OperatorApi::list(wire::RecordKind kind)
@@ -133,7 +133,7 @@
     if (!response.ok())
         return fail(response.failure());
     Json items = Json::array();
-    for (const wire::Change &change : response.value().changes) {
+    for (const wire::RecordChange &change : response.value().changes) {
         if (change.kind != kind || change.removed)
             continue;
         BOOST_LEAF_AUTO(item, recordJson(change));
@@ -160,14 +160,14 @@
     const auto response = readDirectory(view->revision());
     if (!response.ok())
         return fail(response.failure());
-    BOOST_LEAF_AUTO(now, view->with(response.value()));
+    BOOST_LEAF_AUTO(now, view->withChanges(response.value()));
     const std::vector<std::string> lacking = m_members.lacking(revision, now);
     return Json{{"in_force", lacking.empty() && now.revision() >= revision}, {"lacking", lacking}};
 }
 
 Json OperatorApi::groupJson(const std::string &name) const
 {
-    const replication::GroupStatus status = m_groups.find(name)->status();
+    const replication::RaftNodeStatus status = m_groups.find(name)->status();
     Json group = {{"group", name},
                   {"role", replication::name(status.role)},
                   {"term", status.term},
@@ -187,19 +187,19 @@
 {
     const auto view = m_view.view();
     PendingOutcome pending;
-    m_groups.directory().readIndexed(wire::encode(wire::DirectoryQuery{view->revision()}),
-                                     pending.callback());
+    m_groups.directory().linearizableRead(wire::encode(wire::DirectoryQuery{view->revision()}),
+                                          pending.callback());
     const auto confirmed = pending.wait(statusTimeout);
     Json groups = Json::array();
     for (const std::string &name : m_groups.names())
         groups.push_back(groupJson(name));
     Json members = Json::array();
-    directory::View shown = *view;
+    directory::DirectoryView shown = *view;
     Json status = {{"instance", m_settings.instance}, {"groups", std::move(groups)}};
     if (confirmed.ok()) {
-        const auto now = outcomeOf([&]() -> Result<directory::View> {
-            BOOST_LEAF_AUTO(response, wire::decode<wire::FollowResponse>(confirmed.value()));
-            return view->with(response);
+        const auto now = outcomeOf([&]() -> Result<directory::DirectoryView> {
+            BOOST_LEAF_AUTO(response, wire::decode<wire::PollChangesResponse>(confirmed.value()));
+            return view->withChanges(response);
         });
         if (!now.ok())
             return now.failure();
@@ -265,13 +265,13 @@
     return fail(notRun(ErrorCode::NotFound, concat("no batch \"", request.id, "\"")));
 }
 
-Result<replication::ReplicatedGroup *> OperatorApi::groupOf(const OperatorRequest &request)
+Result<replication::RaftNode *> OperatorApi::groupOf(const OperatorRequest &request)
 {
     BOOST_LEAF_AUTO(name, jsonMember<std::string>(request.body, "group"));
     auto *group = m_groups.find(name);
     if (group == nullptr)
         return fail(notRun(ErrorCode::NotFound, concat("no group \"", name, "\"")));
-    const replication::GroupStatus status = group->status();
+    const replication::RaftNodeStatus status = group->status();
     if (status.role != replication::Role::Leader)
         return fail(notRun(ErrorCode::NotLeader, status.leader));
     return group;
@@ -293,7 +293,7 @@
                        concat("the settings of this instance list no replica \"", replica, "\"")));
     BOOST_LEAF_AUTO(group, groupOf(request));
     PendingOutcome pending;
-    group->addMember(replica, replaces, pending.callback());
+    group->addReplica(replica, replaces, pending.callback());
     BOOST_LEAF_CHECK(pending.wait(memberChangeTimeout).result());
     return Json{{"voters", group->status().voters}};
 }
@@ -308,7 +308,7 @@
     BOOST_LEAF_CHECK(checkMembers(request.body, {"group"}));
     BOOST_LEAF_AUTO(group, groupOf(request));
     PendingOutcome pending;
-    group->removeMember(request.id, pending.callback());
+    group->removeReplica(request.id, pending.callback());
     BOOST_LEAF_CHECK(pending.wait(memberChangeTimeout).result());
     return Json{{"voters", group->status().voters}};
 }
--- a/src/control/operatorapi.h
+++ b/src/control/operatorapi.h
@@ -32,7 +32,7 @@
 {
 public:
     OperatorApi(const ControlSettings &settings, const GroupHost &groups,
-                const directory::Follower &view, MemberWatch &members,
+                const directory::DirectorySubscriber &view, MemberWatch &members,
                 controlclient::ControlClient &client, const Clock &clock);
 
     Outcome<Json> write(const DirectoryWrite &write, const OperatorRequest &request);
@@ -53,17 +53,17 @@
     Result<Json> tryAddKey(const OperatorRequest &request);
     Result<Json> tryInForce(const OperatorRequest &request);
     Result<Json> tryList(wire::RecordKind kind);
-    Outcome<wire::FollowResponse> readDirectory(std::uint64_t afterRevision);
+    Outcome<wire::PollChangesResponse> readDirectory(std::uint64_t afterRevision);
     Result<wire::BatchQueryResult> readPartition(int partition, wire::BatchQuery query);
     Result<Json> tryCancel(const OperatorRequest &request);
-    Result<replication::ReplicatedGroup *> groupOf(const OperatorRequest &request);
+    Result<replication::RaftNode *> groupOf(const OperatorRequest &request);
     Result<Json> tryAddReplica(const OperatorRequest &request);
     Result<Json> tryRemoveReplica(const OperatorRequest &request);
     Json groupJson(const std::string &name) const;
 
     const ControlSettings &m_settings;
     const GroupHost &m_groups;
-    const directory::Follower &m_view;
+    const directory::DirectorySubscriber &m_view;
     MemberWatch &m_members;
     controlclient::ControlClient &m_client;
     const Clock &m_clock;
--- a/src/control/operatorserver.cpp
+++ b/src/control/operatorserver.cpp
@@ -22,10 +22,10 @@
 };
 
 constexpr ListRoute listRoutes[] = {
-        {"contracts", wire::RecordKind::Contract}, {"keys", wire::RecordKind::Key},
-        {"configs", wire::RecordKind::Config},     {"routes", wire::RecordKind::Route},
-        {"upstreams", wire::RecordKind::Upstream}, {"members", wire::RecordKind::Member},
-        {"held", wire::RecordKind::HeldRequest},
+        {"contracts", wire::RecordKind::Contract},      {"keys", wire::RecordKind::ApiKey},
+        {"configs", wire::RecordKind::Config},          {"routes", wire::RecordKind::Route},
+        {"upstreams", wire::RecordKind::Upstream},      {"members", wire::RecordKind::Member},
+        {"held", wire::RecordKind::QuarantinedRequest},
 };
 
 /// Reads request_id and base_revision of a write's body.
@@ -222,7 +222,7 @@
 std::string OperatorServer::exposition()
 {
     for (const std::string &group : m_groups.names()) {
-        const replication::GroupStatus status = m_groups.find(group)->status();
+        const replication::RaftNodeStatus status = m_groups.find(group)->status();
         const MetricLabels labels = {{"group", group}};
         const bool leads = status.role == replication::Role::Leader;
         m_metrics.set("rattanrill_control_group_leader", labels, leads ? 1 : 0);
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -41,20 +41,24 @@
     using Body = std::string;
     using From = peer::PeerIdentity;
     server.handle(wire::Method::Raft,
-                  [this](const From &from, const Body &body, const peer::Reply &reply) {
+                  [this](const From &from, const Body &body, const peer::ResponseCallback &reply) {
                       raft(from, body);
                       reply(std::string());
                   });
     server.handle(wire::Method::Propose,
-                  [this](const From &, const Body &body, const peer::Reply &reply) {
+                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
                       propose(body, reply);
                   });
-    server.handle(wire::Method::Read, [this](const From &, const Body &body,
-                                             const peer::Reply &reply) { read(body, reply); });
-    server.handle(wire::Method::Follow, [this](const From &, const Body &body,
-                                               const peer::Reply &reply) { follow(body, reply); });
+    server.handle(wire::Method::Read,
+                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                      read(body, reply);
+                  });
+    server.handle(wire::Method::PollChanges,
+                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                      follow(body, reply);
+                  });
     server.handle(wire::Method::Heartbeat,
-                  [this](const From &, const Body &body, const peer::Reply &reply) {
+                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
                       heartbeat(body, reply);
                   });
 }
@@ -77,20 +81,21 @@
         group->receive(from.instance, std::move(message.value().message));
 }
 
-void PeerService::propose(const std::string &body, const peer::Reply &reply)
+void PeerService::propose(const std::string &body, const peer::ResponseCallback &reply)
 {
     if (!m_workers.post([this, body, reply] { proposeNow(body, reply); }))
         reply(notRun(ErrorCode::QueueFull, "too many proposals wait"));
 }
 
-void PeerService::proposeNow(const std::string &body, const peer::Reply &reply)
+void PeerService::proposeNow(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto started = outcomeOf([&] { return startProposal(body, reply); });
     if (!started.ok())
         answer("propose", started.failure(), reply);
 }
 
-Result<void> PeerService::startProposal(const std::string &body, const peer::Reply &reply)
+Result<void> PeerService::startProposal(const std::string &body,
+                                        const peer::ResponseCallback &reply)
 {
     BOOST_LEAF_AUTO(request, wire::decode<wire::ProposeRequest>(body));
     auto *group = m_groups.find(request.group);
@@ -105,7 +110,7 @@
     return {};
 }
 
-void PeerService::read(const std::string &body, const peer::Reply &reply)
+void PeerService::read(const std::string &body, const peer::ResponseCallback &reply)
 {
     auto request = outcomeOf([&] { return wire::decode<wire::ReadRequest>(body); });
     if (!request.ok())
@@ -119,7 +124,7 @@
 }
 
 void PeerService::answer(const char *method, const Outcome<std::string> &outcome,
-                         const peer::Reply &reply)
+                         const peer::ResponseCallback &reply)
 {
     if (outcome.ok()) {
         m_metrics.count("rattanrill_control_requests_total", {{"method", method}, {"code", "ok"}});
@@ -134,15 +139,15 @@
     reply(failure);
 }
 
-void PeerService::follow(const std::string &body, const peer::Reply &reply)
+void PeerService::follow(const std::string &body, const peer::ResponseCallback &reply)
 {
-    const auto request = outcomeOf([&] { return wire::decode<wire::FollowRequest>(body); });
+    const auto request = outcomeOf([&] { return wire::decode<wire::PollChangesRequest>(body); });
     if (!request.ok())
         return reply(request.failure());
     m_follow->poll(request.value(), reply);
 }
 
-void PeerService::heartbeat(const std::string &body, const peer::Reply &reply)
+void PeerService::heartbeat(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = outcomeOf([&] { return wire::decode<wire::HeartbeatRequest>(body); });
     if (!request.ok())
--- a/src/control/peerservice.h
+++ b/src/control/peerservice.h
@@ -28,13 +28,14 @@
 
 private:
     void raft(const peer::PeerIdentity &from, const std::string &body);
-    void propose(const std::string &body, const peer::Reply &reply);
-    void proposeNow(const std::string &body, const peer::Reply &reply);
-    Result<void> startProposal(const std::string &body, const peer::Reply &reply);
-    void read(const std::string &body, const peer::Reply &reply);
-    void follow(const std::string &body, const peer::Reply &reply);
-    void heartbeat(const std::string &body, const peer::Reply &reply);
-    void answer(const char *method, const Outcome<std::string> &outcome, const peer::Reply &reply);
+    void propose(const std::string &body, const peer::ResponseCallback &reply);
+    void proposeNow(const std::string &body, const peer::ResponseCallback &reply);
+    Result<void> startProposal(const std::string &body, const peer::ResponseCallback &reply);
+    void read(const std::string &body, const peer::ResponseCallback &reply);
+    void follow(const std::string &body, const peer::ResponseCallback &reply);
+    void heartbeat(const std::string &body, const peer::ResponseCallback &reply);
+    void answer(const char *method, const Outcome<std::string> &outcome,
+                const peer::ResponseCallback &reply);
 
     const GroupHost &m_groups;
     const std::shared_ptr<FollowService> m_follow;
--- a/src/control/recordjson.cpp
+++ b/src/control/recordjson.cpp
@@ -20,7 +20,7 @@
 }
 
 /// The hash stays inside: it is of no use to an operator.
-Json toJson(const wire::Key &key)
+Json toJson(const wire::ApiKey &key)
 {
     return Json{{"key_id", key.keyId},
                 {"workspace", key.workspace},
@@ -61,13 +61,13 @@
     return memberJson(member);
 }
 
-Json toJson(const wire::Fence &fence)
+Json toJson(const wire::FencingToken &fence)
 {
     return Json{
             {"upstream", fence.upstream}, {"number", fence.number}, {"revision", fence.revision}};
 }
 
-Json toJson(const wire::HeldRequest &held)
+Json toJson(const wire::QuarantinedRequest &held)
 {
     return Json{{"fingerprint", held.fingerprint},
                 {"crashed_upstreams", held.crashedUpstreams},
@@ -85,14 +85,15 @@
 
 } // namespace
 
-Result<Json> recordJson(const wire::Change &change)
+Result<Json> recordJson(const wire::RecordChange &change)
 {
     using Decoder = Result<Json> (*)(const std::string &);
     // In order of wire::RecordKind.
     static constexpr std::array<Decoder, 8> decoders = {
-            &decoded<wire::Contract>, &decoded<wire::Key>,         &decoded<wire::Config>,
-            &decoded<wire::Route>,    &decoded<wire::Upstream>,    &decoded<wire::Member>,
-            &decoded<wire::Fence>,    &decoded<wire::HeldRequest>,
+            &decoded<wire::Contract>,     &decoded<wire::ApiKey>,
+            &decoded<wire::Config>,       &decoded<wire::Route>,
+            &decoded<wire::Upstream>,     &decoded<wire::Member>,
+            &decoded<wire::FencingToken>, &decoded<wire::QuarantinedRequest>,
     };
     return decoders.at(static_cast<std::size_t>(change.kind))(change.body);
 }
--- a/src/control/recordjson.h
+++ b/src/control/recordjson.h
@@ -7,7 +7,7 @@
 namespace rattanrill::control {
 
 /// A record of the directory as operators see it. Fails with MalformedMessage.
-Result<Json> recordJson(const wire::Change &change);
+Result<Json> recordJson(const wire::RecordChange &change);
 
 Json memberJson(const wire::Member &member);
 Json jobJson(const wire::JobStatus &job);
--- a/src/controlclient/controlclient.cpp
+++ b/src/controlclient/controlclient.cpp
@@ -87,18 +87,18 @@
     m_impl->calls->start(std::move(plan), groupCallback(std::move(callback)));
 }
 
-void ControlClient::follow(const wire::FollowRequest &request, absl::Duration timeout,
-                           Callback<wire::FollowResponse> callback)
+void ControlClient::pollDirectory(const wire::PollChangesRequest &request, absl::Duration timeout,
+                                  Callback<wire::PollChangesResponse> callback)
 {
     CallPlan plan;
-    plan.method = wire::Method::Follow;
+    plan.method = wire::Method::PollChanges;
     plan.body = wire::encode(request);
     plan.target = followTarget;
     plan.hasEffect = false;
     plan.tryTimeout = absl::Milliseconds(request.waitMs) + defaultTryTimeout;
     plan.deadline = m_impl->calls->now() + timeout;
     m_impl->calls->start(std::move(plan), [callback = std::move(callback)](const auto &outcome) {
-        callback(decoded<wire::FollowResponse>(outcome));
+        callback(decoded<wire::PollChangesResponse>(outcome));
     });
 }
 
--- a/src/directory/changehistory.cpp
+++ b/src/directory/changehistory.cpp
@@ -5,7 +5,7 @@
 
 namespace rattanrill::directory {
 
-void ChangeHistory::append(wire::Change change)
+void ChangeHistory::append(wire::RecordChange change)
 {
     m_changes.push_back(std::move(change));
     if (m_changes.size() > m_limit) {
@@ -14,13 +14,13 @@
     }
 }
 
-std::vector<wire::Change> ChangeHistory::after(std::uint64_t revision) const
+std::vector<wire::RecordChange> ChangeHistory::after(std::uint64_t revision) const
 {
     const auto first = std::upper_bound(m_changes.begin(), m_changes.end(), revision,
-                                        [](std::uint64_t value, const wire::Change &change) {
+                                        [](std::uint64_t value, const wire::RecordChange &change) {
                                             return value < change.revision;
                                         });
-    return std::vector<wire::Change>(first, m_changes.end());
+    return std::vector<wire::RecordChange>(first, m_changes.end());
 }
 
 } // namespace rattanrill::directory
--- a/src/directory/changehistory.h
+++ b/src/directory/changehistory.h
@@ -18,20 +18,20 @@
     {}
 
     /// Drops the oldest change above the limit.
-    void append(wire::Change change);
+    void append(wire::RecordChange change);
     /// All changes after \a revision are kept.
     bool reachesBackTo(std::uint64_t revision) const { return revision >= m_droppedUpTo; }
     /// Requires reachesBackTo(\a revision).
-    std::vector<wire::Change> after(std::uint64_t revision) const;
+    std::vector<wire::RecordChange> after(std::uint64_t revision) const;
 
-    const std::deque<wire::Change> &changes() const { return m_changes; }
+    const std::deque<wire::RecordChange> &changes() const { return m_changes; }
     /// Revision up to which changes were dropped.
     std::uint64_t droppedUpTo() const { return m_droppedUpTo; }
     void setDroppedUpTo(std::uint64_t revision) { m_droppedUpTo = revision; }
 
 private:
     std::size_t m_limit;
-    std::deque<wire::Change> m_changes;
+    std::deque<wire::RecordChange> m_changes;
     std::uint64_t m_droppedUpTo = 0;
 };
 
--- a/src/directory/directorystate.cpp
+++ b/src/directory/directorystate.cpp
@@ -52,10 +52,10 @@
 
 } // namespace
 
-const wire::Key *DirectoryState::keyByHash(const std::string &hash) const
+const wire::ApiKey *DirectoryState::apiKeyByHash(const std::string &hash) const
 {
     const auto id = m_keyIdsByHash.find(hash);
-    return id == m_keyIdsByHash.end() ? nullptr : find<wire::Key>(id->second);
+    return id == m_keyIdsByHash.end() ? nullptr : find<wire::ApiKey>(id->second);
 }
 
 void DirectoryState::beginRevision(std::int64_t nowMs)
@@ -63,28 +63,28 @@
     ++m_revision;
     m_nowMs = std::max(m_nowMs, nowMs);
     std::vector<std::string> expired;
-    for (const auto &[fingerprint, held] : table<wire::HeldRequest>()) {
+    for (const auto &[fingerprint, held] : table<wire::QuarantinedRequest>()) {
         if (held.expiresAtMs <= m_nowMs)
             expired.push_back(fingerprint);
     }
     for (const std::string &fingerprint : expired)
-        remove<wire::HeldRequest>(fingerprint);
+        remove<wire::QuarantinedRequest>(fingerprint);
 }
 
-wire::FollowResponse DirectoryState::changesAfter(std::uint64_t revision) const
+wire::PollChangesResponse DirectoryState::changesAfter(std::uint64_t revision) const
 {
     if (revision == 0 || !m_history.reachesBackTo(revision))
         return allRecords();
-    wire::FollowResponse response;
+    wire::PollChangesResponse response;
     response.revision = m_revision;
     response.memberRevision = m_memberRevision;
     response.changes = m_history.after(revision);
     return response;
 }
 
-wire::FollowResponse DirectoryState::allRecords() const
+wire::PollChangesResponse DirectoryState::allRecords() const
 {
-    wire::FollowResponse response;
+    wire::PollChangesResponse response;
     response.revision = m_revision;
     response.memberRevision = m_memberRevision;
     response.snapshot = true;
@@ -101,7 +101,7 @@
 
 std::string DirectoryState::serialize() const
 {
-    wire::FollowResponse history;
+    wire::PollChangesResponse history;
     history.changes.assign(m_history.changes().begin(), m_history.changes().end());
     Json answers = Json::array();
     for (const AnswerMemory::Answer &answer : m_answers.answers())
@@ -143,14 +143,14 @@
     const Json parts = Json::from_cbor(payload.begin(), payload.end());
     m_nowMs = parts.at("nowMs").get<std::int64_t>();
     const auto recordBytes = parts.at("records").get<std::string>();
-    BOOST_LEAF_AUTO(records, wire::decode<wire::FollowResponse>(recordBytes));
+    BOOST_LEAF_AUTO(records, wire::decode<wire::PollChangesResponse>(recordBytes));
     m_revision = records.revision;
     m_memberRevision = records.memberRevision;
-    for (const wire::Change &change : records.changes)
+    for (const wire::RecordChange &change : records.changes)
         BOOST_LEAF_CHECK(load(change));
     const auto historyBytes = parts.at("history").get<std::string>();
-    BOOST_LEAF_AUTO(history, wire::decode<wire::FollowResponse>(historyBytes));
-    for (wire::Change &change : history.changes)
+    BOOST_LEAF_AUTO(history, wire::decode<wire::PollChangesResponse>(historyBytes));
+    for (wire::RecordChange &change : history.changes)
         m_history.append(std::move(change));
     m_history.setDroppedUpTo(parts.at("droppedUpTo").get<std::uint64_t>());
     for (const Json &answer : parts.at("answers")) {
@@ -170,15 +170,19 @@
     return {};
 }
 
-Result<void> DirectoryState::load(const wire::Change &change)
+Result<void> DirectoryState::load(const wire::RecordChange &change)
 {
     using Loader = Result<void> (DirectoryState::*)(const std::string &);
     // In order of wire::RecordKind.
     static constexpr std::array<Loader, 8> loaders = {
-            &DirectoryState::load<wire::Contract>, &DirectoryState::load<wire::Key>,
-            &DirectoryState::load<wire::Config>,   &DirectoryState::load<wire::Route>,
-            &DirectoryState::load<wire::Upstream>, &DirectoryState::load<wire::Member>,
-            &DirectoryState::load<wire::Fence>,    &DirectoryState::load<wire::HeldRequest>,
+            &DirectoryState::load<wire::Contract>,
+            &DirectoryState::load<wire::ApiKey>,
+            &DirectoryState::load<wire::Config>,
+            &DirectoryState::load<wire::Route>,
+            &DirectoryState::load<wire::Upstream>,
+            &DirectoryState::load<wire::Member>,
+            &DirectoryState::load<wire::FencingToken>,
+            &DirectoryState::load<wire::QuarantinedRequest>,
     };
     return (this->*loaders.at(static_cast<std::size_t>(change.kind)))(change.body);
 }
--- a/src/directory/directorystate.h
+++ b/src/directory/directorystate.h
@@ -41,7 +41,7 @@
     }
 
     /// Null unless a key with this hash was ever added.
-    const wire::Key *keyByHash(const std::string &hash) const;
+    const wire::ApiKey *apiKeyByHash(const std::string &hash) const;
 
     /// Opens the next revision.
     void beginRevision(std::int64_t nowMs);
@@ -60,7 +60,7 @@
     const IncarnationLog &incarnations() const { return m_incarnations; }
 
     /// Changes after \a revision, or all records when the history does not reach back to it.
-    wire::FollowResponse changesAfter(std::uint64_t revision) const;
+    wire::PollChangesResponse changesAfter(std::uint64_t revision) const;
 
     /// Whole state with format version and checksum.
     std::string serialize() const;
@@ -68,25 +68,25 @@
     static Result<DirectoryState> deserialize(std::string_view bytes);
 
 private:
-    using Tables = std::tuple<Table<wire::Contract>, Table<wire::Key>, Table<wire::Config>,
+    using Tables = std::tuple<Table<wire::Contract>, Table<wire::ApiKey>, Table<wire::Config>,
                               Table<wire::Route>, Table<wire::Upstream>, Table<wire::Member>,
-                              Table<wire::Fence>, Table<wire::HeldRequest>>;
+                              Table<wire::FencingToken>, Table<wire::QuarantinedRequest>>;
 
     template <typename Record>
     void insert(Record record);
     template <typename Record>
     Result<void> load(const std::string &body);
-    Result<void> load(const wire::Change &change);
+    Result<void> load(const wire::RecordChange &change);
     Result<void> loadParts(std::string_view payload);
-    wire::FollowResponse allRecords() const;
+    wire::PollChangesResponse allRecords() const;
 
     Tables m_tables;
     std::map<std::string, std::string> m_keyIdsByHash;
     std::uint64_t m_revision = 0;
     std::uint64_t m_memberRevision = 0;
     std::int64_t m_nowMs = 0;
-    ChangeHistory m_history{keptChanges};
-    AnswerMemory m_answers{rememberedAnswers};
+    ChangeHistory m_history{changeHistoryLimit};
+    AnswerMemory m_answers{maxCachedResponses};
     IncarnationLog m_incarnations{rememberedIncarnations};
 };
 
@@ -94,7 +94,7 @@
 void DirectoryState::insert(Record record)
 {
     const std::string id = RecordTraits<Record>::id(record);
-    if constexpr (std::is_same_v<Record, wire::Key>)
+    if constexpr (std::is_same_v<Record, wire::ApiKey>)
         m_keyIdsByHash[record.hash] = id;
     std::get<Table<Record>>(m_tables)[id] = std::move(record);
 }
@@ -113,7 +113,7 @@
 template <typename Record>
 void DirectoryState::remove(const std::string &id)
 {
-    static_assert(!std::is_same_v<Record, wire::Key>, "withdrawn keys stay remembered");
+    static_assert(!std::is_same_v<Record, wire::ApiKey>, "withdrawn keys stay remembered");
     if constexpr (std::is_same_v<Record, wire::Member>)
         m_memberRevision = m_revision;
     m_history.append({m_revision, RecordTraits<Record>::kind, id, true, {}});
--- a/src/directory/directorystatemachine.cpp
+++ b/src/directory/directorystatemachine.cpp
@@ -54,43 +54,43 @@
 {
     const auto command = outcomeOf([&] { return wire::decode<Command>(bytes); });
     if (!command.ok())
-        return wire::encodeAnswer(Outcome<wire::DirectoryResult>(command.failure()));
+        return wire::encodeCommandResult(Outcome<wire::DirectoryResult>(command.failure()));
     return applyOnce(command.value());
 }
 
 std::string DirectoryStateMachine::applyOnce(const Command &command)
 {
     if (command.requestId.empty())
-        return wire::encodeAnswer(outcomeOf([&] { return write(command); }));
+        return wire::encodeCommandResult(outcomeOf([&] { return write(command); }));
     const auto validId = outcomeOf([&] { return validateName("request_id", command.requestId); });
     if (!validId.ok())
-        return wire::encodeAnswer(Outcome<wire::DirectoryResult>(validId.failure()));
+        return wire::encodeCommandResult(Outcome<wire::DirectoryResult>(validId.failure()));
     const std::uint64_t hash = contentHash(command);
     if (const AnswerMemory::Answer *first = m_state.answers().find(command.requestId)) {
         if (first->contentHash == hash)
             return first->bytes;
-        return wire::encodeAnswer(Outcome<wire::DirectoryResult>(
+        return wire::encodeCommandResult(Outcome<wire::DirectoryResult>(
                 notRun(ErrorCode::DuplicateRequest,
                        concat("request id \"", command.requestId, "\" belongs to another write"))));
     }
-    std::string bytes = wire::encodeAnswer(outcomeOf([&] { return write(command); }));
+    std::string bytes = wire::encodeCommandResult(outcomeOf([&] { return write(command); }));
     m_state.answers().remember({command.requestId, hash, bytes});
     return bytes;
 }
 
 std::string DirectoryStateMachine::query(std::string_view bytes) const
 {
-    using Response = Outcome<wire::FollowResponse>;
+    using Response = Outcome<wire::PollChangesResponse>;
     const auto query = outcomeOf([&] { return wire::decode<wire::DirectoryQuery>(bytes); });
     if (!query.ok())
-        return wire::encodeAnswer(Response(query.failure()));
+        return wire::encodeCommandResult(Response(query.failure()));
     const std::uint64_t revision = query.value().afterRevision;
     if (revision > m_state.revision()) {
-        return wire::encodeAnswer(Response(
+        return wire::encodeCommandResult(Response(
                 notRun(ErrorCode::StaleRevision, concat("revision ", revision, " was asked for, ",
                                                         m_state.revision(), " is the last one"))));
     }
-    return wire::encodeAnswer(Response(m_state.changesAfter(revision)));
+    return wire::encodeCommandResult(Response(m_state.changesAfter(revision)));
 }
 
 std::string DirectoryStateMachine::snapshot() const
@@ -180,24 +180,24 @@
     BOOST_LEAF_AUTO(existingContract, existing<wire::Contract>(command, operation.workspace));
     wire::Contract contract = *existingContract;
     contract.withdrawn = true;
-    std::vector<wire::Key> keys;
-    for (const auto &[id, key] : m_state.table<wire::Key>()) {
+    std::vector<wire::ApiKey> keys;
+    for (const auto &[id, key] : m_state.table<wire::ApiKey>()) {
         if (key.workspace == operation.workspace && !key.withdrawn)
             keys.push_back(key);
     }
     m_state.beginRevision(command.nowMs);
     m_state.put(std::move(contract));
-    for (wire::Key &key : keys) {
+    for (wire::ApiKey &key : keys) {
         key.withdrawn = true;
         m_state.put(std::move(key));
     }
     return written(operation.workspace);
 }
 
-Result<void> DirectoryStateMachine::checkNewKey(const wire::Key &key) const
+Result<void> DirectoryStateMachine::checkNewKey(const wire::ApiKey &key) const
 {
-    const bool known =
-            m_state.find<wire::Key>(key.keyId) != nullptr || m_state.keyByHash(key.hash) != nullptr;
+    const bool known = m_state.find<wire::ApiKey>(key.keyId) != nullptr
+                       || m_state.apiKeyByHash(key.hash) != nullptr;
     if (known)
         return conflict(concat("key \"", key.keyId, "\" or its hash was added before"));
     const wire::Contract *contract = m_state.find<wire::Contract>(key.workspace);
@@ -212,18 +212,18 @@
                                                             const wire::AddKey &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.key));
-    BOOST_LEAF_CHECK(checkBase<wire::Key>(command, operation.key.keyId));
+    BOOST_LEAF_CHECK(checkBase<wire::ApiKey>(command, operation.key.keyId));
     BOOST_LEAF_CHECK(checkNewKey(operation.key));
-    wire::Key key = operation.key;
+    wire::ApiKey key = operation.key;
     key.withdrawn = false;
     return putAlone(command, std::move(key));
 }
 
 DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::WithdrawKey &operation)
+                                                            const wire::RevokeKey &operation)
 {
-    BOOST_LEAF_AUTO(existingKey, existing<wire::Key>(command, operation.keyId));
-    wire::Key key = *existingKey;
+    BOOST_LEAF_AUTO(existingKey, existing<wire::ApiKey>(command, operation.keyId));
+    wire::ApiKey key = *existingKey;
     key.withdrawn = true;
     return putAlone(command, std::move(key));
 }
@@ -308,17 +308,17 @@
     return removeAlone<wire::Member>(command, operation.instance);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::IssueFence &operation)
+DirectoryStateMachine::Written
+DirectoryStateMachine::write(const Command &command, const wire::IssueFencingToken &operation)
 {
     if (m_state.find<wire::Upstream>(operation.upstream) == nullptr) {
         return fail(
                 notRun(ErrorCode::NotFound, concat("no upstream \"", operation.upstream, "\"")));
     }
-    BOOST_LEAF_CHECK(checkBase<wire::Fence>(command, operation.upstream));
+    BOOST_LEAF_CHECK(checkBase<wire::FencingToken>(command, operation.upstream));
     // Fences outlive their upstream, so that a re-added one does not start again at 1.
-    const wire::Fence *last = m_state.find<wire::Fence>(operation.upstream);
-    wire::Fence fence;
+    const wire::FencingToken *last = m_state.find<wire::FencingToken>(operation.upstream);
+    wire::FencingToken fence;
     fence.upstream = operation.upstream;
     fence.number = last == nullptr ? 1 : last->number + 1;
     wire::DirectoryResult result = putAlone(command, fence);
@@ -326,12 +326,13 @@
     return result;
 }
 
-wire::HeldRequest DirectoryStateMachine::heldWith(const Command &command,
-                                                  const wire::ReportCrash &report) const
+wire::QuarantinedRequest DirectoryStateMachine::heldWith(const Command &command,
+                                                         const wire::ReportCrash &report) const
 {
     const std::int64_t nowMs = std::max(m_state.nowMs(), command.nowMs);
-    wire::HeldRequest held;
-    const wire::HeldRequest *known = m_state.find<wire::HeldRequest>(report.fingerprint);
+    wire::QuarantinedRequest held;
+    const wire::QuarantinedRequest *known =
+            m_state.find<wire::QuarantinedRequest>(report.fingerprint);
     if (known != nullptr && known->expiresAtMs > nowMs)
         held = *known;
     held.fingerprint = report.fingerprint;
@@ -348,17 +349,17 @@
                                                             const wire::ReportCrash &operation)
 {
     BOOST_LEAF_CHECK(validate(operation));
-    BOOST_LEAF_CHECK(checkBase<wire::HeldRequest>(command, operation.fingerprint));
-    const wire::HeldRequest held = heldWith(command, operation);
+    BOOST_LEAF_CHECK(checkBase<wire::QuarantinedRequest>(command, operation.fingerprint));
+    const wire::QuarantinedRequest held = heldWith(command, operation);
     wire::DirectoryResult result = putAlone(command, held);
     result.held = held.held;
     return result;
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::ReleaseHeld &operation)
+DirectoryStateMachine::Written
+DirectoryStateMachine::write(const Command &command, const wire::ReleaseQuarantined &operation)
 {
-    return removeAlone<wire::HeldRequest>(command, operation.fingerprint);
+    return removeAlone<wire::QuarantinedRequest>(command, operation.fingerprint);
 }
 
 } // namespace rattanrill::directory
--- a/src/directory/directorystatemachine.h
+++ b/src/directory/directorystatemachine.h
@@ -27,7 +27,7 @@
     Written write(const Command &command, const wire::PutContract &operation);
     Written write(const Command &command, const wire::WithdrawContract &operation);
     Written write(const Command &command, const wire::AddKey &operation);
-    Written write(const Command &command, const wire::WithdrawKey &operation);
+    Written write(const Command &command, const wire::RevokeKey &operation);
     Written write(const Command &command, const wire::PutConfig &operation);
     Written write(const Command &command, const wire::PutRoute &operation);
     Written write(const Command &command, const wire::RemoveRoute &operation);
@@ -35,9 +35,9 @@
     Written write(const Command &command, const wire::RemoveUpstream &operation);
     Written write(const Command &command, const wire::JoinMember &operation);
     Written write(const Command &command, const wire::RemoveMember &operation);
-    Written write(const Command &command, const wire::IssueFence &operation);
+    Written write(const Command &command, const wire::IssueFencingToken &operation);
     Written write(const Command &command, const wire::ReportCrash &operation);
-    Written write(const Command &command, const wire::ReleaseHeld &operation);
+    Written write(const Command &command, const wire::ReleaseQuarantined &operation);
 
     /// Writes one record as a revision of its own.
     template <typename Record>
@@ -50,9 +50,10 @@
     /// As checkBase(); fails with NotFound when there is no such record.
     template <typename Record>
     Result<const Record *> existing(const Command &command, const std::string &id) const;
-    Result<void> checkNewKey(const wire::Key &key) const;
+    Result<void> checkNewKey(const wire::ApiKey &key) const;
     Result<void> checkPathPrefix(const wire::Route &route) const;
-    wire::HeldRequest heldWith(const Command &command, const wire::ReportCrash &report) const;
+    wire::QuarantinedRequest heldWith(const Command &command,
+                                      const wire::ReportCrash &report) const;
     wire::DirectoryResult written(const std::string &id) const;
 
     DirectoryState m_state;
--- a/src/directory/follower.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/hash.h"
@@ -21,9 +21,10 @@
 
 } // namespace
 
-struct Follower::Impl : std::enable_shared_from_this<Impl>
+struct DirectorySubscriber::Impl : std::enable_shared_from_this<Impl>
 {
-    Impl(FollowerOptions options, PollSource &source, TimerService &timers, const Clock &clock)
+    Impl(SubscriberOptions options, DirectoryPollClient &source, TimerService &timers,
+         const Clock &clock)
         : options(std::move(options))
         , source(source)
         , timers(timers)
@@ -33,7 +34,7 @@
 
     void sendPoll()
     {
-        wire::FollowRequest request;
+        wire::PollChangesRequest request;
         absl::Time sentAt;
         {
             absl::MutexLock lock(&mutex);
@@ -48,7 +49,7 @@
         request.waitMs = absl::ToInt64Milliseconds(options.pollWait);
         const std::weak_ptr<Impl> self = weak_from_this();
         source.poll(request, options.pollTimeout,
-                    [self, sentAt](const Outcome<wire::FollowResponse> &outcome) {
+                    [self, sentAt](const Outcome<wire::PollChangesResponse> &outcome) {
                         if (const std::shared_ptr<Impl> impl = self.lock())
                             impl->handleAnswer(sentAt, outcome);
                     });
@@ -57,11 +58,11 @@
         idle.SignalAll();
     }
 
-    void handleAnswer(absl::Time sentAt, const Outcome<wire::FollowResponse> &outcome)
+    void handleAnswer(absl::Time sentAt, const Outcome<wire::PollChangesResponse> &outcome)
     {
         if (!beginAnswer())
             return;
-        const Outcome<View> next = nextView(outcome);
+        const Outcome<DirectoryView> next = nextView(outcome);
         if (next.ok()) {
             publish(sentAt, next.value());
             schedule(sentAt + options.minPollInterval - clock.now());
@@ -94,29 +95,29 @@
             sendPoll();
     }
 
-    Outcome<View> nextView(const Outcome<wire::FollowResponse> &outcome)
+    Outcome<DirectoryView> nextView(const Outcome<wire::PollChangesResponse> &outcome)
     {
         if (!outcome.ok())
             return outcome.failure();
-        const std::shared_ptr<const View> view = viewNow();
+        const std::shared_ptr<const DirectoryView> view = viewNow();
         const std::uint64_t revision = outcome.value().revision;
         if (revision < view->revision()) {
             return notRun(ErrorCode::StaleRevision, concat("answer of revision ", revision,
                                                            ", the view has ", view->revision()));
         }
-        return outcomeOf([&] { return view->with(outcome.value()); });
+        return outcomeOf([&] { return view->withChanges(outcome.value()); });
     }
 
-    void publish(absl::Time sentAt, const View &next)
+    void publish(absl::Time sentAt, const DirectoryView &next)
     {
-        std::shared_ptr<const View> published;
+        std::shared_ptr<const DirectoryView> published;
         {
             absl::MutexLock lock(&mutex);
             failures = 0;
             freshAt = std::max(freshAt, sentAt);
             if (next.revision() == current->revision())
                 return;
-            current = std::make_shared<const View>(next);
+            current = std::make_shared<const DirectoryView>(next);
             published = current;
         }
         for (const Listener &listener : listeners)
@@ -154,7 +155,7 @@
         });
     }
 
-    std::shared_ptr<const View> viewNow() const
+    std::shared_ptr<const DirectoryView> viewNow() const
     {
         absl::MutexLock lock(&mutex);
         return current;
@@ -175,15 +176,16 @@
             timers.unsubscribe(pending);
     }
 
-    const FollowerOptions options;
-    PollSource &source;
+    const SubscriberOptions options;
+    DirectoryPollClient &source;
     TimerService &timers;
     const Clock &clock;
     /// Not changed after start().
     std::vector<Listener> listeners;
     mutable absl::Mutex mutex;
     absl::CondVar idle;
-    std::shared_ptr<const View> current ABSL_GUARDED_BY(mutex) = std::make_shared<const View>();
+    std::shared_ptr<const DirectoryView>
+            current ABSL_GUARDED_BY(mutex) = std::make_shared<const DirectoryView>();
     absl::Time freshAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
     std::thread::id answeringThread ABSL_GUARDED_BY(mutex);
     /// Calls of source.poll() that have not returned.
@@ -195,38 +197,38 @@
     bool stopped ABSL_GUARDED_BY(mutex) = false;
 };
 
-Follower::Follower(FollowerOptions options, PollSource &source, TimerService &timers,
-                   const Clock &clock)
+DirectorySubscriber::DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &source,
+                                         TimerService &timers, const Clock &clock)
     : m_impl(std::make_shared<Impl>(std::move(options), source, timers, clock))
 {}
 
-Follower::~Follower()
+DirectorySubscriber::~DirectorySubscriber()
 {
     stop();
 }
 
-void Follower::start()
+void DirectorySubscriber::start()
 {
     m_impl->sendPoll();
 }
 
-void Follower::stop()
+void DirectorySubscriber::stop()
 {
     m_impl->stop();
 }
 
-std::shared_ptr<const View> Follower::view() const
+std::shared_ptr<const DirectoryView> DirectorySubscriber::view() const
 {
     return m_impl->viewNow();
 }
 
-absl::Duration Follower::age() const
+absl::Duration DirectorySubscriber::age() const
 {
     absl::MutexLock lock(&m_impl->mutex);
     return m_impl->clock.now() - m_impl->freshAt;
 }
 
-void Follower::onChange(Listener listener)
+void DirectorySubscriber::onChange(Listener listener)
 {
     m_impl->listeners.push_back(std::move(listener));
 }
--- a/src/directory/view.cpp
+++ b/src/directory/directoryview.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directoryview.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/directory/pathprefix.h"
@@ -22,7 +22,7 @@
     editor.remove(id);
 }
 
-const std::string &indexOf(const wire::Key &key, const std::string &)
+const std::string &indexOf(const wire::ApiKey &key, const std::string &)
 {
     return key.hash;
 }
@@ -42,7 +42,7 @@
         : m_table(table)
     {}
 
-    Result<void> apply(const wire::Change &change)
+    Result<void> apply(const wire::RecordChange &change)
     {
         if (!m_editor)
             m_editor.emplace(m_table);
@@ -75,10 +75,10 @@
 } // namespace
 
 /// Applies the changes of one response to a view of its own.
-class View::Builder
+class DirectoryView::Builder
 {
 public:
-    explicit Builder(View &view)
+    explicit Builder(DirectoryView &view)
         : m_contracts(view.m_contracts)
         , m_keys(view.m_keysByHash)
         , m_configs(view.m_configs)
@@ -89,9 +89,9 @@
         , m_held(view.m_held)
     {}
 
-    Result<void> apply(const wire::Change &change)
+    Result<void> apply(const wire::RecordChange &change)
     {
-        using Apply = Result<void> (Builder::*)(const wire::Change &);
+        using Apply = Result<void> (Builder::*)(const wire::RecordChange &);
         // In order of wire::RecordKind.
         static constexpr std::array<Apply, 8> steps = {
                 &Builder::applyTo<&Builder::m_contracts>, &Builder::applyTo<&Builder::m_keys>,
@@ -116,37 +116,37 @@
 
 private:
     template <auto Member>
-    Result<void> applyTo(const wire::Change &change)
+    Result<void> applyTo(const wire::RecordChange &change)
     {
         return (this->*Member).apply(change);
     }
 
     TableOf<wire::Contract> m_contracts;
-    TableOf<wire::Key> m_keys;
+    TableOf<wire::ApiKey> m_keys;
     ListOf<wire::Config> m_configs;
     ListOf<wire::Route> m_routes;
     ListOf<wire::Upstream> m_upstreams;
     ListOf<wire::Member> m_members;
-    ListOf<wire::Fence> m_fences;
-    ListOf<wire::HeldRequest> m_held;
+    ListOf<wire::FencingToken> m_fences;
+    ListOf<wire::QuarantinedRequest> m_held;
 };
 
-std::shared_ptr<const wire::Contract> View::contract(std::string_view workspace) const
+std::shared_ptr<const wire::Contract> DirectoryView::contract(std::string_view workspace) const
 {
     return m_contracts.find(workspace);
 }
 
-std::shared_ptr<const wire::Key> View::keyByHash(std::string_view hash) const
+std::shared_ptr<const wire::ApiKey> DirectoryView::apiKeyByHash(std::string_view hash) const
 {
     return m_keysByHash.find(hash);
 }
 
-std::shared_ptr<const wire::Config> View::config(std::string_view name) const
+std::shared_ptr<const wire::Config> DirectoryView::config(std::string_view name) const
 {
     return m_configs.find(name);
 }
 
-std::shared_ptr<const wire::Route> View::route(std::string_view path) const
+std::shared_ptr<const wire::Route> DirectoryView::route(std::string_view path) const
 {
     std::shared_ptr<const wire::Route> best;
     for (const auto &[name, route] : m_routes.rows()) {
@@ -159,52 +159,52 @@
     return best;
 }
 
-std::shared_ptr<const wire::Upstream> View::upstream(std::string_view name) const
+std::shared_ptr<const wire::Upstream> DirectoryView::upstream(std::string_view name) const
 {
     return m_upstreams.find(name);
 }
 
-std::shared_ptr<const wire::Member> View::member(std::string_view instance) const
+std::shared_ptr<const wire::Member> DirectoryView::member(std::string_view instance) const
 {
     return m_members.find(instance);
 }
 
-std::shared_ptr<const wire::HeldRequest> View::held(std::string_view fingerprint,
-                                                    std::int64_t nowMs) const
+std::shared_ptr<const wire::QuarantinedRequest>
+DirectoryView::quarantinedRequest(std::string_view fingerprint, std::int64_t nowMs) const
 {
-    std::shared_ptr<const wire::HeldRequest> record = m_held.find(fingerprint);
+    std::shared_ptr<const wire::QuarantinedRequest> record = m_held.find(fingerprint);
     const bool holds = record && record->held && record->expiresAtMs > nowMs;
     return holds ? record : nullptr;
 }
 
-std::uint64_t View::fence(std::string_view upstream) const
+std::uint64_t DirectoryView::fencingToken(std::string_view upstream) const
 {
-    const std::shared_ptr<const wire::Fence> record = m_fences.find(upstream);
+    const std::shared_ptr<const wire::FencingToken> record = m_fences.find(upstream);
     return record ? record->number : 0;
 }
 
-const std::vector<RecordList<wire::Upstream>::Row> &View::upstreams() const
+const std::vector<RecordList<wire::Upstream>::Row> &DirectoryView::upstreams() const
 {
     return m_upstreams.rows();
 }
 
-const std::vector<RecordList<wire::Member>::Row> &View::members() const
+const std::vector<RecordList<wire::Member>::Row> &DirectoryView::members() const
 {
     return m_members.rows();
 }
 
-const std::vector<RecordList<wire::Route>::Row> &View::routes() const
+const std::vector<RecordList<wire::Route>::Row> &DirectoryView::routes() const
 {
     return m_routes.rows();
 }
 
-Result<View> View::with(const wire::FollowResponse &response) const
+Result<DirectoryView> DirectoryView::withChanges(const wire::PollChangesResponse &response) const
 {
     if (response.revision < m_revision)
         return *this;
-    View next = response.snapshot ? View() : *this;
+    DirectoryView next = response.snapshot ? DirectoryView() : *this;
     Builder builder(next);
-    for (const wire::Change &change : response.changes) {
+    for (const wire::RecordChange &change : response.changes) {
         // A delta that overlaps with this view holds records that may have changed again since.
         if (response.snapshot || change.revision > m_revision)
             BOOST_LEAF_CHECK(builder.apply(change));
--- a/src/directory/recordtraits.h
+++ b/src/directory/recordtraits.h
@@ -19,13 +19,13 @@
     };
 
 RATTANRILL_RECORD(Contract, Contract, workspace)
-RATTANRILL_RECORD(Key, Key, keyId)
+RATTANRILL_RECORD(ApiKey, ApiKey, keyId)
 RATTANRILL_RECORD(Config, Config, name)
 RATTANRILL_RECORD(Route, Route, name)
 RATTANRILL_RECORD(Upstream, Upstream, name)
 RATTANRILL_RECORD(Member, Member, instance)
-RATTANRILL_RECORD(Fence, Fence, upstream)
-RATTANRILL_RECORD(HeldRequest, HeldRequest, fingerprint)
+RATTANRILL_RECORD(FencingToken, FencingToken, upstream)
+RATTANRILL_RECORD(QuarantinedRequest, QuarantinedRequest, fingerprint)
 
 #undef RATTANRILL_RECORD
 
--- a/src/directory/recordvalidation.cpp
+++ b/src/directory/recordvalidation.cpp
@@ -122,7 +122,7 @@
     return {};
 }
 
-Result<void> validate(const wire::Key &key)
+Result<void> validate(const wire::ApiKey &key)
 {
     BOOST_LEAF_CHECK(validateName("key_id", key.keyId));
     BOOST_LEAF_CHECK(validateName("workspace", key.workspace));
--- a/src/directory/recordvalidation.h
+++ b/src/directory/recordvalidation.h
@@ -18,7 +18,7 @@
 /// 1 to maxNameBytes bytes without control characters.
 Result<void> validateName(std::string_view field, std::string_view value);
 Result<void> validate(const wire::Contract &contract);
-Result<void> validate(const wire::Key &key);
+Result<void> validate(const wire::ApiKey &key);
 Result<void> validate(const wire::Config &config);
 Result<void> validate(const wire::Route &route);
 Result<void> validate(const wire::Upstream &upstream);
--- a/src/engine/cancellation.cpp
+++ b/src/engine/abortsignal.cpp
@@ -1,8 +1,8 @@
-#include "rattanrill/engine/cancellation.h"
+#include "rattanrill/engine/abortsignal.h"
 
 namespace rattanrill::engine {
 
-void Cancellation::abort()
+void AbortSignal::abort()
 {
     // The action runs under the lock, so that it never runs after its call has withdrawn it. It
     // only shuts a socket down, which does not wait.
@@ -12,13 +12,13 @@
         m_action();
 }
 
-bool Cancellation::aborted() const
+bool AbortSignal::aborted() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_aborted;
 }
 
-void Cancellation::onAbort(std::function<void()> action)
+void AbortSignal::onAbort(std::function<void()> action)
 {
     absl::MutexLock lock(&m_mutex);
     m_action = std::move(action);
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -103,7 +103,7 @@
             return notRun(ErrorCode::InvalidRequest, "the request body is not a JSON object");
         body["stream"] = true;
         body["request_id"] = request.requestId;
-        body["resume_after"] = request.resumeAfter;
+        body["resume_after"] = request.deliveredTokens;
         body.erase("kv_handle");
         if (!request.kvHandle.empty())
             body["kv_handle"] = request.kvHandle;
@@ -123,7 +123,7 @@
     Outcome<Json> call(const std::string &method, const std::string &path, const Json &body) const
     {
         httplib::Client client(options.host, options.port);
-        setTimeouts(client, options.connectTimeout, options.controlTimeout);
+        setTimeouts(client, options.connectTimeout, options.auxiliaryCallTimeout);
         httplib::Request request;
         request.method = method;
         request.path = path;
@@ -157,11 +157,11 @@
         , m_request(request)
         , m_body(std::move(body))
         , m_clock(clock)
-        , m_reader(request.requestId, request.resumeAfter, onToken)
+        , m_reader(request.requestId, request.deliveredTokens, onToken)
         , m_client(options.host, options.port)
     {}
 
-    httplib::Error run(Cancellation &cancellation)
+    httplib::Error run(AbortSignal &cancellation)
     {
         const absl::Duration remaining = m_request.deadline - m_clock.now();
         setTimeouts(m_client, std::min(m_options.connectTimeout, remaining),
@@ -179,7 +179,7 @@
     bool late() const { return m_clock.now() + timerRounding >= m_request.deadline; }
 
 private:
-    httplib::Request makeRequest(Cancellation &cancellation)
+    httplib::Request makeRequest(AbortSignal &cancellation)
     {
         httplib::Request http;
         http.method = "POST";
@@ -231,11 +231,11 @@
     return m_impl->options;
 }
 
-Outcome<StreamEnd> EngineClient::stream(const StreamRequest &request, Cancellation &cancellation,
-                                        const TokenHandler &onToken)
+Outcome<StreamSummary> EngineClient::stream(const StreamRequest &request, AbortSignal &cancellation,
+                                            const TokenHandler &onToken)
 {
     if (cancellation.aborted())
-        return notRun(ErrorCode::ClientGone, "the request was given up before it was sent");
+        return notRun(ErrorCode::ClientDisconnected, "the request was given up before it was sent");
     const Outcome<std::string> body = m_impl->streamBody(request);
     if (!body.ok())
         return body.failure();
@@ -253,7 +253,7 @@
     if (call.reader().complete())
         return call.reader().finish();
     if (cancellation.aborted())
-        return mayHaveRun(ErrorCode::ClientGone, "the request was given up while it ran");
+        return mayHaveRun(ErrorCode::ClientDisconnected, "the request was given up while it ran");
     if (call.late())
         return mayHaveRun(ErrorCode::Timeout, "the deadline passed while the request ran");
     if (error == httplib::Error::Success || error == httplib::Error::Canceled)
@@ -284,7 +284,7 @@
     });
 }
 
-Outcome<EngineLoad> EngineClient::load()
+Outcome<EngineLoadReport> EngineClient::load()
 {
     const Outcome<Json> answer = m_impl->call("GET", "/engine/load", Json());
     if (!answer.ok())
@@ -292,15 +292,15 @@
     const auto number = [&](const char *key) {
         return jsonMemberOr<std::int64_t>(answer.value(), key, 0);
     };
-    return outcomeOf([&]() -> Result<EngineLoad> {
-        EngineLoad load;
+    return outcomeOf([&]() -> Result<EngineLoadReport> {
+        EngineLoadReport load;
         BOOST_LEAF_ASSIGN(load.running, number("running"));
         BOOST_LEAF_ASSIGN(load.waiting, number("waiting"));
         BOOST_LEAF_ASSIGN(load.kvTokens, number("kv_tokens"));
         BOOST_LEAF_ASSIGN(load.kvCapacityTokens, number("kv_capacity_tokens"));
         BOOST_LEAF_ASSIGN(load.maxBatch, number("max_batch"));
         BOOST_LEAF_AUTO(ageMs, number("age_ms"));
-        load.age = absl::Milliseconds(ageMs);
+        load.ageWhenSent = absl::Milliseconds(ageMs);
         return load;
     });
 }
--- a/src/engine/streamreader.cpp
+++ b/src/engine/streamreader.cpp
@@ -72,7 +72,7 @@
     return true;
 }
 
-Outcome<StreamEnd> StreamReader::finish() const
+Outcome<StreamSummary> StreamReader::finish() const
 {
     if (!m_broken.empty())
         return mayHaveRun(ErrorCode::StreamBroken, m_broken);
@@ -141,7 +141,7 @@
         breakStream(concat("token ", m_next, " is missing at the end"));
         return;
     }
-    StreamEnd end;
+    StreamSummary end;
     end.finishReason = reason;
     end.tokens = m_next;
     const auto usage = event.find("usage");
--- a/src/engine/streamreader.h
+++ b/src/engine/streamreader.h
@@ -24,7 +24,7 @@
     /// Takes the next bytes of the body; false when the stream is broken.
     bool feed(std::string_view bytes);
     /// How the stream ended. Fails with StreamBroken when it is not complete.
-    Outcome<StreamEnd> finish() const;
+    Outcome<StreamSummary> finish() const;
     std::uint64_t dropped() const { return m_dropped; }
     /// "[DONE]" has arrived.
     bool complete() const { return m_done; }
@@ -41,7 +41,7 @@
     std::uint64_t m_next;
     TokenHandler m_onToken;
     std::string m_buffer;
-    std::optional<StreamEnd> m_end;
+    std::optional<StreamSummary> m_end;
     std::string m_broken;
     std::uint64_t m_dropped = 0;
     std::uint64_t m_droppedInRow = 0;
--- a/src/entry/answerstream.cpp
+++ b/src/entry/answerstream.cpp
@@ -20,7 +20,7 @@
         m_items.emplace_back(token);
 }
 
-void AnswerStream::onFinished(const engine::StreamEnd &end)
+void AnswerStream::onFinished(const engine::StreamSummary &end)
 {
     absl::MutexLock lock(&m_mutex);
     m_items.emplace_back(end);
--- a/src/entry/answerstream.h
+++ b/src/entry/answerstream.h
@@ -23,10 +23,10 @@
 class AnswerStream : public WorkListener
 {
 public:
-    using Item = std::variant<engine::Token, engine::StreamEnd, AnswerFailure>;
+    using Item = std::variant<engine::Token, engine::StreamSummary, AnswerFailure>;
 
     void onToken(const engine::Token &token) override ABSL_LOCKS_EXCLUDED(m_mutex);
-    void onFinished(const engine::StreamEnd &end) override ABSL_LOCKS_EXCLUDED(m_mutex);
+    void onFinished(const engine::StreamSummary &end) override ABSL_LOCKS_EXCLUDED(m_mutex);
     void onFailed(const Failure &failure, absl::Duration retryAfter) override
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
--- a/src/entry/batchdispatcher.cpp
+++ b/src/entry/batchdispatcher.cpp
@@ -85,7 +85,7 @@
             return;
         room = m_settings.maxRunning - m_held.size();
     }
-    room = std::min(room, m_parts.dispatcher.batchRoom());
+    room = std::min(room, m_parts.dispatcher.batchCapacity());
     const int count = m_parts.partitions.count();
     for (int i = 0; i < count && room > 0; ++i) {
         std::size_t leased = 0;
@@ -122,9 +122,9 @@
     }
     m_parts.noteWorkspace(item.workspace);
     WorkOrder order;
-    order.work = workOf(item.workspace, request.value(), policy::WorkKind::Batch);
+    order.task = taskOf(item.workspace, request.value(), policy::TaskKind::Batch);
     const absl::Duration untilDue = absl::FromUnixMillis(item.dueAtMs) - m_parts.clock.wallNow();
-    order.work.due = m_parts.clock.now() + untilDue;
+    order.task.deadline = m_parts.clock.now() + untilDue;
     order.path = request.value().path;
     order.body = request.value().body;
     order.requestId =
@@ -141,11 +141,11 @@
         absl::MutexLock lock(&m_mutex);
         m_held[key] = 0;
     }
-    const policy::WorkId work = m_parts.dispatcher.submit(std::move(order));
+    const policy::TaskId task = m_parts.dispatcher.submit(std::move(order));
     absl::MutexLock lock(&m_mutex);
     const auto held = m_held.find(key);
     if (held != m_held.end())
-        held->second = work;
+        held->second = task;
 }
 
 // Results
@@ -240,7 +240,7 @@
     std::map<int, std::vector<wire::ItemRef>> held;
     {
         absl::MutexLock lock(&m_mutex);
-        for (const auto &[key, work] : m_held)
+        for (const auto &[key, task] : m_held)
             held[std::get<0>(key)].push_back(
                     {std::get<1>(key), std::get<2>(key), std::get<3>(key)});
     }
@@ -257,7 +257,7 @@
 
 void BatchDispatcher::dropLost(int partition, const std::vector<wire::ItemRef> &lost)
 {
-    std::vector<policy::WorkId> works;
+    std::vector<policy::TaskId> tasks;
     {
         absl::MutexLock lock(&m_mutex);
         for (const wire::ItemRef &item : lost) {
@@ -265,15 +265,15 @@
             // An item whose work is being submitted is found at the next renewal.
             if (held == m_held.end() || held->second == 0)
                 continue;
-            works.push_back(held->second);
+            tasks.push_back(held->second);
             m_held.erase(held);
         }
     }
-    for (const policy::WorkId work : works)
-        m_parts.dispatcher.withdraw(work);
-    if (!works.empty())
+    for (const policy::TaskId task : tasks)
+        m_parts.dispatcher.withdraw(task);
+    if (!tasks.empty())
         log(LogLevel::Info, "batch-items-lost",
-            {{"partition", partition}, {"items", static_cast<std::int64_t>(works.size())}});
+            {{"partition", partition}, {"items", static_cast<std::int64_t>(tasks.size())}});
 }
 
 void BatchDispatcher::drain()
@@ -283,18 +283,18 @@
         m_draining = true;
     }
     stopSteps();
-    std::map<ItemKey, policy::WorkId> held;
+    std::map<ItemKey, policy::TaskId> held;
     {
         absl::MutexLock lock(&m_mutex);
         held = m_held;
     }
-    for (const auto &[key, work] : held)
-        m_parts.dispatcher.withdraw(work);
+    for (const auto &[key, task] : held)
+        m_parts.dispatcher.withdraw(task);
     reportStep();
     std::map<int, std::vector<wire::ItemRef>> unfinished;
     {
         absl::MutexLock lock(&m_mutex);
-        for (const auto &[key, work] : m_held)
+        for (const auto &[key, task] : m_held)
             unfinished[std::get<0>(key)].push_back(
                     {std::get<1>(key), std::get<2>(key), std::get<3>(key)});
     }
--- a/src/entry/batchdispatcher.h
+++ b/src/entry/batchdispatcher.h
@@ -87,7 +87,7 @@
     int m_nextPartition = 0;
     mutable absl::Mutex m_mutex;
     bool m_draining ABSL_GUARDED_BY(m_mutex) = false;
-    std::map<ItemKey, policy::WorkId> m_held ABSL_GUARDED_BY(m_mutex);
+    std::map<ItemKey, policy::TaskId> m_held ABSL_GUARDED_BY(m_mutex);
     Groups m_ended ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/src/entry/batchhandler.h
+++ b/src/entry/batchhandler.h
@@ -6,7 +6,7 @@
 #include "exchange.h"
 #include "partitions.h"
 
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include <string>
 
@@ -19,7 +19,7 @@
     struct Parts
     {
         const Admission &admission;
-        const directory::Follower &directory;
+        const directory::DirectorySubscriber &directory;
         Partitions &partitions;
         Claims &claims;
         const Clock &clock;
--- a/src/entry/batchitem.cpp
+++ b/src/entry/batchitem.cpp
@@ -10,7 +10,7 @@
 /// Failures that another try would meet again.
 bool isFinal(ErrorCode code)
 {
-    return code == ErrorCode::InvalidRequest || code == ErrorCode::RequestHeld
+    return code == ErrorCode::InvalidRequest || code == ErrorCode::RequestQuarantined
            || code == ErrorCode::ItemFailed;
 }
 
@@ -30,7 +30,7 @@
     m_text += token.text;
 }
 
-void BatchItem::onFinished(const engine::StreamEnd &end)
+void BatchItem::onFinished(const engine::StreamSummary &end)
 {
     const CompletionFormat format(m_request, m_requestId, m_createdSeconds);
     ItemEnd itemEnd;
--- a/src/entry/batchitem.h
+++ b/src/entry/batchitem.h
@@ -37,7 +37,7 @@
               std::int64_t createdSeconds, EndHandler onEnd);
 
     void onToken(const engine::Token &token) override;
-    void onFinished(const engine::StreamEnd &end) override;
+    void onFinished(const engine::StreamSummary &end) override;
     void onFailed(const Failure &failure, absl::Duration retryAfter) override;
 
     /// Result of an item that cannot be completed.
--- a/src/entry/callerroutes.h
+++ b/src/entry/callerroutes.h
@@ -25,7 +25,7 @@
         BatchHandler &batches;
         ServiceHandler &services;
         const Admission &admission;
-        const directory::Follower &directory;
+        const directory::DirectorySubscriber &directory;
         Metrics &metrics;
         RequestMetrics &requestMetrics;
         /// Why this instance is not ready; empty when it is.
--- a/src/entry/completionformat.cpp
+++ b/src/entry/completionformat.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Usage of the whole answer. The engine's own figures count one try only.
-Json usageOf(const engine::StreamEnd &end)
+Json usageOf(const engine::StreamSummary &end)
 {
     const Json reported = Json::parse(end.usage, nullptr, false);
     std::int64_t promptTokens = 0;
@@ -40,7 +40,7 @@
     return {{"id", m_id}, {"object", object}, {"created", m_createdSeconds}, {"model", m_model}};
 }
 
-std::string CompletionFormat::whole(const std::string &text, const engine::StreamEnd &end) const
+std::string CompletionFormat::whole(const std::string &text, const engine::StreamSummary &end) const
 {
     Json answer = head(m_chat ? "chat.completion" : "text_completion");
     Json choice = {{"index", 0}, {"logprobs", nullptr}, {"finish_reason", end.finishReason}};
@@ -75,7 +75,7 @@
     return sseEvent(dumpJson(chunk(std::move(choice))));
 }
 
-std::string CompletionFormat::endEvents(const engine::StreamEnd &end) const
+std::string CompletionFormat::endEvents(const engine::StreamSummary &end) const
 {
     Json choice = {{"finish_reason", end.finishReason}};
     if (m_chat)
--- a/src/entry/completionformat.h
+++ b/src/entry/completionformat.h
@@ -19,10 +19,10 @@
                      std::int64_t createdSeconds);
 
     /// JSON text of a whole answer.
-    std::string whole(const std::string &text, const engine::StreamEnd &end) const;
+    std::string whole(const std::string &text, const engine::StreamSummary &end) const;
     /// Server-sent events of a streamed answer.
     std::string tokenEvent(const engine::Token &token) const;
-    std::string endEvents(const engine::StreamEnd &end) const;
+    std::string endEvents(const engine::StreamSummary &end) const;
 
 private:
     Json head(std::string_view object) const;
