--- a/src/entry/completionhandler.cpp
+++ b/src/entry/completionhandler.cpp
@@ -35,7 +35,7 @@
     {
         answer->close();
         if (!ended)
-            dispatcher.withdraw(work);
+            dispatcher.withdraw(task);
     }
 
     WorkDispatcher &dispatcher;
@@ -45,7 +45,7 @@
     CompletionFormat format;
     absl::Time startedAt;
     std::shared_ptr<AnswerStream> answer;
-    policy::WorkId work = 0;
+    policy::TaskId task = 0;
     std::optional<AnswerStream::Item> first;
     std::uint64_t tokens = 0;
     absl::Time lastTokenAt;
@@ -97,14 +97,15 @@
 
 Outcome<Done> CompletionHandler::check(const CompletionRequest &request, const Caller &caller) const
 {
-    if (service::containsKey(request.body, caller.key))
+    if (service::containsApiKey(request.body, caller.key))
         return notRun(ErrorCode::InvalidRequest, "the request body contains the key");
     const auto view = m_parts.directory.view();
     if (!servesModel(*view, request.model))
         return notRun(ErrorCode::UnknownModel, concat("no engine serves \"", request.model, "\""));
     const std::int64_t nowMs = absl::ToUnixMillis(m_parts.clock.wallNow());
-    if (view->held(fingerprintOf(caller.workspace, request), nowMs))
-        return notRun(ErrorCode::RequestHeld, "the request crashed the upstreams that ran it");
+    if (view->quarantinedRequest(fingerprintOf(caller.workspace, request), nowMs))
+        return notRun(ErrorCode::RequestQuarantined,
+                      "the request crashed the upstreams that ran it");
     return Done{};
 }
 
@@ -115,14 +116,14 @@
                                              exchange.requestId(), m_parts.clock);
     m_parts.shares.note(caller.workspace);
     WorkOrder order;
-    order.work = workOf(caller.workspace, request, policy::WorkKind::Online);
+    order.task = taskOf(caller.workspace, request, policy::TaskKind::Online);
     order.deadline = m_parts.clock.now() + m_requestTimeout;
-    order.work.due = order.deadline;
+    order.task.deadline = order.deadline;
     order.path = request.path;
     order.body = request.body;
     order.requestId = running->requestId;
     order.listener = running->answer;
-    running->work = m_parts.dispatcher.submit(std::move(order));
+    running->task = m_parts.dispatcher.submit(std::move(order));
     return running;
 }
 
@@ -136,11 +137,12 @@
         if (revoked)
             return AnswerFailure{*revoked, absl::ZeroDuration()};
         if (!item && callerGone())
-            return AnswerFailure{mayHaveRun(ErrorCode::ClientGone, "the caller has gone"), {}};
+            return AnswerFailure{mayHaveRun(ErrorCode::ClientDisconnected, "the caller has gone"),
+                                 {}};
     }
     running.ended = !std::holds_alternative<engine::Token>(*item);
     if (running.ended)
-        m_parts.metrics.tokens(running.labels, policy::WorkKind::Online, running.tokens);
+        m_parts.metrics.tokens(running.labels, policy::TaskKind::Online, running.tokens);
     else
         noteToken(running);
     return std::move(*item);
@@ -175,7 +177,7 @@
             text += token->text;
             continue;
         }
-        if (const auto *end = std::get_if<engine::StreamEnd>(&item))
+        if (const auto *end = std::get_if<engine::StreamSummary>(&item))
             exchange.sendJson(running.format.whole(text, *end));
         else if (const auto *failed = std::get_if<AnswerFailure>(&item))
             exchange.sendFailure(failed->failure, failed->retryAfter);
@@ -204,7 +206,7 @@
                 std::string events;
                 if (const auto *token = std::get_if<engine::Token>(&item))
                     events = running->format.tokenEvent(*token);
-                else if (const auto *end = std::get_if<engine::StreamEnd>(&item))
+                else if (const auto *end = std::get_if<engine::StreamSummary>(&item))
                     events = running->format.endEvents(*end);
                 else if (const auto *failed = std::get_if<AnswerFailure>(&item))
                     events = sseEvent(http::failureBody(failed->failure, running->requestId));
--- a/src/entry/completionhandler.h
+++ b/src/entry/completionhandler.h
@@ -9,7 +9,7 @@
 #include "workspaceshares.h"
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "absl/time/time.h"
 
@@ -25,7 +25,7 @@
     struct Parts
     {
         const Admission &admission;
-        const directory::Follower &directory;
+        const directory::DirectorySubscriber &directory;
         WorkDispatcher &dispatcher;
         WorkspaceShares &shares;
         const Clock &clock;
--- a/src/entry/completionrequest.cpp
+++ b/src/entry/completionrequest.cpp
@@ -128,20 +128,20 @@
             .substr(0, fingerprintDigits);
 }
 
-policy::Work workOf(const std::string &workspace, const CompletionRequest &request,
-                    policy::WorkKind kind)
+policy::Task taskOf(const std::string &workspace, const CompletionRequest &request,
+                    policy::TaskKind kind)
 {
-    policy::Work work;
-    work.workspace = workspace;
-    work.kind = kind;
-    work.model = request.model;
-    work.promptTokens = 1 + static_cast<std::int64_t>(request.prompt.size()) / bytesPerToken;
-    work.maxTokens = request.maxTokens;
-    work.fingerprint = fingerprintOf(workspace, request);
+    policy::Task task;
+    task.workspace = workspace;
+    task.kind = kind;
+    task.model = request.model;
+    task.promptTokens = 1 + static_cast<std::int64_t>(request.prompt.size()) / bytesPerToken;
+    task.maxTokens = request.maxTokens;
+    task.fingerprint = fingerprintOf(workspace, request);
     const std::string_view prompt = request.prompt;
     for (std::size_t size = firstPrefixBytes; size <= prompt.size(); size *= 2)
-        work.prefixHashes.push_back(stableHash(prompt.substr(0, size)));
-    return work;
+        task.prefixHashes.push_back(stableHash(prompt.substr(0, size)));
+    return task;
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/completionrequest.h
+++ b/src/entry/completionrequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/json.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include <cstdint>
 #include <string>
@@ -36,7 +36,7 @@
 std::string fingerprintOf(const std::string &workspace, const CompletionRequest &request);
 
 /// \a request as the scheduler needs to know it; id and due time are left to the caller.
-policy::Work workOf(const std::string &workspace, const CompletionRequest &request,
-                    policy::WorkKind kind);
+policy::Task taskOf(const std::string &workspace, const CompletionRequest &request,
+                    policy::TaskKind kind);
 
 } // namespace rattanrill::entry
--- a/src/entry/crashreporter.cpp
+++ b/src/entry/crashreporter.cpp
@@ -13,10 +13,10 @@
 } // namespace
 
 DirectoryCrashReporter::DirectoryCrashReporter(controlclient::ControlClient &control,
-                                               absl::Duration holdTime, absl::Duration timeout,
+                                               absl::Duration blockTime, absl::Duration timeout,
                                                const Clock &clock)
     : m_control(control)
-    , m_holdTime(holdTime)
+    , m_holdTime(blockTime)
     , m_timeout(timeout)
     , m_clock(clock)
 {}
--- a/src/entry/crashreporter.h
+++ b/src/entry/crashreporter.h
@@ -30,7 +30,7 @@
 class DirectoryCrashReporter : public CrashReporter
 {
 public:
-    DirectoryCrashReporter(controlclient::ControlClient &control, absl::Duration holdTime,
+    DirectoryCrashReporter(controlclient::ControlClient &control, absl::Duration blockTime,
                            absl::Duration timeout, const Clock &clock);
 
     void report(const std::string &fingerprint, const std::string &upstream,
--- a/src/entry/enginetable.cpp
+++ b/src/entry/enginetable.cpp
@@ -22,7 +22,7 @@
     return std::make_shared<engine::EngineClient>(options);
 }
 
-std::vector<policy::EngineInfo> EngineTable::update(const directory::View &view)
+std::vector<policy::EngineInfo> EngineTable::update(const directory::DirectoryView &view)
 {
     std::vector<policy::EngineInfo> infos;
     std::map<std::string, Client> clients;
--- a/src/entry/enginetable.h
+++ b/src/entry/enginetable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/engine/engineclient.h"
 #include "rattanrill/policy/enginestate.h"
 
@@ -25,7 +25,7 @@
 
     /// Adopts the engines of \a view and returns them for the scheduler. A client in use outlives
     /// its engine's removal.
-    std::vector<policy::EngineInfo> update(const directory::View &view)
+    std::vector<policy::EngineInfo> update(const directory::DirectoryView &view)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Null for an unknown engine.
     Client find(const std::string &name) const ABSL_LOCKS_EXCLUDED(m_mutex);
--- a/src/entry/enginetry.cpp
+++ b/src/entry/enginetry.cpp
@@ -2,7 +2,7 @@
 
 namespace rattanrill::entry {
 
-EngineTry::EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartWork start,
+EngineTry::EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
                      std::string requestId)
     : m_client(std::move(client))
     , m_start(std::move(start))
--- a/src/entry/enginetry.h
+++ b/src/entry/enginetry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/engine/cancellation.h"
+#include "rattanrill/engine/abortsignal.h"
 #include "rattanrill/engine/engineclient.h"
 #include "rattanrill/policy/scheduler.h"
 
@@ -18,13 +18,13 @@
 class EngineTry
 {
 public:
-    EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartWork start,
+    EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
               std::string requestId);
 
     engine::EngineClient &client() const { return *m_client; }
-    const policy::StartWork &start() const { return m_start; }
+    const policy::StartTask &start() const { return m_start; }
     const std::string &requestId() const { return m_requestId; }
-    engine::Cancellation &cancellation() { return m_cancellation; }
+    engine::AbortSignal &cancellation() { return m_cancellation; }
 
     /// Marks the try as preempted before the engine is told.
     void markPreempting() ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -41,9 +41,9 @@
     bool preempted() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) { return m_kvHandle.has_value(); }
 
     std::shared_ptr<engine::EngineClient> m_client;
-    policy::StartWork m_start;
+    policy::StartTask m_start;
     std::string m_requestId;
-    engine::Cancellation m_cancellation;
+    engine::AbortSignal m_cancellation;
     mutable absl::Mutex m_mutex;
     bool m_preempting ABSL_GUARDED_BY(m_mutex) = false;
     std::optional<std::string> m_kvHandle ABSL_GUARDED_BY(m_mutex);
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -16,8 +16,8 @@
 #include "rattanrill/base/hash.h"
 #include "rattanrill/base/logger.h"
 #include "rattanrill/controlclient/controlclient.h"
-#include "rattanrill/directory/controlpollsource.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/controlpollclient.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/peer/channelpool.h"
 #include "rattanrill/peer/server.h"
 #include "rattanrill/wire/codec.h"
@@ -43,9 +43,9 @@
     return options;
 }
 
-directory::FollowerOptions followerOptions(const EntrySettings &settings)
+directory::SubscriberOptions followerOptions(const EntrySettings &settings)
 {
-    directory::FollowerOptions options;
+    directory::SubscriberOptions options;
     options.instance = settings.instance;
     return options;
 }
@@ -78,7 +78,7 @@
         , follower(followerOptions(settings), pollSource, timers, clock)
         , engines(settings.timings.engineIdle)
         , services(settings.failureDomain, clock)
-        , crashes(control, settings.scheduler.quarantine.holdTime, settings.timings.controlTimeout,
+        , crashes(control, settings.scheduler.quarantine.blockTime, settings.timings.controlTimeout,
                   clock)
         , tries(settings.http.maxConnections + settings.batch.maxRunning, tryQueue)
         , calls(callThreads, callQueue)
@@ -94,9 +94,9 @@
                   {settings.instance, incarnation, settings.timings.ownerLease,
                    settings.timings.rateWait},
                   follower,
-                  [this](const std::string &address, const wire::RateHandOver &handOver) {
-                      channels.channel(address)->push(wire::Method::HandOver,
-                                                      wire::encode(handOver));
+                  [this](const std::string &address, const wire::RateBucketTransfer &handOver) {
+                      channels.channel(address)->sendOneWay(wire::Method::TransferRateBuckets,
+                                                            wire::encode(handOver));
                   },
                   clock)
         , rateBroker({settings.instance, settings.timings.rateWait, settings.timings.grantTimeout},
@@ -117,17 +117,18 @@
         , server(settings.http)
     {
         routes.install(server);
-        follower.onChange(
-                [this](const std::shared_ptr<const directory::View> &view) { adopt(*view); });
+        follower.onChange([this](const std::shared_ptr<const directory::DirectoryView> &view) {
+            adopt(*view);
+        });
         peers.handle(wire::Method::Grant,
                      [this](const peer::PeerIdentity &, const std::string &body,
-                            const peer::Reply &reply) { reply(grant(body)); });
-        peers.handle(wire::Method::HandOver,
+                            const peer::ResponseCallback &reply) { reply(grant(body)); });
+        peers.handle(wire::Method::TransferRateBuckets,
                      [this](const peer::PeerIdentity &, const std::string &body,
-                            const peer::Reply &reply) { reply(acceptRates(body)); });
+                            const peer::ResponseCallback &reply) { reply(acceptRates(body)); });
     }
 
-    void adopt(const directory::View &view)
+    void adopt(const directory::DirectoryView &view)
     {
         const std::vector<policy::EngineInfo> infos = engines.update(view);
         services.update(view);
@@ -145,7 +146,7 @@
 
     Outcome<std::string> grant(const std::string &body)
     {
-        const auto request = outcomeOf([&] { return wire::decode<wire::GrantRequest>(body); });
+        const auto request = outcomeOf([&] { return wire::decode<wire::RateGrantRequest>(body); });
         if (!request.ok())
             return request.failure();
         const auto response = rateOwner.grant(request.value());
@@ -156,7 +157,8 @@
 
     Outcome<std::string> acceptRates(const std::string &body)
     {
-        const auto handOver = outcomeOf([&] { return wire::decode<wire::RateHandOver>(body); });
+        const auto handOver =
+                outcomeOf([&] { return wire::decode<wire::RateBucketTransfer>(body); });
         if (!handOver.ok()) {
             log(LogLevel::Warning, "rates-unreadable",
                 {{"code", name(handOver.failure().code)}, {"detail", handOver.failure().detail}});
@@ -180,7 +182,7 @@
         metrics.set("rattanrill_view_age_seconds", {}, absl::ToDoubleSeconds(follower.age()));
         metrics.set("rattanrill_view_revision", {},
                     static_cast<double>(follower.view()->revision()));
-        for (const policy::WorkKind kind : {policy::WorkKind::Online, policy::WorkKind::Batch}) {
+        for (const policy::TaskKind kind : {policy::TaskKind::Online, policy::TaskKind::Batch}) {
             const MetricLabels labels = {{"kind", std::string(name(kind))}};
             metrics.set("rattanrill_works_running", labels,
                         static_cast<double>(dispatcher.running(kind)));
@@ -218,8 +220,8 @@
     peer::ChannelPool channels;
     peer::Server peers;
     controlclient::ControlClient control;
-    directory::ControlPollSource pollSource;
-    directory::Follower follower;
+    directory::ControlPollClient pollSource;
+    directory::DirectorySubscriber follower;
     EngineTable engines;
     ServiceTable services;
     DirectoryCrashReporter crashes;
--- a/src/entry/exchange.cpp
+++ b/src/entry/exchange.cpp
@@ -74,7 +74,7 @@
         return notRun(ErrorCode::BodyTooLarge,
                       concat("the request body is longer than ", limit, " bytes"));
     if (!whole)
-        return notRun(ErrorCode::ClientGone, "the request body ended early");
+        return notRun(ErrorCode::ClientDisconnected, "the request body ended early");
     m_bodyRead = true;
     return body;
 }
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -30,7 +30,7 @@
     std::string query() const;
     std::string header(const std::string &name) const;
 
-    /// Whole body. Fails with BodyTooLarge or ClientGone.
+    /// Whole body. Fails with BodyTooLarge or ClientDisconnected.
     Outcome<std::string> readBody(std::size_t limit);
     bool hasBody() const;
     const httplib::ContentReader &reader();
--- a/src/entry/filehandler.cpp
+++ b/src/entry/filehandler.cpp
@@ -16,8 +16,9 @@
 
 } // namespace
 
-FileHandler::FileHandler(const Admission &admission, const directory::Follower &directory,
-                         Partitions &partitions, const BatchSettings &settings, const Clock &clock)
+FileHandler::FileHandler(const Admission &admission,
+                         const directory::DirectorySubscriber &directory, Partitions &partitions,
+                         const BatchSettings &settings, const Clock &clock)
     : m_admission(admission)
     , m_directory(directory)
     , m_partitions(partitions)
@@ -70,7 +71,7 @@
     });
     form.hasFile = true;
     if (!whole)
-        upload.refuse(notRun(ErrorCode::ClientGone, "the request body ended early"));
+        upload.refuse(notRun(ErrorCode::ClientDisconnected, "the request body ended early"));
 }
 
 void FileHandler::readForm(Exchange &exchange, FileUpload &upload, Form &form)
--- a/src/entry/filehandler.h
+++ b/src/entry/filehandler.h
@@ -7,7 +7,7 @@
 #include "objectid.h"
 #include "partitions.h"
 
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include <string>
 
@@ -17,7 +17,7 @@
 class FileHandler
 {
 public:
-    FileHandler(const Admission &admission, const directory::Follower &directory,
+    FileHandler(const Admission &admission, const directory::DirectorySubscriber &directory,
                 Partitions &partitions, const BatchSettings &settings, const Clock &clock);
 
     void upload(Exchange &exchange);
@@ -43,7 +43,7 @@
                                              std::uint64_t firstIndex);
 
     const Admission &m_admission;
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     Partitions &m_partitions;
     const BatchSettings &m_settings;
     const Clock &m_clock;
--- a/src/entry/heartbeat.cpp
+++ b/src/entry/heartbeat.cpp
@@ -5,8 +5,9 @@
 
 namespace rattanrill::entry {
 
-Heartbeat::Heartbeat(controlclient::ControlClient &control, const directory::Follower &directory,
-                     TimerService &timers, absl::Duration period)
+Heartbeat::Heartbeat(controlclient::ControlClient &control,
+                     const directory::DirectorySubscriber &directory, TimerService &timers,
+                     absl::Duration period)
     : m_control(control)
     , m_directory(directory)
     , m_timers(timers)
--- a/src/entry/heartbeat.h
+++ b/src/entry/heartbeat.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/timerservice.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/wire/directorymessages.h"
 
 #include "absl/time/time.h"
@@ -19,8 +19,9 @@
 class Heartbeat
 {
 public:
-    Heartbeat(controlclient::ControlClient &control, const directory::Follower &directory,
-              TimerService &timers, absl::Duration period);
+    Heartbeat(controlclient::ControlClient &control,
+              const directory::DirectorySubscriber &directory, TimerService &timers,
+              absl::Duration period);
     ~Heartbeat();
 
     void start(wire::Member member);
@@ -33,7 +34,7 @@
 
     wire::Member m_member;
     controlclient::ControlClient &m_control;
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     TimerService &m_timers;
     absl::Duration m_period;
     TimerService::TimerId m_timer = 0;
--- a/src/entry/itemchecker.cpp
+++ b/src/entry/itemchecker.cpp
@@ -61,7 +61,7 @@
     if (!m_knowsModel(model))
         return invalid(concat("no engine serves model \"", model, "\""));
     item.body = dumpJson(json.at("body"));
-    if (service::containsKey(item.body, m_key))
+    if (service::containsApiKey(item.body, m_key))
         return invalid("the body contains the key");
     return item;
 }
--- a/src/entry/keyauthenticator.cpp
+++ b/src/entry/keyauthenticator.cpp
@@ -25,7 +25,7 @@
     return header;
 }
 
-bool isGranted(const directory::View &view, const wire::Key &key)
+bool isGranted(const directory::DirectoryView &view, const wire::ApiKey &key)
 {
     if (key.withdrawn)
         return false;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-KeyAuthenticator::KeyAuthenticator(const directory::Follower &directory,
+KeyAuthenticator::KeyAuthenticator(const directory::DirectorySubscriber &directory,
                                    absl::Duration keyFreshness, absl::Duration staleStreamLimit)
     : m_directory(directory)
     , m_keyFreshness(keyFreshness)
@@ -55,11 +55,11 @@
                       "this instance cannot tell at present whether the key is still valid");
     const auto view = m_directory.view();
     const std::string hash = sha256Hex(token);
-    const auto key = view->keyByHash(hash);
+    const auto key = view->apiKeyByHash(hash);
     if (!key)
         return notRun(ErrorCode::InvalidKey, "the key is unknown");
     if (!isGranted(*view, *key))
-        return notRun(ErrorCode::KeyWithdrawn, "the key or its workspace's contract is withdrawn");
+        return notRun(ErrorCode::KeyRevoked, "the key or its workspace's contract is withdrawn");
     return Caller{key->workspace, hash, std::string(token)};
 }
 
@@ -69,9 +69,9 @@
         return std::nullopt;
     const absl::Duration age = m_directory.age();
     const auto view = m_directory.view();
-    const auto key = view->keyByHash(caller.keyHash);
+    const auto key = view->apiKeyByHash(caller.keyHash);
     if (!key || !isGranted(*view, *key))
-        return mayHaveRun(ErrorCode::KeyWithdrawn, "the key was withdrawn while the request ran");
+        return mayHaveRun(ErrorCode::KeyRevoked, "the key was withdrawn while the request ran");
     if (age > m_keyFreshness + m_staleStreamLimit)
         return mayHaveRun(ErrorCode::KeysNotFresh,
                           "this instance could not confirm the key for too long");
--- a/src/entry/keyauthenticator.h
+++ b/src/entry/keyauthenticator.h
@@ -3,7 +3,7 @@
 #include "caller.h"
 
 #include "rattanrill/base/result.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "absl/time/time.h"
 
@@ -18,18 +18,18 @@
 class KeyAuthenticator
 {
 public:
-    KeyAuthenticator(const directory::Follower &directory, absl::Duration keyFreshness,
+    KeyAuthenticator(const directory::DirectorySubscriber &directory, absl::Duration keyFreshness,
                      absl::Duration staleStreamLimit);
 
-    /// \a authorization is the header's value. Fails with MissingKey, InvalidKey, KeyWithdrawn or
+    /// \a authorization is the header's value. Fails with MissingKey, InvalidKey, KeyRevoked or
     /// KeysNotFresh, all NotRun.
     Outcome<Caller> authenticate(std::string_view authorization) const;
-    /// Why a running request of \a caller must end now: KeyWithdrawn, or KeysNotFresh when the view
+    /// Why a running request of \a caller must end now: KeyRevoked, or KeysNotFresh when the view
     /// has been stale for longer than running streams are allowed. Both MayHaveRun.
     std::optional<Failure> revoked(const Caller &caller) const;
 
 private:
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     absl::Duration m_keyFreshness;
     absl::Duration m_staleStreamLimit;
 };
--- a/src/entry/loadpoller.cpp
+++ b/src/entry/loadpoller.cpp
@@ -6,10 +6,10 @@
 constexpr std::size_t pollThreads = 8;
 constexpr std::size_t pollQueue = 4096;
 
-policy::EngineLoad toPolicy(const engine::EngineLoad &load, absl::Duration travel)
+policy::EngineLoad toPolicy(const engine::EngineLoadReport &load, absl::Duration travel)
 {
     return {load.running,          load.waiting,  load.kvTokens,
-            load.kvCapacityTokens, load.maxBatch, load.age + travel};
+            load.kvCapacityTokens, load.maxBatch, load.ageWhenSent + travel};
 }
 
 } // namespace
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-RateBroker::RateBroker(Options options, const directory::Follower &directory, RateOwner &owner,
-                       peer::ChannelPool &channels, const Clock &clock)
+RateBroker::RateBroker(Options options, const directory::DirectorySubscriber &directory,
+                       RateOwner &owner, peer::ChannelPool &channels, const Clock &clock)
     : m_options(std::move(options))
     , m_directory(directory)
     , m_owner(owner)
@@ -80,7 +80,7 @@
 }
 
 Outcome<std::string> RateBroker::ownerAddress(const std::string &workspace,
-                                              wire::GrantRequest &request) const
+                                              wire::RateGrantRequest &request) const
 {
     const auto view = m_directory.view();
     const std::vector<std::string> members = memberNames(*view);
@@ -95,15 +95,15 @@
 
 void RateBroker::send(const std::string &workspace, std::vector<Callback> callers)
 {
-    wire::GrantRequest request;
+    wire::RateGrantRequest request;
     request.workspace = workspace;
     request.requests = static_cast<std::int64_t>(callers.size());
     request.maxWaitMs = absl::ToInt64Milliseconds(m_options.maxWait);
     const Outcome<std::string> address = ownerAddress(workspace, request);
     if (!address.ok() || address.value().empty()) {
-        const Outcome<wire::GrantResponse> response =
+        const Outcome<wire::RateGrantResponse> response =
                 address.ok() ? m_owner.grant(request)
-                             : Outcome<wire::GrantResponse>(address.failure());
+                             : Outcome<wire::RateGrantResponse>(address.failure());
         answer(callers, response);
         callNext(workspace);
         return;
@@ -111,10 +111,11 @@
     const auto channel = m_channels.channel(address.value());
     channel->call(wire::Method::Grant, wire::encode(request), m_options.timeout,
                   [this, workspace, callers = std::move(callers)](Outcome<std::string> reply) {
-                      Outcome<wire::GrantResponse> response = wire::GrantResponse();
+                      Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
                       if (reply.ok())
-                          response = outcomeOf(
-                                  [&] { return wire::decode<wire::GrantResponse>(reply.value()); });
+                          response = outcomeOf([&] {
+                              return wire::decode<wire::RateGrantResponse>(reply.value());
+                          });
                       else
                           response = reply.failure();
                       answer(callers, response);
@@ -123,14 +124,14 @@
 }
 
 void RateBroker::answer(const std::vector<Callback> &callers,
-                        const Outcome<wire::GrantResponse> &response)
+                        const Outcome<wire::RateGrantResponse> &response)
 {
     for (std::size_t i = 0; i < callers.size(); ++i) {
         if (!response.ok()) {
             callers[i](response.failure());
             continue;
         }
-        const wire::GrantResponse &grants = response.value();
+        const wire::RateGrantResponse &grants = response.value();
         RateDecision decision;
         decision.granted = i < static_cast<std::size_t>(std::max<std::int64_t>(grants.granted, 0));
         if (!decision.granted)
--- a/src/entry/ratebroker.h
+++ b/src/entry/ratebroker.h
@@ -30,7 +30,7 @@
         absl::Duration timeout;
     };
 
-    RateBroker(Options options, const directory::Follower &directory, RateOwner &owner,
+    RateBroker(Options options, const directory::DirectorySubscriber &directory, RateOwner &owner,
                peer::ChannelPool &channels, const Clock &clock);
 
     Outcome<RateDecision> take(const std::string &workspace) override ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -47,12 +47,12 @@
     void callNext(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
     void send(const std::string &workspace, std::vector<Callback> callers);
     Outcome<std::string> ownerAddress(const std::string &workspace,
-                                      wire::GrantRequest &request) const;
+                                      wire::RateGrantRequest &request) const;
     static void answer(const std::vector<Callback> &callers,
-                       const Outcome<wire::GrantResponse> &response);
+                       const Outcome<wire::RateGrantResponse> &response);
 
     Options m_options;
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     RateOwner &m_owner;
     peer::ChannelPool &m_channels;
     const Clock &m_clock;
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-RateOwner::RateOwner(Options options, const directory::Follower &directory, HandOverSender sender,
-                     const Clock &clock)
+RateOwner::RateOwner(Options options, const directory::DirectorySubscriber &directory,
+                     HandOverSender sender, const Clock &clock)
     : m_options(std::move(options))
     , m_directory(directory)
     , m_sender(std::move(sender))
@@ -53,7 +53,7 @@
     m_arrivals.clear();
 }
 
-void RateOwner::follow(const directory::View &view, absl::Duration age)
+void RateOwner::follow(const directory::DirectoryView &view, absl::Duration age)
 {
     const absl::Time now = m_clock.now();
     if (age >= m_options.lease)
@@ -75,7 +75,7 @@
         m_history.pop_back();
 }
 
-void RateOwner::depart(const directory::View &view, absl::Time now)
+void RateOwner::depart(const directory::DirectoryView &view, absl::Time now)
 {
     const std::vector<std::string> members = memberNames(view);
     for (auto it = m_buckets.begin(); it != m_buckets.end();) {
@@ -87,7 +87,7 @@
         // A bucket that has not begun says nothing about what its former owner granted.
         if (!members.empty() && now >= it->second.start) {
             const std::string &owner = members[rendezvousOwner(workspace, members)];
-            wire::RateHandOver &handOver = m_departures[view.member(owner)->peerAddress];
+            wire::RateBucketTransfer &handOver = m_departures[view.member(owner)->peerAddress];
             handOver.instance = m_options.instance;
             handOver.memberRevision = view.memberRevision();
             handOver.levels.push_back({workspace, it->second.tokens.level(now)});
@@ -112,7 +112,7 @@
     }
 }
 
-void RateOwner::accept(const wire::RateHandOver &handOver)
+void RateOwner::accept(const wire::RateBucketTransfer &handOver)
 {
     log(LogLevel::Info, "rates-received",
         {{"formerOwner", handOver.instance},
@@ -124,7 +124,7 @@
         const bool isOld = now - it->second.receivedAt > arrivalKeep;
         it = isOld ? m_arrivals.erase(it) : std::next(it);
     }
-    for (const wire::RateLevel &rate : handOver.levels) {
+    for (const wire::RateBucketLevel &rate : handOver.levels) {
         m_arrivals[rate.workspace] = {handOver.instance, handOver.memberRevision, rate.level, now};
         const auto waiting = m_buckets.find(rate.workspace);
         // A bucket below zero has granted units for the time after its start.
@@ -134,7 +134,7 @@
     }
 }
 
-bool RateOwner::isOwner(const directory::View &view, const std::string &workspace) const
+bool RateOwner::isOwner(const directory::DirectoryView &view, const std::string &workspace) const
 {
     const auto self = view.member(m_options.instance);
     if (!self || self->incarnation != m_options.incarnation)
@@ -201,7 +201,8 @@
     return {policy::TokenBucket(rate, start), start};
 }
 
-Outcome<Done> RateOwner::check(const directory::View &view, const std::string &workspace) const
+Outcome<Done> RateOwner::check(const directory::DirectoryView &view,
+                               const std::string &workspace) const
 {
     if (!isOwner(view, workspace))
         return notRun(ErrorCode::NotMember,
@@ -210,8 +211,8 @@
     return Done{};
 }
 
-RateOwner::Bucket &RateOwner::bucket(const directory::View &view, const std::string &workspace,
-                                     absl::Time now)
+RateOwner::Bucket &RateOwner::bucket(const directory::DirectoryView &view,
+                                     const std::string &workspace, absl::Time now)
 {
     const auto contract = view.contract(workspace);
     policy::RateContract rate;
@@ -226,11 +227,11 @@
     return known->second;
 }
 
-Outcome<wire::GrantResponse> RateOwner::grant(const wire::GrantRequest &request)
+Outcome<wire::RateGrantResponse> RateOwner::grant(const wire::RateGrantRequest &request)
 {
     const absl::Duration age = m_directory.age();
     const auto view = m_directory.view();
-    Outcome<wire::GrantResponse> response = wire::GrantResponse();
+    Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
     {
         absl::MutexLock lock(&m_mutex);
         follow(*view, age);
@@ -240,8 +241,8 @@
     return response;
 }
 
-Outcome<wire::GrantResponse> RateOwner::grantFrom(const directory::View &view,
-                                                  const wire::GrantRequest &request)
+Outcome<wire::RateGrantResponse> RateOwner::grantFrom(const directory::DirectoryView &view,
+                                                      const wire::RateGrantRequest &request)
 {
     if (m_lapsed)
         return notRun(ErrorCode::StaleRevision, "the owner's view is older than its lease");
@@ -256,7 +257,7 @@
                              "\" has not handed over yet"));
     const absl::Duration maxWait =
             std::min(absl::Milliseconds(request.maxWaitMs), m_options.maxWait);
-    wire::GrantResponse response;
+    wire::RateGrantResponse response;
     while (response.granted < request.requests) {
         const policy::RateGrant grant = owned.tokens.take(now, 1, maxWait);
         if (!grant.granted) {
--- a/src/entry/rateowner.h
+++ b/src/entry/rateowner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/policy/tokenbucket.h"
 #include "rattanrill/wire/directorymessages.h"
 
@@ -36,20 +36,20 @@
     };
 
     /// Sends buckets to the entry at a peer address; called without a lock.
-    using HandOverSender =
-            std::function<void(const std::string &address, const wire::RateHandOver &handOver)>;
+    using HandOverSender = std::function<void(const std::string &address,
+                                              const wire::RateBucketTransfer &handOver)>;
 
-    RateOwner(Options options, const directory::Follower &directory, HandOverSender sender,
-              const Clock &clock);
+    RateOwner(Options options, const directory::DirectorySubscriber &directory,
+              HandOverSender sender, const Clock &clock);
 
     /// Follows changes of membership and lapses of the lease; call often.
     void observe() ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Fails with NotMember (this entry is not the owner, by its own view, or waits for the former
     /// owner to hand over) or StaleRevision (its view is too old), both NotRun.
-    Outcome<wire::GrantResponse> grant(const wire::GrantRequest &request)
+    Outcome<wire::RateGrantResponse> grant(const wire::RateGrantRequest &request)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Takes buckets that their former owner has handed over.
-    void accept(const wire::RateHandOver &handOver) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void accept(const wire::RateBucketTransfer &handOver) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
     /// Members as of a time, with the view in which they were found.
@@ -57,7 +57,7 @@
     {
         absl::Time since;
         std::vector<std::string> members;
-        directory::View view;
+        directory::DirectoryView view;
     };
 
     struct Bucket
@@ -77,9 +77,9 @@
     };
 
     /// By peer address of the new owner.
-    using Departures = std::map<std::string, wire::RateHandOver>;
+    using Departures = std::map<std::string, wire::RateBucketTransfer>;
 
-    bool isOwner(const directory::View &view, const std::string &workspace) const;
+    bool isOwner(const directory::DirectoryView &view, const std::string &workspace) const;
     /// Oldest membership since which this entry has owned \a workspace without a break; null when
     /// it does not own it.
     const Membership *ownedSince(const std::string &workspace) const
@@ -96,22 +96,23 @@
                             absl::Time now) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Bucket newBucket(const std::string &workspace, const policy::RateContract &rate, absl::Time now)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    Outcome<Done> check(const directory::View &view, const std::string &workspace) const;
-    Outcome<wire::GrantResponse> grantFrom(const directory::View &view,
-                                           const wire::GrantRequest &request)
+    Outcome<Done> check(const directory::DirectoryView &view, const std::string &workspace) const;
+    Outcome<wire::RateGrantResponse> grantFrom(const directory::DirectoryView &view,
+                                               const wire::RateGrantRequest &request)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     /// Forgets what was owned: another entry may own it by now.
     void lapse() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void follow(const directory::View &view, absl::Duration age)
+    void follow(const directory::DirectoryView &view, absl::Duration age)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     /// Lets go of the buckets of which \a view names another owner.
-    void depart(const directory::View &view, absl::Time now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void sendDepartures() ABSL_LOCKS_EXCLUDED(m_mutex);
-    Bucket &bucket(const directory::View &view, const std::string &workspace, absl::Time now)
+    void depart(const directory::DirectoryView &view, absl::Time now)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void sendDepartures() ABSL_LOCKS_EXCLUDED(m_mutex);
+    Bucket &bucket(const directory::DirectoryView &view, const std::string &workspace,
+                   absl::Time now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     Options m_options;
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     const HandOverSender m_sender;
     const Clock &m_clock;
     absl::Mutex m_mutex;
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -11,16 +11,16 @@
     case ErrorCode::RateLimited:
     case ErrorCode::MissingKey:
     case ErrorCode::InvalidKey:
-    case ErrorCode::KeyWithdrawn:
+    case ErrorCode::KeyRevoked:
     case ErrorCode::InvalidRequest:
     case ErrorCode::BodyTooLarge:
     case ErrorCode::UnknownModel:
     case ErrorCode::UnknownRoute:
     case ErrorCode::NotFound:
     case ErrorCode::MethodNotAllowed:
-    case ErrorCode::RequestHeld:
+    case ErrorCode::RequestQuarantined:
     case ErrorCode::DuplicateRequest:
-    case ErrorCode::ClientGone:
+    case ErrorCode::ClientDisconnected:
         return true;
     default:
         return false;
@@ -63,10 +63,10 @@
                      {"inside_rate", isCausedByCaller(failure->code) ? "false" : "true"}});
 }
 
-void RequestMetrics::tokens(const RequestLabels &labels, policy::WorkKind kind, std::uint64_t count)
+void RequestMetrics::tokens(const RequestLabels &labels, policy::TaskKind kind, std::uint64_t count)
 {
     MetricLabels all = toMetricLabels(labels);
-    all["class"] = kind == policy::WorkKind::Online ? "online" : "batch";
+    all["class"] = kind == policy::TaskKind::Online ? "online" : "batch";
     m_metrics.count("rattanrill_tokens_total", all, count);
 }
 
--- a/src/entry/requestmetrics.h
+++ b/src/entry/requestmetrics.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/base/failure.h"
 #include "rattanrill/base/metrics.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -31,7 +31,7 @@
     void nextToken(const RequestLabels &labels, absl::Duration sinceLast);
     /// An online request ended, with \a failure or whole.
     void ended(const RequestLabels &labels, const std::optional<Failure> &failure);
-    void tokens(const RequestLabels &labels, policy::WorkKind kind, std::uint64_t count);
+    void tokens(const RequestLabels &labels, policy::TaskKind kind, std::uint64_t count);
     /// A leased batch item ended with a result.
     void itemEnded(const std::string &workspace, bool failed, bool pastDue);
 
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -93,14 +93,14 @@
     service::ServiceRequest request;
     request.method = exchange.request().method;
     request.path = rawPath(exchange.request());
-    request.query = service::withoutCredentials(exchange.query(), caller.key);
+    request.query = service::stripCredentials(exchange.query(), caller.key);
     request.body = body.value();
     request.contentType = exchange.header("Content-Type");
     request.requestId = exchange.requestId();
     request.workspace = caller.workspace;
     request.deadline = m_parts.clock.now() + m_timeout;
     for (const std::string *part : {&request.path, &request.body, &request.contentType}) {
-        if (service::containsKey(*part, caller.key))
+        if (service::containsApiKey(*part, caller.key))
             return notRun(ErrorCode::InvalidRequest,
                           "the path, body or content type contains the key");
     }
@@ -144,16 +144,17 @@
                                            const service::ServiceRequest &request)
 {
     const std::int64_t nowMs = absl::ToUnixMillis(m_parts.clock.wallNow());
-    if (m_parts.directory.view()->held(fingerprintOf(request), nowMs))
-        return notRun(ErrorCode::RequestHeld, "the request crashed the upstreams that ran it");
-    std::vector<std::string> avoided;
+    if (m_parts.directory.view()->quarantinedRequest(fingerprintOf(request), nowMs))
+        return notRun(ErrorCode::RequestQuarantined,
+                      "the request crashed the upstreams that ran it");
+    std::vector<std::string> excluded;
     bool mayHaveRunBefore = false;
     Answer answer = notRun(ErrorCode::UpstreamUnavailable,
                            concat("no instance of \"", route.service, "\" can take the request"));
     for (int i = 0; i < maxTries; ++i) {
-        const std::size_t triesBefore = avoided.size();
-        Answer next = runOnce(route, request, avoided);
-        const bool tried = avoided.size() > triesBefore;
+        const std::size_t triesBefore = excluded.size();
+        Answer next = runOnce(route, request, excluded);
+        const bool tried = excluded.size() > triesBefore;
         if (next.ok() || tried)
             answer = std::move(next);
         if (answer.ok() || !tried)
@@ -169,13 +170,13 @@
 
 ServiceHandler::Answer ServiceHandler::runOnce(const wire::Route &route,
                                                const service::ServiceRequest &request,
-                                               std::vector<std::string> &avoided)
+                                               std::vector<std::string> &excluded)
 {
-    const ServiceTable::Client client = m_parts.services.begin(route.service, avoided);
+    const ServiceTable::Client client = m_parts.services.begin(route.service, excluded);
     if (!client)
         return notRun(ErrorCode::UpstreamUnavailable, "no instance is left");
     const std::string &upstream = client->options().name;
-    avoided.push_back(upstream);
+    excluded.push_back(upstream);
     Answer answer = client->call(request);
     const bool lost = !answer.ok() && answer.failure().code == ErrorCode::ConnectionLost;
     bool crashed = false;
@@ -204,7 +205,7 @@
         return mayHaveRun(ErrorCode::DuplicateRequest,
                           "a request with this Idempotency-Key runs already or ended without an "
                           "answer");
-    return service::ServiceAnswer{static_cast<int>(claim.status), claim.contentType, claim.body};
+    return service::ServiceResponse{static_cast<int>(claim.status), claim.contentType, claim.body};
 }
 
 ServiceHandler::Answer ServiceHandler::runClaimed(const wire::Route &route,
--- a/src/entry/servicehandler.h
+++ b/src/entry/servicehandler.h
@@ -7,7 +7,7 @@
 #include "servicetable.h"
 
 #include "rattanrill/base/metrics.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "absl/time/time.h"
 
@@ -23,7 +23,7 @@
     struct Parts
     {
         const Admission &admission;
-        const directory::Follower &directory;
+        const directory::DirectorySubscriber &directory;
         ServiceTable &services;
         Claims &claims;
         CrashReporter &crashes;
@@ -37,14 +37,14 @@
     bool handle(Exchange &exchange);
 
 private:
-    using Answer = Outcome<service::ServiceAnswer>;
+    using Answer = Outcome<service::ServiceResponse>;
 
     void serve(Exchange &exchange, const wire::Route &route);
     std::optional<Caller> admitted(Exchange &exchange, const wire::Route &route) const;
     Outcome<service::ServiceRequest> makeRequest(Exchange &exchange, const Caller &caller) const;
     Answer run(const wire::Route &route, const service::ServiceRequest &request);
     Answer runOnce(const wire::Route &route, const service::ServiceRequest &request,
-                   std::vector<std::string> &avoided);
+                   std::vector<std::string> &excluded);
     Answer runClaimed(const wire::Route &route, const service::ServiceRequest &request,
                       const std::string &idempotencyKey, bool &replayed);
     Answer answerOf(const wire::ClaimStatus &claim) const;
--- a/src/entry/servicetable.cpp
+++ b/src/entry/servicetable.cpp
@@ -18,7 +18,7 @@
     , m_clock(clock)
 {}
 
-void ServiceTable::update(const directory::View &view)
+void ServiceTable::update(const directory::DirectoryView &view)
 {
     std::map<std::string, Entry> entries;
     absl::MutexLock lock(&m_mutex);
@@ -52,7 +52,7 @@
     return clients;
 }
 
-void ServiceTable::loadReported(const std::string &name, const service::ServiceLoad &load)
+void ServiceTable::loadReported(const std::string &name, const service::ServiceLoadReport &load)
 {
     absl::MutexLock lock(&m_mutex);
     const auto entry = m_entries.find(name);
@@ -65,12 +65,12 @@
     const double capacity =
             entry.load.capacity > 0 ? static_cast<double>(entry.load.capacity) : defaultCapacity;
     const auto calls = static_cast<double>(std::max(entry.load.running, entry.ownCalls));
-    const double load = (calls + 1) / capacity / std::max(entry.outlier.share(now), 0.01);
+    const double load = (calls + 1) / capacity / std::max(entry.outlier.trafficShare(now), 0.01);
     return load + (entry.upstream.failureDomain == m_failureDomain ? 0 : farCost);
 }
 
 ServiceTable::Client ServiceTable::begin(const std::string &service,
-                                         const std::vector<std::string> &avoided)
+                                         const std::vector<std::string> &excluded)
 {
     const absl::Time now = m_clock.now();
     absl::MutexLock lock(&m_mutex);
@@ -80,7 +80,7 @@
         const bool usable = entry.upstream.serves == service
                             && entry.upstream.state == wire::UpstreamState::Active
                             && !entry.outlier.ejected(now)
-                            && std::find(avoided.begin(), avoided.end(), name) == avoided.end();
+                            && std::find(excluded.begin(), excluded.end(), name) == excluded.end();
         if (usable && cost(entry, now) < bestCost) {
             best = &entry;
             bestCost = cost(entry, now);
--- a/src/entry/servicetable.h
+++ b/src/entry/servicetable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/policy/outlierdetector.h"
 #include "rattanrill/service/serviceclient.h"
 
@@ -24,14 +24,14 @@
 
     ServiceTable(std::string failureDomain, const Clock &clock);
 
-    void update(const directory::View &view) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void update(const directory::DirectoryView &view) ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<Client> all() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    void loadReported(const std::string &name, const service::ServiceLoad &load)
+    void loadReported(const std::string &name, const service::ServiceLoadReport &load)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Least loaded instance of \a service outside \a avoided, in the own failure domain first;
+    /// Least loaded instance of \a service outside \a excluded, in the own failure domain first;
     /// counts a call on it. Null when there is none.
-    Client begin(const std::string &service, const std::vector<std::string> &avoided)
+    Client begin(const std::string &service, const std::vector<std::string> &excluded)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Ends a call. \a failed counts against the instance; \a crashed ejects it at once.
     void end(const std::string &name, bool failed, bool crashed) ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -41,7 +41,7 @@
     {
         wire::Upstream upstream;
         Client client;
-        service::ServiceLoad load;
+        service::ServiceLoadReport load;
         std::int64_t ownCalls = 0;
         policy::OutlierDetector outlier{policy::OutlierSettings()};
     };
--- a/src/entry/viewqueries.cpp
+++ b/src/entry/viewqueries.cpp
@@ -4,7 +4,7 @@
 
 namespace rattanrill::entry {
 
-bool servesModel(const directory::View &view, std::string_view model)
+bool servesModel(const directory::DirectoryView &view, std::string_view model)
 {
     for (const auto &row : view.upstreams()) {
         if (row.record->kind == wire::UpstreamKind::Engine && row.record->serves == model)
@@ -13,7 +13,7 @@
     return false;
 }
 
-std::vector<std::string> models(const directory::View &view)
+std::vector<std::string> models(const directory::DirectoryView &view)
 {
     std::set<std::string> names;
     for (const auto &row : view.upstreams()) {
@@ -23,7 +23,7 @@
     return {names.begin(), names.end()};
 }
 
-std::vector<std::string> memberNames(const directory::View &view)
+std::vector<std::string> memberNames(const directory::DirectoryView &view)
 {
     std::vector<std::string> names;
     for (const auto &row : view.members())
--- a/src/entry/viewqueries.h
+++ b/src/entry/viewqueries.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directoryview.h"
 
 #include <string>
 #include <string_view>
@@ -9,10 +9,10 @@
 namespace rattanrill::entry {
 
 /// Whether the directory lists an engine for \a model, whatever its state.
-bool servesModel(const directory::View &view, std::string_view model);
+bool servesModel(const directory::DirectoryView &view, std::string_view model);
 /// Models that engines serve, in order of name.
-std::vector<std::string> models(const directory::View &view);
+std::vector<std::string> models(const directory::DirectoryView &view);
 /// Instances of acknowledged entries, in order of name.
-std::vector<std::string> memberNames(const directory::View &view);
+std::vector<std::string> memberNames(const directory::DirectoryView &view);
 
 } // namespace rattanrill::entry
--- a/src/entry/workdispatcher.cpp
+++ b/src/entry/workdispatcher.cpp
@@ -27,33 +27,33 @@
     stop();
 }
 
-policy::WorkId WorkDispatcher::submit(WorkOrder order)
+policy::TaskId WorkDispatcher::submit(WorkOrder order)
 {
     const auto task = std::make_shared<Task>();
     task->order = std::move(order);
-    policy::WorkId id = 0;
+    policy::TaskId id = 0;
     {
         absl::MutexLock lock(&m_mutex);
         id = m_nextId++;
-        task->order.work.id = id;
+        task->order.task.id = id;
         m_tasks[id] = task;
-        m_scheduler.arrived(m_parts.clock.now(), task->order.work);
+        m_scheduler.arrived(m_parts.clock.now(), task->order.task);
     }
     pump();
     return id;
 }
 
-void WorkDispatcher::withdraw(policy::WorkId work)
+void WorkDispatcher::withdraw(policy::TaskId id)
 {
     std::shared_ptr<EngineTry> running;
     {
         absl::MutexLock lock(&m_mutex);
-        const auto task = m_tasks.find(work);
+        const auto task = m_tasks.find(id);
         if (task == m_tasks.end())
             return;
         task->second->withdrawn = true;
         running = task->second->running;
-        m_scheduler.withdrawn(m_parts.clock.now(), work);
+        m_scheduler.cancelled(m_parts.clock.now(), id);
         m_tasks.erase(task);
     }
     if (running && !m_parts.calls.post([running] { running->giveUp(); }))
@@ -70,19 +70,19 @@
     pump();
 }
 
-std::size_t WorkDispatcher::batchRoom() const
+std::size_t WorkDispatcher::batchCapacity() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_scheduler.batchRoom(m_parts.clock.now());
+    return m_scheduler.batchCapacity(m_parts.clock.now());
 }
 
-std::size_t WorkDispatcher::running(policy::WorkKind kind) const
+std::size_t WorkDispatcher::running(policy::TaskKind kind) const
 {
     absl::MutexLock lock(&m_mutex);
     return m_scheduler.running(kind);
 }
 
-std::size_t WorkDispatcher::waiting(policy::WorkKind kind) const
+std::size_t WorkDispatcher::waiting(policy::TaskKind kind) const
 {
     absl::MutexLock lock(&m_mutex);
     return m_scheduler.waiting(kind);
@@ -118,7 +118,7 @@
 std::vector<WorkDispatcher::Action> WorkDispatcher::decide()
 {
     std::vector<Action> actions;
-    for (const policy::Decision &decision : m_scheduler.decide(m_parts.clock.now())) {
+    for (const policy::SchedulerDecision &decision : m_scheduler.decide(m_parts.clock.now())) {
         Action action = std::visit([this](const auto &step)
                                            ABSL_NO_THREAD_SAFETY_ANALYSIS { return prepare(step); },
                                    decision);
@@ -155,21 +155,21 @@
         m_parts.timers.unsubscribe(old);
 }
 
-WorkDispatcher::Action WorkDispatcher::prepare(const policy::StartWork &start)
+WorkDispatcher::Action WorkDispatcher::prepare(const policy::StartTask &start)
 {
-    const auto found = m_tasks.find(start.work);
+    const auto found = m_tasks.find(start.task);
     if (found == m_tasks.end())
         return nullptr;
     const TaskPointer task = found->second;
     const EngineTable::Client client = m_parts.engines.find(start.engine);
     const auto fail = [this, start, code = client ? ErrorCode::QueueFull : ErrorCode::NotFound] {
-        policy::TryFailure failure;
-        failure.kind = policy::TryFailure::Kind::Refused;
+        policy::AttemptFailure failure;
+        failure.kind = policy::AttemptFailure::Kind::Refused;
         failure.deliveredTokens = start.resumeAfter;
         failure.failure =
                 notRun(code, concat("no try could start on engine \"", start.engine, "\""));
         inform([&](policy::Scheduler &scheduler, absl::Time now) {
-            scheduler.failed(now, start.work, start.attempt, failure);
+            scheduler.failed(now, start.task, start.attempt, failure);
         });
     };
     if (!client)
@@ -183,9 +183,9 @@
     };
 }
 
-WorkDispatcher::Action WorkDispatcher::prepare(const policy::PreemptWork &preempt)
+WorkDispatcher::Action WorkDispatcher::prepare(const policy::PreemptTask &preempt)
 {
-    const auto found = m_tasks.find(preempt.work);
+    const auto found = m_tasks.find(preempt.task);
     if (found == m_tasks.end() || !found->second->running)
         return nullptr;
     const std::shared_ptr<EngineTry> engineTry = found->second->running;
@@ -200,9 +200,9 @@
     };
 }
 
-WorkDispatcher::Action WorkDispatcher::prepare(const policy::RefuseWork &refuse)
+WorkDispatcher::Action WorkDispatcher::prepare(const policy::RejectTask &refuse)
 {
-    const auto found = m_tasks.find(refuse.work);
+    const auto found = m_tasks.find(refuse.task);
     if (found == m_tasks.end())
         return nullptr;
     const TaskPointer task = found->second;
@@ -213,7 +213,7 @@
     // A caller who is told of the failure may send the request again to another entry at once; the
     // record must be there first, and every entry must know of a held request or have a view too
     // old to serve it.
-    const bool heldNow = refuse.failure.code == ErrorCode::RequestHeld
+    const bool heldNow = refuse.failure.code == ErrorCode::RequestQuarantined
                          && refuse.failure.run == RunState::MayHaveRun;
     const auto answer = [this, fail, heldNow] {
         if (heldNow)
@@ -222,11 +222,11 @@
             fail();
     };
     const auto answerAfterRecord = [this, task, answer] {
-        (void)m_crashRecords.await(task->order.work.fingerprint, crashRecordLimit);
+        (void)m_crashRecords.await(task->order.task.fingerprint, crashRecordLimit);
         answer();
     };
     return [this, task, answer, answerAfterRecord] {
-        const bool pending = m_crashRecords.pending(task->order.work.fingerprint);
+        const bool pending = m_crashRecords.pending(task->order.task.fingerprint);
         if (!pending || !m_parts.tries.post(answerAfterRecord))
             answer();
     };
@@ -254,36 +254,36 @@
 void WorkDispatcher::runTry(const TaskPointer &task, const std::shared_ptr<EngineTry> &engineTry)
 {
     std::uint64_t delivered = static_cast<std::uint64_t>(engineTry->start().resumeAfter);
-    const std::string &fingerprint = task->order.work.fingerprint;
+    const std::string &fingerprint = task->order.task.fingerprint;
     const CrashRecords::State crash = m_crashRecords.await(fingerprint, crashRecordLimit);
     if (crash == CrashRecords::State::Recorded) {
-        const Outcome<engine::StreamEnd> outcome = stream(task, *engineTry, delivered);
+        const Outcome<engine::StreamSummary> outcome = stream(task, *engineTry, delivered);
         settle(task, *engineTry, delivered, outcome);
         return;
     }
     const bool held = crash == CrashRecords::State::Held;
     const Failure failure =
-            mayHaveRun(held ? ErrorCode::RequestHeld : ErrorCode::UpstreamFailed,
+            mayHaveRun(held ? ErrorCode::RequestQuarantined : ErrorCode::UpstreamFailed,
                        held ? "the request crashed the upstreams that ran it"
                             : "the upstream crashed, and its crash could not be recorded");
-    settleFailed(task, *engineTry, delivered, failure, policy::TryFailure::Kind::Invalid);
+    settleFailed(task, *engineTry, delivered, failure, policy::AttemptFailure::Kind::Invalid);
 }
 
-Outcome<engine::StreamEnd> WorkDispatcher::stream(const TaskPointer &task, EngineTry &engineTry,
-                                                  std::uint64_t &delivered)
+Outcome<engine::StreamSummary> WorkDispatcher::stream(const TaskPointer &task, EngineTry &engineTry,
+                                                      std::uint64_t &delivered)
 {
     const WorkOrder &order = task->order;
     if (task->withdrawn || engineTry.preempting())
-        return notRun(ErrorCode::ClientGone, "the try ended before it was sent");
+        return notRun(ErrorCode::ClientDisconnected, "the try ended before it was sent");
     engine::StreamRequest request;
     request.path = order.path;
     request.body = order.body;
     request.requestId = engineTry.requestId();
-    request.resumeAfter = delivered;
+    request.deliveredTokens = delivered;
     request.kvHandle = engineTry.start().kvHandle;
     request.deadline = order.deadline;
     inform([&](policy::Scheduler &scheduler, absl::Time now) {
-        scheduler.started(now, order.work.id, engineTry.start().attempt);
+        scheduler.started(now, order.task.id, engineTry.start().attempt);
     });
     absl::Time reported = absl::InfinitePast();
     const auto onToken = [&](const engine::Token &token) {
@@ -303,7 +303,7 @@
 void WorkDispatcher::noteToken(const TaskPointer &task, EngineTry &engineTry,
                                std::uint64_t delivered, bool first)
 {
-    const policy::WorkId id = task->order.work.id;
+    const policy::TaskId id = task->order.task.id;
     const int attempt = engineTry.start().attempt;
     inform([&](policy::Scheduler &scheduler, absl::Time now) {
         if (first)
@@ -315,11 +315,11 @@
 void WorkDispatcher::endTask(const TaskPointer &task)
 {
     task->running = nullptr;
-    m_tasks.erase(task->order.work.id);
+    m_tasks.erase(task->order.task.id);
 }
 
 void WorkDispatcher::settle(const TaskPointer &task, EngineTry &engineTry, std::uint64_t delivered,
-                            const Outcome<engine::StreamEnd> &outcome)
+                            const Outcome<engine::StreamSummary> &outcome)
 {
     const bool ended = outcome.ok() && outcome.value().finishReason != cancelledReason;
     if (!ended && engineTry.preempting()) {
@@ -338,7 +338,7 @@
         absl::MutexLock lock(&m_mutex);
         if (task->withdrawn)
             return;
-        m_scheduler.finished(m_parts.clock.now(), task->order.work.id, engineTry.start().attempt,
+        m_scheduler.finished(m_parts.clock.now(), task->order.task.id, engineTry.start().attempt,
                              static_cast<std::int64_t>(delivered));
         endTask(task);
     }
@@ -355,15 +355,16 @@
         if (task->withdrawn)
             return;
         task->running = nullptr;
-        m_scheduler.preempted(m_parts.clock.now(), task->order.work.id, engineTry.start().attempt,
+        m_scheduler.preempted(m_parts.clock.now(), task->order.task.id, engineTry.start().attempt,
                               static_cast<std::int64_t>(delivered), handle);
     }
     pump();
 }
 
-policy::TryFailure::Kind WorkDispatcher::kindOf(EngineTry &engineTry, const Failure &failure) const
+policy::AttemptFailure::Kind WorkDispatcher::kindOf(EngineTry &engineTry,
+                                                    const Failure &failure) const
 {
-    using Kind = policy::TryFailure::Kind;
+    using Kind = policy::AttemptFailure::Kind;
     if (failure.code == ErrorCode::InvalidRequest || failure.code == ErrorCode::Timeout)
         return Kind::Invalid;
     if (failure.run == RunState::NotRun)
@@ -378,9 +379,9 @@
 
 void WorkDispatcher::settleFailed(const TaskPointer &task, EngineTry &engineTry,
                                   std::uint64_t delivered, const Failure &failure,
-                                  policy::TryFailure::Kind kind)
+                                  policy::AttemptFailure::Kind kind)
 {
-    policy::TryFailure tryFailure;
+    policy::AttemptFailure tryFailure;
     tryFailure.kind = kind;
     tryFailure.deliveredTokens = static_cast<std::int64_t>(delivered);
     tryFailure.failure = failure;
@@ -392,7 +393,7 @@
         if (task->withdrawn)
             return;
         task->running = nullptr;
-        m_scheduler.failed(m_parts.clock.now(), task->order.work.id, engineTry.start().attempt,
+        m_scheduler.failed(m_parts.clock.now(), task->order.task.id, engineTry.start().attempt,
                            tryFailure);
     }
     pump();
--- a/src/entry/workdispatcher.h
+++ b/src/entry/workdispatcher.h
@@ -27,7 +27,7 @@
 struct WorkOrder
 {
     /// The id is filled in by the dispatcher.
-    policy::Work work;
+    policy::Task task;
     std::string path;
     std::string body;
     /// Caller's request id or id of the batch item; tries add their number.
@@ -62,17 +62,17 @@
     WorkDispatcher(const policy::SchedulerSettings &settings, std::uint64_t seed, Parts parts);
     ~WorkDispatcher();
 
-    policy::WorkId submit(WorkOrder order) ABSL_LOCKS_EXCLUDED(m_mutex);
+    policy::TaskId submit(WorkOrder order) ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Ends a work without an answer; a running try is cancelled at its engine.
-    void withdraw(policy::WorkId work) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void withdraw(policy::TaskId id) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     /// Passes facts to the scheduler and carries out what follows.
     void inform(const std::function<void(policy::Scheduler &, absl::Time)> &event)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Batch items to lease now.
-    std::size_t batchRoom() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    std::size_t running(policy::WorkKind kind) const ABSL_LOCKS_EXCLUDED(m_mutex);
-    std::size_t waiting(policy::WorkKind kind) const ABSL_LOCKS_EXCLUDED(m_mutex);
+    std::size_t batchCapacity() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    std::size_t running(policy::TaskKind kind) const ABSL_LOCKS_EXCLUDED(m_mutex);
+    std::size_t waiting(policy::TaskKind kind) const ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Ends the timer; no decision is made after return.
     void stop();
 
@@ -89,32 +89,32 @@
 
     void pump() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<Action> decide() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    Action prepare(const policy::StartWork &start) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    Action prepare(const policy::PreemptWork &preempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    Action prepare(const policy::RefuseWork &refuse) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    Action prepare(const policy::StartTask &start) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    Action prepare(const policy::PreemptTask &preempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    Action prepare(const policy::RejectTask &refuse) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Action prepare(const policy::RecordCrash &crash) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void perform(const std::vector<Action> &actions);
     void armTimer() ABSL_LOCKS_EXCLUDED(m_mutex);
 
     void runTry(const TaskPointer &task, const std::shared_ptr<EngineTry> &engineTry);
-    Outcome<engine::StreamEnd> stream(const TaskPointer &task, EngineTry &engineTry,
-                                      std::uint64_t &delivered);
+    Outcome<engine::StreamSummary> stream(const TaskPointer &task, EngineTry &engineTry,
+                                          std::uint64_t &delivered);
     void noteToken(const TaskPointer &task, EngineTry &engineTry, std::uint64_t delivered,
                    bool first);
     void settle(const TaskPointer &task, EngineTry &engineTry, std::uint64_t delivered,
-                const Outcome<engine::StreamEnd> &outcome);
+                const Outcome<engine::StreamSummary> &outcome);
     void settlePreempted(const TaskPointer &task, EngineTry &engineTry, std::uint64_t delivered);
     void settleFailed(const TaskPointer &task, EngineTry &engineTry, std::uint64_t delivered,
-                      const Failure &failure, policy::TryFailure::Kind kind);
-    policy::TryFailure::Kind kindOf(EngineTry &engineTry, const Failure &failure) const;
+                      const Failure &failure, policy::AttemptFailure::Kind kind);
+    policy::AttemptFailure::Kind kindOf(EngineTry &engineTry, const Failure &failure) const;
     void endTask(const TaskPointer &task) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     Parts m_parts;
     CrashRecords m_crashRecords;
     mutable absl::Mutex m_mutex;
     policy::Scheduler m_scheduler ABSL_GUARDED_BY(m_mutex);
-    std::map<policy::WorkId, TaskPointer> m_tasks ABSL_GUARDED_BY(m_mutex);
-    policy::WorkId m_nextId ABSL_GUARDED_BY(m_mutex) = 1;
+    std::map<policy::TaskId, TaskPointer> m_tasks ABSL_GUARDED_BY(m_mutex);
+    policy::TaskId m_nextId ABSL_GUARDED_BY(m_mutex) = 1;
     absl::Time m_wanted ABSL_GUARDED_BY(m_mutex) = absl::InfiniteFuture();
     absl::Time m_armed ABSL_GUARDED_BY(m_mutex) = absl::InfiniteFuture();
     TimerService::TimerId m_timer ABSL_GUARDED_BY(m_mutex) = 0;
--- a/src/entry/worklistener.h
+++ b/src/entry/worklistener.h
@@ -16,7 +16,7 @@
 
     /// Tokens come in order, without repetition, also across tries.
     virtual void onToken(const engine::Token &token) = 0;
-    virtual void onFinished(const engine::StreamEnd &end) = 0;
+    virtual void onFinished(const engine::StreamSummary &end) = 0;
     /// \a retryAfter is zero when a retry is pointless.
     virtual void onFailed(const Failure &failure, absl::Duration retryAfter) = 0;
 };
--- a/src/entry/workspaceshares.cpp
+++ b/src/entry/workspaceshares.cpp
@@ -4,7 +4,8 @@
 
 namespace rattanrill::entry {
 
-WorkspaceShares::WorkspaceShares(const directory::Follower &directory, WorkDispatcher &dispatcher)
+WorkspaceShares::WorkspaceShares(const directory::DirectorySubscriber &directory,
+                                 WorkDispatcher &dispatcher)
     : m_directory(directory)
     , m_dispatcher(dispatcher)
 {}
@@ -19,7 +20,7 @@
     pass(*m_directory.view(), workspace);
 }
 
-void WorkspaceShares::refresh(const directory::View &view)
+void WorkspaceShares::refresh(const directory::DirectoryView &view)
 {
     std::vector<std::string> changed;
     {
@@ -34,12 +35,12 @@
         pass(view, workspace);
 }
 
-void WorkspaceShares::pass(const directory::View &view, const std::string &workspace)
+void WorkspaceShares::pass(const directory::DirectoryView &view, const std::string &workspace)
 {
     const auto contract = view.contract(workspace);
     if (!contract)
         return;
-    const policy::WorkspaceShare share{workspace, contract->ratePerSecond, contract->batchShare};
+    const policy::WorkspaceWeights share{workspace, contract->ratePerSecond, contract->batchShare};
     m_dispatcher.inform(
             [&](policy::Scheduler &scheduler, absl::Time) { scheduler.setWorkspaces({share}); });
     absl::MutexLock lock(&m_mutex);
--- a/src/entry/workspaceshares.h
+++ b/src/entry/workspaceshares.h
@@ -2,7 +2,7 @@
 
 #include "workdispatcher.h"
 
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "absl/base/thread_annotations.h"
 #include "absl/synchronization/mutex.h"
@@ -17,16 +17,16 @@
 class WorkspaceShares
 {
 public:
-    WorkspaceShares(const directory::Follower &directory, WorkDispatcher &dispatcher);
+    WorkspaceShares(const directory::DirectorySubscriber &directory, WorkDispatcher &dispatcher);
 
     /// Call before each work of \a workspace.
     void note(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void refresh(const directory::View &view) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void refresh(const directory::DirectoryView &view) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    void pass(const directory::View &view, const std::string &workspace);
+    void pass(const directory::DirectoryView &view, const std::string &workspace);
 
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     WorkDispatcher &m_dispatcher;
     absl::Mutex m_mutex;
     /// Contract revision that the scheduler knows.
--- a/src/fakes/answerwriter.h
+++ b/src/fakes/answerwriter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/fakes/answerstream.h"
+#include "rattanrill/fakes/engineeventqueue.h"
 
 #include <optional>
 #include <string>
--- a/src/fakes/answerstream.cpp
+++ b/src/fakes/engineeventqueue.cpp
@@ -1,18 +1,18 @@
-#include "rattanrill/fakes/answerstream.h"
+#include "rattanrill/fakes/engineeventqueue.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace rattanrill::fakes {
 
-void AnswerStream::push(absl::Time readyAt, DeliveredEvent event)
+void EngineEventQueue::push(absl::Time readyAt, DeliveredEvent event)
 {
     absl::MutexLock lock(&m_mutex);
     m_entries.push_back({readyAt, std::move(event)});
     m_changed.Signal();
 }
 
-std::optional<DeliveredEvent> AnswerStream::pop(const Clock &clock, absl::Duration timeout)
+std::optional<DeliveredEvent> EngineEventQueue::pop(const Clock &clock, absl::Duration timeout)
 {
     const absl::Time deadline = clock.now() + timeout;
     absl::MutexLock lock(&m_mutex);
--- a/src/fakes/enginehost.cpp
+++ b/src/fakes/enginehost.cpp
@@ -5,7 +5,7 @@
 
 namespace rattanrill::fakes {
 
-EngineHost::EngineHost(EngineModelSettings settings, Faults &faults, RecordBook &records,
+EngineHost::EngineHost(EngineModelSettings settings, Faults &faults, RequestLog &records,
                        const Clock &clock)
     : m_settings(std::move(settings))
     , m_faults(faults)
@@ -25,17 +25,17 @@
     m_thread.join();
 }
 
-Result<std::shared_ptr<AnswerStream>> EngineHost::submit(EngineRequest request,
-                                                         std::int64_t recordSeq)
+Result<std::shared_ptr<EngineEventQueue>> EngineHost::submit(EngineRequest request,
+                                                             std::int64_t recordSeq)
 {
     Route route;
-    route.stream = std::make_shared<AnswerStream>();
+    route.stream = std::make_shared<EngineEventQueue>();
     route.request = std::make_shared<const EngineRequest>(request);
     route.recordSeq = recordSeq;
     const std::string id = request.requestId;
     absl::MutexLock lock(&m_mutex);
     BOOST_LEAF_CHECK(m_model.submit(m_clock.now(), std::move(request)));
-    std::shared_ptr<AnswerStream> stream = route.stream;
+    std::shared_ptr<EngineEventQueue> stream = route.stream;
     m_routes[id] = std::move(route);
     m_changed.Signal();
     return stream;
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -63,7 +63,7 @@
 } // namespace
 
 EngineServer::EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults,
-                           RecordBook &records, const Clock &clock)
+                           RequestLog &records, const Clock &clock)
     : m_server(server)
     , m_host(host)
     , m_faults(faults)
@@ -149,7 +149,7 @@
     return {};
 }
 
-bool EngineServer::pump(AnswerStream &stream, AnswerWriter &writer, httplib::DataSink &sink)
+bool EngineServer::pump(EngineEventQueue &stream, AnswerWriter &writer, httplib::DataSink &sink)
 {
     const auto delivered = stream.pop(m_clock, clientCheckPeriod);
     m_faults.waitWhileFrozen(m_clock.now());
@@ -222,7 +222,7 @@
 {
     BOOST_LEAF_AUTO(order, orderOf(request.body));
     const OrderAnswer answer = m_host.order(order);
-    status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFence);
+    status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
     if (answer.accepted)
         m_records.markRun(seq);
     return Json{{"accepted", answer.accepted}, {"fence", answer.fence}};
--- a/src/fakes/engineserver.h
+++ b/src/fakes/engineserver.h
@@ -10,7 +10,7 @@
 class EngineServer
 {
 public:
-    EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults, RecordBook &records,
+    EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults, RequestLog &records,
                  const Clock &clock = SystemClock::instance());
 
 private:
@@ -36,12 +36,12 @@
                              bool chat);
     Result<Json> applyOrder(const httplib::Request &request, std::int64_t seq, int &status);
     /// Sends what is ready; false ends the connection.
-    bool pump(AnswerStream &stream, AnswerWriter &writer, httplib::DataSink &sink);
+    bool pump(EngineEventQueue &stream, AnswerWriter &writer, httplib::DataSink &sink);
 
     FakeHttpServer &m_server;
     EngineHost &m_host;
     Faults &m_faults;
-    RecordBook &m_records;
+    RequestLog &m_records;
     const Clock &m_clock;
 };
 
--- a/src/fakes/fakehttpserver.cpp
+++ b/src/fakes/fakehttpserver.cpp
@@ -97,7 +97,7 @@
     return record;
 }
 
-void sendRecords(const RecordBook &records, const httplib::Request &request,
+void sendRecords(const RequestLog &records, const httplib::Request &request,
                  httplib::Response &response)
 {
     const std::int64_t after = numberParam(request, "after");
--- a/src/fakes/fakehttpserver.h
+++ b/src/fakes/fakehttpserver.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/base/json.h"
 #include "rattanrill/base/shutdownsignal.h"
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 #include <httplib.h>
 
@@ -44,7 +44,7 @@
 /// The request as a record, headers included.
 Record recordOf(const httplib::Request &request, std::string requestId);
 /// Answers "GET /records?after=N".
-void sendRecords(const RecordBook &records, const httplib::Request &request,
+void sendRecords(const RequestLog &records, const httplib::Request &request,
                  httplib::Response &response);
 void sendJson(httplib::Response &response, const Json &body);
 /// Number in the query parameter \a key; 0 when there is none.
--- a/src/fakes/orderbook.cpp
+++ b/src/fakes/loadedmodels.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fakes/orderbook.h"
+#include "rattanrill/fakes/loadedmodels.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/enumnames.h"
@@ -29,7 +29,8 @@
     return fail(notRun(ErrorCode::InvalidRequest, concat("unknown order kind \"", name, "\"")));
 }
 
-OrderBook::OrderBook(std::vector<std::string> models, bool checksFence, absl::Duration loadTime)
+LoadedModels::LoadedModels(std::vector<std::string> models, bool checksFence,
+                           absl::Duration loadTime)
     : m_checksFence(checksFence)
     , m_loadTime(loadTime)
 {
@@ -37,7 +38,7 @@
         m_readyAt[std::move(model)] = absl::InfinitePast();
 }
 
-OrderAnswer OrderBook::apply(absl::Time now, const Order &order)
+OrderAnswer LoadedModels::apply(absl::Time now, const Order &order)
 {
     if (m_checksFence && order.fence < m_fence)
         return {false, m_fence};
@@ -49,7 +50,7 @@
     return {true, m_fence};
 }
 
-bool OrderBook::serves(absl::Time now, std::string_view model) const
+bool LoadedModels::serves(absl::Time now, std::string_view model) const
 {
     const auto entry = m_readyAt.find(model);
     return entry != m_readyAt.end() && entry->second <= now;
--- a/src/fakes/main_engine.cpp
+++ b/src/fakes/main_engine.cpp
@@ -11,7 +11,7 @@
 {
     ShutdownSignal signal;
     Faults faults;
-    RecordBook records(recordSettings(settings));
+    RequestLog records(recordSettings(settings));
     EngineHost host(engineModelSettings(settings), faults, records);
     FakeHttpServer server(httpSettings(settings));
     const EngineServer engine(server, host, faults, records);
--- a/src/fakes/main_service.cpp
+++ b/src/fakes/main_service.cpp
@@ -54,7 +54,7 @@
 {
     ShutdownSignal signal;
     Faults faults;
-    RecordBook records(recordSettings(settings));
+    RequestLog records(recordSettings(settings));
     ServiceModel model(serviceSettings(settings), faults);
     FakeHttpServer server(httpSettings(settings));
     const ServiceServer service(server, model, faults, records);
--- a/src/fakes/recordjson.h
+++ b/src/fakes/recordjson.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/json.h"
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 namespace rattanrill::fakes {
 
--- a/src/fakes/recordbook.cpp
+++ b/src/fakes/requestlog.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 #include "recordjson.h"
 
@@ -17,20 +17,20 @@
     };
 }
 
-RecordBook::RecordBook(const RecordSettings &settings)
+RequestLog::RequestLog(const RecordSettings &settings)
     : m_limit(settings.limit)
 {
     if (!settings.file.empty())
         m_file = std::fopen(settings.file.c_str(), "ae");
 }
 
-RecordBook::~RecordBook()
+RequestLog::~RequestLog()
 {
     if (m_file != nullptr)
         std::fclose(m_file);
 }
 
-std::int64_t RecordBook::add(Record record)
+std::int64_t RequestLog::add(Record record)
 {
     absl::MutexLock lock(&m_mutex);
     record.seq = ++m_lastSeq;
@@ -41,7 +41,7 @@
     return m_lastSeq;
 }
 
-void RecordBook::markRun(std::int64_t seq)
+void RequestLog::markRun(std::int64_t seq)
 {
     absl::MutexLock lock(&m_mutex);
     Record *record = find(seq);
@@ -51,7 +51,7 @@
     append(*record);
 }
 
-void RecordBook::markFinished(std::int64_t seq, std::int64_t tokens)
+void RequestLog::markFinished(std::int64_t seq, std::int64_t tokens)
 {
     absl::MutexLock lock(&m_mutex);
     Record *record = find(seq);
@@ -62,7 +62,7 @@
     append(*record);
 }
 
-std::vector<Record> RecordBook::after(std::int64_t after) const
+std::vector<Record> RequestLog::after(std::int64_t after) const
 {
     absl::MutexLock lock(&m_mutex);
     std::vector<Record> records;
@@ -73,20 +73,20 @@
     return records;
 }
 
-std::int64_t RecordBook::lastSeq() const
+std::int64_t RequestLog::lastSeq() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_lastSeq;
 }
 
-Record *RecordBook::find(std::int64_t seq)
+Record *RequestLog::find(std::int64_t seq)
 {
     if (m_records.empty() || seq < m_records.front().seq)
         return nullptr;
     return &m_records[static_cast<std::size_t>(seq - m_records.front().seq)];
 }
 
-void RecordBook::append(const Record &record)
+void RequestLog::append(const Record &record)
 {
     if (m_file == nullptr)
         return;
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -8,7 +8,7 @@
 namespace rattanrill::fakes {
 
 ServiceServer::ServiceServer(FakeHttpServer &server, ServiceModel &model, Faults &faults,
-                             RecordBook &records, const Clock &clock)
+                             RequestLog &records, const Clock &clock)
     : m_server(server)
     , m_model(model)
     , m_faults(faults)
--- a/src/fakes/serviceserver.h
+++ b/src/fakes/serviceserver.h
@@ -9,7 +9,7 @@
 class ServiceServer
 {
 public:
-    ServiceServer(FakeHttpServer &server, ServiceModel &model, Faults &faults, RecordBook &records,
+    ServiceServer(FakeHttpServer &server, ServiceModel &model, Faults &faults, RequestLog &records,
                   const Clock &clock = SystemClock::instance());
 
 private:
@@ -24,7 +24,7 @@
     FakeHttpServer &m_server;
     ServiceModel &m_model;
     Faults &m_faults;
-    RecordBook &m_records;
+    RequestLog &m_records;
     const Clock &m_clock;
 };
 
--- a/src/fleet/fleetfollower.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fleet/fleetfollower.h"
+#include "rattanrill/fleet/fleetclient.h"
 
 #include "rattanrill/base/logger.h"
 #include "rattanrill/fleet/replicaidentity.h"
@@ -15,9 +15,9 @@
 
 } // namespace
 
-struct FleetFollower::Impl : std::enable_shared_from_this<FleetFollower::Impl>
+struct FleetClient::Impl : std::enable_shared_from_this<FleetClient::Impl>
 {
-    Impl(net::EventLoop &loop, peer::ChannelPool &channels, FollowerSettings settings,
+    Impl(net::EventLoop &loop, peer::ChannelPool &channels, FleetClientSettings settings,
          const Clock &clock)
         : loop(loop)
         , channels(channels)
@@ -26,9 +26,9 @@
         , backoff(this->settings.minBackoff)
     {}
 
-    wire::SyncRequest request() const
+    wire::FleetSyncRequest request() const
     {
-        wire::SyncRequest request;
+        wire::FleetSyncRequest request;
         request.self = settings.self;
         request.viewTerm = viewTerm;
         request.viewSequence = viewSequence;
@@ -39,14 +39,14 @@
         return request;
     }
 
-    void announce(bool leaving)
+    void sendHeartbeat(bool leaving)
     {
         if (leader.empty())
             return;
-        wire::SyncRequest message = request();
+        wire::FleetSyncRequest message = request();
         message.leaving = leaving;
         message.waitMs = 0;
-        channels.channel(leader)->push(wire::Method::Sync, wire::encode(message));
+        channels.channel(leader)->sendOneWay(wire::Method::Sync, wire::encode(message));
     }
 
     /// The leader when it is known. Otherwise a few of the known addresses, each time others: a
@@ -56,7 +56,7 @@
         if (!leader.empty())
             return {leader};
         std::vector<std::string> known = settings.seeds;
-        for (const wire::LiveMember &live : state.members) {
+        for (const wire::FleetMemberStatus &live : state.members) {
             const std::string &address = live.member.peerAddress;
             const bool isNew = std::find(known.begin(), known.end(), address) == known.end();
             if (live.member.role == wire::MemberRole::Control && isNew)
@@ -103,7 +103,7 @@
         if (!outcome.ok())
             return failed(address, outcome.failure());
         const auto response =
-                outcomeOf([&] { return wire::decode<wire::SyncResponse>(outcome.value()); });
+                outcomeOf([&] { return wire::decode<wire::FleetSyncResponse>(outcome.value()); });
         if (!response.ok())
             return failed(address, response.failure());
         if (leader != address || !connected) {
@@ -119,7 +119,7 @@
         poll();
     }
 
-    void take(const wire::SyncResponse &response)
+    void take(const wire::FleetSyncResponse &response)
     {
         const bool hasView = response.viewTerm != viewTerm || response.viewSequence != viewSequence;
         const bool hasConfiguration = response.configurationVersion > state.configurationVersion
@@ -176,13 +176,13 @@
 
     net::EventLoop &loop;
     peer::ChannelPool &channels;
-    FollowerSettings settings;
+    FleetClientSettings settings;
     const Clock &clock;
     FleetState state;
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::vector<Listener> listeners;
-    std::function<void(wire::SyncRequest &)> storeReport;
+    std::function<void(wire::FleetSyncRequest &)> storeReport;
     std::string leader;
     std::size_t nextKnown = 0;
     bool connected = false;
@@ -196,66 +196,66 @@
     absl::Time freshAt = absl::InfinitePast();
 };
 
-FleetFollower::FleetFollower(net::EventLoop &loop, peer::ChannelPool &channels,
-                             FollowerSettings settings, const Clock &clock)
+FleetClient::FleetClient(net::EventLoop &loop, peer::ChannelPool &channels,
+                         FleetClientSettings settings, const Clock &clock)
     : m_impl(std::make_shared<Impl>(loop, channels, std::move(settings), clock))
 {}
 
-FleetFollower::~FleetFollower()
+FleetClient::~FleetClient()
 {
     stop();
 }
 
-void FleetFollower::onChange(Listener listener)
+void FleetClient::onChange(Listener listener)
 {
     m_impl->listeners.push_back(std::move(listener));
 }
 
-void FleetFollower::setStoreReport(std::function<void(wire::SyncRequest &)> report)
+void FleetClient::setStoreReport(std::function<void(wire::FleetSyncRequest &)> report)
 {
     m_impl->storeReport = std::move(report);
 }
 
-void FleetFollower::start()
+void FleetClient::start()
 {
     m_impl->poll();
 }
 
-void FleetFollower::announce()
+void FleetClient::sendHeartbeat()
 {
     if (!m_impl->stopped)
-        m_impl->announce(false);
+        m_impl->sendHeartbeat(false);
 }
 
-void FleetFollower::leave()
+void FleetClient::leave()
 {
     if (!m_impl->stopped)
-        m_impl->announce(true);
+        m_impl->sendHeartbeat(true);
     stop();
 }
 
-void FleetFollower::stop()
+void FleetClient::stop()
 {
     m_impl->stopped = true;
     m_impl->listeners.clear();
 }
 
-void FleetFollower::setSeeds(std::vector<std::string> seeds)
+void FleetClient::setSeeds(std::vector<std::string> seeds)
 {
     m_impl->settings.seeds = std::move(seeds);
 }
 
-const FleetState &FleetFollower::state() const
+const FleetState &FleetClient::state() const
 {
     return m_impl->state;
 }
 
-absl::Duration FleetFollower::age() const
+absl::Duration FleetClient::staleness() const
 {
     return m_impl->clock.now() - m_impl->freshAt;
 }
 
-std::string FleetFollower::leaderAddress() const
+std::string FleetClient::leaderAddress() const
 {
     return m_impl->leader;
 }
--- a/src/fleet/syncservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fleet/syncservice.h"
+#include "rattanrill/fleet/fleetservice.h"
 
 #include "rattanrill/base/logger.h"
 #include "rattanrill/wire/codec.h"
@@ -16,17 +16,17 @@
 
 } // namespace
 
-struct SyncService::Impl : std::enable_shared_from_this<SyncService::Impl>
+struct FleetService::Impl : std::enable_shared_from_this<FleetService::Impl>
 {
     struct Poll
     {
-        wire::SyncRequest request;
-        peer::Reply reply;
+        wire::FleetSyncRequest request;
+        peer::ResponseCallback reply;
         absl::Time due;
     };
 
-    Impl(net::EventLoop &loop, GroupReplica &replica, UpstreamList &list, SyncSettings settings,
-         const Clock &clock)
+    Impl(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
+         FleetServiceSettings settings, const Clock &clock)
         : loop(loop)
         , replica(replica)
         , list(list)
@@ -35,9 +35,9 @@
         , view(settings.memberTimeout)
     {}
 
-    void serve(const std::string &body, peer::Reply reply)
+    void serve(const std::string &body, peer::ResponseCallback reply)
     {
-        auto request = outcomeOf([&] { return wire::decode<wire::SyncRequest>(body); });
+        auto request = outcomeOf([&] { return wire::decode<wire::FleetSyncRequest>(body); });
         if (!request.ok())
             return reply(request.failure());
         const absl::Time now = clock.now();
@@ -54,7 +54,7 @@
 
     void take(Poll poll, absl::Time now)
     {
-        view.heard(poll.request, now);
+        view.recordHeartbeat(poll.request, now);
         polls.push_back(std::move(poll));
         answerPolls(now);
     }
@@ -62,7 +62,7 @@
     /// Leader of the group if it is known and another replica.
     std::string otherLeader() const
     {
-        const replication::GroupStatus status = replica.status();
+        const replication::RaftNodeStatus status = replica.status();
         return status.role == replication::Role::Leader ? std::string() : status.leader;
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Leads and has read what its predecessors committed.
-    bool leads() const { return isReady && replica.leads(); }
+    bool leads() const { return isReady && replica.isLeader(); }
 
     void answerPolls(absl::Time now)
     {
@@ -98,7 +98,7 @@
                 ++poll;
                 continue;
             }
-            poll->reply(wire::encode(view.answer(poll->request)));
+            poll->reply(wire::encode(view.makeResponse(poll->request)));
             poll = polls.erase(poll);
         }
     }
@@ -110,13 +110,13 @@
             poll.reply(notRun(ErrorCode::NotLeader, otherLeader()));
     }
 
-    void leadChanged(bool leadsNow)
+    void leadershipChanged(bool leadsNow)
     {
         isReady = false;
         failPolls();
         if (!leadsNow)
             return;
-        view.begin(replica.status().term, clock.now());
+        view.beginTerm(replica.status().term, clock.now());
         readRecords();
     }
 
@@ -132,12 +132,12 @@
 
     void recordsRead(std::uint64_t term, const Outcome<std::string> &outcome)
     {
-        if (term != view.term() || !replica.leads())
+        if (term != view.term() || !replica.isLeader())
             return;
         const auto records = outcome.ok() ? outcomeOf([&] {
-            return wire::decode<wire::FleetRecords>(outcome.value());
+            return wire::decode<wire::FleetSnapshot>(outcome.value());
         })
-                                          : Outcome<wire::FleetRecords>(outcome.failure());
+                                          : Outcome<wire::FleetSnapshot>(outcome.failure());
         if (!records.ok()) {
             log(LogLevel::Warning, "fleet-records-unread",
                 {{"code", name(records.failure().code)},
@@ -177,7 +177,7 @@
         isFounding = true;
         log(LogLevel::Info, "store-group-founded",
             {{"voters", static_cast<std::int64_t>(founders.size())}, {"first", founders.front()}});
-        const wire::FleetCommand command{wire::FoundStoreGroup{founders}};
+        const wire::FleetCommand command{wire::BootstrapStoreGroup{founders}};
         replica.propose(wire::encode(command), [self = shared_from_this()](
                                                        const Outcome<std::string> &outcome) {
             self->isFounding = false;
@@ -189,7 +189,7 @@
 
     void readList()
     {
-        if (isReadingList || !replica.leads())
+        if (isReadingList || !replica.isLeader())
             return;
         isReadingList = true;
         list.read([self = shared_from_this(), term = view.term()](auto outcome) {
@@ -222,8 +222,8 @@
 
     net::EventLoop &loop;
     GroupReplica &replica;
-    UpstreamList &list;
-    const SyncSettings settings;
+    UpstreamDiscovery &list;
+    const FleetServiceSettings settings;
     const Clock &clock;
     FleetView view;
     std::list<Poll> polls;
@@ -235,29 +235,30 @@
     bool listReadable = true;
 };
 
-SyncService::SyncService(net::EventLoop &loop, GroupReplica &replica, UpstreamList &list,
-                         SyncSettings settings, const Clock &clock)
+FleetService::FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
+                           FleetServiceSettings settings, const Clock &clock)
     : m_impl(std::make_shared<Impl>(loop, replica, list, settings, clock))
 {}
 
-SyncService::~SyncService()
+FleetService::~FleetService()
 {
     stop();
 }
 
-void SyncService::install(peer::Server &server)
+void FleetService::install(peer::Server &server)
 {
-    server.handle(wire::Method::Sync,
-                  [impl = m_impl](const peer::PeerIdentity &, std::string body, peer::Reply reply) {
-                      impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
-                          impl->serve(body, reply);
-                      });
-                  });
+    server.handle(wire::Method::Sync, [impl = m_impl](const peer::PeerIdentity &, std::string body,
+                                                      peer::ResponseCallback reply) {
+        impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
+            impl->serve(body, reply);
+        });
+    });
 }
 
-void SyncService::start()
+void FleetService::start()
 {
-    m_impl->replica.onLead([impl = m_impl](bool leads) { impl->leadChanged(leads); });
+    m_impl->replica.onLeadershipChange(
+            [impl = m_impl](bool leads) { impl->leadershipChanged(leads); });
     m_impl->replica.onApplied([impl = m_impl] {
         if (impl->leads())
             impl->readRecords();
@@ -270,7 +271,7 @@
     }));
 }
 
-void SyncService::stop()
+void FleetService::stop()
 {
     for (const TimerService::TimerId timer : std::exchange(m_impl->timers, {}))
         m_impl->loop.timers().unsubscribe(timer);
@@ -279,12 +280,12 @@
         poll.reply(notRun(ErrorCode::NotLeader, ""));
 }
 
-std::vector<VoterCandidate> SyncService::controlCandidates() const
+std::vector<VoterCandidate> FleetService::controlCandidates() const
 {
-    return m_impl->view.candidates(wire::MemberRole::Control);
+    return m_impl->view.voterCandidates(wire::MemberRole::Control);
 }
 
-const FleetView &SyncService::view() const
+const FleetView &FleetService::view() const
 {
     return m_impl->view;
 }
--- a/src/fleet/fleetstatemachine.cpp
+++ b/src/fleet/fleetstatemachine.cpp
@@ -17,11 +17,11 @@
 {
     const auto decoded = outcomeOf([&] { return wire::decode<wire::FleetCommand>(command); });
     if (!decoded.ok())
-        return wire::encodeAnswer(Outcome<wire::FleetResult>(decoded.failure()));
+        return wire::encodeCommandResult(Outcome<wire::FleetResult>(decoded.failure()));
     std::visit([this](const auto &operation) { perform(operation); }, decoded.value().operation);
     wire::FleetResult result;
     result.configurationVersion = m_records.configurationVersion;
-    return wire::encodeAnswer(Outcome<wire::FleetResult>(result));
+    return wire::encodeCommandResult(Outcome<wire::FleetResult>(result));
 }
 
 void FleetStateMachine::perform(const wire::PutConfiguration &operation)
@@ -39,7 +39,7 @@
         retiring.push_back(operation.replica);
 }
 
-void FleetStateMachine::perform(const wire::FoundStoreGroup &operation)
+void FleetStateMachine::perform(const wire::BootstrapStoreGroup &operation)
 {
     if (m_records.storeFounders.empty())
         m_records.storeFounders = operation.voters;
@@ -49,14 +49,14 @@
 {
     const auto decoded = outcomeOf([&] { return wire::decode<wire::FleetQuery>(query); });
     if (!decoded.ok())
-        return wire::encodeAnswer(Outcome<wire::FleetRecords>(decoded.failure()));
+        return wire::encodeCommandResult(Outcome<wire::FleetSnapshot>(decoded.failure()));
     if (decoded.value().knownVersion != m_records.configurationVersion)
-        return wire::encodeAnswer(Outcome<wire::FleetRecords>(m_records));
-    wire::FleetRecords records;
+        return wire::encodeCommandResult(Outcome<wire::FleetSnapshot>(m_records));
+    wire::FleetSnapshot records;
     records.configurationVersion = m_records.configurationVersion;
     records.retiringStores = m_records.retiringStores;
     records.storeFounders = m_records.storeFounders;
-    return wire::encodeAnswer(Outcome<wire::FleetRecords>(std::move(records)));
+    return wire::encodeCommandResult(Outcome<wire::FleetSnapshot>(std::move(records)));
 }
 
 std::string FleetStateMachine::snapshot() const
@@ -66,7 +66,7 @@
 
 Result<void> FleetStateMachine::restore(std::string_view snapshot)
 {
-    const auto decoded = outcomeOf([&] { return wire::decode<wire::FleetRecords>(snapshot); });
+    const auto decoded = outcomeOf([&] { return wire::decode<wire::FleetSnapshot>(snapshot); });
     if (!decoded.ok())
         return fail(notRun(ErrorCode::CorruptData, decoded.failure().detail));
     m_records = decoded.value();
--- a/src/fleet/fleetstatemachine.h
+++ b/src/fleet/fleetstatemachine.h
@@ -17,9 +17,9 @@
 private:
     void perform(const wire::PutConfiguration &operation);
     void perform(const wire::RetireStore &operation);
-    void perform(const wire::FoundStoreGroup &operation);
+    void perform(const wire::BootstrapStoreGroup &operation);
 
-    wire::FleetRecords m_records;
+    wire::FleetSnapshot m_records;
 };
 
 } // namespace rattanrill::fleet
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -19,7 +19,7 @@
            && left.draining == right.draining;
 }
 
-bool sameMember(const wire::LiveMember &left, const wire::LiveMember &right)
+bool sameMember(const wire::FleetMemberStatus &left, const wire::FleetMemberStatus &right)
 {
     return left.member.replica == right.member.replica
            && left.member.peerAddress == right.member.peerAddress && left.alive == right.alive
@@ -32,7 +32,7 @@
     : m_memberTimeout(memberTimeout)
 {}
 
-void FleetView::begin(std::uint64_t term, absl::Time now)
+void FleetView::beginTerm(std::uint64_t term, absl::Time now)
 {
     m_term = term;
     m_sequence = 1;
@@ -45,7 +45,7 @@
     m_storeReplicas.clear();
 }
 
-void FleetView::setRecords(const wire::FleetRecords &records)
+void FleetView::setRecords(const wire::FleetSnapshot &records)
 {
     const bool isNew = records.configurationVersion != m_records.configurationVersion
                        || records.retiringStores != m_records.retiringStores
@@ -72,7 +72,7 @@
     changed();
 }
 
-void FleetView::heard(const wire::SyncRequest &request, absl::Time now)
+void FleetView::recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now)
 {
     if (request.self.instance.empty())
         return;
@@ -85,7 +85,7 @@
     if (leadsStores)
         noteStoreLeader(request);
     Known &known = m_members[request.self.instance];
-    wire::LiveMember live;
+    wire::FleetMemberStatus live;
     live.member = request.self;
     live.alive = true;
     live.leadsStores = leadsStores;
@@ -97,7 +97,7 @@
 
 /// A leader that is cut off or gone is not alive for a while yet; the one of the highest term
 /// counts.
-void FleetView::noteStoreLeader(const wire::SyncRequest &request)
+void FleetView::noteStoreLeader(const wire::FleetSyncRequest &request)
 {
     m_storeTerm = request.storeTerm;
     if (m_storeReplicas != request.storeReplicas) {
@@ -133,7 +133,7 @@
     }
 }
 
-bool FleetView::isCurrent(const wire::SyncRequest &request) const
+bool FleetView::isCurrent(const wire::FleetSyncRequest &request) const
 {
     return request.viewTerm == m_term && request.viewSequence == m_sequence;
 }
@@ -144,9 +144,9 @@
     return std::find(retiring.begin(), retiring.end(), replica) != retiring.end();
 }
 
-wire::SyncResponse FleetView::answer(const wire::SyncRequest &request) const
+wire::FleetSyncResponse FleetView::makeResponse(const wire::FleetSyncRequest &request) const
 {
-    wire::SyncResponse response;
+    wire::FleetSyncResponse response;
     response.viewTerm = m_term;
     response.viewSequence = m_sequence;
     response.configurationVersion = m_records.configurationVersion;
@@ -155,7 +155,7 @@
     if (isCurrent(request))
         return response;
     for (const auto &[instance, known] : m_members) {
-        wire::LiveMember live = known.live;
+        wire::FleetMemberStatus live = known.live;
         const std::string &replica = live.member.replica;
         live.retiring = isRetiring(replica);
         live.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
@@ -169,7 +169,7 @@
     return response;
 }
 
-std::vector<VoterCandidate> FleetView::candidates(wire::MemberRole role) const
+std::vector<VoterCandidate> FleetView::voterCandidates(wire::MemberRole role) const
 {
     std::vector<VoterCandidate> candidates;
     for (const auto &[instance, known] : m_members) {
--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 struct GroupReplica::Impl : std::enable_shared_from_this<GroupReplica::Impl>,
-                            replication::GroupTransport
+                            replication::RaftTransport
 {
     Impl(net::EventLoop &loop, peer::ChannelPool &channels, GroupReplicaSettings settings,
          const Clock &clock)
@@ -29,8 +29,8 @@
               std::string message) override
     {
         channels.channel(peerAddressOf(to))
-                ->push(wire::Method::Raft,
-                       wire::encode(wire::RaftEnvelope{group, std::move(message)}));
+                ->sendOneWay(wire::Method::Raft,
+                             wire::encode(wire::RaftEnvelope{group, std::move(message)}));
     }
 
     /// Runs on a network thread; the group is thread-safe and does not change after open().
@@ -47,7 +47,7 @@
             current->receive(from.instance, std::move(envelope.value().message));
     }
 
-    void servePropose(const std::string &body, peer::Reply reply)
+    void servePropose(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = outcomeOf([&] { return wire::decode<wire::ProposeRequest>(body); });
         const auto current = std::atomic_load(&group);
@@ -92,7 +92,7 @@
 
     void watch()
     {
-        const replication::GroupStatus now = group->status();
+        const replication::RaftNodeStatus now = group->status();
         if (now.stopped && !reportedStop) {
             reportedStop = true;
             log(LogLevel::Error, "replica-stopped",
@@ -105,7 +105,7 @@
             changeMembers(now);
     }
 
-    void noteRole(const replication::GroupStatus &status, bool leadsNow)
+    void noteRole(const replication::RaftNodeStatus &status, bool leadsNow)
     {
         const bool wasLeader = leads;
         leads = leadsNow;
@@ -121,7 +121,7 @@
             leadListener(true);
     }
 
-    void changeMembers(const replication::GroupStatus &status)
+    void changeMembers(const replication::RaftNodeStatus &status)
     {
         const auto change = nextMembershipChange(status, candidates(), settings.rules);
         if (!change)
@@ -144,18 +144,18 @@
                          {"detail", outcome.ok() ? "" : outcome.failure().detail}});
                 });
         if (change->added.empty())
-            group->removeMember(change->replaced, done);
+            group->removeReplica(change->replaced, done);
         else
-            group->addMember(change->added, change->replaced, done);
+            group->addReplica(change->added, change->replaced, done);
     }
 
     net::EventLoop &loop;
     peer::ChannelPool &channels;
     const GroupReplicaSettings settings;
     const Clock &clock;
-    std::shared_ptr<replication::ReplicatedGroup> group;
-    Candidates candidates;
-    LeadListener leadListener;
+    std::shared_ptr<replication::RaftNode> group;
+    CandidateSource candidates;
+    LeadershipListener leadListener;
     std::function<void()> appliedListener;
     TimerService::TimerId timer = 0;
     bool leads = false;
@@ -178,30 +178,32 @@
 {
     server.handle(wire::Method::Raft,
                   [impl = m_impl](const peer::PeerIdentity &from, const std::string &body,
-                                  const peer::Reply &reply) {
+                                  const peer::ResponseCallback &reply) {
                       impl->receive(from, body);
                       reply(std::string());
                   });
     server.handle(wire::Method::Propose,
                   [impl = m_impl](const peer::PeerIdentity &, const std::string &body,
-                                  const peer::Reply &reply) { impl->servePropose(body, reply); });
+                                  const peer::ResponseCallback &reply) {
+                      impl->servePropose(body, reply);
+                  });
 }
 
 Result<void> GroupReplica::open(const ReplicaIdentity &identity,
                                 std::unique_ptr<replication::StateMachine> machine)
 {
-    replication::GroupOptions options;
+    replication::RaftNodeOptions options;
     options.group = m_impl->settings.group;
     options.self = identity.replica;
     options.initialVoters = identity.founders;
     options.dataFolder = concat(m_impl->settings.dataFolder, "/", m_impl->settings.group);
     options.heartbeatPeriod = m_impl->settings.heartbeatPeriod;
     options.electionTimeout = m_impl->settings.electionTimeout;
-    options.firstElectionTimeout = m_impl->settings.firstElectionTimeout;
+    options.initialElectionTimeout = m_impl->settings.initialElectionTimeout;
     options.snapshotAfterBytes = m_impl->settings.snapshotAfterBytes;
-    BOOST_LEAF_AUTO(opened,
-                    replication::openGroup(options, std::move(machine), *m_impl, m_impl->clock));
-    std::shared_ptr<replication::ReplicatedGroup> shared = std::move(opened);
+    BOOST_LEAF_AUTO(opened, replication::startRaftNode(options, std::move(machine), *m_impl,
+                                                       m_impl->clock));
+    std::shared_ptr<replication::RaftNode> shared = std::move(opened);
     shared->onApplied([weak = std::weak_ptr<Impl>(m_impl)](std::uint64_t) {
         const auto impl = weak.lock();
         if (impl && impl->appliedListener)
@@ -221,12 +223,12 @@
     return m_impl->group != nullptr;
 }
 
-void GroupReplica::setCandidates(Candidates candidates)
+void GroupReplica::setCandidates(CandidateSource candidates)
 {
     m_impl->candidates = std::move(candidates);
 }
 
-void GroupReplica::onLead(LeadListener listener)
+void GroupReplica::onLeadershipChange(LeadershipListener listener)
 {
     m_impl->leadListener = std::move(listener);
 }
@@ -236,24 +238,24 @@
     m_impl->appliedListener = std::move(listener);
 }
 
-bool GroupReplica::leads() const
+bool GroupReplica::isLeader() const
 {
     if (!m_impl->group || !m_impl->leads)
         return false;
-    const replication::GroupStatus status = m_impl->group->status();
+    const replication::RaftNodeStatus status = m_impl->group->status();
     return status.role == replication::Role::Leader && !status.stopped;
 }
 
-replication::GroupStatus GroupReplica::status() const
+replication::RaftNodeStatus GroupReplica::status() const
 {
-    return m_impl->group ? m_impl->group->status() : replication::GroupStatus();
+    return m_impl->group ? m_impl->group->status() : replication::RaftNodeStatus();
 }
 
 void GroupReplica::propose(std::string command, Callback callback)
 {
     if (!m_impl->group)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    const replication::GroupStatus status = m_impl->group->status();
+    const replication::RaftNodeStatus status = m_impl->group->status();
     if (status.role == replication::Role::Leader || status.leader.empty())
         return m_impl->group->propose(std::move(command), m_impl->onLoop(std::move(callback)));
     m_impl->forward(peerAddressOf(status.leader), std::move(command), std::move(callback));
@@ -266,11 +268,11 @@
     m_impl->group->read(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
-void GroupReplica::readIndexed(std::string query, Callback callback)
+void GroupReplica::linearizableRead(std::string query, Callback callback)
 {
     if (!m_impl->group)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    m_impl->group->readIndexed(std::move(query), m_impl->onLoop(std::move(callback)));
+    m_impl->group->linearizableRead(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
 void GroupReplica::transferLeadership()
--- a/src/fleet/membershipkeeper.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fleet/membershipkeeper.h"
+#include "rattanrill/fleet/membershipchange.h"
 
 #include "rattanrill/fleet/replicaidentity.h"
 
@@ -39,8 +39,8 @@
 class Planner
 {
 public:
-    Planner(const replication::GroupStatus &status, const std::vector<VoterCandidate> &candidates,
-            const MembershipRules &rules)
+    Planner(const replication::RaftNodeStatus &status,
+            const std::vector<VoterCandidate> &candidates, const MembershipRules &rules)
         : m_status(status)
         , m_candidates(candidates)
         , m_rules(rules)
@@ -153,14 +153,14 @@
         return std::nullopt;
     }
 
-    const replication::GroupStatus &m_status;
+    const replication::RaftNodeStatus &m_status;
     const std::vector<VoterCandidate> &m_candidates;
     const MembershipRules &m_rules;
 };
 
 } // namespace
 
-std::optional<MembershipChange> nextMembershipChange(const replication::GroupStatus &status,
+std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
                                                      const MembershipRules &rules)
 {
--- a/src/fleet/replicaidentity.cpp
+++ b/src/fleet/replicaidentity.cpp
@@ -83,9 +83,9 @@
 
 } // namespace
 
-replication::ReplicaId replicaId(const std::string &peerAddress, const std::string &mark)
+replication::ReplicaId makeReplicaId(const std::string &peerAddress, const std::string &incarnation)
 {
-    return concat(peerAddress, "/", mark);
+    return concat(peerAddress, "/", incarnation);
 }
 
 std::string peerAddressOf(const replication::ReplicaId &replica)
--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -24,20 +24,20 @@
     const std::vector<std::string> seeds = settings.seedPeers();
     const bool isSeed =
             std::find(seeds.begin(), seeds.end(), settings.peerAddress()) != seeds.end();
-    if (!settings.founding || !isSeed) {
-        identity.replica = fleet::replicaId(settings.peerAddress(), randomHex(6));
+    if (!settings.bootstrap || !isSeed) {
+        identity.replica = fleet::makeReplicaId(settings.peerAddress(), randomHex(6));
         return identity;
     }
-    identity.replica = fleet::replicaId(settings.peerAddress(), fleet::founderMark);
+    identity.replica = fleet::makeReplicaId(settings.peerAddress(), fleet::founderIncarnation);
     for (const std::string &seed : seeds)
-        identity.founders.push_back(fleet::replicaId(seed, fleet::founderMark));
+        identity.founders.push_back(fleet::makeReplicaId(seed, fleet::founderIncarnation));
     return identity;
 }
 
 class ControlProcess : public Process
 {
 public:
-    ControlProcess(const ProcessSettings &settings, const ProcessParts &parts)
+    ControlProcess(const ProcessSettings &settings, const ProcessContext &parts)
         : m_settings(settings)
         , m_parts(parts)
         , m_operators(parts.loop, [this](const auto &exchange) { serve(exchange); })
@@ -57,9 +57,9 @@
         group.dataFolder = m_settings.dataFolder;
         m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
                                                           m_core->clock());
-        m_sync =
-                std::make_unique<fleet::SyncService>(m_parts.loop, *m_replica, m_parts.upstreamList,
-                                                     fleet::SyncSettings(), m_core->clock());
+        m_sync = std::make_unique<fleet::FleetService>(
+                m_parts.loop, *m_replica, m_parts.upstreamList, fleet::FleetServiceSettings(),
+                m_core->clock());
         m_replica->setCandidates([this] { return m_sync->controlCandidates(); });
         m_replica->install(m_core->peerServer());
         m_sync->install(m_core->peerServer());
@@ -94,13 +94,13 @@
     void serve(const ExchangePtr &exchange)
     {
         auto call =
-                outcomeOf([&] { return m_parts.operatorDialect.readCall(exchange->request()); });
+                outcomeOf([&] { return m_parts.operatorProtocol.parseCall(exchange->request()); });
         if (!call.ok())
             return refuse(exchange, call.failure());
         std::visit([&](const auto &kind) { perform(exchange, kind); }, call.value());
     }
 
-    void perform(const ExchangePtr &exchange, const fleet::PutDocument &call)
+    void perform(const ExchangePtr &exchange, const fleet::PutConfigurationCall &call)
     {
         const auto valid = outcomeOf([&] { return serving::checkDeployment(call.deployment); });
         if (!valid.ok())
@@ -117,30 +117,31 @@
             log(LogLevel::Info, "configuration-accepted",
                 {{"configurationVersion", version},
                  {"highestVersion", result.value().configurationVersion}});
-            exchange->respond(m_parts.operatorDialect.accepted());
+            exchange->respond(m_parts.operatorProtocol.acceptedResponse());
         });
     }
 
-    void perform(const ExchangePtr &exchange, const fleet::GetDocument &)
+    void perform(const ExchangePtr &exchange, const fleet::ReadConfigurationCall &)
     {
-        m_replica->readIndexed(wire::encode(wire::FleetQuery{}), [this,
-                                                                  exchange](const auto &outcome) {
+        m_replica->linearizableRead(wire::encode(wire::FleetQuery{}), [this, exchange](
+                                                                              const auto &outcome) {
             const auto records = outcome.ok() ? outcomeOf([&] {
-                return wire::decode<wire::FleetRecords>(outcome.value());
+                return wire::decode<wire::FleetSnapshot>(outcome.value());
             })
-                                              : Outcome<wire::FleetRecords>(outcome.failure());
+                                              : Outcome<wire::FleetSnapshot>(outcome.failure());
             if (!records.ok())
                 return refuse(exchange, records.failure());
             if (records.value().configuration.empty())
                 return refuse(exchange,
                               notRun(ErrorCode::NoQuorum, "no configuration was accepted yet"));
-            exchange->respond(m_parts.operatorDialect.document(records.value().configuration));
+            exchange->respond(
+                    m_parts.operatorProtocol.configurationResponse(records.value().configuration));
         });
     }
 
-    const wire::LiveMember *store(const std::string &instance) const
+    const wire::FleetMemberStatus *store(const std::string &instance) const
     {
-        for (const wire::LiveMember &live : m_core->follower().state().members) {
+        for (const wire::FleetMemberStatus &live : m_core->follower().state().members) {
             if (live.member.role == wire::MemberRole::Store && live.member.instance == instance)
                 return &live;
         }
@@ -151,7 +152,7 @@
     int remainingStores(const std::string &instance) const
     {
         int count = 0;
-        for (const wire::LiveMember &live : m_core->follower().state().members) {
+        for (const wire::FleetMemberStatus &live : m_core->follower().state().members) {
             const bool remains = live.member.role == wire::MemberRole::Store && live.alive
                                  && !live.retiring && live.member.instance != instance;
             count += remains ? 1 : 0;
@@ -159,31 +160,31 @@
         return count;
     }
 
-    void perform(const ExchangePtr &exchange, const fleet::StartRetiring &call)
+    void perform(const ExchangePtr &exchange, const fleet::StartRetirementCall &call)
     {
-        const wire::LiveMember *live = store(call.instance);
+        const wire::FleetMemberStatus *live = store(call.instance);
         if (live == nullptr)
             return refuse(exchange, notRun(ErrorCode::NotFound,
                                            concat("no store on instance \"", call.instance, "\"")));
-        if (remainingStores(call.instance) < 2 * m_settings.lossTolerance + 1)
+        if (remainingStores(call.instance) < 2 * m_settings.toleratedFailures + 1)
             return refuse(exchange, notRun(ErrorCode::Conflict, "too few stores would remain"));
         const wire::FleetCommand command{wire::RetireStore{live->member.replica}};
         m_replica->propose(wire::encode(command), [this, exchange](const auto &outcome) {
             if (!outcome.ok())
                 return refuse(exchange, outcome.failure());
-            exchange->respond(m_parts.operatorDialect.accepted());
+            exchange->respond(m_parts.operatorProtocol.acceptedResponse());
         });
     }
 
     /// Without a complete list of members nothing is known of an instance.
-    void perform(const ExchangePtr &exchange, const fleet::GetRetiring &call)
+    void perform(const ExchangePtr &exchange, const fleet::ReadRetirementCall &call)
     {
         const fleet::FleetState &state = m_core->follower().state();
-        const wire::LiveMember *live = store(call.instance);
+        const wire::FleetMemberStatus *live = store(call.instance);
         if (!state.membersSettled || (live != nullptr && !live->retiring))
             return refuse(exchange, notRun(ErrorCode::NoQuorum, "the members are not known yet"));
         const bool isDone = live == nullptr || !live->holdsCopy;
-        exchange->respond(m_parts.operatorDialect.retiring(isDone));
+        exchange->respond(m_parts.operatorProtocol.retirementStatusResponse(isDone));
     }
 
     void refuse(const ExchangePtr &exchange, Failure failure)
@@ -193,21 +194,21 @@
              {"code", name(failure.code)},
              {"run", name(failure.run)},
              {"detail", failure.detail}});
-        exchange->respond(m_parts.operatorDialect.refusal(failure));
+        exchange->respond(m_parts.operatorProtocol.errorResponse(failure));
     }
 
     const ProcessSettings &m_settings;
-    const ProcessParts &m_parts;
+    const ProcessContext &m_parts;
     std::unique_ptr<ProcessCore> m_core;
     std::unique_ptr<fleet::GroupReplica> m_replica;
-    std::unique_ptr<fleet::SyncService> m_sync;
+    std::unique_ptr<fleet::FleetService> m_sync;
     net::Server m_operators;
 };
 
 } // namespace
 
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
-                                            const ProcessParts &parts)
+                                            const ProcessContext &parts)
 {
     return std::make_unique<ControlProcess>(settings, parts);
 }
--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -23,9 +23,9 @@
 /// Idle memory of a caller's connection is small, descriptors bind.
 constexpr std::size_t maxCallerConnections = 3000;
 
-serving::PlaceClientSettings placeSettings(const ProcessSettings &settings)
+serving::SlotClientSettings placeSettings(const ProcessSettings &settings)
 {
-    serving::PlaceClientSettings result;
+    serving::SlotClientSettings result;
     result.own = brokerSettings(settings);
     return result;
 }
@@ -33,18 +33,18 @@
 class EntryProcess : public Process
 {
 public:
-    EntryProcess(const ProcessSettings &settings, const ProcessParts &parts)
+    EntryProcess(const ProcessSettings &settings, const ProcessContext &parts)
         : m_settings(settings)
         , m_parts(parts)
         , m_core(settings, parts, wire::MemberRole::Entry,
-                 fleet::replicaId(settings.peerAddress(), randomHex(6)))
-        , m_upstreams(parts.loop, net::UpstreamPoolOptions())
+                 fleet::makeReplicaId(settings.peerAddress(), randomHex(6)))
+        , m_upstreams(parts.loop, net::ConnectionPoolOptions())
         , m_places(parts.loop, m_core.channels(), m_core.clock(), placeSettings(settings))
         , m_jobs(parts.loop, m_core.channels(), m_core.clock())
         , m_context{parts.loop,
                     m_core.clock(),
                     m_core.metrics(),
-                    parts.dialect,
+                    parts.protocol,
                     m_upstreams,
                     m_places,
                     {settings.instance, settings.failureDomain}}
@@ -80,7 +80,7 @@
 
     void answerReadiness(const std::shared_ptr<net::Exchange> &exchange)
     {
-        if (!m_parts.isReadinessQuestion(exchange->request()))
+        if (!m_parts.isReadinessProbe(exchange->request()))
             return exchange->respond(net::textResponse(404, "", "text/plain"));
         exchange->respond(net::textResponse(isReady() ? 200 : 503, "", "text/plain"));
     }
@@ -143,7 +143,7 @@
         if (drained < drainDelay)
             return;
         m_callers.closeIdle();
-        const bool isOver = drained > m_settings.grace * graceShare;
+        const bool isOver = drained > m_settings.shutdownTimeout * graceShare;
         if (m_callers.openRequests() > 0 && !isOver)
             return;
         if (const auto stopped = std::exchange(m_stopped, nullptr)) {
@@ -155,10 +155,10 @@
     }
 
     const ProcessSettings &m_settings;
-    const ProcessParts &m_parts;
+    const ProcessContext &m_parts;
     ProcessCore m_core;
-    net::UpstreamPool m_upstreams;
-    serving::PlaceClient m_places;
+    net::ConnectionPool m_upstreams;
+    serving::SlotClient m_places;
     jobs::JobClient m_jobs;
     const serving::ServingContext m_context;
     Gateway m_gateway;
@@ -176,7 +176,7 @@
 } // namespace
 
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
-                                          const ProcessParts &parts)
+                                          const ProcessContext &parts)
 {
     return std::make_unique<EntryProcess>(settings, parts);
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -47,7 +47,7 @@
 
 void Gateway::serve(std::shared_ptr<net::Exchange> exchange)
 {
-    auto caller = outcomeOf([&] { return m_context.dialect.readRequest(exchange->request()); });
+    auto caller = outcomeOf([&] { return m_context.protocol.parseRequest(exchange->request()); });
     if (!caller.ok())
         return refuse(exchange, "", caller.failure(), absl::ZeroDuration());
     if (m_deployment)
@@ -61,7 +61,7 @@
 void Gateway::hold(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const auto early = m_early.insert(m_early.end(), {exchange, std::move(caller), 0});
-    const absl::Duration wait = std::min(configurationWait, early->caller.patience / 2);
+    const absl::Duration wait = std::min(configurationWait, early->caller.timeout / 2);
     early->timer = m_context.loop.timers().subscribeOnce(wait, [this, early] {
         const EarlyRequest late = std::move(*early);
         m_early.erase(early);
@@ -80,7 +80,7 @@
 void Gateway::route(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const net::Request &request = exchange->request();
-    const bool isJobCall = m_context.dialect.isJobCall(request);
+    const bool isJobCall = m_context.protocol.isJobCall(request);
     const serving::Route *route =
             isJobCall ? nullptr : m_deployment->route(caller.host, request.path());
     if (!isJobCall && route == nullptr)
@@ -88,11 +88,11 @@
                 exchange, caller.id,
                 notRun(ErrorCode::UnknownRoute, concat("no route for host \"", caller.host, "\"")),
                 absl::ZeroDuration());
-    const serving::Workspace *workspace = m_deployment->workspaceOfKey(caller.key);
-    const bool needsKey = m_deployment->hasWorkspaces() && (isJobCall || !route->open);
+    const serving::Workspace *workspace = m_deployment->workspaceOfKey(caller.apiKey);
+    const bool needsKey = m_deployment->hasWorkspaces() && (isJobCall || !route->allowsAnonymous);
     if (needsKey && workspace == nullptr)
         return refuse(exchange, caller.id,
-                      notRun(caller.key.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
+                      notRun(caller.apiKey.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
                              "no workspace holds the key"),
                       absl::ZeroDuration());
     if (isJobCall || route->kind == serving::RouteKind::Batch) {
@@ -106,7 +106,7 @@
     routed.priority = workspace != nullptr && workspace->priority >= 0 ? workspace->priority
                                                                        : route->priority;
     routed.caller = std::move(caller);
-    serving::passThrough(m_context, std::move(routed), exchange);
+    serving::proxyRequest(m_context, std::move(routed), exchange);
 }
 
 void Gateway::serveJobCall(const std::shared_ptr<net::Exchange> &exchange,
@@ -114,7 +114,7 @@
                            const serving::Workspace &workspace, const serving::Route *route)
 {
     auto call =
-            outcomeOf([&] { return m_context.dialect.readJobCall(exchange->request(), caller); });
+            outcomeOf([&] { return m_context.protocol.parseJobCall(exchange->request(), caller); });
     if (!call.ok())
         return refuse(exchange, caller.id, call.failure(), absl::ZeroDuration());
     if (auto *submission = std::get_if<serving::SubmitJobCall>(&call.value())) {
@@ -124,8 +124,7 @@
         submission->job.workspace = workspace.name;
         submission->job.route = route->name;
         submission->job.host = caller.host;
-        return submit(exchange, std::move(submission->job),
-                      std::min(caller.patience, storeTimeout));
+        return submit(exchange, std::move(submission->job), std::min(caller.timeout, storeTimeout));
     }
     if (const auto *read = std::get_if<serving::ReadJobCall>(&call.value()))
         return readResults(exchange, *read, workspace.name);
@@ -159,7 +158,8 @@
     m_jobs.read(request, storeTimeout + call.wait,
                 [this, exchange, id = call.job](const Outcome<wire::ReadJobResponse> &outcome) {
                     if (outcome.ok())
-                        return exchange->respond(m_context.dialect.jobResults(outcome.value()));
+                        return exchange->respond(
+                                m_context.protocol.jobResultsResponse(outcome.value()));
                     refuse(exchange, id, outcome.failure(), storeRetryAfter);
                 });
 }
@@ -180,12 +180,12 @@
 void Gateway::endJob(const std::shared_ptr<net::Exchange> &exchange,
                      const serving::EndJobCall &call, const std::string &workspace)
 {
-    m_jobs.end(wire::EndJobRequest{workspace, call.job}, storeTimeout,
-               [this, exchange, id = call.job](const Outcome<Done> &outcome) {
-                   if (outcome.ok())
-                       return exchange->respond(net::textResponse(200, "", "application/json"));
-                   refuse(exchange, id, outcome.failure(), storeRetryAfter);
-               });
+    m_jobs.cancel(wire::EndJobRequest{workspace, call.job}, storeTimeout,
+                  [this, exchange, id = call.job](const Outcome<Done> &outcome) {
+                      if (outcome.ok())
+                          return exchange->respond(net::textResponse(200, "", "application/json"));
+                      refuse(exchange, id, outcome.failure(), storeRetryAfter);
+                  });
 }
 
 void Gateway::refuse(const std::shared_ptr<net::Exchange> &exchange, const std::string &requestId,
@@ -200,7 +200,7 @@
          {"detail", failure.detail},
          {"retryAfterMs", absl::ToInt64Milliseconds(retryAfter)},
          {"configurationVersion", m_deployment ? m_deployment->version() : 0}});
-    exchange->respond(m_context.dialect.refusal(failure, retryAfter));
+    exchange->respond(m_context.protocol.errorResponse(failure, retryAfter));
 }
 
 } // namespace rattanrill::gateway
--- a/src/gateway/processcore.cpp
+++ b/src/gateway/processcore.cpp
@@ -19,7 +19,7 @@
     settings.failuresInRow = 2;
     settings.firstEjection = absl::Milliseconds(500);
     settings.longestEjection = absl::Seconds(3);
-    settings.returnTime = absl::Seconds(1);
+    settings.rampUpTime = absl::Seconds(1);
     return settings;
 }();
 
@@ -35,10 +35,10 @@
     return options;
 }
 
-fleet::FollowerSettings followerSettings(const ProcessSettings &settings, wire::MemberRole role,
-                                         const std::string &replica)
+fleet::FleetClientSettings followerSettings(const ProcessSettings &settings, wire::MemberRole role,
+                                            const std::string &replica)
 {
-    fleet::FollowerSettings result;
+    fleet::FleetClientSettings result;
     result.self.instance = settings.instance;
     result.self.role = role;
     result.self.failureDomain = settings.failureDomain;
@@ -50,13 +50,13 @@
 
 } // namespace
 
-ProcessCore::ProcessCore(const ProcessSettings &settings, const ProcessParts &parts,
+ProcessCore::ProcessCore(const ProcessSettings &settings, const ProcessContext &parts,
                          wire::MemberRole role, const std::string &replica)
     : m_settings(settings)
     , m_parts(parts)
     , m_channels(std::make_unique<peer::ChannelPool>(transport(settings, role, replica)))
     , m_peerServer(std::make_unique<peer::Server>(transport(settings, role, replica)))
-    , m_follower(std::make_unique<fleet::FleetFollower>(
+    , m_follower(std::make_unique<fleet::FleetClient>(
               parts.loop, *m_channels, followerSettings(settings, role, replica), clock()))
 {}
 
@@ -98,8 +98,8 @@
     if (state.configuration.empty()
         || (current && current->version() >= state.configurationVersion))
         return nullptr;
-    auto deployment =
-            outcomeOf([&] { return m_parts.operatorDialect.readDocument(state.configuration); });
+    auto deployment = outcomeOf(
+            [&] { return m_parts.operatorProtocol.parseConfiguration(state.configuration); });
     if (!deployment.ok()) {
         log(LogLevel::Error, "configuration-unreadable",
             {{"configurationVersion", state.configurationVersion},
@@ -110,16 +110,16 @@
         {{"configurationVersion", state.configurationVersion},
          {"formerVersion", current ? current->version() : 0},
          {"routes", static_cast<std::int64_t>(deployment.value().routes.size())},
-         {"ageMs", absl::ToInt64Milliseconds(m_follower->age())}});
+         {"ageMs", absl::ToInt64Milliseconds(m_follower->staleness())}});
     return std::make_shared<const serving::DeploymentIndex>(std::move(deployment.value()));
 }
 
-serving::BrokerSettings brokerSettings(const ProcessSettings &settings)
+serving::SlotBrokerSettings brokerSettings(const ProcessSettings &settings)
 {
-    serving::BrokerSettings result;
+    serving::SlotBrokerSettings result;
     result.rateWindow = settings.rateWindow;
-    result.rateOver = settings.rateOver;
-    result.rateSlack = settings.rateSlack;
+    result.rateToleranceFraction = settings.rateToleranceFraction;
+    result.rateToleranceRequests = settings.rateToleranceRequests;
     result.table.outlier = upstreamOutlier;
     return result;
 }
@@ -127,7 +127,7 @@
 StoreAddresses storeAddresses(const fleet::FleetState &state)
 {
     StoreAddresses stores;
-    for (const wire::LiveMember &live : state.members) {
+    for (const wire::FleetMemberStatus &live : state.members) {
         if (live.member.role != wire::MemberRole::Store || !live.alive)
             continue;
         stores.all.push_back(live.member.peerAddress);
@@ -140,7 +140,7 @@
 std::vector<std::string> livingEntries(const fleet::FleetState &state)
 {
     std::vector<std::string> entries;
-    for (const wire::LiveMember &live : state.members) {
+    for (const wire::FleetMemberStatus &live : state.members) {
         if (live.member.role == wire::MemberRole::Entry && live.alive)
             entries.push_back(live.member.instance);
     }
--- a/src/gateway/processcore.h
+++ b/src/gateway/processcore.h
@@ -2,12 +2,12 @@
 
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/metrics.h"
-#include "rattanrill/fleet/fleetfollower.h"
+#include "rattanrill/fleet/fleetclient.h"
 #include "rattanrill/gateway/processes.h"
 #include "rattanrill/net/server.h"
 #include "rattanrill/peer/channelpool.h"
 #include "rattanrill/peer/server.h"
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/slotbroker.h"
 
 #include <memory>
 #include <string>
@@ -20,7 +20,7 @@
 {
 public:
     /// \a replica: replica id of this process, or of this start of an entry.
-    ProcessCore(const ProcessSettings &settings, const ProcessParts &parts, wire::MemberRole role,
+    ProcessCore(const ProcessSettings &settings, const ProcessContext &parts, wire::MemberRole role,
                 const std::string &replica);
     ~ProcessCore();
 
@@ -35,7 +35,7 @@
 
     peer::ChannelPool &channels() { return *m_channels; }
     peer::Server &peerServer() { return *m_peerServer; }
-    fleet::FleetFollower &follower() { return *m_follower; }
+    fleet::FleetClient &follower() { return *m_follower; }
     Metrics &metrics() { return m_metrics; }
     const Clock &clock() const { return SystemClock::instance(); }
 
@@ -43,16 +43,16 @@
     void serveMetrics(const std::shared_ptr<net::Exchange> &exchange);
 
     const ProcessSettings &m_settings;
-    const ProcessParts &m_parts;
+    const ProcessContext &m_parts;
     Metrics m_metrics;
     std::unique_ptr<peer::ChannelPool> m_channels;
     std::unique_ptr<peer::Server> m_peerServer;
-    std::unique_ptr<fleet::FleetFollower> m_follower;
+    std::unique_ptr<fleet::FleetClient> m_follower;
     std::unique_ptr<net::Server> m_metricsServer;
 };
 
 /// Settings of a broker on this deployment.
-serving::BrokerSettings brokerSettings(const ProcessSettings &settings);
+serving::SlotBrokerSettings brokerSettings(const ProcessSettings &settings);
 
 /// Peer addresses of the living stores, and of the one that leads the store group.
 struct StoreAddresses
--- a/src/gateway/processsettings.cpp
+++ b/src/gateway/processsettings.cpp
@@ -82,20 +82,20 @@
     result.peerHost = settings.at("peerHost").get<std::string>();
     result.peerPort = settings.at("peerPort").get<int>();
     result.seeds = settings.at("seeds").get<std::vector<std::string>>();
-    result.founding = settings.value("founding", false);
+    result.bootstrap = settings.value("founding", false);
     result.dataFolder = settings.value("dataFolder", "");
     result.clusterSecret = settings.at("clusterSecret").get<std::string>();
-    result.listAddress = settings.value("listAddress", "");
-    result.grace = absl::Seconds(settings.value("graceSeconds", 8.0));
+    result.upstreamListAddress = settings.value("listAddress", "");
+    result.shutdownTimeout = absl::Seconds(settings.value("graceSeconds", 8.0));
     result.rateWindow = absl::Seconds(settings.value("rateWindowSeconds", 5.0));
-    result.rateOver = settings.value("rateOver", 0.0);
-    result.rateSlack = settings.value("rateSlack", 0.0);
-    result.lossTolerance = settings.value("lossTolerance", 1);
+    result.rateToleranceFraction = settings.value("rateOver", 0.0);
+    result.rateToleranceRequests = settings.value("rateSlack", 0.0);
+    result.toleratedFailures = settings.value("lossTolerance", 1);
     BOOST_LEAF_CHECK(checkAddress("callerAddress", result.callerAddress));
     BOOST_LEAF_CHECK(checkAddress("readinessAddress", result.readinessAddress));
     BOOST_LEAF_CHECK(checkAddress("operatorAddress", result.operatorAddress));
     BOOST_LEAF_CHECK(checkAddress("metricsAddress", result.metricsAddress));
-    BOOST_LEAF_CHECK(checkAddress("listAddress", result.listAddress));
+    BOOST_LEAF_CHECK(checkAddress("listAddress", result.upstreamListAddress));
     for (const std::string &seed : result.seeds)
         BOOST_LEAF_CHECK(checkAddress("seeds", seed));
     return {};
--- a/src/gateway/runprocess.cpp
+++ b/src/gateway/runprocess.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-int runProcess(const ProcessSettings &settings, const ProcessParts &parts, MakeProcess make,
+int runProcess(const ProcessSettings &settings, const ProcessContext &parts, ProcessFactory make,
                std::function<std::vector<std::string>()> readSeeds)
 {
     const std::unique_ptr<Process> process = make(settings, parts);
@@ -42,7 +42,7 @@
     }
     parts.loop.timers().subscribeEvery(seedsPeriod, reload);
     log(LogLevel::Info, "started",
-        {{"peerAddress", settings.peerAddress()}, {"founding", settings.founding}});
+        {{"peerAddress", settings.peerAddress()}, {"founding", settings.bootstrap}});
     parts.loop.run();
     log(LogLevel::Info, "stopped");
     return exitOk;
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -25,17 +25,17 @@
 class StoreProcess : public Process
 {
 public:
-    StoreProcess(const ProcessSettings &settings, const ProcessParts &parts)
+    StoreProcess(const ProcessSettings &settings, const ProcessContext &parts)
         : m_settings(settings)
         , m_parts(parts)
-        , m_upstreams(parts.loop, net::UpstreamPoolOptions())
+        , m_upstreams(parts.loop, net::ConnectionPoolOptions())
         , m_broker(parts.loop.timers(), SystemClock::instance(), brokerSettings(settings))
     {}
 
     Result<void> start() override
     {
-        const fleet::ReplicaIdentity fresh{fleet::replicaId(m_settings.peerAddress(), randomHex(6)),
-                                           {}};
+        const fleet::ReplicaIdentity fresh{
+                fleet::makeReplicaId(m_settings.peerAddress(), randomHex(6)), {}};
         BOOST_LEAF_ASSIGN(m_identity, fleet::loadOrCreateIdentity(m_settings.dataFolder, fresh));
         log(LogLevel::Info, "replica-identity", {{"replica", m_identity.replica}});
         m_core = std::make_unique<ProcessCore>(m_settings, m_parts, wire::MemberRole::Store,
@@ -44,7 +44,8 @@
         if (hasData())
             openReplica();
         m_core->follower().onChange([this](const fleet::FleetState &state) { take(state); });
-        m_core->follower().setStoreReport([this](wire::SyncRequest &request) { report(request); });
+        m_core->follower().setStoreReport(
+                [this](wire::FleetSyncRequest &request) { report(request); });
         return m_core->start();
     }
 
@@ -58,7 +59,7 @@
         m_replica->transferLeadership();
         m_parts.loop.timers().subscribeOnce(handOver, [this, stopped = std::move(stopped)] {
             m_core->follower().leave();
-            m_service->leadChanged(false);
+            m_service->leadershipChanged(false);
             m_replica->stop();
             m_core->stop();
             stopped();
@@ -73,16 +74,16 @@
         group.dataFolder = m_settings.dataFolder;
         m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
                                                           m_core->clock());
-        const jobs::ExecutorContext context{
-                m_parts.loop, m_core->clock(), m_core->metrics(), m_parts.dialect,
+        const jobs::JobExecutorContext context{
+                m_parts.loop, m_core->clock(), m_core->metrics(), m_parts.protocol,
                 m_upstreams,  m_broker,        *m_replica,        m_settings.failureDomain};
         m_executor = std::make_unique<jobs::JobExecutor>(context);
         m_service = std::make_unique<jobs::JobService>(context, *m_executor);
         m_replica->setCandidates([this] { return candidates(); });
-        m_replica->onLead([this](bool leads) {
+        m_replica->onLeadershipChange([this](bool leads) {
             m_broker.reset();
-            m_service->leadChanged(leads);
-            m_core->follower().announce();
+            m_service->leadershipChanged(leads);
+            m_core->follower().sendHeartbeat();
         });
         m_replica->install(m_core->peerServer());
         m_service->install(m_core->peerServer());
@@ -92,22 +93,22 @@
     void installBroker()
     {
         m_core->peerServer().handle(
-                wire::Method::Place,
-                [this](const peer::PeerIdentity &, std::string body, peer::Reply reply) {
+                wire::Method::RequestSlot,
+                [this](const peer::PeerIdentity &, std::string body, peer::ResponseCallback reply) {
                     m_parts.loop.post([this, body = std::move(body), reply = std::move(reply)] {
-                        place(body, reply);
+                        acquire(body, reply);
                     });
                 });
-        installPush(wire::Method::Release, &StoreProcess::release);
+        installPush(wire::Method::ReleaseSlot, &StoreProcess::release);
         installPush(wire::Method::Load, &StoreProcess::noteLoad);
-        installPush(wire::Method::Hold, &StoreProcess::adopt);
+        installPush(wire::Method::ReportHeldSlots, &StoreProcess::adopt);
     }
 
     void installPush(wire::Method method, void (StoreProcess::*handler)(const std::string &))
     {
         m_core->peerServer().handle(method, [this, handler](const peer::PeerIdentity &,
                                                             std::string body,
-                                                            const peer::Reply &reply) {
+                                                            const peer::ResponseCallback &reply) {
             m_parts.loop.post([this, handler, body = std::move(body)] { (this->*handler)(body); });
             reply(std::string());
         });
@@ -115,9 +116,9 @@
 
     void adopt(const std::string &body)
     {
-        const auto held = outcomeOf([&] { return wire::decode<wire::HeldPlaces>(body); });
+        const auto held = outcomeOf([&] { return wire::decode<wire::HeldSlots>(body); });
         if (held.ok())
-            m_broker.adopt(held.value());
+            m_broker.restoreHeldSlots(held.value());
         else
             log(LogLevel::Warning, "held-places-unreadable", {{"code", name(held.failure().code)}});
     }
@@ -126,38 +127,38 @@
     {
         const auto load = outcomeOf([&] { return wire::decode<wire::UpstreamLoad>(body); });
         if (load.ok())
-            m_broker.loadReported(load.value());
+            m_broker.updateLoad(load.value());
         else
             log(LogLevel::Warning, "load-unreadable", {{"code", name(load.failure().code)}});
     }
 
-    void place(const std::string &body, const peer::Reply &reply)
+    void acquire(const std::string &body, const peer::ResponseCallback &reply)
     {
-        const auto request = outcomeOf([&] { return wire::decode<wire::PlaceRequest>(body); });
+        const auto request = outcomeOf([&] { return wire::decode<wire::SlotRequest>(body); });
         if (!request.ok())
             return reply(request.failure());
-        if (!m_replica->leads() || !m_deployment || !m_hasUpstreams)
+        if (!m_replica->isLeader() || !m_deployment || !m_hasUpstreams)
             return reply(notRun(ErrorCode::NotLeader, m_replica->status().leader));
-        m_broker.place(request.value(), [reply](const wire::PlaceResponse &response) {
+        m_broker.acquire(request.value(), [reply](const wire::SlotResponse &response) {
             reply(wire::encode(response));
         });
     }
 
     void release(const std::string &body)
     {
-        const auto request = outcomeOf([&] { return wire::decode<wire::PlaceRelease>(body); });
+        const auto request = outcomeOf([&] { return wire::decode<wire::SlotRelease>(body); });
         if (request.ok())
             m_broker.release(request.value());
         else
             log(LogLevel::Warning, "release-unreadable", {{"code", name(request.failure().code)}});
     }
 
-    void report(wire::SyncRequest &request) const
+    void report(wire::FleetSyncRequest &request) const
     {
-        request.leadsStores = m_replica->leads();
+        request.leadsStores = m_replica->isLeader();
         if (!request.leadsStores)
             return;
-        const replication::GroupStatus status = m_replica->status();
+        const replication::RaftNodeStatus status = m_replica->status();
         request.storeTerm = status.term;
         request.storeReplicas = status.voters;
         request.storeReplicas.insert(request.storeReplicas.end(), status.learners.begin(),
@@ -175,10 +176,10 @@
         }
         if (state.upstreamsKnown) {
             m_hasUpstreams = true;
-            m_broker.setUpstreams(state.upstreams, serving::BrokerShare());
+            m_broker.setUpstreams(state.upstreams, serving::CapacityShare());
         }
         if (state.membersSettled)
-            m_broker.keepInstances(livingEntries(state));
+            m_broker.setLiveInstances(livingEntries(state));
     }
 
     /// The replica took part before, so that it needs nobody to tell it how the group began.
@@ -217,9 +218,9 @@
     {
         std::vector<fleet::VoterCandidate> candidates;
         const fleet::FleetState &state = m_core->follower().state();
-        if (!state.membersSettled || m_core->follower().age() > staleAfter)
+        if (!state.membersSettled || m_core->follower().staleness() > staleAfter)
             return candidates;
-        for (const wire::LiveMember &live : state.members) {
+        for (const wire::FleetMemberStatus &live : state.members) {
             if (live.member.role == wire::MemberRole::Store)
                 candidates.push_back({live.member.replica, live.member.failureDomain, live.alive,
                                       live.retiring});
@@ -228,11 +229,11 @@
     }
 
     const ProcessSettings &m_settings;
-    const ProcessParts &m_parts;
+    const ProcessContext &m_parts;
     fleet::ReplicaIdentity m_identity;
     std::unique_ptr<ProcessCore> m_core;
-    net::UpstreamPool m_upstreams;
-    serving::PlaceBroker m_broker;
+    net::ConnectionPool m_upstreams;
+    serving::SlotBroker m_broker;
     std::unique_ptr<fleet::GroupReplica> m_replica;
     std::unique_ptr<jobs::JobExecutor> m_executor;
     std::unique_ptr<jobs::JobService> m_service;
@@ -243,7 +244,7 @@
 } // namespace
 
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessParts &parts)
+                                          const ProcessContext &parts)
 {
     return std::make_unique<StoreProcess>(settings, parts);
 }
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -9,7 +9,7 @@
 
 namespace rattanrill::jobs {
 
-using policy::PlaceEnd;
+using policy::ReleaseReason;
 
 namespace {
 
@@ -22,14 +22,14 @@
 
 constexpr int statusCannotBeDone = 422;
 
-std::string workId(const wire::JobRecord &job, const wire::JobItem &item)
+std::string taskId(const wire::JobRecord &job, const wire::JobItem &item)
 {
     return concat("item/", job.id, "/", item.id);
 }
 
 } // namespace
 
-ItemRun::ItemRun(const ExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
+ItemRun::ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
                  const wire::JobItem &item, Done done)
     : m_context(context)
     , m_job(std::move(job))
@@ -107,24 +107,24 @@
     const serving::Route &current = *route();
     const absl::Duration age =
             m_context.clock.wallNow() - absl::FromUnixMillis(m_job->acceptedAtMs);
-    policy::PlaceWork work;
-    work.id = workId(*m_job, m_item);
-    work.service = serving::targetService(current, m_item.id);
-    work.workspace = m_job->workspace;
-    work.failureDomain = m_context.failureDomain;
-    work.kind = policy::WorkKind::Batch;
-    work.priority = current.priority;
-    work.tokens = static_cast<double>(m_item.tokens);
-    work.due = m_context.clock.now() + (current.completionObjective - age);
-    work.served = m_served;
+    policy::SlotTask task;
+    task.id = taskId(*m_job, m_item);
+    task.service = serving::selectService(current, m_item.id);
+    task.workspace = m_job->workspace;
+    task.failureDomain = m_context.failureDomain;
+    task.kind = policy::TaskKind::Batch;
+    task.priority = current.priority;
+    task.tokens = static_cast<double>(m_item.tokens);
+    task.deadline = m_context.clock.now() + (current.completionObjective - age);
+    task.priorRunTime = m_served;
     m_state = State::Waiting;
-    serving::PlaceBroker::BatchHandlers handlers;
+    serving::SlotBroker::BatchHandlers handlers;
     handlers.granted = [self = shared_from_this()](const std::string &upstream,
                                                    const std::string &address) {
         self->granted(upstream, address);
     };
-    handlers.yield = [self = shared_from_this()] { self->yielded(); };
-    m_context.broker.placeBatch(work, std::move(handlers));
+    handlers.preempted = [self = shared_from_this()] { self->yielded(); };
+    m_context.broker.acquireBatch(task, std::move(handlers));
 }
 
 void ItemRun::granted(const std::string &upstream, const std::string &address)
@@ -136,8 +136,8 @@
     m_hasHead = false;
     m_splitter.reset();
     ++m_runs;
-    serving::UpstreamTry attempt;
-    attempt.upstream = upstream;
+    serving::UpstreamAttempt attempt;
+    attempt.expectedInstance = upstream;
     attempt.workspace = m_job->workspace;
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
@@ -145,10 +145,10 @@
         return self->noteHead(head);
     };
     handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
-    handlers.end = [self = shared_from_this()](net::CallEnd end) { self->callEnded(end); };
+    handlers.end = [self = shared_from_this()](net::CallStatus end) { self->callEnded(end); };
     armSilenceTimer();
     m_call = m_context.upstreams.call(
-            address, net::serialize(m_context.dialect.itemRequest(m_item, m_job->host, attempt)),
+            address, net::serialize(m_context.protocol.itemRequest(m_item, m_job->host, attempt)),
             std::move(handlers));
 }
 
@@ -167,7 +167,7 @@
 
 bool ItemRun::noteHead(const net::ResponseHead &head)
 {
-    const serving::AnswerFacts facts = m_context.dialect.readAnswer(head);
+    const serving::ResponseInfo facts = m_context.protocol.parseResponse(head);
     if (!facts.requestId.empty() && facts.requestId != m_item.id) {
         log(LogLevel::Warning, "foreign-answer-dropped",
             {{"item", m_item.id}, {"foreignRequestId", facts.requestId}, {"upstream", m_upstream}});
@@ -176,8 +176,8 @@
     m_head = head;
     m_facts = facts;
     m_hasHead = true;
-    if (facts.requests)
-        m_context.broker.loadReported({m_upstream, *facts.requests});
+    if (facts.outstandingRequests)
+        m_context.broker.updateLoad({m_upstream, *facts.outstandingRequests});
     return true;
 }
 
@@ -189,10 +189,10 @@
     std::vector<serving::StreamEvent> events;
     m_splitter.feed(bytes, events);
     for (const serving::StreamEvent &event : events) {
-        const serving::EventVerdict verdict = m_position.take(event);
-        if (verdict == serving::EventVerdict::Gap)
-            return tryFailed("an event is missing", PlaceEnd::Failed);
-        if (verdict == serving::EventVerdict::Repeated)
+        const serving::SequenceCheck verdict = m_position.advance(event);
+        if (verdict == serving::SequenceCheck::Gap)
+            return attemptFailed("an event is missing", ReleaseReason::Failed);
+        if (verdict == serving::SequenceCheck::Repeated)
             continue;
         if (m_hasOutput)
             m_output += '\n';
@@ -206,19 +206,20 @@
     armSilenceTimer();
 }
 
-void ItemRun::callEnded(net::CallEnd end)
+void ItemRun::callEnded(net::CallStatus end)
 {
     if (m_state != State::Running)
         return;
-    if (end == net::CallEnd::NotConnected)
-        return tryFailed(net::name(end), PlaceEnd::Gone);
-    if (end == net::CallEnd::Broken)
-        return tryFailed(net::name(end), PlaceEnd::Failed);
+    if (end == net::CallStatus::NotConnected)
+        return attemptFailed(net::name(end), ReleaseReason::Unreachable);
+    if (end == net::CallStatus::Broken)
+        return attemptFailed(net::name(end), ReleaseReason::Failed);
     if (m_facts.notRun)
-        return tryFailed("the upstream refused",
-                         m_facts.isOtherInstance ? PlaceEnd::Gone : PlaceEnd::Failed);
+        return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
+                                                             ? ReleaseReason::Unreachable
+                                                             : ReleaseReason::Failed);
     if (m_head.status == statusCannotBeDone) {
-        leaveUpstream(PlaceEnd::Served);
+        leaveUpstream(ReleaseReason::Completed);
         return finish(wire::ItemOutcome::DeadLettered, "the upstream cannot do the item");
     }
     if (m_head.status >= 200 && m_head.status < 300)
@@ -226,21 +227,21 @@
     if (m_head.status == 500)
         ++m_serverErrors;
     if (m_serverErrors >= route()->maxAttempts) {
-        leaveUpstream(PlaceEnd::Served);
+        leaveUpstream(ReleaseReason::Completed);
         return finish(wire::ItemOutcome::DeadLettered, "the item failed at every try");
     }
-    tryFailed(concat("status ", m_head.status), PlaceEnd::Served);
+    attemptFailed(concat("status ", m_head.status), ReleaseReason::Completed);
 }
 
 void ItemRun::completed()
 {
     if (!m_splitter.rest().empty())
-        return tryFailed("the answer ends inside an event", PlaceEnd::Failed);
-    leaveUpstream(PlaceEnd::Served);
+        return attemptFailed("the answer ends inside an event", ReleaseReason::Failed);
+    leaveUpstream(ReleaseReason::Completed);
     finish(wire::ItemOutcome::Completed, "");
 }
 
-void ItemRun::tryFailed(std::string_view reason, PlaceEnd end)
+void ItemRun::attemptFailed(std::string_view reason, ReleaseReason end)
 {
     m_context.upstreams.cancel(m_call);
     leaveUpstream(end);
@@ -274,12 +275,12 @@
     m_hasProgressed = false;
 }
 
-void ItemRun::leaveUpstream(PlaceEnd end)
+void ItemRun::leaveUpstream(ReleaseReason end)
 {
     cancelTimer(m_silenceTimer);
     stopServing();
     m_state = State::BackingOff;
-    m_context.broker.releaseBatch(workId(*m_job, m_item), end);
+    m_context.broker.releaseBatch(taskId(*m_job, m_item), end);
 }
 
 void ItemRun::abandon()
@@ -288,7 +289,7 @@
         return;
     if (m_state == State::Running)
         m_context.upstreams.cancel(m_call);
-    m_context.broker.withdrawBatch(workId(*m_job, m_item));
+    m_context.broker.cancelBatch(taskId(*m_job, m_item));
     finish(wire::ItemOutcome::DeadLettered, "the item was not done in time");
 }
 
@@ -299,7 +300,7 @@
             m_context.loop.timers().subscribeOnce(silenceLimit, [self = shared_from_this()] {
                 self->m_silenceTimer = 0;
                 if (self->m_state == State::Running)
-                    self->tryFailed("the upstream is silent", PlaceEnd::Failed);
+                    self->attemptFailed("the upstream is silent", ReleaseReason::Failed);
             });
 }
 
@@ -340,7 +341,7 @@
         return;
     if (m_state == State::Running)
         m_context.upstreams.cancel(m_call);
-    m_context.broker.withdrawBatch(workId(*m_job, m_item));
+    m_context.broker.cancelBatch(taskId(*m_job, m_item));
     m_state = State::Ended;
     for (TimerService::TimerId *timer : {&m_abandonTimer, &m_backoffTimer, &m_silenceTimer})
         cancelTimer(*timer);
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -19,7 +19,7 @@
     /// Receives the result, once.
     using Done = std::function<void(wire::ItemResult result)>;
 
-    ItemRun(const ExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
+    ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
             const wire::JobItem &item, Done done);
 
     /// Goes on after \a progress instead of at the beginning. Before setDeployment().
@@ -49,20 +49,20 @@
     void yielded();
     bool noteHead(const net::ResponseHead &head);
     void noteBody(std::string_view bytes);
-    void callEnded(net::CallEnd end);
-    void tryFailed(std::string_view reason, policy::PlaceEnd end);
+    void callEnded(net::CallStatus end);
+    void attemptFailed(std::string_view reason, policy::ReleaseReason end);
     void completed();
     void finish(wire::ItemOutcome outcome, std::string_view reason);
     void abandon();
     void armSilenceTimer();
-    void leaveUpstream(policy::PlaceEnd end);
+    void leaveUpstream(policy::ReleaseReason end);
     /// Time for which the item has held places, the present one included.
     absl::Duration served() const;
     /// Ends the count of the present place. One that brought nothing does not count.
     void stopServing();
     void cancelTimer(TimerService::TimerId &timer);
 
-    const ExecutorContext &m_context;
+    const JobExecutorContext &m_context;
     const std::shared_ptr<const wire::JobRecord> m_job;
     const wire::JobItem &m_item;
     Done m_done;
@@ -70,9 +70,9 @@
     State m_state = State::Idle;
 
     std::string m_upstream;
-    net::UpstreamPool::CallId m_call = 0;
+    net::ConnectionPool::CallId m_call = 0;
     net::ResponseHead m_head;
-    serving::AnswerFacts m_facts;
+    serving::ResponseInfo m_facts;
     bool m_hasHead = false;
     serving::EventSplitter m_splitter;
     serving::StreamPosition m_position{std::nullopt};
--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -188,8 +188,8 @@
                   });
 }
 
-void JobClient::end(const wire::EndJobRequest &request, absl::Duration timeout,
-                    Callback<Done> callback)
+void JobClient::cancel(const wire::EndJobRequest &request, absl::Duration timeout,
+                       Callback<Done> callback)
 {
     m_impl->start(wire::Method::EndJob, wire::encode(request), timeout, absl::ZeroDuration(),
                   [callback = std::move(callback)](const Outcome<std::string> &outcome) {
--- a/src/jobs/jobexecutor.cpp
+++ b/src/jobs/jobexecutor.cpp
@@ -25,7 +25,7 @@
 {
     using Runs = std::map<std::string, std::shared_ptr<ItemRun>>;
 
-    explicit Impl(const ExecutorContext &context)
+    explicit Impl(const JobExecutorContext &context)
         : context(context)
     {}
 
@@ -172,7 +172,7 @@
         }
     }
 
-    const ExecutorContext context;
+    const JobExecutorContext context;
     std::shared_ptr<const serving::DeploymentIndex> deployment;
     std::map<std::string, Runs> jobs;
     /// Jobs that were ended under this leadership; a list of open jobs may be older than an end.
@@ -184,13 +184,13 @@
     bool isStoring = false;
 };
 
-JobExecutor::JobExecutor(const ExecutorContext &context)
+JobExecutor::JobExecutor(const JobExecutorContext &context)
     : m_impl(std::make_shared<Impl>(context))
 {}
 
 JobExecutor::~JobExecutor()
 {
-    clear();
+    stopAll();
 }
 
 void JobExecutor::setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment)
@@ -201,7 +201,7 @@
         m_impl->startRuns(runs);
 }
 
-void JobExecutor::onStored(std::function<void(const std::string &job)> listener)
+void JobExecutor::onResultStored(std::function<void(const std::string &job)> listener)
 {
     m_impl->storedListener = std::move(listener);
 }
@@ -211,17 +211,17 @@
     m_impl->add(job);
 }
 
-void JobExecutor::end(const std::string &job)
+void JobExecutor::cancel(const std::string &job)
 {
     m_impl->end(job);
 }
 
-void JobExecutor::clear()
+void JobExecutor::stopAll()
 {
     m_impl->clear();
 }
 
-std::size_t JobExecutor::openItems() const
+std::size_t JobExecutor::openItemCount() const
 {
     std::size_t count = 0;
     for (const auto &[job, runs] : m_impl->jobs)
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -28,13 +28,13 @@
     struct WaitingRead
     {
         wire::ReadJobRequest request;
-        peer::Reply reply;
+        peer::ResponseCallback reply;
         absl::Time due;
     };
 
-    using Handler = void (Impl::*)(const std::string &body, peer::Reply reply);
+    using Handler = void (Impl::*)(const std::string &body, peer::ResponseCallback reply);
 
-    Impl(const ExecutorContext &context, JobExecutor &executor)
+    Impl(const JobExecutorContext &context, JobExecutor &executor)
         : context(context)
         , executor(executor)
     {}
@@ -46,19 +46,20 @@
 
     /// Decodes a request for a handler that needs leadership; nothing when it was answered.
     template <typename Message>
-    std::optional<Message> decodeFor(const std::string &body, const peer::Reply &reply) const
+    std::optional<Message> decodeFor(const std::string &body,
+                                     const peer::ResponseCallback &reply) const
     {
         auto request = outcomeOf([&] { return wire::decode<Message>(body); });
         if (!request.ok())
             reply(request.failure());
-        else if (!isReady || !context.replica.leads())
+        else if (!isReady || !context.replica.isLeader())
             reply(notLeader());
         else
             return std::move(request.value());
         return std::nullopt;
     }
 
-    void submit(const std::string &body, peer::Reply reply)
+    void submit(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = decodeFor<wire::SubmitJobRequest>(body, reply);
         if (!request)
@@ -80,7 +81,7 @@
                                 });
     }
 
-    void accepted(const wire::JobRecord &job, const peer::Reply &reply,
+    void accepted(const wire::JobRecord &job, const peer::ResponseCallback &reply,
                   const Outcome<std::string> &outcome)
     {
         const auto result = outcome.ok() ? outcomeOf([&] {
@@ -112,7 +113,7 @@
         reply(std::string());
     }
 
-    void read(const std::string &body, peer::Reply reply)
+    void read(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = decodeFor<wire::ReadJobRequest>(body, reply);
         if (!request)
@@ -194,14 +195,14 @@
             readNow(read);
     }
 
-    void readItem(const std::string &body, peer::Reply reply)
+    void readItem(const std::string &body, peer::ResponseCallback reply)
     {
         const auto request = decodeFor<wire::ReadItemRequest>(body, reply);
         if (request)
             context.replica.read(wire::encode(wire::JobQuery{*request}), std::move(reply));
     }
 
-    void end(const std::string &body, peer::Reply reply)
+    void end(const std::string &body, peer::ResponseCallback reply)
     {
         const auto request = decodeFor<wire::EndJobRequest>(body, reply);
         if (!request)
@@ -215,17 +216,17 @@
                         {{"job", job},
                          {"code", outcome.ok() ? "ok" : name(outcome.failure().code)}});
                     if (outcome.ok())
-                        self->executor.end(job);
+                        self->executor.cancel(job);
                     reply(outcome);
                 });
     }
 
-    void leadChanged(bool leads)
+    void leadershipChanged(bool leads)
     {
         isReady = false;
         isTakenOver = false;
         ++leadership;
-        executor.clear();
+        executor.stopAll();
         const auto waiting = std::exchange(reads, {});
         for (const WaitingRead &read : waiting)
             read.reply(notLeader());
@@ -237,7 +238,7 @@
     /// committed before this leader's term.
     void listOpen()
     {
-        if (!context.replica.leads())
+        if (!context.replica.isLeader())
             return;
         context.replica.read(wire::encode(wire::JobQuery{wire::ListOpenJobs{}}),
                              [self = shared_from_this()](const Outcome<std::string> &outcome) {
@@ -247,7 +248,7 @@
 
     void listed(const Outcome<std::string> &outcome)
     {
-        if (!context.replica.leads())
+        if (!context.replica.isLeader())
             return;
         const auto open =
                 outcome.ok()
@@ -283,7 +284,7 @@
 
     void forget()
     {
-        if (!isReady || !context.replica.leads())
+        if (!isReady || !context.replica.isLeader())
             return;
         const wire::ForgetJobs operation{
                 absl::ToUnixMillis(context.clock.wallNow() - keepFinished)};
@@ -295,7 +296,7 @@
                                 });
     }
 
-    const ExecutorContext context;
+    const JobExecutorContext context;
     JobExecutor &executor;
     std::shared_ptr<const serving::DeploymentIndex> deployment;
     bool isReady = false;
@@ -308,12 +309,13 @@
     TimerService::TimerId forgetTimer = 0;
 };
 
-JobService::JobService(const ExecutorContext &context, JobExecutor &executor)
+JobService::JobService(const JobExecutorContext &context, JobExecutor &executor)
     : m_impl(std::make_shared<Impl>(context, executor))
 {
     m_impl->forgetTimer = context.loop.timers().subscribeEvery(
             forgetPeriod, [impl = m_impl.get()] { impl->forget(); });
-    executor.onStored([impl = m_impl.get()](const std::string &job) { impl->resultStored(job); });
+    executor.onResultStored(
+            [impl = m_impl.get()](const std::string &job) { impl->resultStored(job); });
 }
 
 JobService::~JobService()
@@ -325,7 +327,7 @@
 {
     const auto serve = [&server, impl = m_impl](wire::Method method, Impl::Handler handler) {
         server.handle(method, [impl, handler](const peer::PeerIdentity &, std::string body,
-                                              peer::Reply reply) {
+                                              peer::ResponseCallback reply) {
             impl->context.loop.post(
                     [impl, handler, body = std::move(body), reply = std::move(reply)] {
                         (impl.get()->*handler)(body, reply);
@@ -343,9 +345,9 @@
     m_impl->deployment = std::move(deployment);
 }
 
-void JobService::leadChanged(bool leads)
+void JobService::leadershipChanged(bool leads)
 {
-    m_impl->leadChanged(leads);
+    m_impl->leadershipChanged(leads);
 }
 
 void JobService::stop()
--- a/src/jobs/jobstatemachine.cpp
+++ b/src/jobs/jobstatemachine.cpp
@@ -27,7 +27,7 @@
 
 std::string JobStateMachine::apply(std::uint64_t, std::string_view command)
 {
-    return wire::encodeAnswer(outcomeOf([&]() -> Result<wire::JobCommandResult> {
+    return wire::encodeCommandResult(outcomeOf([&]() -> Result<wire::JobCommandResult> {
         BOOST_LEAF_AUTO(decoded, wire::decode<wire::JobCommand>(command));
         return std::visit([this](const auto &operation) { return perform(operation); },
                           decoded.operation);
@@ -160,13 +160,13 @@
 {
     const auto decoded = outcomeOf([&] { return wire::decode<wire::JobQuery>(query); });
     if (!decoded.ok())
-        return wire::encodeAnswer(Outcome<wire::OpenJobs>(decoded.failure()));
+        return wire::encodeCommandResult(Outcome<wire::OpenJobs>(decoded.failure()));
     return std::visit([this](const auto &kind) { return answer(kind); }, decoded.value().query);
 }
 
 std::string JobStateMachine::answer(const wire::ReadJobRequest &query) const
 {
-    return wire::encodeAnswer(outcomeOf([&]() -> Result<wire::ReadJobResponse> {
+    return wire::encodeCommandResult(outcomeOf([&]() -> Result<wire::ReadJobResponse> {
         BOOST_LEAF_AUTO(job, find(query.workspace, query.job));
         wire::ReadJobResponse response;
         response.total = static_cast<std::int64_t>(job->record.items.size());
@@ -189,7 +189,7 @@
 
 std::string JobStateMachine::answer(const wire::ReadItemRequest &query) const
 {
-    return wire::encodeAnswer(outcomeOf([&]() -> Result<wire::ReadItemResponse> {
+    return wire::encodeCommandResult(outcomeOf([&]() -> Result<wire::ReadItemResponse> {
         BOOST_LEAF_AUTO(job, find(query.workspace, query.job));
         for (const wire::JobItem &item : job->record.items) {
             if (item.id == query.item)
@@ -208,7 +208,7 @@
             open.jobs.push_back(
                     {job.record, {job.finished.begin(), job.finished.end()}, progressOf(job)});
     }
-    return wire::encodeAnswer(Outcome<wire::OpenJobs>(std::move(open)));
+    return wire::encodeCommandResult(Outcome<wire::OpenJobs>(std::move(open)));
 }
 
 std::string JobStateMachine::snapshot() const
--- a/src/net/upstreampool.cpp
+++ b/src/net/connectionpool.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/net/upstreampool.h"
+#include "rattanrill/net/connectionpool.h"
 
 #include "upstreamconnection.h"
 
@@ -14,24 +14,24 @@
 namespace rattanrill::net {
 namespace {
 
-constexpr std::array<EnumName<CallEnd>, 3> callEndNames = {{
-        {CallEnd::Complete, "complete"},
-        {CallEnd::NotConnected, "not_connected"},
-        {CallEnd::Broken, "broken"},
+constexpr std::array<EnumName<CallStatus>, 3> callEndNames = {{
+        {CallStatus::Complete, "complete"},
+        {CallStatus::NotConnected, "not_connected"},
+        {CallStatus::Broken, "broken"},
 }};
 
 using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
 } // namespace
 
-std::string_view name(CallEnd end)
+std::string_view name(CallStatus end)
 {
     return nameOf(callEndNames, end);
 }
 
-struct UpstreamPool::Impl : std::enable_shared_from_this<UpstreamPool::Impl>
+struct ConnectionPool::Impl : std::enable_shared_from_this<ConnectionPool::Impl>
 {
-    Impl(EventLoop &loop, UpstreamPoolOptions options)
+    Impl(EventLoop &loop, ConnectionPoolOptions options)
         : loop(loop)
         , options(options)
     {}
@@ -77,24 +77,24 @@
     }
 
     EventLoop &loop;
-    const UpstreamPoolOptions options;
+    const ConnectionPoolOptions options;
     std::map<std::string, std::vector<ConnectionPtr>> idle;
     std::map<CallId, ConnectionPtr> calls;
     CallId nextId = 1;
     std::uint64_t made = 0;
 };
 
-UpstreamPool::UpstreamPool(EventLoop &loop, UpstreamPoolOptions options)
+ConnectionPool::ConnectionPool(EventLoop &loop, ConnectionPoolOptions options)
     : m_impl(std::make_shared<Impl>(loop, options))
 {}
 
-UpstreamPool::~UpstreamPool()
+ConnectionPool::~ConnectionPool()
 {
     stop();
 }
 
-UpstreamPool::CallId UpstreamPool::call(const std::string &address, std::string request,
-                                        CallHandlers handlers)
+ConnectionPool::CallId ConnectionPool::call(const std::string &address, std::string request,
+                                            CallHandlers handlers)
 {
     const CallId id = m_impl->nextId++;
     ConnectionPtr connection = m_impl->take(address);
@@ -102,7 +102,7 @@
         connection = m_impl->make(address);
     m_impl->calls[id] = connection;
     handlers.end = [weak = std::weak_ptr<Impl>(m_impl), id,
-                    end = std::move(handlers.end)](CallEnd result) {
+                    end = std::move(handlers.end)](CallStatus result) {
         if (const auto impl = weak.lock())
             impl->calls.erase(id);
         end(result);
@@ -111,7 +111,7 @@
     return id;
 }
 
-void UpstreamPool::cancel(CallId call)
+void ConnectionPool::cancel(CallId call)
 {
     const auto found = m_impl->calls.find(call);
     if (found == m_impl->calls.end())
@@ -121,7 +121,7 @@
     connection->close();
 }
 
-void UpstreamPool::drop(const std::string &address)
+void ConnectionPool::drop(const std::string &address)
 {
     const auto kept = std::exchange(m_impl->idle[address], {});
     for (const ConnectionPtr &connection : kept)
@@ -129,12 +129,12 @@
     m_impl->idle.erase(address);
 }
 
-std::uint64_t UpstreamPool::connectionsMade() const
+std::uint64_t ConnectionPool::connectionsMade() const
 {
     return m_impl->made;
 }
 
-void UpstreamPool::stop()
+void ConnectionPool::stop()
 {
     const auto calls = std::exchange(m_impl->calls, {});
     for (const auto &[id, connection] : calls)
--- a/src/net/requestreader.cpp
+++ b/src/net/requestparser.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/net/requestreader.h"
+#include "rattanrill/net/requestparser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -27,24 +27,24 @@
 
 } // namespace
 
-struct RequestReader::Parser
+struct RequestParser::Parser
 {
     http::request_parser<http::string_body> parser;
 };
 
-RequestReader::RequestReader(RequestLimits limits)
+RequestParser::RequestParser(RequestLimits limits)
     : m_limits(limits)
 {}
 
-RequestReader::~RequestReader() = default;
+RequestParser::~RequestParser() = default;
 
-void RequestReader::feed(std::string_view bytes)
+void RequestParser::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
     parse();
 }
 
-void RequestReader::startRequest()
+void RequestParser::startRequest()
 {
     m_parser = std::make_unique<Parser>();
     m_parser->parser.eager(true);
@@ -54,7 +54,7 @@
     m_state = State::Header;
 }
 
-void RequestReader::parse()
+void RequestParser::parse()
 {
     if (m_state == State::Complete || m_state == State::Refused || m_pending.empty())
         return;
@@ -86,7 +86,7 @@
 }
 
 /// Refuses what two readers could frame or route differently.
-void RequestReader::checkHeader()
+void RequestParser::checkHeader()
 {
     m_headerChecked = true;
     const auto &message = m_parser->parser.get();
@@ -106,20 +106,20 @@
     m_wantsContinue = message.count(http::field::expect) > 0;
 }
 
-bool RequestReader::wantsContinue()
+bool RequestParser::wantsContinue()
 {
     const bool wants = m_wantsContinue && m_state == State::Body;
     m_wantsContinue = m_wantsContinue && !wants;
     return wants;
 }
 
-void RequestReader::refuse(int status)
+void RequestParser::refuse(int status)
 {
     m_state = State::Refused;
     m_status = status;
 }
 
-Request RequestReader::take()
+Request RequestParser::take()
 {
     auto message = m_parser->parser.release();
     Request request;
--- a/src/net/responsereader.cpp
+++ b/src/net/responseparser.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/net/responsereader.h"
+#include "rattanrill/net/responseparser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -22,20 +22,20 @@
 
 } // namespace
 
-struct ResponseReader::Parser
+struct ResponseParser::Parser
 {
     http::response_parser<http::string_body> parser;
 };
 
-ResponseReader::ResponseReader(Handlers handlers)
+ResponseParser::ResponseParser(Handlers handlers)
     : m_handlers(std::move(handlers))
 {
     startResponse();
 }
 
-ResponseReader::~ResponseReader() = default;
+ResponseParser::~ResponseParser() = default;
 
-void ResponseReader::startResponse()
+void ResponseParser::startResponse()
 {
     m_parser = std::make_unique<Parser>();
     m_parser->parser.eager(true);
@@ -46,7 +46,7 @@
     m_isOwn = true;
 }
 
-void ResponseReader::feed(std::string_view bytes)
+void ResponseParser::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
     while (m_state == State::Reading && !m_pending.empty() && step()) {
@@ -54,7 +54,7 @@
 }
 
 /// Returns false when more bytes are needed.
-bool ResponseReader::step()
+bool ResponseParser::step()
 {
     auto &parser = m_parser->parser;
     boost::system::error_code error;
@@ -76,7 +76,7 @@
     return used > 0 && error != http::error::need_more;
 }
 
-void ResponseReader::noteHeader()
+void ResponseParser::noteHeader()
 {
     if (m_headerSeen)
         return;
@@ -91,7 +91,7 @@
     m_isOwn = !isInterim && m_handlers.head(head);
 }
 
-void ResponseReader::passBody()
+void ResponseParser::passBody()
 {
     std::string piece;
     piece.swap(m_parser->parser.get().body());
@@ -99,7 +99,7 @@
         m_handlers.body(piece);
 }
 
-void ResponseReader::noteDone()
+void ResponseParser::noteDone()
 {
     if (!m_isOwn) {
         startResponse();
@@ -109,7 +109,7 @@
     m_state = State::Complete;
 }
 
-void ResponseReader::end()
+void ResponseParser::end()
 {
     if (m_state != State::Reading)
         return;
--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -44,7 +44,7 @@
 
 bool ServerConnection::isIdle() const
 {
-    return m_phase == Phase::Idle && m_reader.state() == RequestReader::State::Idle;
+    return m_phase == Phase::Idle && m_reader.state() == RequestParser::State::Idle;
 }
 
 void ServerConnection::read()
@@ -78,22 +78,22 @@
 {
     const Phase before = m_phase;
     switch (m_reader.state()) {
-    case RequestReader::State::Idle:
+    case RequestParser::State::Idle:
         return;
-    case RequestReader::State::Header:
+    case RequestParser::State::Header:
         m_phase = Phase::Header;
         if (before == Phase::Idle)
             armTimer(m_shared->limits.headerTimeout);
         return;
-    case RequestReader::State::Body:
+    case RequestParser::State::Body:
         m_phase = Phase::Body;
         armTimer(m_shared->limits.idleTimeout);
         if (m_reader.wantsContinue())
             send("HTTP/1.1 100 Continue\r\n\r\n");
         return;
-    case RequestReader::State::Complete:
+    case RequestParser::State::Complete:
         return serve();
-    case RequestReader::State::Refused:
+    case RequestParser::State::Refused:
         return refuse(m_reader.status());
     }
 }
--- a/src/net/serverconnection.h
+++ b/src/net/serverconnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/net/requestreader.h"
+#include "rattanrill/net/requestparser.h"
 #include "rattanrill/net/server.h"
 
 #include <boost/asio/ip/tcp.hpp>
@@ -76,7 +76,7 @@
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     std::shared_ptr<ServerShared> m_shared;
-    RequestReader m_reader;
+    RequestParser m_reader;
     std::array<char, 8192> m_buffer;
     Phase m_phase = Phase::Idle;
     std::string m_output;
--- a/src/net/serverexchange.h
+++ b/src/net/serverexchange.h
@@ -26,7 +26,10 @@
 
     const Request &request() const override { return m_request; }
     absl::Time receivedAt() const override { return m_receivedAt; }
-    void onClientGone(std::function<void()> handler) override { m_gone = std::move(handler); }
+    void onClientDisconnected(std::function<void()> handler) override
+    {
+        m_gone = std::move(handler);
+    }
 
     void respond(Response response) override
     {
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 UpstreamConnection::UpstreamConnection(boost::asio::io_context &context, std::string address,
-                                       UpstreamPoolOptions options, Listener listener)
+                                       ConnectionPoolOptions options, Listener listener)
     : m_socket(context)
     , m_timer(context)
     , m_address(std::move(address))
@@ -52,7 +52,7 @@
     m_output = std::move(request);
     m_handlers = std::make_shared<CallHandlers>(std::move(handlers));
     const bool isNew = m_state == State::New;
-    ResponseReader::Handlers reading;
+    ResponseParser::Handlers reading;
     reading.head = [this](const ResponseHead &head) { return noteHead(head); };
     reading.body = [this](std::string_view bytes) {
         // A handler may close the connection while it runs.
@@ -80,14 +80,14 @@
         m_socket.open(endpoint.protocol(), error);
     if (!parsed.ok() || error) {
         boost::asio::post(m_socket.get_executor(),
-                          [self = shared_from_this()] { self->fail(CallEnd::NotConnected); });
+                          [self = shared_from_this()] { self->fail(CallStatus::NotConnected); });
         return;
     }
     prepareSocket(m_socket);
     m_timer.expires_after(absl::ToChronoNanoseconds(m_options.connectTimeout));
     m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &timerError) {
         if (!timerError && self->m_state == State::Connecting)
-            self->fail(CallEnd::NotConnected);
+            self->fail(CallStatus::NotConnected);
     });
     m_socket.async_connect(endpoint,
                            [self = shared_from_this()](const boost::system::error_code &result) {
@@ -101,7 +101,7 @@
         return;
     m_timer.cancel();
     if (error)
-        return fail(CallEnd::NotConnected);
+        return fail(CallStatus::NotConnected);
     m_state = State::Calling;
     read();
     send();
@@ -146,10 +146,10 @@
         m_reader->feed(std::string_view(m_buffer.data(), bytes));
     if (m_state != State::Calling)
         return;
-    if (m_reader->state() == ResponseReader::State::Complete)
+    if (m_reader->state() == ResponseParser::State::Complete)
         return finish();
-    if (error || m_reader->state() == ResponseReader::State::Broken)
-        return fail(CallEnd::Broken);
+    if (error || m_reader->state() == ResponseParser::State::Broken)
+        return fail(CallStatus::Broken);
     read();
 }
 
@@ -175,10 +175,10 @@
         close();
     }
     if (handlers)
-        handlers->end(CallEnd::Complete);
+        handlers->end(CallStatus::Complete);
 }
 
-void UpstreamConnection::fail(CallEnd end)
+void UpstreamConnection::fail(CallStatus end)
 {
     if (m_state == State::Closed)
         return;
--- a/src/net/upstreamconnection.h
+++ b/src/net/upstreamconnection.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "rattanrill/net/responsereader.h"
-#include "rattanrill/net/upstreampool.h"
+#include "rattanrill/net/connectionpool.h"
+#include "rattanrill/net/responseparser.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -23,7 +23,7 @@
     using Listener = std::function<void(const std::shared_ptr<UpstreamConnection> &, bool idle)>;
 
     UpstreamConnection(boost::asio::io_context &context, std::string address,
-                       UpstreamPoolOptions options, Listener listener);
+                       ConnectionPoolOptions options, Listener listener);
 
     /// Only on a new or idle connection.
     void call(std::string request, CallHandlers handlers);
@@ -48,16 +48,16 @@
     void received(const boost::system::error_code &error, std::size_t bytes);
     bool noteHead(const ResponseHead &head);
     void finish();
-    void fail(CallEnd end);
+    void fail(CallStatus end);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     const std::string m_address;
-    const UpstreamPoolOptions m_options;
+    const ConnectionPoolOptions m_options;
     Listener m_listener;
     State m_state = State::New;
     std::string m_output;
-    std::optional<ResponseReader> m_reader;
+    std::optional<ResponseParser> m_reader;
     std::shared_ptr<CallHandlers> m_handlers;
     std::array<char, 16384> m_buffer;
     absl::Duration m_keep;
--- a/src/peer/channel.cpp
+++ b/src/peer/channel.cpp
@@ -20,14 +20,15 @@
     close();
 }
 
-void Channel::call(wire::Method method, std::string body, absl::Duration timeout, Reply reply)
+void Channel::call(wire::Method method, std::string body, absl::Duration timeout,
+                   ResponseCallback reply)
 {
     m_impl->core->call(method, std::move(body), timeout, std::move(reply));
 }
 
-void Channel::push(wire::Method method, std::string body)
+void Channel::sendOneWay(wire::Method method, std::string body)
 {
-    m_impl->core->push(method, std::move(body));
+    m_impl->core->sendOneWay(method, std::move(body));
 }
 
 const std::string &Channel::address() const
--- a/src/peer/channelcore.cpp
+++ b/src/peer/channelcore.cpp
@@ -38,7 +38,8 @@
     , m_keepAliveTimer(m_network.service())
 {}
 
-void ChannelCore::call(wire::Method method, std::string body, absl::Duration timeout, Reply reply)
+void ChannelCore::call(wire::Method method, std::string body, absl::Duration timeout,
+                       ResponseCallback reply)
 {
     wire::Envelope envelope;
     envelope.kind = wire::EnvelopeKind::Request;
@@ -61,7 +62,7 @@
                notRun(ErrorCode::QueueFull, concat("send queue to ", m_address, " is full")));
 }
 
-void ChannelCore::push(wire::Method method, std::string body)
+void ChannelCore::sendOneWay(wire::Method method, std::string body)
 {
     wire::Envelope envelope;
     envelope.kind = wire::EnvelopeKind::Push;
@@ -110,7 +111,7 @@
 }
 
 /// Replies on the network thread, or here when the channel is closed.
-void ChannelCore::refuse(Reply reply, Failure failure)
+void ChannelCore::refuse(ResponseCallback reply, Failure failure)
 {
     {
         absl::MutexLock lock(&m_mutex);
@@ -130,7 +131,7 @@
 }
 
 void ChannelCore::startCall(std::uint64_t id, std::string frame, absl::Duration timeout,
-                            Reply reply)
+                            ResponseCallback reply)
 {
     if (m_state == State::Closed)
         return reply(notRun(ErrorCode::Stopped, concat("channel to ", m_address, " is closed")));
--- a/src/peer/channelcore.h
+++ b/src/peer/channelcore.h
@@ -23,8 +23,9 @@
 public:
     ChannelCore(TransportOptions options, std::string address);
 
-    void call(wire::Method method, std::string body, absl::Duration timeout, Reply reply);
-    void push(wire::Method method, std::string body);
+    void call(wire::Method method, std::string body, absl::Duration timeout,
+              ResponseCallback reply);
+    void sendOneWay(wire::Method method, std::string body);
     void close();
     const std::string &address() const { return m_address; }
     bool connected() const { return m_connected; }
@@ -43,16 +44,17 @@
 
     struct Call
     {
-        Reply reply;
+        ResponseCallback reply;
         std::string frame;
         bool sent = false;
         std::unique_ptr<Timer> timer;
     };
 
     bool post(std::size_t bytes, std::function<void()> task);
-    void refuse(Reply reply, Failure failure);
+    void refuse(ResponseCallback reply, Failure failure);
     void releasePosted(std::size_t bytes);
-    void startCall(std::uint64_t id, std::string frame, absl::Duration timeout, Reply reply);
+    void startCall(std::uint64_t id, std::string frame, absl::Duration timeout,
+                   ResponseCallback reply);
     void startPush(const std::string &frame);
     void sendCall(std::uint64_t id);
     void expire(std::uint64_t id);
--- a/src/peer/channelpool.cpp
+++ b/src/peer/channelpool.cpp
@@ -44,7 +44,7 @@
     return channel;
 }
 
-void ChannelPool::drop(const std::string &address)
+void ChannelPool::remove(const std::string &address)
 {
     std::shared_ptr<Channel> channel;
     {
--- a/src/peer/serverconnection.cpp
+++ b/src/peer/serverconnection.cpp
@@ -156,7 +156,7 @@
     const bool isRequest = envelope.kind == wire::EnvelopeKind::Request;
     if (!isRequest && envelope.kind != wire::EnvelopeKind::Push)
         return;
-    const Handler *handler = m_server->handlerOf(envelope.method);
+    const MethodHandler *handler = m_server->handlerOf(envelope.method);
     if (handler == nullptr) {
         if (isRequest)
             sendResponse(
--- a/src/peer/servercore.cpp
+++ b/src/peer/servercore.cpp
@@ -17,7 +17,7 @@
     stop();
 }
 
-void ServerCore::handle(wire::Method method, Handler handler)
+void ServerCore::handle(wire::Method method, MethodHandler handler)
 {
     m_handlers[method] = std::move(handler);
 }
@@ -67,7 +67,7 @@
     connection->start();
 }
 
-const Handler *ServerCore::handlerOf(wire::Method method) const
+const MethodHandler *ServerCore::handlerOf(wire::Method method) const
 {
     const auto found = m_handlers.find(method);
     return found == m_handlers.end() ? nullptr : &found->second;
--- a/src/peer/servercore.h
+++ b/src/peer/servercore.h
@@ -20,7 +20,7 @@
     explicit ServerCore(TransportOptions options);
     ~ServerCore();
 
-    void handle(wire::Method method, Handler handler);
+    void handle(wire::Method method, MethodHandler handler);
     Result<void> start(const std::string &host, int port);
     int port() const { return m_port; }
     void stop();
@@ -28,7 +28,7 @@
     const TransportOptions &options() const { return m_options; }
     boost::asio::io_service &service() { return m_service; }
     /// Handler of \a method; null when there is none.
-    const Handler *handlerOf(wire::Method method) const;
+    const MethodHandler *handlerOf(wire::Method method) const;
     /// Called by a connection on the network thread when it has ended.
     void forget(const ServerConnection *connection);
 
@@ -38,7 +38,7 @@
     void closeAll();
 
     const TransportOptions m_options;
-    std::map<wire::Method, Handler> m_handlers;
+    std::map<wire::Method, MethodHandler> m_handlers;
     boost::asio::io_service m_service;
     WebsocketServer m_endpoint;
     std::map<const ServerConnection *, std::shared_ptr<ServerConnection>> m_connections;
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -36,8 +36,8 @@
     return m_reserveDeviations * std::sqrt(arrivals) + 1;
 }
 
-int BatchAllowance::room(const EngineRecord &engine, double onlineRatePerEngine,
-                         double unseenOnline, std::size_t entries) const
+int BatchAllowance::batchCapacity(const EngineRecord &engine, double onlineRatePerEngine,
+                                  double unseenOnline, std::size_t entries) const
 {
     const EngineState &state = engine.state;
     if (!state.hasReport() || state.expectedKvShare(entries) > kvLimit)
@@ -47,8 +47,8 @@
     const auto reported = static_cast<double>(state.load().running + state.load().waiting);
     const double share =
             (limit - reported) / static_cast<double>(std::max<std::size_t>(entries, 1));
-    const auto own = static_cast<double>(state.ownChange(WorkKind::Online)
-                                         + state.ownChange(WorkKind::Batch));
+    const auto own = static_cast<double>(state.ownChange(TaskKind::Online)
+                                         + state.ownChange(TaskKind::Batch));
     return static_cast<int>(std::floor(share - own + engine.rounding));
 }
 
--- a/src/policy/batchallowance.h
+++ b/src/policy/batchallowance.h
@@ -24,8 +24,8 @@
     /// Batch works that this entry may start on \a engine now, as far as slots are concerned; not
     /// above 0 when the reserve is touched. Every entry takes its share of the free slots, so that
     /// all of them together do not overshoot.
-    int room(const EngineRecord &engine, double onlineRatePerEngine, double unseenOnline,
-             std::size_t entries) const;
+    int batchCapacity(const EngineRecord &engine, double onlineRatePerEngine, double unseenOnline,
+                      std::size_t entries) const;
     /// Time between two batch starts of this entry on one engine, so that entries do not
     /// start their batch prompts at the same moment. Denser with a larger tail weight, because the
     /// windows for it are shorter.
--- a/src/policy/placement.cpp
+++ b/src/policy/enginereconciler.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/policy/placement.h"
+#include "rattanrill/policy/enginereconciler.h"
 
 #include "rattanrill/base/enumnames.h"
 
@@ -8,61 +8,61 @@
 
 namespace {
 
-constexpr std::array<EnumName<OrderKind>, 4> orderNames{{
-        {OrderKind::LoadModel, "load_model"},
-        {OrderKind::LoadAdapter, "load_adapter"},
-        {OrderKind::LoadVersion, "load_version"},
-        {OrderKind::SetRole, "set_role"},
+constexpr std::array<EnumName<EngineCommandKind>, 4> orderNames{{
+        {EngineCommandKind::LoadModel, "load_model"},
+        {EngineCommandKind::LoadAdapter, "load_adapter"},
+        {EngineCommandKind::LoadVersion, "load_version"},
+        {EngineCommandKind::SetRole, "set_role"},
 }};
 
-bool loadsWeights(OrderKind kind)
+bool loadsWeights(EngineCommandKind kind)
 {
-    return kind != OrderKind::SetRole;
+    return kind != EngineCommandKind::SetRole;
 }
 
 } // namespace
 
-std::string_view name(OrderKind kind)
+std::string_view name(EngineCommandKind kind)
 {
     return nameOf(orderNames, kind);
 }
 
-Placement::Placement(PlacementSettings settings, absl::Time now)
+EngineReconciler::EngineReconciler(EngineReconcilerSettings settings, absl::Time now)
     : m_settings(settings)
     , m_start(now)
     , m_weightLoads(settings.weightLoads, now)
 {}
 
-void Placement::setWanted(absl::Time now, const std::vector<WantedState> &wanted,
-                          std::uint64_t fence)
+void EngineReconciler::setDesired(absl::Time now, const std::vector<DesiredState> &desired,
+                                  std::uint64_t fence)
 {
     m_fence = std::max(m_fence, fence);
     std::map<std::string, Engine, std::less<>> engines;
-    for (const WantedState &state : wanted) {
+    for (const DesiredState &state : desired) {
         const auto known = m_engines.find(state.engine);
         const bool isNew = known == m_engines.end();
         Engine &engine = engines[state.engine];
         if (!isNew)
             engine = std::move(known->second);
         else
-            engine.quietUntil = std::max(m_start, now) + m_settings.orderLifetime;
-        engine.wanted = state;
+            engine.quietUntil = std::max(m_start, now) + m_settings.commandLifetime;
+        engine.desired = state;
     }
     m_engines = std::move(engines);
 }
 
-std::vector<EngineOrder> Placement::decide(absl::Time now)
+std::vector<EngineCommand> EngineReconciler::decide(absl::Time now)
 {
-    std::vector<EngineOrder> orders;
+    std::vector<EngineCommand> orders;
     for (auto &[engineName, engine] : m_engines) {
-        std::optional<EngineOrder> order = nextOrder(now, engine);
+        std::optional<EngineCommand> order = nextOrder(now, engine);
         if (order)
             orders.push_back(*std::move(order));
     }
     return orders;
 }
 
-void Placement::answered(absl::Time now, const EngineOrder &order, bool accepted)
+void EngineReconciler::answered(absl::Time now, const EngineCommand &order, bool accepted)
 {
     const auto found = m_engines.find(order.engine);
     if (found == m_engines.end())
@@ -77,7 +77,7 @@
         engine.confirmed[order.kind] = order.name;
 }
 
-void Placement::unanswered(absl::Time now, const EngineOrder &order)
+void EngineReconciler::timedOut(absl::Time now, const EngineCommand &order)
 {
     const auto found = m_engines.find(order.engine);
     if (found == m_engines.end())
@@ -86,29 +86,29 @@
     engine.outstanding.reset();
     // The order may have been carried out or not, so its kind is open again.
     engine.confirmed.erase(order.kind);
-    engine.quietUntil = now + m_settings.orderLifetime;
+    engine.quietUntil = now + m_settings.commandLifetime;
 }
 
-bool Placement::settled(std::string_view engine) const
+bool EngineReconciler::isConverged(std::string_view engine) const
 {
     const auto found = m_engines.find(engine);
-    return found != m_engines.end() && found->second.confirmed == found->second.wanted.values;
+    return found != m_engines.end() && found->second.confirmed == found->second.desired.values;
 }
 
-std::optional<EngineOrder> Placement::nextOrder(absl::Time now, Engine &engine)
+std::optional<EngineCommand> EngineReconciler::nextOrder(absl::Time now, Engine &engine)
 {
     if (engine.outstanding)
         return std::nullopt;
-    const bool olderMayArrive = now < engine.quietUntil && !engine.wanted.checksFence;
+    const bool olderMayArrive = now < engine.quietUntil && !engine.desired.checksFence;
     if (olderMayArrive)
         return std::nullopt;
-    for (const auto &[kind, value] : engine.wanted.values) {
+    for (const auto &[kind, value] : engine.desired.values) {
         const auto confirmed = engine.confirmed.find(kind);
         if (confirmed != engine.confirmed.end() && confirmed->second == value)
             continue;
         if (loadsWeights(kind) && !m_weightLoads.take(now, 1).granted)
             return std::nullopt;
-        engine.outstanding = EngineOrder{engine.wanted.engine, kind, value, m_fence};
+        engine.outstanding = EngineCommand{engine.desired.engine, kind, value, m_fence};
         return engine.outstanding;
     }
     return std::nullopt;
--- a/src/policy/enginerecord.h
+++ b/src/policy/enginerecord.h
@@ -19,7 +19,7 @@
     {}
 
     EngineState state;
-    std::set<WorkId> running;
+    std::set<TaskId> running;
     int suspectsRunning = 0;
     int preempting = 0;
     /// This entry prefers the engine for online work. Every engine is preferred by few entries, so
