--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -10,7 +10,7 @@
 /// count on.
 constexpr absl::Duration changeMemory = absl::Seconds(5);
 
-std::size_t index(WorkKind kind)
+std::size_t index(TaskKind kind)
 {
     return static_cast<std::size_t>(kind);
 }
@@ -34,34 +34,34 @@
         dropOldestChange();
 }
 
-void EngineState::workStarted(absl::Time now, WorkKind kind, std::int64_t prefillTokens,
+void EngineState::workStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                               std::int64_t totalTokens)
 {
     m_ownPrefill[index(kind)] += prefillTokens;
     addChange({now, kind, 1, totalTokens});
 }
 
-void EngineState::firstToken(WorkKind kind, std::int64_t prefillTokens)
+void EngineState::firstToken(TaskKind kind, std::int64_t prefillTokens)
 {
     m_ownPrefill[index(kind)] -= prefillTokens;
 }
 
-void EngineState::workEnded(absl::Time now, WorkKind kind, std::int64_t totalTokens)
+void EngineState::workEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens)
 {
     addChange({now, kind, -1, -totalTokens});
 }
 
-std::int64_t EngineState::own(WorkKind kind) const
+std::int64_t EngineState::own(TaskKind kind) const
 {
     return m_own[index(kind)];
 }
 
-std::int64_t EngineState::ownPrefill(WorkKind kind) const
+std::int64_t EngineState::ownPrefill(TaskKind kind) const
 {
     return m_ownPrefill[index(kind)];
 }
 
-std::int64_t EngineState::ownChange(WorkKind kind) const
+std::int64_t EngineState::ownChange(TaskKind kind) const
 {
     return m_ownChange[index(kind)];
 }
@@ -69,14 +69,14 @@
 double EngineState::requestsSeen() const
 {
     const std::int64_t reported = m_load.running + m_load.waiting;
-    const std::int64_t own = ownChange(WorkKind::Online) + ownChange(WorkKind::Batch);
+    const std::int64_t own = ownChange(TaskKind::Online) + ownChange(TaskKind::Batch);
     return static_cast<double>(std::max<std::int64_t>(reported + own, 0));
 }
 
 double EngineState::expectedRequests(std::size_t entries) const
 {
     const auto others = static_cast<double>(entries == 0 ? 0 : entries - 1);
-    const auto online = static_cast<double>(ownChange(WorkKind::Online));
+    const auto online = static_cast<double>(ownChange(TaskKind::Online));
     return requestsSeen() + others * std::max(online, 0.0);
 }
 
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -16,41 +16,41 @@
     m_flows[workspace].weight = std::max(weight, smallestWeight);
 }
 
-void FairQueue::push(const std::string &workspace, WorkId work, absl::Time due, Order order)
+void FairQueue::push(const std::string &workspace, TaskId task, absl::Time due, TieBreak tieBreak)
 {
     Flow &flow = m_flows[workspace];
     if (flow.waiting.empty()) {
         flow.virtualTime = std::max(flow.virtualTime, m_virtualTime);
         m_active[{flow.virtualTime, workspace}] = &flow;
     }
-    const Place place{due, order, m_nextSequence++};
-    flow.waiting[place] = work;
-    m_places[work] = {workspace, place};
+    const Position position{due, tieBreak, m_nextSequence++};
+    flow.waiting[position] = task;
+    m_positions[task] = {workspace, position};
     m_virtualTime = std::max(m_virtualTime, m_active.begin()->first.first);
 }
 
-bool FairQueue::remove(WorkId work)
+bool FairQueue::remove(TaskId task)
 {
-    const auto found = m_places.find(work);
-    if (found == m_places.end())
+    const auto found = m_positions.find(task);
+    if (found == m_positions.end())
         return false;
-    const auto [workspace, place] = found->second;
-    m_places.erase(found);
+    const auto [workspace, position] = found->second;
+    m_positions.erase(found);
     Flow &flow = m_flows[workspace];
-    flow.waiting.erase(place);
+    flow.waiting.erase(position);
     if (flow.waiting.empty())
         m_active.erase({flow.virtualTime, workspace});
     return true;
 }
 
-std::optional<WorkId> FairQueue::front() const
+std::optional<TaskId> FairQueue::front() const
 {
     if (m_active.empty())
         return std::nullopt;
     return m_active.begin()->second->waiting.begin()->second;
 }
 
-std::optional<WorkId> FairQueue::back() const
+std::optional<TaskId> FairQueue::back() const
 {
     if (m_active.empty())
         return std::nullopt;
--- a/src/policy/leaseorder.cpp
+++ b/src/policy/leasequeue.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/policy/leaseorder.h"
+#include "rattanrill/policy/leasequeue.h"
 
 namespace rattanrill::policy {
 
@@ -9,16 +9,16 @@
 
 } // namespace
 
-LeaseOrder::LeaseOrder(LeaseOrderSettings settings)
+LeaseQueue::LeaseQueue(LeaseQueueSettings settings)
     : m_settings(settings)
 {}
 
-void LeaseOrder::setWeight(const std::string &workspace, double weight)
+void LeaseQueue::setWeight(const std::string &workspace, double weight)
 {
     m_queue.setWeight(workspace, weight);
 }
 
-void LeaseOrder::push(const std::string &workspace, WorkId item, absl::Time due)
+void LeaseQueue::push(const std::string &workspace, TaskId item, absl::Time due)
 {
     if (!m_items.insert({item, {workspace, due}}).second)
         return;
@@ -27,7 +27,7 @@
     ++m_dueCounts[due];
 }
 
-bool LeaseOrder::remove(WorkId item)
+bool LeaseQueue::remove(TaskId item)
 {
     const auto found = m_items.find(item);
     if (found == m_items.end())
@@ -42,18 +42,18 @@
     return true;
 }
 
-std::optional<WorkId> LeaseOrder::pop(absl::Time now, double tokens)
+std::optional<TaskId> LeaseQueue::pop(absl::Time now, double tokens)
 {
     if (m_byDue.empty())
         return std::nullopt;
-    const WorkId next = isUrgent(now) ? m_byDue.begin()->second : *m_queue.front();
+    const TaskId next = isUrgent(now) ? m_byDue.begin()->second : *m_queue.front();
     const std::string workspace = m_items.at(next).first;
     remove(next);
     m_queue.charge(workspace, tokens);
     return next;
 }
 
-bool LeaseOrder::isUrgent(absl::Time now) const
+bool LeaseQueue::isUrgent(absl::Time now) const
 {
     const absl::Duration slack = m_settings.runTime * m_settings.safetyFactor;
     std::size_t before = 0;
--- a/src/policy/outlierdetector.cpp
+++ b/src/policy/outlierdetector.cpp
@@ -22,7 +22,7 @@
 void OutlierDetector::succeeded(absl::Time now)
 {
     m_failuresInRow = 0;
-    if (now > m_ejectedUntil + m_settings.returnTime)
+    if (now > m_ejectedUntil + m_settings.rampUpTime)
         m_ejections = 0;
 }
 
@@ -43,11 +43,11 @@
         eject(now);
 }
 
-double OutlierDetector::share(absl::Time now) const
+double OutlierDetector::trafficShare(absl::Time now) const
 {
     if (ejected(now))
         return 0;
-    const double back = absl::FDivDuration(now - m_ejectedUntil, m_settings.returnTime);
+    const double back = absl::FDivDuration(now - m_ejectedUntil, m_settings.rampUpTime);
     return std::clamp(firstShare + (1 - firstShare) * back, firstShare, 1.0);
 }
 
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -21,15 +21,15 @@
             continue;
         suspect.held = suspect.held || suspect.upstreams.size() >= m_settings.crashLimit;
         const bool certain = suspect.held || onlyOne;
-        const absl::Time expires = now + (certain ? m_settings.holdTime : m_settings.suspectTime);
+        const absl::Time expires = now + (certain ? m_settings.blockTime : m_settings.suspectTime);
         suspect.expires = std::max(suspect.expires, expires);
         changed.push_back(fingerprint);
     }
     return changed;
 }
 
-void Quarantine::exonerate(const std::string &upstream,
-                           const std::vector<std::string> &fingerprints)
+void Quarantine::retractCrash(const std::string &upstream,
+                              const std::vector<std::string> &fingerprints)
 {
     for (const std::string &fingerprint : fingerprints) {
         const auto found = m_suspects.find(fingerprint);
@@ -58,16 +58,16 @@
     Suspect &suspect = m_suspects[fingerprint];
     suspect.upstreams.insert(crashedUpstreams.begin(), crashedUpstreams.end());
     suspect.held = suspect.held || held || suspect.upstreams.size() >= m_settings.crashLimit;
-    const absl::Duration time = suspect.held ? m_settings.holdTime : m_settings.suspectTime;
+    const absl::Duration time = suspect.held ? m_settings.blockTime : m_settings.suspectTime;
     suspect.expires = std::max(suspect.expires, now + time);
 }
 
-Standing Quarantine::standing(absl::Time now, const std::string &fingerprint) const
+QuarantineStatus Quarantine::status(absl::Time now, const std::string &fingerprint) const
 {
     const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || found->second.expires <= now)
-        return Standing::Clear;
-    return found->second.held ? Standing::Held : Standing::Suspect;
+        return QuarantineStatus::Allowed;
+    return found->second.held ? QuarantineStatus::Blocked : QuarantineStatus::Suspect;
 }
 
 std::size_t Quarantine::crashes(const std::string &fingerprint) const
--- a/src/policy/retrypolicy.cpp
+++ b/src/policy/retrypolicy.cpp
@@ -9,7 +9,7 @@
     , m_budget(settings.budgetMinimum)
 {}
 
-void RetryPolicy::firstTry()
+void RetryPolicy::firstAttempt()
 {
     m_budget = std::min(m_budget + m_settings.budgetShare, m_settings.budgetLimit);
 }
@@ -18,7 +18,7 @@
 {
     if (run == RunState::MayHaveRun && !idempotent)
         return false;
-    if (attempt >= m_settings.tries || m_budget < 1)
+    if (attempt >= m_settings.maxAttempts || m_budget < 1)
         return false;
     m_budget -= 1;
     return true;
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -10,11 +10,11 @@
 /// How much more load counts where places are scarce.
 constexpr double scarcityFactor = 5;
 
-bool isUsable(absl::Time now, const EngineState &engine, const std::vector<std::string> &avoided)
+bool isUsable(absl::Time now, const EngineState &engine, const std::vector<std::string> &excluded)
 {
     const std::string &name = engine.info().name;
     return !engine.info().leaving && !engine.outlier().ejected(now)
-           && std::find(avoided.begin(), avoided.end(), name) == avoided.end();
+           && std::find(excluded.begin(), excluded.end(), name) == excluded.end();
 }
 
 double uniform(std::mt19937_64 &random)
@@ -37,13 +37,13 @@
     , m_failureDomain(std::move(failureDomain))
 {}
 
-int Router::choose(absl::Time now, const Work &work, const std::vector<RouteCandidate> &candidates,
-                   const std::vector<std::string> &avoided, const PrefixIndex &prefixes,
+int Router::choose(absl::Time now, const Task &task, const std::vector<RouteCandidate> &candidates,
+                   const std::vector<std::string> &excluded, const PrefixIndex &prefixes,
                    std::size_t entries, std::mt19937_64 &random) const
 {
     double leastLoad = std::numeric_limits<double>::infinity();
     for (const RouteCandidate &candidate : candidates) {
-        if (isUsable(now, *candidate.engine, avoided))
+        if (isUsable(now, *candidate.engine, excluded))
             leastLoad = std::min(leastLoad, expectedLoad(*candidate.engine, entries));
     }
     int best = -1;
@@ -51,11 +51,11 @@
     double bestCost = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const EngineState &engine = *candidates[i].engine;
-        if (!isUsable(now, engine, avoided))
+        if (!isUsable(now, engine, excluded))
             continue;
-        const bool returning = uniform(random) >= engine.outlier().share(now);
+        const bool returning = uniform(random) >= engine.outlier().trafficShare(now);
         const double extra = candidates[i].extraCost + m_settings.tieNoise * uniform(random);
-        const double cost = this->cost(now, work, engine, leastLoad, prefixes, entries) + extra;
+        const double cost = this->cost(now, task, engine, leastLoad, prefixes, entries) + extra;
         const bool better = returning == bestReturning ? cost < bestCost : bestReturning;
         if (best < 0 || better) {
             best = static_cast<int>(i);
@@ -66,12 +66,12 @@
     return best;
 }
 
-double Router::cost(absl::Time now, const Work &work, const EngineState &engine, double leastLoad,
+double Router::cost(absl::Time now, const Task &task, const EngineState &engine, double leastLoad,
                     const PrefixIndex &prefixes, std::size_t entries) const
 {
     const double load = expectedLoad(engine, entries);
     const std::int64_t prefill =
-            engine.ownPrefill(WorkKind::Online) + engine.ownPrefill(WorkKind::Batch);
+            engine.ownPrefill(TaskKind::Online) + engine.ownPrefill(TaskKind::Batch);
     const double scarcity = std::max(load - m_settings.loadLimit, 0.0) * scarcityFactor;
     double cost = load * m_settings.loadCost + scarcity;
     cost += static_cast<double>(prefill) / m_settings.prefillTokensPerLoad;
@@ -80,10 +80,10 @@
     if (far || load > m_settings.loadLimit)
         cost += m_settings.farCost;
     const bool mayAttract = load <= leastLoad + m_settings.prefixLoadBound && load < 1;
-    if (mayAttract && work.promptTokens > 0) {
+    if (mayAttract && task.promptTokens > 0) {
         const auto cached = static_cast<double>(
-                prefixes.cachedTokens(now, engine.info().name, work.prefixHashes));
-        const double share = cached / static_cast<double>(work.promptTokens);
+                prefixes.cachedTokens(now, engine.info().name, task.prefixHashes));
+        const double share = cached / static_cast<double>(task.promptTokens);
         cost -= m_settings.prefixGain * std::min(share, 1.0);
     }
     return cost;
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -31,7 +31,7 @@
     m_state->setEngines(engines);
 }
 
-void Scheduler::setWorkspaces(const std::vector<WorkspaceShare> &workspaces)
+void Scheduler::setWorkspaces(const std::vector<WorkspaceWeights> &workspaces)
 {
     m_state->setWorkspaces(workspaces);
 }
@@ -69,84 +69,84 @@
     m_state->prefixes.apply(now, engine, events);
 }
 
-void Scheduler::arrived(absl::Time now, const Work &work)
+void Scheduler::arrived(absl::Time now, const Task &task)
 {
-    WorkItem &item = m_state->items[work.id];
-    item.work = work;
-    item.deliveredTokens = work.deliveredTokens;
-    item.kvHandle = work.kvHandle;
-    item.suspect = m_state->quarantine.standing(now, work.fingerprint) == Standing::Suspect;
+    TaskRecord &item = m_state->items[task.id];
+    item.task = task;
+    item.deliveredTokens = task.deliveredTokens;
+    item.kvHandle = task.kvHandle;
+    item.suspect = m_state->quarantine.status(now, task.fingerprint) == QuarantineStatus::Suspect;
     if (item.isOnline())
-        m_state->pool(work.model).onlineRate.arrived(now);
+        m_state->pool(task.model).onlineRate.arrived(now);
     m_state->enqueue(now, item);
 }
 
-void Scheduler::withdrawn(absl::Time now, WorkId work)
+void Scheduler::cancelled(absl::Time now, TaskId task)
 {
-    WorkItem *item = m_state->find(work);
+    TaskRecord *item = m_state->find(task);
     if (item == nullptr)
         return;
     if (item->isRunning())
-        m_state->endTry(now, *item);
+        m_state->endAttempt(now, *item);
     m_state->forget(*item);
 }
 
-void Scheduler::started(absl::Time now, WorkId work, int attempt)
+void Scheduler::started(absl::Time now, TaskId task, int attempt)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
         item->progressAt = now;
 }
 
-void Scheduler::firstToken(absl::Time now, WorkId work, int attempt)
+void Scheduler::firstToken(absl::Time now, TaskId task, int attempt)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
         m_state->noteFirstToken(now, *item);
 }
 
-void Scheduler::progress(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens)
+void Scheduler::progress(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
         m_state->noteProgress(now, *item, deliveredTokens);
 }
 
-void Scheduler::finished(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens)
+void Scheduler::finished(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item == nullptr)
         return;
     m_state->noteProgress(now, *item, deliveredTokens);
-    m_state->quarantine.succeeded(item->work.fingerprint);
+    m_state->quarantine.succeeded(item->task.fingerprint);
     EngineRecord *record = m_state->engine(item->engine);
     if (record != nullptr)
         record->state.outlier().succeeded(now);
-    m_state->endTry(now, *item);
+    m_state->endAttempt(now, *item);
     m_state->forget(*item);
 }
 
-void Scheduler::failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure)
+void Scheduler::failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
-        m_state->tryFailed(now, *item, failure);
+        m_state->attemptFailed(now, *item, failure);
 }
 
-void Scheduler::preempted(absl::Time now, WorkId work, int attempt, std::int64_t deliveredTokens,
+void Scheduler::preempted(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens,
                           const std::string &kvHandle)
 {
-    WorkItem *item = m_state->running(work, attempt);
+    TaskRecord *item = m_state->running(task, attempt);
     if (item == nullptr)
         return;
     m_state->noteProgress(now, *item, deliveredTokens);
-    m_state->endTry(now, *item);
+    m_state->endAttempt(now, *item);
     item->kvHandle = kvHandle;
     ++item->preemptions;
     m_state->enqueue(now, *item);
 }
 
-std::vector<Decision> Scheduler::decide(absl::Time now)
+std::vector<SchedulerDecision> Scheduler::decide(absl::Time now)
 {
     m_state->decide(now);
     return std::move(m_state->decisions);
@@ -157,31 +157,31 @@
     return m_state->nextDecision;
 }
 
-std::size_t Scheduler::batchRoom(absl::Time now) const
+std::size_t Scheduler::batchCapacity(absl::Time now) const
 {
     std::size_t room = 0;
     for (const auto &[model, pool] : m_state->pools)
-        room += m_state->batchRoom(now, pool);
+        room += m_state->batchCapacity(now, pool);
     return room;
 }
 
-std::size_t Scheduler::batchRoom(absl::Time now, std::string_view model) const
+std::size_t Scheduler::batchCapacity(absl::Time now, std::string_view model) const
 {
     const auto pool = m_state->pools.find(model);
-    return pool == m_state->pools.end() ? 0 : m_state->batchRoom(now, pool->second);
+    return pool == m_state->pools.end() ? 0 : m_state->batchCapacity(now, pool->second);
 }
 
-std::size_t Scheduler::waiting(WorkKind kind) const
+std::size_t Scheduler::waiting(TaskKind kind) const
 {
     std::size_t count = 0;
     for (const auto &[id, item] : m_state->items) {
-        if (item.work.kind == kind && !item.isRunning())
+        if (item.task.kind == kind && !item.isRunning())
             ++count;
     }
     return count;
 }
 
-std::size_t Scheduler::running(WorkKind kind) const
+std::size_t Scheduler::running(TaskKind kind) const
 {
     return m_state->runningCount[static_cast<std::size_t>(kind)];
 }
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -82,9 +82,9 @@
     modelPool.suspectOrder = ownEngines.suspectOrder(std::move(names));
 }
 
-void Scheduler::State::setWorkspaces(const std::vector<WorkspaceShare> &list)
+void Scheduler::State::setWorkspaces(const std::vector<WorkspaceWeights> &list)
 {
-    for (const WorkspaceShare &share : list) {
+    for (const WorkspaceWeights &share : list) {
         workspaces[share.workspace] = share;
         for (auto &[model, modelPool] : pools) {
             modelPool.online.setWeight(share.workspace, share.onlineWeight);
@@ -114,68 +114,68 @@
     return found == engines.end() ? nullptr : found->second.get();
 }
 
-WorkItem *Scheduler::State::find(WorkId work)
+TaskRecord *Scheduler::State::find(TaskId task)
 {
-    const auto found = items.find(work);
+    const auto found = items.find(task);
     return found == items.end() ? nullptr : &found->second;
 }
 
-WorkItem *Scheduler::State::running(WorkId work, int attempt)
+TaskRecord *Scheduler::State::running(TaskId task, int attempt)
 {
-    WorkItem *item = find(work);
+    TaskRecord *item = find(task);
     const bool current = item != nullptr && item->isRunning() && item->attempt == attempt;
     return current ? item : nullptr;
 }
 
 // Events
 
-void Scheduler::State::enqueue(absl::Time now, WorkItem &item)
+void Scheduler::State::enqueue(absl::Time now, TaskRecord &item)
 {
-    item.phase = WorkItem::Phase::Waiting;
+    item.phase = TaskRecord::Phase::Waiting;
     item.waitingSince = now;
     // The crash may have been explained while the work backed off.
-    if (quarantine.standing(now, item.work.fingerprint) == Standing::Clear)
+    if (quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed)
         item.suspect = false;
-    ModelPool &waitingPool = pool(item.work.model);
+    ModelPool &waitingPool = pool(item.task.model);
     if (item.isOnline()) {
         item.onlineDeadline = onlineDeadline(item);
-        onlineDeadlines.insert({item.onlineDeadline, item.work.id});
+        onlineDeadlines.insert({item.onlineDeadline, item.task.id});
     }
     if (item.suspect) {
-        waitingPool.suspects.insert({item.work.kind, item.work.id});
+        waitingPool.suspects.insert({item.task.kind, item.task.id});
         return;
     }
     if (item.isOnline()) {
-        FairQueue &queue = item.work.insideContract ? waitingPool.online : waitingPool.outside;
-        queue.push(item.work.workspace, item.work.id, item.waitingSince);
+        FairQueue &queue = item.task.insideContract ? waitingPool.online : waitingPool.outside;
+        queue.push(item.task.workspace, item.task.id, item.waitingSince);
         return;
     }
-    using Order = FairQueue::Order;
-    const Order order = item.deliveredTokens > 0 ? Order::First : Order::ByArrival;
-    waitingPool.batch.push(item.work.workspace, item.work.id, item.work.due, order);
+    using TieBreak = FairQueue::TieBreak;
+    const TieBreak order = item.deliveredTokens > 0 ? TieBreak::Resumed : TieBreak::ByArrival;
+    waitingPool.batch.push(item.task.workspace, item.task.id, item.task.deadline, order);
     item.latestStart = latestStart(item);
-    waitingPool.latestStarts.insert({item.latestStart, item.work.id});
+    waitingPool.latestStarts.insert({item.latestStart, item.task.id});
 }
 
-void Scheduler::State::dequeue(WorkItem &item)
+void Scheduler::State::dequeue(TaskRecord &item)
 {
-    if (item.phase == WorkItem::Phase::BackingOff) {
-        backoffs.erase({item.notBefore, item.work.id});
+    if (item.phase == TaskRecord::Phase::BackingOff) {
+        backoffs.erase({item.notBefore, item.task.id});
         return;
     }
-    ModelPool &waitingPool = pool(item.work.model);
-    waitingPool.suspects.erase({item.work.kind, item.work.id});
+    ModelPool &waitingPool = pool(item.task.model);
+    waitingPool.suspects.erase({item.task.kind, item.task.id});
     if (item.isOnline()) {
-        onlineDeadlines.erase({item.onlineDeadline, item.work.id});
-        waitingPool.online.remove(item.work.id);
-        waitingPool.outside.remove(item.work.id);
+        onlineDeadlines.erase({item.onlineDeadline, item.task.id});
+        waitingPool.online.remove(item.task.id);
+        waitingPool.outside.remove(item.task.id);
         return;
     }
-    waitingPool.batch.remove(item.work.id);
-    waitingPool.latestStarts.erase({item.latestStart, item.work.id});
+    waitingPool.batch.remove(item.task.id);
+    waitingPool.latestStarts.erase({item.latestStart, item.task.id});
 }
 
-void Scheduler::State::noteProgress(absl::Time now, WorkItem &item, std::int64_t deliveredTokens)
+void Scheduler::State::noteProgress(absl::Time now, TaskRecord &item, std::int64_t deliveredTokens)
 {
     const std::int64_t tokens = deliveredTokens - item.deliveredTokens;
     if (tokens <= 0)
@@ -190,7 +190,7 @@
         clearSuspect(item);
 }
 
-void Scheduler::State::noteFirstToken(absl::Time now, WorkItem &item)
+void Scheduler::State::noteFirstToken(absl::Time now, TaskRecord &item)
 {
     if (item.prefillTokens <= 0)
         return;
@@ -201,7 +201,7 @@
         firstTokenTime = first ? time : smoothed(firstTokenTime, time);
     }
     if (record != nullptr) {
-        record->state.firstToken(item.work.kind, item.prefillTokens);
+        record->state.firstToken(item.task.kind, item.prefillTokens);
         if (item.isOnline())
             record->state.outlier().firstToken(now, time, firstTokenTime);
     }
@@ -210,51 +210,51 @@
     item.progressAt = now;
 }
 
-void Scheduler::State::endTry(absl::Time now, WorkItem &item)
+void Scheduler::State::endAttempt(absl::Time now, TaskRecord &item)
 {
-    --runningCount[index(item.work.kind)];
-    FairQueue &queue = item.isOnline() ? pool(item.work.model).online : pool(item.work.model).batch;
+    --runningCount[index(item.task.kind)];
+    FairQueue &queue = item.isOnline() ? pool(item.task.model).online : pool(item.task.model).batch;
     // The start charged for the longest answer; the rest is given back.
     const auto unused = static_cast<double>(std::max<std::int64_t>(item.remainingTokens(), 0));
-    queue.charge(item.work.workspace, -std::min(item.charged, unused));
+    queue.charge(item.task.workspace, -std::min(item.charged, unused));
     item.charged = 0;
     EngineRecord *record = engine(item.engine);
     if (record == nullptr)
         return;
     if (item.prefillTokens > 0)
-        record->state.firstToken(item.work.kind, item.prefillTokens);
+        record->state.firstToken(item.task.kind, item.prefillTokens);
     item.prefillTokens = 0;
-    record->state.workEnded(now, item.work.kind, item.kvTokens);
-    record->running.erase(item.work.id);
+    record->state.workEnded(now, item.task.kind, item.kvTokens);
+    record->running.erase(item.task.id);
     if (item.suspect)
         --record->suspectsRunning;
-    if (item.phase == WorkItem::Phase::Preempting)
+    if (item.phase == TaskRecord::Phase::Preempting)
         --record->preempting;
 }
 
-void Scheduler::State::forget(WorkItem &item)
+void Scheduler::State::forget(TaskRecord &item)
 {
     if (!item.isRunning())
         dequeue(item);
-    items.erase(item.work.id);
+    items.erase(item.task.id);
 }
 
-void Scheduler::State::countCrash(absl::Time now, WorkItem &item)
+void Scheduler::State::countCrash(absl::Time now, TaskRecord &item)
 {
     EngineRecord *record = engine(item.engine);
     if (item.crashCounted || record == nullptr)
         return;
     std::vector<std::string> fingerprints;
-    for (const WorkId id : record->running) {
-        WorkItem &beside = items.at(id);
+    for (const TaskId id : record->running) {
+        TaskRecord &beside = items.at(id);
         if (beside.crashCounted)
             continue;
         beside.crashCounted = true;
         // A request that passed the point of its first crash is not blamed for a second one while a
         // suspect that has not passed it ran beside it.
-        const bool passed = !beside.suspect && quarantine.crashes(beside.work.fingerprint) > 0;
+        const bool passed = !beside.suspect && quarantine.crashes(beside.task.fingerprint) > 0;
         if (!passed || record->suspectsRunning == 0)
-            fingerprints.push_back(beside.work.fingerprint);
+            fingerprints.push_back(beside.task.fingerprint);
     }
     record->state.outlier().failed(now, true);
     prefixes.forgetEngine(item.engine);
@@ -266,15 +266,16 @@
         decisions.emplace_back(RecordCrash{fingerprint, item.engine});
     const std::string &domain = record->state.info().failureDomain;
     for (const Crash &crash : crashes.add({now, item.engine, domain, std::move(fingerprints)}))
-        exonerate(now, crash);
+        retractCrash(now, crash);
 }
 
-void Scheduler::State::exonerate(absl::Time now, const Crash &crash)
+void Scheduler::State::retractCrash(absl::Time now, const Crash &crash)
 {
-    quarantine.exonerate(crash.upstream, crash.fingerprints);
+    quarantine.retractCrash(crash.upstream, crash.fingerprints);
     for (auto &[id, item] : items) {
-        const bool affected = item.suspect && item.phase == WorkItem::Phase::Waiting
-                              && quarantine.standing(now, item.work.fingerprint) == Standing::Clear;
+        const bool affected =
+                item.suspect && item.phase == TaskRecord::Phase::Waiting
+                && quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed;
         if (!affected)
             continue;
         dequeue(item);
@@ -283,7 +284,7 @@
     }
 }
 
-void Scheduler::State::clearSuspect(WorkItem &item)
+void Scheduler::State::clearSuspect(TaskRecord &item)
 {
     if (!item.suspect)
         return;
@@ -293,61 +294,63 @@
         --record->suspectsRunning;
 }
 
-void Scheduler::State::tryFailed(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::attemptFailed(absl::Time now, TaskRecord &item,
+                                     const AttemptFailure &failure)
 {
     noteProgress(now, item, failure.deliveredTokens);
-    const bool crashed = failure.kind == TryFailure::Kind::Crashed;
+    const bool crashed = failure.kind == AttemptFailure::Kind::Crashed;
     if (crashed)
         countCrash(now, item);
     EngineRecord *record = engine(item.engine);
-    const bool blame = !crashed && failure.kind != TryFailure::Kind::Invalid
+    const bool blame = !crashed && failure.kind != AttemptFailure::Kind::Invalid
                        && failure.failure.code != ErrorCode::UpstreamBusy;
     if (record != nullptr && blame)
         record->state.outlier().failed(now, false);
-    if (failure.kind != TryFailure::Kind::Refused)
+    if (failure.kind != AttemptFailure::Kind::Refused)
         item.mayHaveRun = true;
-    endTry(now, item);
-    item.phase = WorkItem::Phase::BackingOff;
+    endAttempt(now, item);
+    item.phase = TaskRecord::Phase::BackingOff;
     item.notBefore = now;
-    item.avoided.push_back(item.engine);
-    const Standing standing = quarantine.standing(now, item.work.fingerprint);
-    item.suspect = standing == Standing::Suspect;
+    item.excluded.push_back(item.engine);
+    const QuarantineStatus status = quarantine.status(now, item.task.fingerprint);
+    item.suspect = status == QuarantineStatus::Suspect;
     if (crashed)
         item.clearedAtTokens = item.deliveredTokens + tokensPastCrash;
-    if (failure.kind == TryFailure::Kind::Invalid)
+    if (failure.kind == AttemptFailure::Kind::Invalid)
         refuse(item, failure.failure.code, failure.failure.detail);
-    else if (standing == Standing::Held)
-        refuse(item, ErrorCode::RequestHeld, "the request crashed the upstreams that ran it");
+    else if (status == QuarantineStatus::Blocked)
+        refuse(item, ErrorCode::RequestQuarantined,
+               "the request crashed the upstreams that ran it");
     else if (item.isOnline())
         retryOnline(now, item, failure);
     else
         retryBatch(now, item, failure);
 }
 
-void Scheduler::State::retryOnline(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
 {
     const RunState run = item.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
     ++item.failures;
-    if (retry.mayRetry(item.failures, run, item.work.idempotent))
+    if (retry.mayRetry(item.failures, run, item.task.idempotent))
         backOff(now, item);
     else
         refuse(item, failure.failure.code, failure.failure.detail);
 }
 
-void Scheduler::State::retryBatch(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::retryBatch(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
 {
-    if (failure.kind != TryFailure::Kind::Refused)
+    if (failure.kind != AttemptFailure::Kind::Refused)
         ++item.failures;
-    if (item.failures < settings.batchTries)
+    if (item.failures < settings.maxBatchAttempts)
         backOff(now, item);
     else
         refuse(item, ErrorCode::ItemFailed, failure.failure.detail);
 }
 
-void Scheduler::State::backOff(absl::Time now, WorkItem &item)
+void Scheduler::State::backOff(absl::Time now, TaskRecord &item)
 {
     item.notBefore = now + retry.backoff(std::max(item.failures, 1), random);
-    backoffs.insert({item.notBefore, item.work.id});
+    backoffs.insert({item.notBefore, item.task.id});
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -51,7 +51,7 @@
 void Scheduler::State::wakeBackedOff(absl::Time now)
 {
     while (!backoffs.empty() && backoffs.begin()->first <= now) {
-        WorkItem &item = items.at(backoffs.begin()->second);
+        TaskRecord &item = items.at(backoffs.begin()->second);
         backoffs.erase(backoffs.begin());
         enqueue(now, item);
     }
@@ -61,9 +61,9 @@
 
 void Scheduler::State::dispatchSuspects(absl::Time now, ModelPool &modelPool)
 {
-    const std::set<std::pair<WorkKind, WorkId>> waiting = modelPool.suspects;
+    const std::set<std::pair<TaskKind, TaskId>> waiting = modelPool.suspects;
     for (const auto &[kind, id] : waiting) {
-        WorkItem &item = items.at(id);
+        TaskRecord &item = items.at(id);
         if (refuseHeld(now, item))
             continue;
         EngineRecord *record = suspectEngine(now, modelPool, item);
@@ -75,14 +75,14 @@
 }
 
 EngineRecord *Scheduler::State::suspectEngine(absl::Time now, const ModelPool &modelPool,
-                                              const WorkItem &item)
+                                              const TaskRecord &item)
 {
     EngineRecord *last = nullptr;
     for (const std::string &engineName : modelPool.suspectOrder) {
         EngineRecord *record = engine(engineName);
         if (!isUsable(now, *record))
             continue;
-        if (!quarantine.hasCrashed(item.work.fingerprint, engineName))
+        if (!quarantine.hasCrashed(item.task.fingerprint, engineName))
             return record;
         // With no other engine, an innocent request runs again where it was beside the crash.
         last = record;
@@ -99,34 +99,34 @@
 
 void Scheduler::State::dispatchOnline(absl::Time now, ModelPool &modelPool, FairQueue &queue)
 {
-    while (const std::optional<WorkId> next = queue.front()) {
-        WorkItem &item = items.at(*next);
+    while (const std::optional<TaskId> next = queue.front()) {
+        TaskRecord &item = items.at(*next);
         if (refuseHeld(now, item))
             continue;
         EngineRecord *record = chooseOnlineEngine(now, modelPool, item);
         if (record == nullptr)
             break;
-        if (!item.work.insideContract && expectedLoad(record->state, entries) > outsideLoadLimit)
+        if (!item.task.insideContract && expectedLoad(record->state, entries) > outsideLoadLimit)
             break;
         makeRoom(now, modelPool, *record);
         start(now, item, *record);
     }
     while (queue.size() > settings.onlineQueueSize) {
-        WorkItem &item = items.at(*queue.back());
+        TaskRecord &item = items.at(*queue.back());
         refuse(item, ErrorCode::Overloaded, "the queue of online requests is full");
     }
 }
 
 void Scheduler::State::shedOutside(ModelPool &modelPool)
 {
-    while (const std::optional<WorkId> next = modelPool.outside.front())
+    while (const std::optional<TaskId> next = modelPool.outside.front())
         refuse(items.at(*next), ErrorCode::Overloaded, "no capacity beyond the contract");
 }
 
 void Scheduler::State::refuseLate(absl::Time now)
 {
     while (!onlineDeadlines.empty() && onlineDeadlines.begin()->first <= now) {
-        WorkItem &item = items.at(onlineDeadlines.begin()->second);
+        TaskRecord &item = items.at(onlineDeadlines.begin()->second);
         refuse(item, ErrorCode::Overloaded, "no engine had room within the queue limit");
     }
     if (!onlineDeadlines.empty())
@@ -137,11 +137,11 @@
 {
     std::set<Deadline> &latest = modelPool.latestStarts;
     while (!latest.empty() && latest.begin()->first <= now) {
-        WorkItem &item = items.at(latest.begin()->second);
+        TaskRecord &item = items.at(latest.begin()->second);
         if (refuseHeld(now, item))
             continue;
         // An item that cannot be done in time any more keeps its ordinary place.
-        if (now + remainingTime(item) > item.work.due) {
+        if (now + remainingTime(item) > item.task.deadline) {
             latest.erase(latest.begin());
             continue;
         }
@@ -161,7 +161,7 @@
         return;
     std::vector<std::pair<int, EngineRecord *>> roomy;
     for (EngineRecord *record : modelPool.engines) {
-        const int room = batchRoomOn(now, modelPool, *record);
+        const int room = batchCapacityOn(now, modelPool, *record);
         if (room > 0)
             roomy.emplace_back(room, record);
     }
@@ -175,8 +175,8 @@
 
 bool Scheduler::State::startBatchOn(absl::Time now, ModelPool &modelPool, EngineRecord &record)
 {
-    while (const std::optional<WorkId> next = modelPool.batch.front()) {
-        WorkItem &item = items.at(*next);
+    while (const std::optional<TaskId> next = modelPool.batch.front()) {
+        TaskRecord &item = items.at(*next);
         if (refuseHeld(now, item))
             continue;
         if (usesWindows(modelPool) && !prefillWindows.isOpen(now, record.windowGroup)) {
@@ -187,7 +187,7 @@
             wakeAt(record.nextBatchStart);
             return false;
         }
-        const std::int64_t prefill = record.state.ownPrefill(WorkKind::Batch);
+        const std::int64_t prefill = record.state.ownPrefill(TaskKind::Batch);
         if (prefill > 0 && prefill + item.contextTokens() > allowance.prefillLimit())
             return false;
         const std::int64_t tokens = item.kvHandle.empty() ? item.contextTokens() : 0;
@@ -199,7 +199,7 @@
 }
 
 EngineRecord *Scheduler::State::chooseOnlineEngine(absl::Time now, ModelPool &modelPool,
-                                                   const WorkItem &item)
+                                                   const TaskRecord &item)
 {
     std::vector<EngineRecord *> records;
     std::vector<RouteCandidate> fresh;
@@ -211,22 +211,22 @@
         }
     }
     static const std::vector<std::string> none;
-    int chosen = router.choose(now, item.work, fresh, item.avoided, prefixes, entries, random);
+    int chosen = router.choose(now, item.task, fresh, item.excluded, prefixes, entries, random);
     if (chosen < 0)
-        chosen = router.choose(now, item.work, fresh, none, prefixes, entries, random);
+        chosen = router.choose(now, item.task, fresh, none, prefixes, entries, random);
     if (chosen >= 0)
         return records[static_cast<std::size_t>(chosen)];
     records.clear();
     fresh.clear();
     for (EngineRecord *record : modelPool.engines) {
         const bool recent = now - record->state.reportedAt() < reportLifetime;
-        const std::int64_t own = record->state.own(WorkKind::Online);
+        const std::int64_t own = record->state.own(TaskKind::Online);
         if (!recent && own < unreportedLimit) {
             records.push_back(record);
             fresh.push_back(candidate(now, modelPool, *record));
         }
     }
-    chosen = router.choose(now, item.work, fresh, item.avoided, prefixes, entries, random);
+    chosen = router.choose(now, item.task, fresh, item.excluded, prefixes, entries, random);
     return chosen < 0 ? nullptr : records[static_cast<std::size_t>(chosen)];
 }
 
@@ -234,7 +234,7 @@
                                            const EngineRecord &record) const
 {
     // Without batch work the windows are empty.
-    const bool busy = runningCount[index(WorkKind::Batch)] > 0 && usesWindows(modelPool)
+    const bool busy = runningCount[index(TaskKind::Batch)] > 0 && usesWindows(modelPool)
                       && prefillWindows.isBusy(now, record.windowGroup);
     const double others =
             record.preferred ? 0
@@ -256,7 +256,7 @@
     if (requests + 1 <= static_cast<double>(state.maxBatch()))
         return true;
     return std::any_of(record.running.begin(), record.running.end(),
-                       [&](WorkId id) { return isPreemptible(now, items.at(id)); });
+                       [&](TaskId id) { return isPreemptible(now, items.at(id)); });
 }
 
 void Scheduler::State::makeRoom(absl::Time now, ModelPool &modelPool, EngineRecord &record)
@@ -266,18 +266,18 @@
     if (!state.hasReport() || requests + 1 <= static_cast<double>(state.maxBatch()))
         return;
     // One for each start: other entries make room for what they start themselves.
-    if (WorkItem *victim = victimOn(now, record))
+    if (TaskRecord *victim = victimOn(now, record))
         preempt(*victim);
 }
 
-WorkItem *Scheduler::State::victimOn(absl::Time now, const EngineRecord &record)
+TaskRecord *Scheduler::State::victimOn(absl::Time now, const EngineRecord &record)
 {
-    WorkItem *victim = nullptr;
-    const auto costOf = [](const WorkItem &item) {
+    TaskRecord *victim = nullptr;
+    const auto costOf = [](const TaskRecord &item) {
         return std::make_pair(item.preemptions, item.contextTokens());
     };
-    for (const WorkId id : record.running) {
-        WorkItem &item = items.at(id);
+    for (const TaskId id : record.running) {
+        TaskRecord &item = items.at(id);
         if (!isPreemptible(now, item))
             continue;
         if (victim == nullptr || costOf(item) < costOf(*victim))
@@ -286,28 +286,28 @@
     return victim;
 }
 
-bool Scheduler::State::isPreemptible(absl::Time now, const WorkItem &item) const
+bool Scheduler::State::isPreemptible(absl::Time now, const TaskRecord &item) const
 {
-    return !item.isOnline() && item.phase == WorkItem::Phase::Running && !item.suspect
+    return !item.isOnline() && item.phase == TaskRecord::Phase::Running && !item.suspect
            && now < latestStart(item);
 }
 
-void Scheduler::State::preempt(WorkItem &item)
+void Scheduler::State::preempt(TaskRecord &item)
 {
-    item.phase = WorkItem::Phase::Preempting;
+    item.phase = TaskRecord::Phase::Preempting;
     EngineRecord *record = engine(item.engine);
     if (record != nullptr)
         ++record->preempting;
     const bool worthExport =
             item.prefillTokens == 0 && item.contextTokens() >= settings.kvExportTokens;
     const PreemptMethod method = worthExport ? PreemptMethod::ExportKv : PreemptMethod::Cancel;
-    decisions.emplace_back(PreemptWork{item.work.id, item.engine, item.attempt, method});
+    decisions.emplace_back(PreemptTask{item.task.id, item.engine, item.attempt, method});
 }
 
-void Scheduler::State::start(absl::Time now, WorkItem &item, EngineRecord &record)
+void Scheduler::State::start(absl::Time now, TaskRecord &item, EngineRecord &record)
 {
     dequeue(item);
-    item.phase = WorkItem::Phase::Running;
+    item.phase = TaskRecord::Phase::Running;
     item.engine = record.state.info().name;
     ++item.attempt;
     item.startedAt = now;
@@ -317,22 +317,22 @@
     item.prefillTokens = import ? 1 : std::max<std::int64_t>(item.contextTokens(), 1);
     item.kvTokens = item.contextTokens() + item.remainingTokens() / 2;
     item.charged = static_cast<double>(item.prefillTokens + item.remainingTokens());
-    ModelPool &modelPool = pool(item.work.model);
+    ModelPool &modelPool = pool(item.task.model);
     FairQueue &queue = item.isOnline() ? modelPool.online : modelPool.batch;
-    queue.charge(item.work.workspace, item.charged);
+    queue.charge(item.task.workspace, item.charged);
     if (item.isOnline() && item.attempt == 1)
-        retry.firstTry();
-    record.state.workStarted(now, item.work.kind, item.prefillTokens, item.kvTokens);
-    record.running.insert(item.work.id);
+        retry.firstAttempt();
+    record.state.workStarted(now, item.task.kind, item.prefillTokens, item.kvTokens);
+    record.running.insert(item.task.id);
     record.suspectsRunning += item.suspect ? 1 : 0;
-    ++runningCount[index(item.work.kind)];
-    prefixes.sent(now, item.engine, item.work.prefixHashes, item.work.promptTokens);
-    decisions.emplace_back(StartWork{item.work.id, item.engine, item.attempt, item.deliveredTokens,
+    ++runningCount[index(item.task.kind)];
+    prefixes.sent(now, item.engine, item.task.prefixHashes, item.task.promptTokens);
+    decisions.emplace_back(StartTask{item.task.id, item.engine, item.attempt, item.deliveredTokens,
                                      item.kvHandle});
     item.kvHandle.clear();
 }
 
-void Scheduler::State::refuse(WorkItem &item, ErrorCode code, std::string detail)
+void Scheduler::State::refuse(TaskRecord &item, ErrorCode code, std::string detail)
 {
     const RunState run = item.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
     const bool overloaded = code == ErrorCode::Overloaded;
@@ -340,21 +340,21 @@
         code = ErrorCode::UpstreamFailed;
     const absl::Duration retryAfter = overloaded ? overloadRetryAfter : absl::ZeroDuration();
     decisions.emplace_back(
-            RefuseWork{item.work.id, Failure{code, run, std::move(detail)}, retryAfter});
+            RejectTask{item.task.id, Failure{code, run, std::move(detail)}, retryAfter});
     forget(item);
 }
 
-bool Scheduler::State::refuseHeld(absl::Time now, WorkItem &item)
+bool Scheduler::State::refuseHeld(absl::Time now, TaskRecord &item)
 {
-    if (quarantine.standing(now, item.work.fingerprint) != Standing::Held)
+    if (quarantine.status(now, item.task.fingerprint) != QuarantineStatus::Blocked)
         return false;
-    refuse(item, ErrorCode::RequestHeld, "the request crashed the upstreams that ran it");
+    refuse(item, ErrorCode::RequestQuarantined, "the request crashed the upstreams that ran it");
     return true;
 }
 
 // Estimates
 
-absl::Duration Scheduler::State::remainingTime(const WorkItem &item) const
+absl::Duration Scheduler::State::remainingTime(const TaskRecord &item) const
 {
     const double prefill =
             static_cast<double>(item.contextTokens()) / settings.prefillTokensPerSecond;
@@ -362,17 +362,17 @@
     return absl::Seconds(prefill) + tokenTime * tokens;
 }
 
-absl::Time Scheduler::State::latestStart(const WorkItem &item) const
+absl::Time Scheduler::State::latestStart(const TaskRecord &item) const
 {
-    return item.work.due - remainingTime(item) * settings.dueSafetyFactor;
+    return item.task.deadline - remainingTime(item) * settings.dueSafetyFactor;
 }
 
-absl::Time Scheduler::State::onlineDeadline(const WorkItem &item) const
+absl::Time Scheduler::State::onlineDeadline(const TaskRecord &item) const
 {
     const bool patient = item.suspect;
     const absl::Duration limit = patient ? settings.isolationLimit : settings.onlineQueueLimit;
     const absl::Time end = item.waitingSince + limit;
-    return patient ? end : std::min(end, item.work.due);
+    return patient ? end : std::min(end, item.task.deadline);
 }
 
 double Scheduler::State::onlineRatePerEngine(absl::Time now, const ModelPool &modelPool) const
@@ -385,33 +385,33 @@
 {
     std::int64_t change = 0;
     for (const EngineRecord *record : modelPool.engines)
-        change += record->state.ownChange(WorkKind::Online);
+        change += record->state.ownChange(TaskKind::Online);
     const auto own = static_cast<double>(std::max<std::int64_t>(change, 0));
     const auto others = static_cast<double>(entries - 1);
     return own * others / static_cast<double>(std::max<std::size_t>(modelPool.engines.size(), 1));
 }
 
-int Scheduler::State::batchRoomOn(absl::Time now, const ModelPool &modelPool,
-                                  const EngineRecord &record) const
+int Scheduler::State::batchCapacityOn(absl::Time now, const ModelPool &modelPool,
+                                      const EngineRecord &record) const
 {
     const EngineState &state = record.state;
     if (!isUsable(now, record))
         return 0;
     const double rate = onlineRatePerEngine(now, modelPool);
-    const int room = allowance.room(record, rate, unseenOnline(modelPool), entries);
-    const double share = state.outlier().share(now);
+    const int room = allowance.batchCapacity(record, rate, unseenOnline(modelPool), entries);
+    const double share = state.outlier().trafficShare(now);
     return share < 1 ? static_cast<int>(room * share) : room;
 }
 
-std::size_t Scheduler::State::batchRoom(absl::Time now, const ModelPool &modelPool) const
+std::size_t Scheduler::State::batchCapacity(absl::Time now, const ModelPool &modelPool) const
 {
     if (!modelPool.online.empty())
         return 0;
     std::size_t room = 0;
     std::size_t running = 0;
     for (const EngineRecord *record : modelPool.engines) {
-        room += static_cast<std::size_t>(std::max(batchRoomOn(now, modelPool, *record), 0));
-        running += static_cast<std::size_t>(record->state.own(WorkKind::Batch));
+        room += static_cast<std::size_t>(std::max(batchCapacityOn(now, modelPool, *record), 0));
+        running += static_cast<std::size_t>(record->state.own(TaskKind::Batch));
     }
     room += static_cast<std::size_t>(std::ceil(static_cast<double>(running) * leaseAheadShare));
     const std::size_t waiting = modelPool.batch.size();
--- a/src/policy/placetable.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/policy/placetable.h"
+#include "rattanrill/policy/slotscheduler.h"
 
 #include "rattanrill/base/enumnames.h"
 
@@ -17,35 +17,35 @@
 /// Retry-After when no upstream of the service takes work at all.
 constexpr absl::Duration noUpstreamReturn = absl::Seconds(1);
 
-constexpr std::array<EnumName<PlaceEnd>, 4> placeEndNames = {{
-        {PlaceEnd::Served, "served"},
-        {PlaceEnd::Abandoned, "abandoned"},
-        {PlaceEnd::Failed, "failed"},
-        {PlaceEnd::Gone, "gone"},
+constexpr std::array<EnumName<ReleaseReason>, 4> placeEndNames = {{
+        {ReleaseReason::Completed, "served"},
+        {ReleaseReason::Cancelled, "abandoned"},
+        {ReleaseReason::Failed, "failed"},
+        {ReleaseReason::Unreachable, "gone"},
 }};
 
-bool isOnline(const PlaceWork &work)
+bool isOnline(const SlotTask &task)
 {
-    return work.kind == WorkKind::Online;
+    return task.kind == TaskKind::Online;
 }
 
 } // namespace
 
-std::string_view name(PlaceEnd end)
+std::string_view name(ReleaseReason end)
 {
     return nameOf(placeEndNames, end);
 }
 
-std::optional<PlaceEnd> placeEndFromName(std::string_view name)
+std::optional<ReleaseReason> releaseReasonFromName(std::string_view name)
 {
     return valueOf(placeEndNames, name);
 }
 
-PlaceTable::PlaceTable(PlaceTableSettings settings)
+SlotScheduler::SlotScheduler(SlotSchedulerSettings settings)
     : m_settings(settings)
 {}
 
-PlaceTable::Service &PlaceTable::service(const std::string &name)
+SlotScheduler::Service &SlotScheduler::service(const std::string &name)
 {
     const auto [found, isNew] = m_services.try_emplace(name);
     if (isNew)
@@ -53,19 +53,19 @@
     return found->second;
 }
 
-PlaceTable::Item *PlaceTable::itemOf(WorkId number)
+SlotScheduler::Item *SlotScheduler::itemOf(TaskId number)
 {
     const auto found = m_numbers.find(number);
     return found == m_numbers.end() ? nullptr : found->second;
 }
 
-void PlaceTable::setUpstreams(const std::vector<PlaceUpstream> &upstreams)
+void SlotScheduler::setUpstreams(const std::vector<SlotUpstream> &upstreams)
 {
     for (auto &[id, upstream] : m_upstreams)
         upstream->removed = true;
     for (auto &[name, service] : m_services)
         service.upstreams.clear();
-    for (const PlaceUpstream &info : upstreams) {
+    for (const SlotUpstream &info : upstreams) {
         std::unique_ptr<Upstream> &upstream = m_upstreams[info.id];
         if (upstream == nullptr) {
             upstream = std::make_unique<Upstream>();
@@ -81,77 +81,77 @@
     }
 }
 
-void PlaceTable::begin(absl::Time now)
+void SlotScheduler::beginTakeover(absl::Time now)
 {
-    m_begunAt = now;
+    m_takeoverAt = now;
 }
 
-void PlaceTable::request(absl::Time now, const PlaceWork &work)
+void SlotScheduler::request(absl::Time now, const SlotTask &task)
 {
-    if (knows(work.id))
-        withdraw(work.id);
+    if (contains(task.id))
+        cancel(task.id);
     auto item = std::make_unique<Item>();
-    item->work = work;
+    item->task = task;
     item->number = m_nextNumber++;
     item->since = now;
     m_numbers[item->number] = item.get();
-    enqueue(now, service(work.service), *item);
-    m_items[work.id] = std::move(item);
+    enqueue(now, service(task.service), *item);
+    m_items[task.id] = std::move(item);
 }
 
-void PlaceTable::enqueue(absl::Time now, Service &service, Item &item)
+void SlotScheduler::enqueue(absl::Time now, Service &service, Item &item)
 {
-    const PlaceWork &work = item.work;
-    if (isOnline(work)) {
+    const SlotTask &task = item.task;
+    if (isOnline(task)) {
         item.queue = Queue::Online;
-        service.online[work.priority].push(work.workspace, item.number, now);
-        m_onlineDue.emplace(work.due, item.number);
+        service.online[task.priority].push(task.workspace, item.number, now);
+        m_onlineDue.emplace(task.deadline, item.number);
         ++service.onlineWaiting;
         return;
     }
     ++service.batchWaiting;
     if (isLate(now, service, item))
         return enqueueLate(service, item);
-    if (work.served > absl::ZeroDuration()) {
+    if (task.priorRunTime > absl::ZeroDuration()) {
         item.queue = Queue::Interrupted;
         service.interrupted.push_back(&item);
         return;
     }
     item.queue = Queue::Batch;
-    service.batch.push(work.workspace, item.number, work.due);
+    service.batch.push(task.workspace, item.number, task.deadline);
 }
 
-void PlaceTable::enqueueLate(Service &service, Item &item)
+void SlotScheduler::enqueueLate(Service &service, Item &item)
 {
     item.queue = Queue::Late;
-    const bool hasBegun = item.work.served > absl::ZeroDuration();
-    service.late.push(item.work.workspace, item.number, item.work.due,
-                      hasBegun ? FairQueue::Order::First : FairQueue::Order::ByArrival);
+    const bool hasBegun = item.task.priorRunTime > absl::ZeroDuration();
+    service.late.push(item.task.workspace, item.number, item.task.deadline,
+                      hasBegun ? FairQueue::TieBreak::Resumed : FairQueue::TieBreak::ByArrival);
 }
 
-void PlaceTable::adopt(absl::Time now, const PlaceWork &work, const std::string &upstream)
+void SlotScheduler::adopt(absl::Time now, const SlotTask &task, const std::string &upstream)
 {
     const auto found = m_upstreams.find(upstream);
-    if (knows(work.id) || found == m_upstreams.end())
+    if (contains(task.id) || found == m_upstreams.end())
         return;
     auto item = std::make_unique<Item>();
-    item->work = work;
+    item->task = task;
     item->number = m_nextNumber++;
     item->since = now;
     item->upstream = found->second.get();
-    (isOnline(work) ? item->upstream->online : item->upstream->batch).insert(item.get());
+    (isOnline(task) ? item->upstream->online : item->upstream->batch).insert(item.get());
     m_numbers[item->number] = item.get();
-    m_items[work.id] = std::move(item);
+    m_items[task.id] = std::move(item);
 }
 
-void PlaceTable::dequeue(Service &service, Item &item)
+void SlotScheduler::dequeue(Service &service, Item &item)
 {
     switch (std::exchange(item.queue, Queue::None)) {
     case Queue::None:
         return;
     case Queue::Online:
-        service.online[item.work.priority].remove(item.number);
-        m_onlineDue.erase({item.work.due, item.number});
+        service.online[item.task.priority].remove(item.number);
+        m_onlineDue.erase({item.task.deadline, item.number});
         --service.onlineWaiting;
         return;
     case Queue::Batch:
@@ -169,13 +169,13 @@
     --service.batchWaiting;
 }
 
-void PlaceTable::forget(Item &item)
+void SlotScheduler::forget(Item &item)
 {
     m_numbers.erase(item.number);
-    m_items.erase(std::string(item.work.id));
+    m_items.erase(std::string(item.task.id));
 }
 
-void PlaceTable::leavePlace(Item &item)
+void SlotScheduler::leaveSlot(Item &item)
 {
     Upstream &upstream = *item.upstream;
     upstream.online.erase(&item);
@@ -186,42 +186,43 @@
         m_upstreams.erase(std::string(upstream.info.id));
 }
 
-void PlaceTable::release(absl::Time now, const std::string &work, PlaceEnd end)
+void SlotScheduler::release(absl::Time now, const std::string &task, ReleaseReason end)
 {
-    const auto found = m_items.find(work);
+    const auto found = m_items.find(task);
     if (found == m_items.end())
         return;
     Item &item = *found->second;
     if (item.upstream == nullptr)
-        return withdraw(work);
-    if (end == PlaceEnd::Served)
+        return cancel(task);
+    if (end == ReleaseReason::Completed)
         item.upstream->outlier.succeeded(now);
-    else if (end == PlaceEnd::Gone || (end == PlaceEnd::Failed && !isOverfull(now, *item.upstream)))
-        item.upstream->outlier.failed(now, end == PlaceEnd::Gone);
-    if (end == PlaceEnd::Served) {
-        Service &served = service(item.work.service);
-        absl::Duration &mean = isOnline(item.work) ? served.meanHold : served.meanBatchHold;
-        const absl::Duration hold = item.work.served + (now - item.since);
+    else if (end == ReleaseReason::Unreachable
+             || (end == ReleaseReason::Failed && !isOverfull(now, *item.upstream)))
+        item.upstream->outlier.failed(now, end == ReleaseReason::Unreachable);
+    if (end == ReleaseReason::Completed) {
+        Service &served = service(item.task.service);
+        absl::Duration &mean = isOnline(item.task) ? served.meanHold : served.meanBatchHold;
+        const absl::Duration hold = item.task.priorRunTime + (now - item.since);
         mean = mean == absl::ZeroDuration() ? hold : mean + (hold - mean) * smoothing;
     }
-    leavePlace(item);
+    leaveSlot(item);
     forget(item);
 }
 
-void PlaceTable::withdraw(const std::string &work)
+void SlotScheduler::cancel(const std::string &task)
 {
-    const auto found = m_items.find(work);
+    const auto found = m_items.find(task);
     if (found == m_items.end())
         return;
     Item &item = *found->second;
     if (item.upstream == nullptr)
-        dequeue(service(item.work.service), item);
+        dequeue(service(item.task.service), item);
     else
-        leavePlace(item);
+        leaveSlot(item);
     forget(item);
 }
 
-void PlaceTable::loadReported(absl::Time now, const std::string &upstream, std::int64_t requests)
+void SlotScheduler::loadReported(absl::Time now, const std::string &upstream, std::int64_t requests)
 {
     const auto found = m_upstreams.find(upstream);
     if (found == m_upstreams.end())
@@ -232,50 +233,52 @@
 }
 
 /// Others' requests take places here, so that silence says nothing of the upstream.
-bool PlaceTable::isOverfull(absl::Time now, const Upstream &upstream) const
+bool SlotScheduler::isOverfull(absl::Time now, const Upstream &upstream) const
 {
     return upstream.held() + foreign(now, upstream) > upstream.info.slots;
 }
 
-bool PlaceTable::isLoadUnknown(absl::Time now, const Upstream &upstream) const
+bool SlotScheduler::isLoadUnknown(absl::Time now, const Upstream &upstream) const
 {
-    return now - m_begunAt < m_settings.lingerTime && upstream.reports[1].at < m_begunAt;
+    return now - m_takeoverAt < m_settings.takeoverGracePeriod
+           && upstream.reports[1].at < m_takeoverAt;
 }
 
-std::int64_t PlaceTable::foreign(absl::Time now, const Upstream &upstream) const
+std::int64_t SlotScheduler::foreign(absl::Time now, const Upstream &upstream) const
 {
     const auto &reports = upstream.reports;
-    const bool isFirst = reports[0].at < m_begunAt && now - m_begunAt < m_settings.lingerTime;
-    if (isFirst && reports[1].at >= m_begunAt)
+    const bool isFirst =
+            reports[0].at < m_takeoverAt && now - m_takeoverAt < m_settings.takeoverGracePeriod;
+    if (isFirst && reports[1].at >= m_takeoverAt)
         return reports[1].foreign;
     if (now - reports[0].at > m_settings.reportLifetime)
         return 0;
     return std::min(reports[0].foreign, reports[1].foreign);
 }
 
-bool PlaceTable::takes(absl::Time now, const Upstream &upstream, const Item &item) const
+bool SlotScheduler::takes(absl::Time now, const Upstream &upstream, const Item &item) const
 {
     if (upstream.info.leaving || upstream.removed)
         return false;
-    const auto &excluded = item.work.excluded;
+    const auto &excluded = item.task.excluded;
     if (std::find(excluded.begin(), excluded.end(), upstream.info.id) != excluded.end())
         return false;
     return !upstream.outlier.ejected(now);
 }
 
 /// The one with the fewest requests, since each makes the steps of all others longer.
-PlaceTable::Upstream *PlaceTable::freeUpstream(absl::Time now, const Service &service,
-                                               const Item &item) const
+SlotScheduler::Upstream *SlotScheduler::freeUpstream(absl::Time now, const Service &service,
+                                                     const Item &item) const
 {
-    const std::int64_t reserve = isOnline(item.work) ? 0 : m_settings.reserve;
+    const std::int64_t onlineReserve = isOnline(item.task) ? 0 : m_settings.onlineReserve;
     Upstream *best = nullptr;
     std::int64_t bestLoad = 0;
     for (Upstream *upstream : service.upstreams) {
-        const double share = upstream->outlier.share(now);
+        const double share = upstream->outlier.trafficShare(now);
         const auto room = static_cast<std::int64_t>(
                 std::ceil(static_cast<double>(upstream->info.slots) * share));
         const std::int64_t load = upstream->held() + foreign(now, *upstream);
-        if (!takes(now, *upstream, item) || load >= room - reserve)
+        if (!takes(now, *upstream, item) || load >= room - onlineReserve)
             continue;
         if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.probes)
             continue;
@@ -284,7 +287,7 @@
             bestLoad = load;
             continue;
         }
-        const std::string &domain = item.work.failureDomain;
+        const std::string &domain = item.task.failureDomain;
         const bool isNearer =
                 upstream->info.failureDomain == domain && best->info.failureDomain != domain;
         if (load == bestLoad && isNearer)
@@ -294,8 +297,8 @@
 }
 
 /// The one with the most batch work.
-PlaceTable::Upstream *PlaceTable::yieldingUpstream(absl::Time now, const Service &service,
-                                                   const Item &item) const
+SlotScheduler::Upstream *SlotScheduler::yieldingUpstream(absl::Time now, const Service &service,
+                                                         const Item &item) const
 {
     Upstream *best = nullptr;
     for (Upstream *upstream : service.upstreams) {
@@ -308,28 +311,30 @@
 }
 
 /// The one with the least behind it, which is farthest from its end.
-void PlaceTable::yieldOne(absl::Time now, Upstream &upstream)
+void SlotScheduler::yieldOne(absl::Time now, Upstream &upstream)
 {
-    const auto served = [now](const Item *item) { return item->work.served + (now - item->since); };
+    const auto served = [now](const Item *item) {
+        return item->task.priorRunTime + (now - item->since);
+    };
     const auto least = std::min_element(
             upstream.batch.begin(), upstream.batch.end(),
             [&](const Item *left, const Item *right) { return served(left) < served(right); });
     Item &item = **least;
-    m_decisions.emplace_back(YieldPlace{item.work.id});
-    leavePlace(item);
+    m_decisions.emplace_back(PreemptSlot{item.task.id});
+    leaveSlot(item);
     forget(item);
 }
 
-void PlaceTable::grant(absl::Time now, Service &service, Item &item, Upstream &upstream)
+void SlotScheduler::grant(absl::Time now, Service &service, Item &item, Upstream &upstream)
 {
     const Queue queue = item.queue;
     dequeue(service, item);
     // An item that goes on was charged when it began.
     if (queue == Queue::Online)
-        service.online[item.work.priority].charge(item.work.workspace, item.work.tokens);
-    else if (item.work.served == absl::ZeroDuration())
+        service.online[item.task.priority].charge(item.task.workspace, item.task.tokens);
+    else if (item.task.priorRunTime == absl::ZeroDuration())
         (queue == Queue::Late ? service.late : service.batch)
-                .charge(item.work.workspace, item.work.tokens);
+                .charge(item.task.workspace, item.task.tokens);
     if (queue == Queue::Late)
         service.grantsSinceLate = 0;
     else if (queue != Queue::Online)
@@ -338,14 +343,14 @@
     upstream.probes += item.isProbe ? 1 : 0;
     item.upstream = &upstream;
     item.since = now;
-    (isOnline(item.work) ? upstream.online : upstream.batch).insert(&item);
-    m_decisions.emplace_back(GrantPlace{item.work.id, upstream.info.id, upstream.info.address});
+    (isOnline(item.task) ? upstream.online : upstream.batch).insert(&item);
+    m_decisions.emplace_back(GrantSlot{item.task.id, upstream.info.id, upstream.info.address});
 }
 
-void PlaceTable::decideOnline(absl::Time now, Service &service)
+void SlotScheduler::decideOnline(absl::Time now, Service &service)
 {
     for (auto &[priority, queue] : service.online) {
-        while (const std::optional<WorkId> next = queue.front()) {
+        while (const std::optional<TaskId> next = queue.front()) {
             Item &item = *itemOf(*next);
             Upstream *upstream = freeUpstream(now, service, item);
             if (upstream == nullptr) {
@@ -359,7 +364,7 @@
     }
 }
 
-void PlaceTable::decideBatch(absl::Time now, Service &service)
+void SlotScheduler::decideBatch(absl::Time now, Service &service)
 {
     if (service.onlineWaiting > 0)
         return;
@@ -371,15 +376,15 @@
     }
 }
 
-bool PlaceTable::isLate(absl::Time now, const Service &service, const Item &item) const
+bool SlotScheduler::isLate(absl::Time now, const Service &service, const Item &item) const
 {
     const absl::Duration left =
-            std::max(service.meanBatchHold - item.work.served, absl::ZeroDuration());
-    return now + left > item.work.due;
+            std::max(service.meanBatchHold - item.task.priorRunTime, absl::ZeroDuration());
+    return now + left > item.task.deadline;
 }
 
 /// Puts aside what can no longer be done in time, as far as it is next.
-void PlaceTable::moveLate(absl::Time now, Service &service)
+void SlotScheduler::moveLate(absl::Time now, Service &service)
 {
     const auto late =
             std::stable_partition(service.interrupted.begin(), service.interrupted.end(),
@@ -387,7 +392,7 @@
     for (auto item = late; item != service.interrupted.end(); ++item)
         enqueueLate(service, **item);
     service.interrupted.erase(late, service.interrupted.end());
-    while (const std::optional<WorkId> next = service.batch.front()) {
+    while (const std::optional<TaskId> next = service.batch.front()) {
         Item &item = *itemOf(*next);
         if (!isLate(now, service, item))
             return;
@@ -397,85 +402,85 @@
 }
 
 /// Interrupted work that is nearest to its end, then work that has not begun, then late work.
-PlaceTable::Item *PlaceTable::nextBatch(absl::Time now, Service &service)
+SlotScheduler::Item *SlotScheduler::nextBatch(absl::Time now, Service &service)
 {
     moveLate(now, service);
-    const std::optional<WorkId> late = service.late.front();
+    const std::optional<TaskId> late = service.late.front();
     if (late && service.grantsSinceLate >= lateEvery)
         return itemOf(*late);
     if (!service.interrupted.empty())
         return *std::max_element(service.interrupted.begin(), service.interrupted.end(),
                                  [](const Item *left, const Item *right) {
-                                     return left->work.served < right->work.served;
+                                     return left->task.priorRunTime < right->task.priorRunTime;
                                  });
-    if (const std::optional<WorkId> next = service.batch.front())
+    if (const std::optional<TaskId> next = service.batch.front())
         return itemOf(*next);
     return late ? itemOf(*late) : nullptr;
 }
 
 /// Time from one end of an online request to the next when all places are taken.
-absl::Duration PlaceTable::spacing(const Service &service) const
+absl::Duration SlotScheduler::spacing(const Service &service) const
 {
-    std::int64_t places = 0;
+    std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams)
-        places += upstream->info.leaving ? 0 : upstream->info.slots;
-    return places == 0 ? absl::InfiniteDuration() : service.meanHold / places;
+        slots += upstream->info.leaving ? 0 : upstream->info.slots;
+    return slots == 0 ? absl::InfiniteDuration() : service.meanHold / slots;
 }
 
 /// Places that are held back until their upstreams have told their load. Most are free then.
-std::int64_t PlaceTable::unprobedPlaces(absl::Time now, const Service &service) const
+std::int64_t SlotScheduler::unprobedSlots(absl::Time now, const Service &service) const
 {
-    std::int64_t places = 0;
+    std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams) {
         if (!upstream->info.leaving && isLoadUnknown(now, *upstream))
-            places += std::max<std::int64_t>(upstream->info.slots - upstream->held(), 0);
+            slots += std::max<std::int64_t>(upstream->info.slots - upstream->held(), 0);
     }
-    return places;
+    return slots;
 }
 
 /// What waits in vain is refused now rather than at its due time. Those of the workspace with the
 /// most service go first.
-void PlaceTable::refuseHopeless(absl::Time now, Service &service)
+void SlotScheduler::refuseHopeless(absl::Time now, Service &service)
 {
     for (auto entry = service.online.rbegin(); entry != service.online.rend(); ++entry) {
         FairQueue &queue = entry->second;
-        while (const std::optional<WorkId> last = queue.back()) {
+        while (const std::optional<TaskId> last = queue.back()) {
             Item &item = *itemOf(*last);
             const std::int64_t ahead =
-                    static_cast<std::int64_t>(service.onlineWaiting) - unprobedPlaces(now, service);
+                    static_cast<std::int64_t>(service.onlineWaiting) - unprobedSlots(now, service);
             const absl::Duration wait =
                     spacing(service) * static_cast<double>(std::max<std::int64_t>(ahead, 0));
-            if (now + wait <= item.work.due)
+            if (now + wait <= item.task.deadline)
                 break;
             refuse(now, service, item);
         }
     }
 }
 
-void PlaceTable::refuseOverdue(absl::Time now)
+void SlotScheduler::refuseOverdue(absl::Time now)
 {
     while (!m_onlineDue.empty() && m_onlineDue.begin()->first <= now) {
         Item &item = *itemOf(m_onlineDue.begin()->second);
-        refuse(now, service(item.work.service), item);
+        refuse(now, service(item.task.service), item);
     }
 }
 
-void PlaceTable::refuse(absl::Time now, Service &service, Item &item)
+void SlotScheduler::refuse(absl::Time now, Service &service, Item &item)
 {
     absl::Duration wait = noUpstreamReturn;
     const absl::Duration step = spacing(service);
     if (step != absl::InfiniteDuration()) {
-        const absl::Time next = std::max(service.lastReturn, now + m_settings.shortestReturn)
-                                + step / m_settings.returnShare;
-        wait = std::min(next - now, item.work.longestReturn);
-        service.lastReturn = now + wait;
+        const absl::Time next = std::max(service.lastRetryAt, now + m_settings.minRetryAfter)
+                                + step / m_settings.retryShare;
+        wait = std::min(next - now, item.task.maxRetryAfter);
+        service.lastRetryAt = now + wait;
     }
-    m_decisions.emplace_back(RefusePlace{item.work.id, wait});
+    m_decisions.emplace_back(RejectSlot{item.task.id, wait});
     dequeue(service, item);
     forget(item);
 }
 
-std::vector<PlaceDecision> PlaceTable::decide(absl::Time now)
+std::vector<SlotDecision> SlotScheduler::decide(absl::Time now)
 {
     for (auto &[name, service] : m_services) {
         decideOnline(now, service);
@@ -488,37 +493,37 @@
     return std::exchange(m_decisions, {});
 }
 
-absl::Time PlaceTable::nextDecision() const
+absl::Time SlotScheduler::nextDecision() const
 {
     return m_onlineDue.empty() ? absl::InfiniteFuture() : m_onlineDue.begin()->first;
 }
 
-std::size_t PlaceTable::waiting(const std::string &service, WorkKind kind) const
+std::size_t SlotScheduler::waiting(const std::string &service, TaskKind kind) const
 {
     const auto found = m_services.find(service);
     if (found == m_services.end())
         return 0;
-    return kind == WorkKind::Online ? found->second.onlineWaiting : found->second.batchWaiting;
+    return kind == TaskKind::Online ? found->second.onlineWaiting : found->second.batchWaiting;
 }
 
-std::size_t PlaceTable::held(const std::string &service, WorkKind kind) const
+std::size_t SlotScheduler::runningCount(const std::string &service, TaskKind kind) const
 {
     std::size_t count = 0;
     for (const auto &[id, upstream] : m_upstreams) {
         if (upstream->info.service == service)
-            count += kind == WorkKind::Online ? upstream->online.size() : upstream->batch.size();
+            count += kind == TaskKind::Online ? upstream->online.size() : upstream->batch.size();
     }
     return count;
 }
 
-std::int64_t PlaceTable::places(const std::string &service) const
+std::int64_t SlotScheduler::slotCount(const std::string &service) const
 {
-    std::int64_t places = 0;
+    std::int64_t slots = 0;
     for (const auto &[id, upstream] : m_upstreams) {
         if (upstream->info.service == service && !upstream->info.leaving && !upstream->removed)
-            places += upstream->info.slots;
+            slots += upstream->info.slots;
     }
-    return places;
+    return slots;
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/workitem.h
+++ b/src/policy/taskrecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/task.h"
 
 #include "absl/time/time.h"
 
@@ -12,7 +12,7 @@
 namespace rattanrill::policy {
 
 /// One work as the scheduler tracks it from arrival to its end.
-struct WorkItem
+struct TaskRecord
 {
     enum class Phase {
         /// In a fair queue, or among the suspects that wait for isolation.
@@ -25,11 +25,11 @@
         Preempting,
     };
 
-    Work work;
+    Task task;
     Phase phase = Phase::Waiting;
     std::string engine;
     /// Engines on which a try failed.
-    std::vector<std::string> avoided;
+    std::vector<std::string> excluded;
     std::string kvHandle;
     absl::Time waitingSince;
     absl::Time startedAt;
@@ -56,10 +56,10 @@
     /// The crash of the running try's engine has been counted.
     bool crashCounted = false;
 
-    bool isOnline() const { return work.kind == WorkKind::Online; }
+    bool isOnline() const { return task.kind == TaskKind::Online; }
     bool isRunning() const { return phase == Phase::Running || phase == Phase::Preempting; }
-    std::int64_t contextTokens() const { return work.promptTokens + deliveredTokens; }
-    std::int64_t remainingTokens() const { return work.maxTokens - deliveredTokens; }
+    std::int64_t contextTokens() const { return task.promptTokens + deliveredTokens; }
+    std::int64_t remainingTokens() const { return task.maxTokens - deliveredTokens; }
 };
 
 } // namespace rattanrill::policy
--- a/src/policybench/baselinepolicy.cpp
+++ b/src/policybench/baselinepolicy.cpp
@@ -43,30 +43,30 @@
     }
 }
 
-void BaselinePolicy::arrived(absl::Time /*now*/, const Work &work)
+void BaselinePolicy::arrived(absl::Time /*now*/, const Task &task)
 {
-    Item &item = m_items[work.id];
-    item.work = work;
-    item.delivered = work.deliveredTokens;
-    (work.kind == WorkKind::Online ? m_online : m_batch).push_back(work.id);
+    Item &item = m_items[task.id];
+    item.task = task;
+    item.delivered = task.deliveredTokens;
+    (task.kind == TaskKind::Online ? m_online : m_batch).push_back(task.id);
 }
 
-void BaselinePolicy::progress(absl::Time /*now*/, WorkId work, int attempt, std::int64_t tokens)
+void BaselinePolicy::progress(absl::Time /*now*/, TaskId task, int attempt, std::int64_t tokens)
 {
-    const auto item = m_items.find(work);
+    const auto item = m_items.find(task);
     if (item != m_items.end() && item->second.attempt == attempt)
         item->second.delivered = tokens;
 }
 
-void BaselinePolicy::finished(absl::Time /*now*/, WorkId work, int /*attempt*/,
+void BaselinePolicy::finished(absl::Time /*now*/, TaskId task, int /*attempt*/,
                               std::int64_t /*tokens*/)
 {
-    m_items.erase(work);
+    m_items.erase(task);
 }
 
-void BaselinePolicy::failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure)
+void BaselinePolicy::failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure)
 {
-    const auto found = m_items.find(work);
+    const auto found = m_items.find(task);
     if (found == m_items.end() || found->second.attempt != attempt)
         return;
     Item &item = found->second;
@@ -76,18 +76,18 @@
             engine.avoidUntil = now + avoidTime;
     }
     if (item.attempt < mostTries) {
-        (item.work.kind == WorkKind::Online ? m_online : m_batch).push_back(work);
+        (item.task.kind == TaskKind::Online ? m_online : m_batch).push_back(task);
         return;
     }
-    m_decisions.emplace_back(RefuseWork{work, failure.failure, absl::ZeroDuration()});
-    m_items.erase(work);
+    m_decisions.emplace_back(RejectTask{task, failure.failure, absl::ZeroDuration()});
+    m_items.erase(task);
 }
 
-void BaselinePolicy::preempted(absl::Time /*now*/, WorkId /*work*/, int /*attempt*/,
+void BaselinePolicy::preempted(absl::Time /*now*/, TaskId /*work*/, int /*attempt*/,
                                std::int64_t /*tokens*/, const std::string & /*kvHandle*/)
 {}
 
-std::vector<Decision> BaselinePolicy::decide(absl::Time now)
+std::vector<SchedulerDecision> BaselinePolicy::decide(absl::Time now)
 {
     while (!m_online.empty()) {
         Engine *engine = choose(now);
@@ -106,7 +106,7 @@
     return std::move(m_decisions);
 }
 
-std::size_t BaselinePolicy::batchRoom(absl::Time /*now*/) const
+std::size_t BaselinePolicy::batchCapacity(absl::Time /*now*/) const
 {
     std::int64_t free = 0;
     for (const Engine &engine : m_engines)
@@ -138,7 +138,7 @@
     ++item.attempt;
     item.engine = engine.name;
     m_decisions.emplace_back(
-            StartWork{item.work.id, engine.name, item.attempt, item.delivered, {}});
+            StartTask{item.task.id, engine.name, item.attempt, item.delivered, {}});
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/baselinepolicy.h
+++ b/src/policybench/baselinepolicy.h
@@ -26,7 +26,7 @@
 
     void setEngines(absl::Time now, const std::vector<EngineInfo> &engines) override;
     void setEntries(const std::string &self, const std::vector<std::string> &all) override;
-    void setWorkspaces(const std::vector<WorkspaceShare> & /*workspaces*/) override {}
+    void setWorkspaces(const std::vector<WorkspaceWeights> & /*workspaces*/) override {}
     void setClockOffset(absl::Duration /*offset*/) override {}
     void setCrashRecord(absl::Time /*now*/, const std::string & /*fingerprint*/,
                         const std::vector<std::string> & /*crashed*/) override
@@ -35,16 +35,16 @@
     void cacheEvent(absl::Time /*now*/, const std::string & /*engine*/,
                     const CacheEvent & /*event*/) override
     {}
-    void arrived(absl::Time now, const Work &work) override;
-    void firstToken(absl::Time /*now*/, WorkId /*work*/, int /*attempt*/) override {}
-    void progress(absl::Time now, WorkId work, int attempt, std::int64_t tokens) override;
-    void finished(absl::Time now, WorkId work, int attempt, std::int64_t tokens) override;
-    void failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure) override;
-    void preempted(absl::Time now, WorkId work, int attempt, std::int64_t tokens,
+    void arrived(absl::Time now, const Task &task) override;
+    void firstToken(absl::Time /*now*/, TaskId /*work*/, int /*attempt*/) override {}
+    void progress(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override;
+    void finished(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override;
+    void failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure) override;
+    void preempted(absl::Time now, TaskId task, int attempt, std::int64_t tokens,
                    const std::string &kvHandle) override;
-    std::vector<Decision> decide(absl::Time now) override;
+    std::vector<SchedulerDecision> decide(absl::Time now) override;
     absl::Time nextDecision() const override { return absl::InfiniteFuture(); }
-    std::size_t batchRoom(absl::Time now) const override;
+    std::size_t batchCapacity(absl::Time now) const override;
 
 private:
     struct Engine
@@ -58,7 +58,7 @@
     };
     struct Item
     {
-        Work work;
+        Task task;
         int attempt = 0;
         std::int64_t delivered = 0;
         std::string engine;
@@ -71,10 +71,10 @@
     std::size_t m_entries = 1;
     std::size_t m_next = 0;
     std::vector<Engine> m_engines;
-    std::unordered_map<WorkId, Item> m_items;
-    std::deque<WorkId> m_online;
-    std::deque<WorkId> m_batch;
-    std::vector<Decision> m_decisions;
+    std::unordered_map<TaskId, Item> m_items;
+    std::deque<TaskId> m_online;
+    std::deque<TaskId> m_batch;
+    std::vector<SchedulerDecision> m_decisions;
 };
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchbatchpool.cpp
+++ b/src/policybench/benchbatchpool.cpp
@@ -18,7 +18,7 @@
 
 BenchBatchPool::BenchBatchPool(const Deployment &deployment, std::uint64_t seed)
     : m_random(seed)
-    , m_queue(LeaseOrderSettings{})
+    , m_queue(LeaseQueueSettings{})
 {
     for (std::size_t i = 0; i < deployment.shares.size(); ++i) {
         m_queue.setWeight(concat("workspace-", i), deployment.shares[i]);
@@ -77,7 +77,7 @@
 void BenchBatchPool::enqueue(int index)
 {
     const BatchItem &item = m_items[static_cast<std::size_t>(index)];
-    m_queue.push(concat("workspace-", item.workspace), static_cast<WorkId>(index), item.due);
+    m_queue.push(concat("workspace-", item.workspace), static_cast<TaskId>(index), item.due);
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchbatchpool.h
+++ b/src/policybench/benchbatchpool.h
@@ -2,8 +2,8 @@
 
 #include "benchscenario.h"
 
-#include "rattanrill/policy/leaseorder.h"
-#include "rattanrill/policy/work.h"
+#include "rattanrill/policy/leasequeue.h"
+#include "rattanrill/policy/task.h"
 
 #include <cstdint>
 #include <optional>
@@ -44,7 +44,7 @@
     void enqueue(int index);
 
     std::mt19937_64 m_random;
-    LeaseOrder m_queue;
+    LeaseQueue m_queue;
     std::vector<BatchItem> m_items;
 };
 
--- a/src/policybench/benchengine.cpp
+++ b/src/policybench/benchengine.cpp
@@ -24,10 +24,10 @@
         beginStep();
 }
 
-void BenchEngine::cancel(WorkId work, int attempt, bool exportKv)
+void BenchEngine::cancel(TaskId task, int attempt, bool exportKv)
 {
     const auto matches = [&](const EngineTry &run) {
-        return run.work == work && run.attempt == attempt;
+        return run.task == task && run.attempt == attempt;
     };
     const auto waiting = std::find_if(m_waiting.begin(), m_waiting.end(), matches);
     if (waiting != m_waiting.end()) {
--- a/src/policybench/benchengine.h
+++ b/src/policybench/benchengine.h
@@ -18,10 +18,10 @@
 /// One try as an engine runs it.
 struct EngineTry
 {
-    WorkId work = 0;
+    TaskId task = 0;
     int attempt = 0;
     int entry = 0;
-    WorkKind kind = WorkKind::Online;
+    TaskKind kind = TaskKind::Online;
     std::int64_t promptTokens = 0;
     std::int64_t answerTokens = 0;
     std::int64_t delivered = 0;
@@ -65,7 +65,7 @@
 
     void submit(EngineTry run);
     /// Takes effect at the end of the current step, or at once for waiting work.
-    void cancel(WorkId work, int attempt, bool exportKv);
+    void cancel(TaskId task, int attempt, bool exportKv);
     /// Loses all work. Comes back after \a restart unless that is infinite.
     void crash(absl::Duration restart);
 
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -120,7 +120,7 @@
         entry.domain = static_cast<int>(i) % m_deployment.domains;
         entry.policy = makePolicy(m_options.policy, settingsOf(entry), m_options.seed * 10 + i);
     }
-    std::vector<WorkspaceShare> shares;
+    std::vector<WorkspaceWeights> shares;
     for (std::size_t i = 0; i < m_plan.contracts.size(); ++i)
         shares.push_back({workspaceName(static_cast<int>(i)), m_plan.contracts[i].ratePerSecond,
                           m_deployment.shares[i]});
@@ -279,16 +279,16 @@
     running.callerTries = callerTries;
     running.answerTokens = planned.answerTokens;
     running.arrivedAt = m_loop.now();
-    running.work.id = m_nextWork++;
-    running.work.workspace = workspaceName(planned.workspace);
-    running.work.model = "model";
-    running.work.promptTokens = planned.promptTokens;
-    running.work.maxTokens = longestOnlineAnswer;
-    running.work.prefixHashes = prefixHashes(planned.prefixGroup);
-    running.work.fingerprint = concat("request-", request);
-    const Work work = running.work;
-    m_running[work.id] = std::move(running);
-    m_entries[entry].policy->arrived(m_loop.now(), work);
+    running.task.id = m_nextWork++;
+    running.task.workspace = workspaceName(planned.workspace);
+    running.task.model = "model";
+    running.task.promptTokens = planned.promptTokens;
+    running.task.maxTokens = longestOnlineAnswer;
+    running.task.prefixHashes = prefixHashes(planned.prefixGroup);
+    running.task.fingerprint = concat("request-", request);
+    const Task task = running.task;
+    m_running[task.id] = std::move(running);
+    m_entries[entry].policy->arrived(m_loop.now(), task);
     decide(entry);
 }
 
@@ -302,7 +302,7 @@
                                         tries = running.callerTries] { send(request, tries + 1); });
         return;
     }
-    if (failure.code == ErrorCode::RequestHeld)
+    if (failure.code == ErrorCode::RequestQuarantined)
         ++m_result.innocentsHeld;
     if (!counts(running.index) || running.gotFirstToken)
         return;
@@ -315,11 +315,11 @@
 {
     Entry &entry = m_entries[index];
     const auto begin = std::chrono::steady_clock::now();
-    const std::vector<Decision> decisions = entry.policy->decide(m_loop.now());
+    const std::vector<SchedulerDecision> decisions = entry.policy->decide(m_loop.now());
     const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - begin;
     m_result.policySeconds += spent.count();
     m_result.decisions += decisions.size();
-    for (const Decision &decision : decisions)
+    for (const SchedulerDecision &decision : decisions)
         std::visit([&](const auto &made) { carryOut(index, made); }, decision);
     leaseBatch(index);
     const absl::Time next = entry.policy->nextDecision();
@@ -335,12 +335,12 @@
     });
 }
 
-void BenchFleet::carryOut(std::size_t entry, const StartWork &start)
+void BenchFleet::carryOut(std::size_t entry, const StartTask &start)
 {
-    Running &running = m_running.at(start.work);
+    Running &running = m_running.at(start.task);
     running.attempt = start.attempt;
     running.engine = engineIndex(start.engine);
-    if (running.work.kind == WorkKind::Online) {
+    if (running.task.kind == TaskKind::Online) {
         for (auto &[id, other] : m_running) {
             if (other.entry == entry && !other.preemptedFor.empty()
                 && other.preemptedFor.back() == absl::InfinitePast())
@@ -348,43 +348,43 @@
         }
     }
     EngineTry run;
-    run.work = start.work;
+    run.task = start.task;
     run.attempt = start.attempt;
     run.entry = static_cast<int>(entry);
-    run.kind = running.work.kind;
-    run.promptTokens = running.work.promptTokens;
+    run.kind = running.task.kind;
+    run.promptTokens = running.task.promptTokens;
     run.answerTokens = running.answerTokens;
     run.delivered = start.resumeAfter;
     run.imported = !start.kvHandle.empty();
-    const bool online = run.kind == WorkKind::Online;
-    run.prefix = online ? running.work.prefixHashes.back() : 0;
+    const bool online = run.kind == TaskKind::Online;
+    run.prefix = online ? running.task.prefixHashes.back() : 0;
     run.prefixTokens = prefixTokens;
     run.poison = online && m_plan.online[static_cast<std::size_t>(running.index)].poison;
     BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
     m_loop.after(link(entry, running.engine), [&engine, run] { engine.submit(run); });
 }
 
-void BenchFleet::carryOut(std::size_t entry, const PreemptWork &preempt)
+void BenchFleet::carryOut(std::size_t entry, const PreemptTask &preempt)
 {
-    Running &running = m_running.at(preempt.work);
+    Running &running = m_running.at(preempt.task);
     running.preemptedFor.push_back(absl::InfinitePast());
     ++m_result.preemptions;
     BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
     m_loop.after(link(entry, running.engine), [&engine, preempt] {
-        engine.cancel(preempt.work, preempt.attempt, preempt.method == PreemptMethod::ExportKv);
+        engine.cancel(preempt.task, preempt.attempt, preempt.method == PreemptMethod::ExportKv);
     });
 }
 
-void BenchFleet::carryOut(std::size_t /*entry*/, const RefuseWork &refuse)
+void BenchFleet::carryOut(std::size_t /*entry*/, const RejectTask &refuse)
 {
-    const auto found = m_running.find(refuse.work);
+    const auto found = m_running.find(refuse.task);
     if (found == m_running.end())
         return;
-    if (found->second.work.kind == WorkKind::Online) {
+    if (found->second.task.kind == TaskKind::Online) {
         onlineEnded(found->second, refuse.failure);
     } else {
         ++m_result.batchLost;
-        if (refuse.failure.code == ErrorCode::RequestHeld)
+        if (refuse.failure.code == ErrorCode::RequestQuarantined)
             ++m_result.innocentsHeld;
     }
     m_running.erase(found);
@@ -408,7 +408,7 @@
     Entry &entry = m_entries[index];
     if (!m_options.withBatch || entry.leasing)
         return;
-    if (entry.policy->batchRoom(m_loop.now()) == 0)
+    if (entry.policy->batchCapacity(m_loop.now()) == 0)
         return;
     entry.leasing = true;
     m_loop.after(m_deployment.betweenDomains * 2 + commitTime, [this, index] {
@@ -416,7 +416,7 @@
         leaser.leasing = false;
         if (!leaser.alive)
             return;
-        const std::size_t room = leaser.policy->batchRoom(m_loop.now());
+        const std::size_t room = leaser.policy->batchCapacity(m_loop.now());
         for (std::size_t i = 0; i < room; ++i) {
             const int item = m_batch.lease(m_loop.now());
             Running running;
@@ -424,29 +424,29 @@
             running.index = item;
             running.answerTokens = m_batch.item(item).answerTokens;
             running.delivered = m_batch.item(item).delivered;
-            running.work = batchWork(item, m_nextWork++);
-            running.work.deliveredTokens = running.delivered;
-            const Work work = running.work;
-            m_running[work.id] = std::move(running);
-            leaser.policy->arrived(m_loop.now(), work);
+            running.task = batchWork(item, m_nextWork++);
+            running.task.deliveredTokens = running.delivered;
+            const Task task = running.task;
+            m_running[task.id] = std::move(running);
+            leaser.policy->arrived(m_loop.now(), task);
         }
         decide(index);
     });
 }
 
-Work BenchFleet::batchWork(int item, WorkId id) const
+Task BenchFleet::batchWork(int item, TaskId id) const
 {
     const BatchItem &leased = const_cast<BenchBatchPool &>(m_batch).item(item);
-    Work work;
-    work.id = id;
-    work.workspace = workspaceName(leased.workspace);
-    work.kind = WorkKind::Batch;
-    work.model = "model";
-    work.promptTokens = leased.promptTokens;
-    work.maxTokens = longestBatchAnswer;
-    work.due = leased.due;
-    work.fingerprint = concat("item-", item);
-    return work;
+    Task task;
+    task.id = id;
+    task.workspace = workspaceName(leased.workspace);
+    task.kind = TaskKind::Batch;
+    task.model = "model";
+    task.promptTokens = leased.promptTokens;
+    task.maxTokens = longestBatchAnswer;
+    task.deadline = leased.due;
+    task.fingerprint = concat("item-", item);
+    return task;
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchfleet.h
+++ b/src/policybench/benchfleet.h
@@ -56,7 +56,7 @@
     };
     struct Running
     {
-        Work work;
+        Task task;
         std::size_t entry = 0;
         /// Index in the plan or of the batch item.
         int index = 0;
@@ -91,12 +91,12 @@
 
     // Entries
     void decide(std::size_t entry);
-    void carryOut(std::size_t entry, const StartWork &start);
-    void carryOut(std::size_t entry, const PreemptWork &preempt);
-    void carryOut(std::size_t entry, const RefuseWork &refuse);
+    void carryOut(std::size_t entry, const StartTask &start);
+    void carryOut(std::size_t entry, const PreemptTask &preempt);
+    void carryOut(std::size_t entry, const RejectTask &refuse);
     void carryOut(std::size_t entry, const RecordCrash &record);
     void leaseBatch(std::size_t entry);
-    Work batchWork(int item, WorkId id) const;
+    Task batchWork(int item, TaskId id) const;
 
     // Engines
     void admitted(int engine, const EngineTry &run) override;
@@ -109,7 +109,7 @@
     void cacheEvent(int engine, const CacheEvent &event) override;
     void report(int engine);
     void sample(const BenchEngine &engine);
-    void fail(int engine, const EngineTry &run, TryFailure::Kind kind, absl::Duration delay);
+    void fail(int engine, const EngineTry &run, AttemptFailure::Kind kind, absl::Duration delay);
     /// Runs \a event at the entry of \a run after the link's delay, then decides, when the try is
     /// still current.
     template <typename Event>
@@ -140,8 +140,8 @@
     /// Dead engines whose connections hang instead of being reset.
     std::vector<bool> m_hanging;
     std::vector<Entry> m_entries;
-    std::unordered_map<WorkId, Running> m_running;
-    WorkId m_nextWork = 1;
+    std::unordered_map<TaskId, Running> m_running;
+    TaskId m_nextWork = 1;
     std::map<std::string, std::set<std::string>> m_crashRecords;
     BenchResult m_result;
 };
--- a/src/policybench/benchfleet_engines.cpp
+++ b/src/policybench/benchfleet_engines.cpp
@@ -33,7 +33,7 @@
 {
     const auto entry = static_cast<std::size_t>(run.entry);
     m_loop.after(link(entry, engine), [this, entry, run, event] {
-        const auto found = m_running.find(run.work);
+        const auto found = m_running.find(run.task);
         const bool current = found != m_running.end() && found->second.attempt == run.attempt;
         if (!m_entries[entry].alive || !current)
             return;
@@ -44,7 +44,7 @@
 
 void BenchFleet::admitted(int /*engine*/, const EngineTry &run)
 {
-    if (run.kind == WorkKind::Online && measured(m_loop.now()))
+    if (run.kind == TaskKind::Online && measured(m_loop.now()))
         m_result.slotWaits.push_back(absl::ToDoubleSeconds(m_loop.now() - run.submittedAt));
     if (run.attempt > 1 && !run.imported)
         m_result.wastedTokens += run.prefillLeft;
@@ -53,9 +53,9 @@
 void BenchFleet::firstToken(int engine, const EngineTry &run)
 {
     deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
-        policy.firstToken(m_loop.now(), run.work, run.attempt);
+        policy.firstToken(m_loop.now(), run.task, run.attempt);
         running.delivered = std::max(running.delivered, run.delivered);
-        if (run.kind == WorkKind::Batch || running.gotFirstToken)
+        if (run.kind == TaskKind::Batch || running.gotFirstToken)
             return;
         running.gotFirstToken = true;
         const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(running.index)];
@@ -69,19 +69,19 @@
 
 void BenchFleet::token(int /*engine*/, const EngineTry &run, absl::Duration gap)
 {
-    if (run.kind == WorkKind::Online && measured(m_loop.now()))
+    if (run.kind == TaskKind::Online && measured(m_loop.now()))
         m_result.tokenGaps.push_back(absl::ToDoubleSeconds(gap));
-    if (run.kind == WorkKind::Batch && measured(m_loop.now()))
+    if (run.kind == TaskKind::Batch && measured(m_loop.now()))
         ++m_result.batchTokens;
 }
 
 void BenchFleet::finished(int engine, const EngineTry &run)
 {
     deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
-        if (run.kind == WorkKind::Batch)
+        if (run.kind == TaskKind::Batch)
             m_batch.item(running.index).finishedAt = m_loop.now();
-        m_running.erase(run.work);
-        policy.finished(m_loop.now(), run.work, run.attempt, run.delivered);
+        m_running.erase(run.task);
+        policy.finished(m_loop.now(), run.task, run.attempt, run.delivered);
     });
 }
 
@@ -94,8 +94,8 @@
         if (forOnline && measured(freedAt))
             m_result.yields.push_back(absl::ToDoubleSeconds(freedAt - running.preemptedFor.back()));
         running.delivered = run.delivered;
-        const std::string handle = run.exportKv ? concat("kv-", run.work) : std::string();
-        policy.preempted(m_loop.now(), run.work, run.attempt, run.delivered, handle);
+        const std::string handle = run.exportKv ? concat("kv-", run.task) : std::string();
+        policy.preempted(m_loop.now(), run.task, run.attempt, run.delivered, handle);
     });
 }
 
@@ -107,27 +107,29 @@
         ++m_result.poisonCrashes;
     const bool hanging = m_hanging[static_cast<std::size_t>(engine)];
     for (const EngineTry &run : lost)
-        fail(engine, run, TryFailure::Kind::Crashed,
+        fail(engine, run, AttemptFailure::Kind::Crashed,
              hanging ? silenceTimeout : absl::ZeroDuration());
 }
 
 void BenchFleet::refused(int engine, const EngineTry &run)
 {
     const bool hanging = m_hanging[static_cast<std::size_t>(engine)];
-    fail(engine, run, TryFailure::Kind::Refused, hanging ? connectTimeout : absl::ZeroDuration());
+    fail(engine, run, AttemptFailure::Kind::Refused,
+         hanging ? connectTimeout : absl::ZeroDuration());
 }
 
-void BenchFleet::fail(int engine, const EngineTry &run, TryFailure::Kind kind, absl::Duration delay)
+void BenchFleet::fail(int engine, const EngineTry &run, AttemptFailure::Kind kind,
+                      absl::Duration delay)
 {
     m_loop.after(delay, [this, engine, run, kind] {
         deliver(engine, run, [this, run, kind](Running &running, BenchPolicy &policy) {
-            TryFailure failure;
+            AttemptFailure failure;
             failure.kind = kind;
             failure.deliveredTokens = std::max(running.delivered, run.delivered);
-            const bool ran = kind != TryFailure::Kind::Refused;
+            const bool ran = kind != AttemptFailure::Kind::Refused;
             failure.failure = ran ? mayHaveRun(ErrorCode::UpstreamFailed, "connection lost")
                                   : notRun(ErrorCode::UpstreamUnavailable, "no connection");
-            policy.failed(m_loop.now(), run.work, run.attempt, failure);
+            policy.failed(m_loop.now(), run.task, run.attempt, failure);
         });
     });
 }
@@ -171,11 +173,11 @@
     for (const EngineTry &run : engine.running()) {
         if (run.prefillLeft > 0)
             continue;
-        const auto found = m_running.find(run.work);
+        const auto found = m_running.find(run.task);
         if (found == m_running.end() || !m_entries[static_cast<std::size_t>(run.entry)].alive)
             continue;
         found->second.delivered = run.delivered;
-        m_entries[static_cast<std::size_t>(run.entry)].policy->progress(m_loop.now(), run.work,
+        m_entries[static_cast<std::size_t>(run.entry)].policy->progress(m_loop.now(), run.task,
                                                                         run.attempt, run.delivered);
     }
 }
@@ -188,7 +190,7 @@
     std::int64_t online = 0;
     std::int64_t batch = 0;
     for (const EngineTry &run : engine.running())
-        ++(run.kind == WorkKind::Online ? online : batch);
+        ++(run.kind == TaskKind::Online ? online : batch);
     m_result.batchPlaceSeconds += static_cast<double>(batch) * seconds;
     m_result.idlePlaceSeconds +=
             static_cast<double>(m_deployment.engine.maxBatch - online) * seconds;
@@ -221,13 +223,13 @@
         running = m_running.erase(running);
     }
     std::sort(lost.begin(), lost.end(), [](const Running &left, const Running &right) {
-        return left.work.id < right.work.id;
+        return left.task.id < right.task.id;
     });
     for (const Running &running : lost) {
         if (running.engine >= 0)
-            m_engines[static_cast<std::size_t>(running.engine)]->cancel(running.work.id,
+            m_engines[static_cast<std::size_t>(running.engine)]->cancel(running.task.id,
                                                                         running.attempt, false);
-        if (running.work.kind == WorkKind::Batch)
+        if (running.task.kind == TaskKind::Batch)
             m_loop.after(batchLease, [this, item = running.index] { m_batch.giveBack(item); });
         else
             m_loop.after(callerResend, [this, request = running.index,
--- a/src/policybench/benchpolicy.h
+++ b/src/policybench/benchpolicy.h
@@ -27,23 +27,24 @@
 
     virtual void setEngines(absl::Time now, const std::vector<EngineInfo> &engines) = 0;
     virtual void setEntries(const std::string &self, const std::vector<std::string> &all) = 0;
-    virtual void setWorkspaces(const std::vector<WorkspaceShare> &workspaces) = 0;
+    virtual void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces) = 0;
     virtual void setClockOffset(absl::Duration offset) = 0;
     virtual void setCrashRecord(absl::Time now, const std::string &fingerprint,
                                 const std::vector<std::string> &crashed) = 0;
     virtual void loadReported(absl::Time now, const std::string &engine,
                               const EngineLoad &load) = 0;
     virtual void cacheEvent(absl::Time now, const std::string &engine, const CacheEvent &event) = 0;
-    virtual void arrived(absl::Time now, const Work &work) = 0;
-    virtual void firstToken(absl::Time now, WorkId work, int attempt) = 0;
-    virtual void progress(absl::Time now, WorkId work, int attempt, std::int64_t tokens) = 0;
-    virtual void finished(absl::Time now, WorkId work, int attempt, std::int64_t tokens) = 0;
-    virtual void failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure) = 0;
-    virtual void preempted(absl::Time now, WorkId work, int attempt, std::int64_t tokens,
+    virtual void arrived(absl::Time now, const Task &task) = 0;
+    virtual void firstToken(absl::Time now, TaskId task, int attempt) = 0;
+    virtual void progress(absl::Time now, TaskId task, int attempt, std::int64_t tokens) = 0;
+    virtual void finished(absl::Time now, TaskId task, int attempt, std::int64_t tokens) = 0;
+    virtual void failed(absl::Time now, TaskId task, int attempt,
+                        const AttemptFailure &failure) = 0;
+    virtual void preempted(absl::Time now, TaskId task, int attempt, std::int64_t tokens,
                            const std::string &kvHandle) = 0;
-    virtual std::vector<Decision> decide(absl::Time now) = 0;
+    virtual std::vector<SchedulerDecision> decide(absl::Time now) = 0;
     virtual absl::Time nextDecision() const = 0;
-    virtual std::size_t batchRoom(absl::Time now) const = 0;
+    virtual std::size_t batchCapacity(absl::Time now) const = 0;
 };
 
 std::unique_ptr<BenchPolicy> makePolicy(PolicyKind kind, const SchedulerSettings &settings,
--- a/src/policybench/schedulerpolicy.h
+++ b/src/policybench/schedulerpolicy.h
@@ -20,7 +20,7 @@
     {
         m_scheduler.setEntries(self, all);
     }
-    void setWorkspaces(const std::vector<WorkspaceShare> &workspaces) override
+    void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces) override
     {
         m_scheduler.setWorkspaces(workspaces);
     }
@@ -38,31 +38,37 @@
     {
         m_scheduler.cacheEvents(now, engine, {event});
     }
-    void arrived(absl::Time now, const Work &work) override { m_scheduler.arrived(now, work); }
-    void firstToken(absl::Time now, WorkId work, int attempt) override
+    void arrived(absl::Time now, const Task &task) override { m_scheduler.arrived(now, task); }
+    void firstToken(absl::Time now, TaskId task, int attempt) override
     {
-        m_scheduler.firstToken(now, work, attempt);
+        m_scheduler.firstToken(now, task, attempt);
     }
-    void progress(absl::Time now, WorkId work, int attempt, std::int64_t tokens) override
+    void progress(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override
     {
-        m_scheduler.progress(now, work, attempt, tokens);
+        m_scheduler.progress(now, task, attempt, tokens);
     }
-    void finished(absl::Time now, WorkId work, int attempt, std::int64_t tokens) override
+    void finished(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override
     {
-        m_scheduler.finished(now, work, attempt, tokens);
+        m_scheduler.finished(now, task, attempt, tokens);
     }
-    void failed(absl::Time now, WorkId work, int attempt, const TryFailure &failure) override
+    void failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure) override
     {
-        m_scheduler.failed(now, work, attempt, failure);
+        m_scheduler.failed(now, task, attempt, failure);
     }
-    void preempted(absl::Time now, WorkId work, int attempt, std::int64_t tokens,
+    void preempted(absl::Time now, TaskId task, int attempt, std::int64_t tokens,
                    const std::string &kvHandle) override
     {
-        m_scheduler.preempted(now, work, attempt, tokens, kvHandle);
+        m_scheduler.preempted(now, task, attempt, tokens, kvHandle);
+    }
+    std::vector<SchedulerDecision> decide(absl::Time now) override
+    {
+        return m_scheduler.decide(now);
     }
-    std::vector<Decision> decide(absl::Time now) override { return m_scheduler.decide(now); }
     absl::Time nextDecision() const override { return m_scheduler.nextDecision(); }
-    std::size_t batchRoom(absl::Time now) const override { return m_scheduler.batchRoom(now); }
+    std::size_t batchCapacity(absl::Time now) const override
+    {
+        return m_scheduler.batchCapacity(now);
+    }
 
 private:
     Scheduler m_scheduler;
--- a/src/replication/applythread.h
+++ b/src/replication/applythread.h
@@ -14,7 +14,7 @@
 
 namespace rattanrill::replication {
 
-using Callback = ReplicatedGroup::Callback;
+using Callback = RaftNode::Callback;
 
 /// Owns the state machine: applies committed entries, answers reads, takes and restores snapshots
 /// and calls the callers back, all on one thread.
--- a/src/replication/calllimit.h
+++ b/src/replication/calllimit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <atomic>
 #include <cstdint>
--- a/src/replication/filestorage.h
+++ b/src/replication/filestorage.h
@@ -26,7 +26,7 @@
 {
 public:
     /// Opens or creates the folder and reads its state into \a state. Fails with CorruptData,
-    /// UnsupportedFormat, IdentityMismatch, DiskFull, SyncFailed or IoError.
+    /// UnsupportedFormat, IdentityMismatch, DiskFull, FsyncFailed or IoError.
     static Result<std::unique_ptr<FileStorage>> open(FileStorageOptions options,
                                                      FileSystem &fileSystem, StoredState &state);
 
--- a/src/replication/filesystem.cpp
+++ b/src/replication/filesystem.cpp
@@ -70,7 +70,7 @@
     {
         // Not repeated on failure: the kernel may have dropped the pages that it could not write.
         if (::fdatasync(m_descriptor.get()) != 0)
-            return fail(systemFailure(ErrorCode::SyncFailed, "sync", m_path, errno));
+            return fail(systemFailure(ErrorCode::FsyncFailed, "sync", m_path, errno));
         return {};
     }
 
@@ -167,7 +167,7 @@
     {
         const Descriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
         if (!folder.isOpen() || ::fsync(folder.get()) != 0)
-            return fail(systemFailure(ErrorCode::SyncFailed, "sync folder", path, errno));
+            return fail(systemFailure(ErrorCode::FsyncFailed, "sync folder", path, errno));
         return {};
     }
 
--- a/src/replication/filesystem.h
+++ b/src/replication/filesystem.h
@@ -18,7 +18,7 @@
 
     /// Fails with DiskFull or IoError; part of \a data may be in the file then.
     virtual Result<void> append(std::string_view data) = 0;
-    /// What was appended survives a loss of power after this. Fails with SyncFailed.
+    /// What was appended survives a loss of power after this. Fails with FsyncFailed.
     virtual Result<void> sync() = 0;
     /// Cuts the file; later appends go to its new end.
     virtual Result<void> truncate(std::uint64_t size) = 0;
@@ -43,7 +43,7 @@
     virtual Result<void> rename(const std::string &from, const std::string &to) = 0;
     virtual Result<void> remove(const std::string &path) = 0;
     /// Creations, renames and removals in the folder survive a loss of power after this. Fails with
-    /// SyncFailed.
+    /// FsyncFailed.
     virtual Result<void> syncFolder(const std::string &path) = 0;
     virtual Result<std::uint64_t> freeBytes(const std::string &folder) = 0;
     /// Keeps other processes and other openers out until the returned object is destroyed.
--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-GroupDriver::GroupDriver(GroupOptions options, Parts parts, GroupTransport &transport,
+GroupDriver::GroupDriver(RaftNodeOptions options, Parts parts, RaftTransport &transport,
                          const Clock &clock)
     : m_options(std::move(options))
     , m_transport(transport)
@@ -128,9 +128,9 @@
     startRead(&RaftCore::read, std::move(query), std::move(callback));
 }
 
-void GroupDriver::readIndexed(std::string query, Callback callback)
+void GroupDriver::linearizableRead(std::string query, Callback callback)
 {
-    startRead(&RaftCore::readIndexed, std::move(query), std::move(callback));
+    startRead(&RaftCore::linearizableRead, std::move(query), std::move(callback));
 }
 
 void GroupDriver::startRead(StartRead start, std::string query, Callback callback)
@@ -150,12 +150,12 @@
     post(begin, callback);
 }
 
-void GroupDriver::addMember(const ReplicaId &member, const ReplicaId &replaced, Callback callback)
+void GroupDriver::addReplica(const ReplicaId &member, const ReplicaId &replaced, Callback callback)
 {
     changeMembers(member, replaced, std::move(callback));
 }
 
-void GroupDriver::removeMember(const ReplicaId &member, Callback callback)
+void GroupDriver::removeReplica(const ReplicaId &member, Callback callback)
 {
     changeMembers("", member, std::move(callback));
 }
@@ -199,9 +199,9 @@
     });
 }
 
-GroupStatus GroupDriver::status() const
+RaftNodeStatus GroupDriver::status() const
 {
-    GroupStatus status;
+    RaftNodeStatus status;
     {
         absl::MutexLock lock(&m_statusMutex);
         status = m_status;
@@ -412,7 +412,7 @@
 
 void GroupDriver::publishStatus()
 {
-    GroupStatus now;
+    RaftNodeStatus now;
     now.group = m_options.group;
     now.role = m_stopReason ? Role::Follower : m_core.role();
     now.term = m_core.term();
@@ -425,7 +425,7 @@
     now.stopped = m_stopReason.has_value();
     if (m_stopReason)
         now.stopReason = describe(*m_stopReason);
-    GroupStatus before;
+    RaftNodeStatus before;
     {
         absl::MutexLock lock(&m_statusMutex);
         before = std::exchange(m_status, now);
@@ -433,7 +433,7 @@
     logRoleChange(before, now);
 }
 
-void GroupDriver::logRoleChange(const GroupStatus &before, const GroupStatus &now) const
+void GroupDriver::logRoleChange(const RaftNodeStatus &before, const RaftNodeStatus &now) const
 {
     if (before.role == now.role && before.leader == now.leader)
         return;
@@ -444,9 +444,9 @@
          {"leader", now.leader}});
 }
 
-Result<std::unique_ptr<ReplicatedGroup>> openGroup(const GroupOptions &options,
-                                                   std::unique_ptr<StateMachine> machine,
-                                                   GroupTransport &transport, const Clock &clock)
+Result<std::unique_ptr<RaftNode>> startRaftNode(const RaftNodeOptions &options,
+                                                std::unique_ptr<StateMachine> machine,
+                                                RaftTransport &transport, const Clock &clock)
 {
     FileStorageOptions files;
     files.folder = options.dataFolder;
@@ -464,10 +464,9 @@
     parts.raft.incarnation = state.incarnation;
     parts.raft.heartbeatPeriod = options.heartbeatPeriod;
     parts.raft.electionTimeout = options.electionTimeout;
-    parts.raft.firstElectionTimeout = options.firstElectionTimeout;
+    parts.raft.initialElectionTimeout = options.initialElectionTimeout;
     parts.raft.seed = stableHash(randomHex(8));
-    return std::unique_ptr<ReplicatedGroup>(
-            new GroupDriver(options, std::move(parts), transport, clock));
+    return std::unique_ptr<RaftNode>(new GroupDriver(options, std::move(parts), transport, clock));
 }
 
 } // namespace rattanrill::replication
--- a/src/replication/groupdriver.h
+++ b/src/replication/groupdriver.h
@@ -10,9 +10,9 @@
 
 namespace rattanrill::replication {
 
-/// ReplicatedGroup over a RaftCore, which runs on a thread of its own and hands disk work to a
+/// RaftNode over a RaftCore, which runs on a thread of its own and hands disk work to a
 /// StorageThread and state-machine work to an ApplyThread. Callbacks come on the apply thread.
-class GroupDriver : public ReplicatedGroup
+class GroupDriver : public RaftNode
 {
 public:
     struct Parts
@@ -24,17 +24,17 @@
         RaftOptions raft;
     };
 
-    GroupDriver(GroupOptions options, Parts parts, GroupTransport &transport, const Clock &clock);
+    GroupDriver(RaftNodeOptions options, Parts parts, RaftTransport &transport, const Clock &clock);
     ~GroupDriver() override;
 
     void propose(std::string command, Callback callback) override;
     void read(std::string query, Callback callback) override;
-    void readIndexed(std::string query, Callback callback) override;
+    void linearizableRead(std::string query, Callback callback) override;
     void receive(const ReplicaId &from, std::string message) override;
-    GroupStatus status() const override;
+    RaftNodeStatus status() const override;
     void onApplied(std::function<void(std::uint64_t)> listener) override;
-    void addMember(const ReplicaId &member, const ReplicaId &replaced, Callback callback) override;
-    void removeMember(const ReplicaId &member, Callback callback) override;
+    void addReplica(const ReplicaId &member, const ReplicaId &replaced, Callback callback) override;
+    void removeReplica(const ReplicaId &member, Callback callback) override;
     void transferLeadership() override;
     void stop() override;
 
@@ -74,13 +74,13 @@
     void stopReplica(const Failure &failure);
     void failEverything(const Failure &failure);
     void publishStatus();
-    void logRoleChange(const GroupStatus &before, const GroupStatus &now) const;
+    void logRoleChange(const RaftNodeStatus &before, const RaftNodeStatus &now) const;
 
     StorageThread::Listener storageListener();
     ApplyThread::Listener applyListener();
 
-    const GroupOptions m_options;
-    GroupTransport &m_transport;
+    const RaftNodeOptions m_options;
+    RaftTransport &m_transport;
     const Clock &m_clock;
     CallLimit m_calls;
     TaskQueue<Task> m_inbox;
@@ -96,7 +96,7 @@
     std::optional<Failure> m_stopReason;
 
     mutable absl::Mutex m_statusMutex;
-    GroupStatus m_status ABSL_GUARDED_BY(m_statusMutex);
+    RaftNodeStatus m_status ABSL_GUARDED_BY(m_statusMutex);
 
     ApplyThread m_apply;
     StorageThread m_storage;
--- a/src/replication/main_bench.cpp
+++ b/src/replication/main_bench.cpp
@@ -2,7 +2,7 @@
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/json.h"
 #include "rattanrill/base/logger.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 #include "rattanrill/wire/codec.h"
 #include "rattanrill/wire/envelope.h"
 
@@ -74,7 +74,7 @@
 
     void open(const ReplicaId &id)
     {
-        GroupOptions options;
+        RaftNodeOptions options;
         options.group = "bench";
         options.self = id;
         options.initialVoters = m_ids;
@@ -84,8 +84,8 @@
         link.from = id;
         link.group = this;
         auto opened = outcomeOf([&] {
-            return openGroup(options, std::make_unique<BenchMachine>(), link,
-                             SystemClock::instance());
+            return startRaftNode(options, std::make_unique<BenchMachine>(), link,
+                                 SystemClock::instance());
         });
         if (!opened.ok()) {
             std::cerr << describe(opened.failure()) << "\n";
@@ -97,7 +97,7 @@
 
     void close(const ReplicaId &id)
     {
-        std::shared_ptr<ReplicatedGroup> replica;
+        std::shared_ptr<RaftNode> replica;
         {
             absl::MutexLock lock(&m_mutex);
             replica = std::move(m_replicas[id]);
@@ -106,7 +106,7 @@
             replica->stop();
     }
 
-    std::shared_ptr<ReplicatedGroup> replica(const ReplicaId &id)
+    std::shared_ptr<RaftNode> replica(const ReplicaId &id)
     {
         absl::MutexLock lock(&m_mutex);
         return m_replicas[id];
@@ -145,7 +145,7 @@
     }
 
 private:
-    struct Link : GroupTransport
+    struct Link : RaftTransport
     {
         void send(const ReplicaId &to, const std::string &, std::string message) override
         {
@@ -162,14 +162,14 @@
     std::vector<ReplicaId> m_ids;
     std::map<ReplicaId, Link> m_links;
     absl::Mutex m_mutex;
-    std::map<ReplicaId, std::shared_ptr<ReplicatedGroup>> m_replicas ABSL_GUARDED_BY(m_mutex);
+    std::map<ReplicaId, std::shared_ptr<RaftNode>> m_replicas ABSL_GUARDED_BY(m_mutex);
 };
 
 /// Closed loop: each of a number of clients has one write open.
 class WriteLoad
 {
 public:
-    WriteLoad(std::shared_ptr<ReplicatedGroup> leader, int clients)
+    WriteLoad(std::shared_ptr<RaftNode> leader, int clients)
         : m_leader(std::move(leader))
         , m_open(clients)
     {
@@ -202,7 +202,7 @@
                           });
     }
 
-    const std::shared_ptr<ReplicatedGroup> m_leader;
+    const std::shared_ptr<RaftNode> m_leader;
     std::atomic<int> m_open;
     std::atomic<bool> m_stopping = false;
     absl::Notification m_finished;
@@ -260,7 +260,7 @@
            {"max_s", times.back()}});
 }
 
-void fill(ReplicatedGroup &replica, std::uint64_t megabytes)
+void fill(RaftNode &replica, std::uint64_t megabytes)
 {
     constexpr std::size_t largeCommand = 16u << 10;
     const std::uint64_t count = (megabytes << 20) / largeCommand;
--- a/src/replication/raftcore.h
+++ b/src/replication/raftcore.h
@@ -30,7 +30,7 @@
     absl::Duration heartbeatPeriod = absl::Milliseconds(60);
     absl::Duration electionTimeout = absl::Milliseconds(400);
     /// Takes the place of the election timeout until a leader has been heard, unless it is zero.
-    absl::Duration firstElectionTimeout;
+    absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 256u << 10;
     /// Bound of unanswered append bytes to one replica.
     std::uint64_t maxInFlightBytes = 4u << 20;
@@ -114,7 +114,7 @@
     /// Linearizable read on the leader; ends in RaftOutput::reads.
     void read(std::uint64_t token);
     /// As read(), on any replica.
-    void readIndexed(std::uint64_t token);
+    void linearizableRead(std::uint64_t token);
     /// \a member or \a replaced may be empty: pure removal or pure addition.
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, std::uint64_t token);
     void transferLeadership();
--- a/src/replication/raftcore_election.cpp
+++ b/src/replication/raftcore_election.cpp
@@ -92,9 +92,9 @@
     // Drawn, so that replicas rarely stand for election at the same time.
     std::uniform_real_distribution<double> factor(1.0, 2.0);
     const bool isFirst = m_lastLeaderContact == absl::InfinitePast()
-                         && m_options.firstElectionTimeout > absl::ZeroDuration();
+                         && m_options.initialElectionTimeout > absl::ZeroDuration();
     const absl::Duration timeout =
-            isFirst ? m_options.firstElectionTimeout : m_options.electionTimeout;
+            isFirst ? m_options.initialElectionTimeout : m_options.electionTimeout;
     m_electionDeadline = m_now + timeout * factor(m_random);
 }
 
--- a/src/replication/raftcore_replication.cpp
+++ b/src/replication/raftcore_replication.cpp
@@ -392,7 +392,7 @@
         m_reads.finish({token, 0, notRun(ErrorCode::NotLeader, m_leader)});
 }
 
-void RaftCore::readIndexed(std::uint64_t token)
+void RaftCore::linearizableRead(std::uint64_t token)
 {
     if (m_role == Role::Leader)
         addLeaderRead({token, "", 0, 0, 0});
--- a/src/replication/raftmessages.h
+++ b/src/replication/raftmessages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/result.h"
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <cstdint>
 #include <map>
--- a/src/report/repairlog.cpp
+++ b/src/report/repairlog.cpp
@@ -15,7 +15,7 @@
         {Repair::ReplicasChanged, "replicas_changed"},
         {Repair::MemberReplaced, "members_replaced"},
         {Repair::LeaseExpired, "leases_expired"},
-        {Repair::RequestHeld, "requests_held"},
+        {Repair::RequestQuarantined, "requests_held"},
         {Repair::UpstreamCrashed, "upstreams_crashed"},
         {Repair::ReplicaStopped, "replicas_stopped"},
 }};
@@ -44,7 +44,7 @@
             {"member-removed", Repair::MemberReplaced, {"member", "incarnation"}, "", ""},
             {"lease-expired", Repair::LeaseExpired, {}, "", "items"},
             {"batch-items-lost", Repair::LeaseExpired, {}, "", "items"},
-            {"request-held", Repair::RequestHeld, {"fingerprint"}, "", ""},
+            {"request-held", Repair::RequestQuarantined, {"fingerprint"}, "", ""},
             {"upstream-crashed", Repair::UpstreamCrashed, {}, "", ""},
             {"replica-stopped", Repair::ReplicaStopped, {"instance", "group"}, "", ""},
     };
--- a/src/service/credentials.cpp
+++ b/src/service/credentials.cpp
@@ -56,7 +56,7 @@
            != credentialNames.end();
 }
 
-bool containsKey(std::string_view text, std::string_view key)
+bool containsApiKey(std::string_view text, std::string_view key)
 {
     if (key.empty())
         return false;
@@ -64,7 +64,7 @@
            || percentDecoded(text).find(key) != std::string::npos;
 }
 
-std::string withoutCredentials(std::string_view query, std::string_view key)
+std::string stripCredentials(std::string_view query, std::string_view key)
 {
     std::string kept;
     while (!query.empty()) {
@@ -72,7 +72,7 @@
         const std::string_view parameter = query.substr(0, end);
         query.remove_prefix(std::min(end + 1, query.size()));
         const std::string_view name = parameter.substr(0, parameter.find('='));
-        if (parameter.empty() || isCredentialParameter(name) || containsKey(parameter, key))
+        if (parameter.empty() || isCredentialParameter(name) || containsApiKey(parameter, key))
             continue;
         kept += kept.empty() ? "" : "&";
         kept += parameter;
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -83,8 +83,8 @@
         return mayHaveRun(ErrorCode::ConnectionLost, detail);
     }
 
-    Outcome<ServiceAnswer> checkedAnswer(const ServiceRequest &request,
-                                         const httplib::Response &response)
+    Outcome<ServiceResponse> checkedAnswer(const ServiceRequest &request,
+                                           const httplib::Response &response)
     {
         if (response.status == statusUnavailable && saysNotRun(response.body))
             return notRun(ErrorCode::UpstreamBusy, concat(described(), " is busy"));
@@ -94,8 +94,8 @@
             return mayHaveRun(ErrorCode::UpstreamFailed,
                               concat(described(), " gave the answer to another request"));
         }
-        return ServiceAnswer{response.status, response.get_header_value("Content-Type"),
-                             response.body};
+        return ServiceResponse{response.status, response.get_header_value("Content-Type"),
+                               response.body};
     }
 
     ServiceOptions options;
@@ -132,7 +132,7 @@
     return m_impl->options;
 }
 
-Outcome<ServiceAnswer> ServiceClient::call(const ServiceRequest &request)
+Outcome<ServiceResponse> ServiceClient::call(const ServiceRequest &request)
 {
     const absl::Duration remaining = request.deadline - m_impl->clock.now();
     if (remaining <= absl::ZeroDuration())
@@ -143,7 +143,7 @@
     std::string body;
     bool tooLong = false;
     http.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
-        tooLong = body.size() + size > m_impl->options.maxAnswerBytes;
+        tooLong = body.size() + size > m_impl->options.maxResponseBytes;
         if (tooLong || m_impl->clock.now() >= request.deadline)
             return false;
         body.append(data, size);
@@ -161,7 +161,7 @@
     return m_impl->checkedAnswer(request, response);
 }
 
-Outcome<ServiceLoad> ServiceClient::load()
+Outcome<ServiceLoadReport> ServiceClient::load()
 {
     httplib::Client client(m_impl->options.host, m_impl->options.port);
     setTimeouts(client, m_impl->options.connectTimeout, m_impl->options.loadTimeout);
@@ -171,20 +171,20 @@
     if (result->status != statusOk)
         return notRun(ErrorCode::UpstreamFailed,
                       concat(m_impl->described(), " answered its load with ", result->status));
-    return outcomeOf([&]() -> Result<ServiceLoad> {
+    return outcomeOf([&]() -> Result<ServiceLoadReport> {
         BOOST_LEAF_AUTO(answer, parseJson(result->body, "load report"));
-        ServiceLoad load;
+        ServiceLoadReport load;
         BOOST_LEAF_ASSIGN(load.running, jsonMemberOr<std::int64_t>(answer, "running", 0));
         BOOST_LEAF_ASSIGN(load.capacity, jsonMemberOr<std::int64_t>(answer, "capacity", 0));
         BOOST_LEAF_AUTO(ageMs, jsonMemberOr<std::int64_t>(answer, "age_ms", 0));
-        load.age = absl::Milliseconds(ageMs);
+        load.ageWhenSent = absl::Milliseconds(ageMs);
         return load;
     });
 }
 
 Outcome<Done> ServiceClient::probe()
 {
-    Outcome<ServiceLoad> answer = load();
+    Outcome<ServiceLoadReport> answer = load();
     // A process that is just ending may still take a connection and lose it without an answer. The
     // second call then finds nothing that listens.
     if (!answer.ok() && answer.failure().run == RunState::MayHaveRun)
--- a/src/serving/deployment.cpp
+++ b/src/serving/deployment.cpp
@@ -93,7 +93,7 @@
     return checkKeys(deployment.workspaces);
 }
 
-const std::string &targetService(const Route &route, std::string_view key)
+const std::string &selectService(const Route &route, std::string_view key)
 {
     constexpr std::uint64_t steps = 1000003;
     double total = 0;
--- a/src/serving/eventstream.cpp
+++ b/src/serving/eventstream.cpp
@@ -85,16 +85,16 @@
     m_pending.erase(0, begin);
 }
 
-EventVerdict StreamPosition::take(const StreamEvent &event)
+SequenceCheck StreamPosition::advance(const StreamEvent &event)
 {
     if (!event.id)
-        return EventVerdict::Deliver;
+        return SequenceCheck::InOrder;
     if (m_lastId && *event.id <= *m_lastId)
-        return EventVerdict::Repeated;
+        return SequenceCheck::Repeated;
     if (m_lastId && *event.id != *m_lastId + 1)
-        return EventVerdict::Gap;
+        return SequenceCheck::Gap;
     m_lastId = event.id;
-    return EventVerdict::Deliver;
+    return SequenceCheck::InOrder;
 }
 
 } // namespace rattanrill::serving
--- a/src/serving/passingrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -1,4 +1,4 @@
-#include "passingrequest.h"
+#include "proxiedrequest.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/enumnames.h"
@@ -9,7 +9,7 @@
 
 namespace rattanrill::serving {
 
-using policy::PlaceEnd;
+using policy::ReleaseReason;
 
 namespace {
 
@@ -36,25 +36,25 @@
 
 } // namespace
 
-void passThrough(const ServingContext &context, RoutedRequest request,
-                 std::shared_ptr<net::Exchange> exchange)
+void proxyRequest(const ServingContext &context, RoutedRequest request,
+                  std::shared_ptr<net::Exchange> exchange)
 {
-    std::make_shared<PassingRequest>(context, std::move(request), std::move(exchange))->start();
+    std::make_shared<ProxiedRequest>(context, std::move(request), std::move(exchange))->start();
 }
 
-PassingRequest::PassingRequest(const ServingContext &context, RoutedRequest request,
+ProxiedRequest::ProxiedRequest(const ServingContext &context, RoutedRequest request,
                                std::shared_ptr<net::Exchange> exchange)
     : m_context(context)
     , m_request(std::move(request))
     , m_route(*m_request.route)
     , m_exchange(std::move(exchange))
     , m_receivedAt(m_exchange->receivedAt())
-    , m_deadline(m_receivedAt + std::min(m_request.caller.patience, m_route.timeout))
-    , m_service(targetService(m_route, m_request.caller.id))
+    , m_deadline(m_receivedAt + std::min(m_request.caller.timeout, m_route.timeout))
+    , m_service(selectService(m_route, m_request.caller.id))
     , m_position(m_request.caller.resumeAfter)
 {}
 
-std::string_view PassingRequest::name(Outcome outcome)
+std::string_view ProxiedRequest::name(Outcome outcome)
 {
     static constexpr std::array<EnumName<Outcome>, 5> names = {{
             {Outcome::Answered, "answered"},
@@ -66,33 +66,33 @@
     return nameOf(names, outcome);
 }
 
-void PassingRequest::start()
+void ProxiedRequest::start()
 {
-    m_exchange->onClientGone([self = shared_from_this()] { self->callerLeft(); });
+    m_exchange->onClientDisconnected([self = shared_from_this()] { self->callerLeft(); });
     m_deadlineTimer = m_context.loop.timers().subscribeOnce(
             std::max(timeLeft(), absl::ZeroDuration()),
             [self = shared_from_this()] { self->deadlinePassed(); });
     askForPlace();
 }
 
-bool PassingRequest::mayRunAgain() const
+bool ProxiedRequest::mayRunAgain() const
 {
     return m_route.kind == RouteKind::Idempotent
            || (m_route.kind == RouteKind::Streaming && m_route.resumable);
 }
 
-absl::Duration PassingRequest::timeLeft() const
+absl::Duration ProxiedRequest::timeLeft() const
 {
     return m_deadline - m_context.clock.now();
 }
 
-void PassingRequest::askForPlace()
+void ProxiedRequest::askForPlace()
 {
-    wire::PlaceRequest request;
-    m_askedPlace = m_asked++ == 0 ? m_request.caller.id : concat(m_request.caller.id, "~", m_asked);
-    request.requestId = m_askedPlace;
-    request.instance = m_context.self.instance;
-    request.failureDomain = m_context.self.failureDomain;
+    wire::SlotRequest request;
+    m_askedSlot = m_asked++ == 0 ? m_request.caller.id : concat(m_request.caller.id, "~", m_asked);
+    request.requestId = m_askedSlot;
+    request.instance = m_context.identity.instance;
+    request.failureDomain = m_context.identity.failureDomain;
     request.service = m_service;
     request.workspace = m_request.workspace;
     request.priority = m_request.priority;
@@ -105,19 +105,20 @@
     request.deadlineMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(timeLeft()), 0);
     request.excluded = m_tried;
     m_asking = true;
-    m_context.places.place(request, [self = shared_from_this()](const auto &response, bool own) {
-        self->placeAnswered(response, own);
-    });
+    m_context.slotClient.acquire(request,
+                                 [self = shared_from_this()](const auto &response, bool own) {
+                                     self->placeAnswered(response, own);
+                                 });
 }
 
-void PassingRequest::placeAnswered(const wire::PlaceResponse &response, bool fromOwnShare)
+void ProxiedRequest::placeAnswered(const wire::SlotResponse &response, bool fromOwnShare)
 {
     m_asking = false;
-    const bool isGranted = response.verdict == wire::PlaceVerdict::Granted;
+    const bool isGranted = response.verdict == wire::SlotOutcome::Granted;
     const bool isObsolete = m_ended || (m_isCalling && !m_isSilent);
     if (isObsolete) {
         if (isGranted)
-            release(m_askedPlace, response.upstream, PlaceEnd::Abandoned);
+            release(m_askedSlot, response.upstream, ReleaseReason::Cancelled);
         return;
     }
     m_fromOwnShare = m_fromOwnShare || fromOwnShare;
@@ -125,7 +126,7 @@
         if (m_isCalling)
             leaveSilentUpstream();
         m_chargedRate = true;
-        m_heldPlace = m_askedPlace;
+        m_heldSlot = m_askedSlot;
         m_placedAt = m_context.clock.now();
         return send(response.upstream, response.address);
     }
@@ -135,12 +136,12 @@
     const absl::Duration retryAfter = absl::Milliseconds(response.retryAfterMs);
     if (m_mayHaveRun || m_exchange->started())
         return fail(ErrorCode::UpstreamFailed, "no place for another try");
-    if (response.verdict == wire::PlaceVerdict::OverRate)
+    if (response.verdict == wire::SlotOutcome::OverRate)
         return refuse(ErrorCode::RateLimited, "the workspace's rate is used up", retryAfter);
     refuse(ErrorCode::Overloaded, "no place will be free in time", retryAfter);
 }
 
-void PassingRequest::leaveSilentUpstream()
+void ProxiedRequest::leaveSilentUpstream()
 {
     log(LogLevel::Info, "try-failed",
         {{"requestId", m_request.caller.id},
@@ -149,16 +150,16 @@
          {"reason", "the upstream is silent"},
          {"lastEvent", m_position.lastId().value_or(-1)}});
     cancelCall();
-    releasePlace(PlaceEnd::Failed);
+    releaseSlot(ReleaseReason::Failed);
     if (m_exchange->started())
         ++m_resumes;
 }
 
-void PassingRequest::send(const std::string &upstream, const std::string &address)
+void ProxiedRequest::send(const std::string &upstream, const std::string &address)
 {
     m_upstream = upstream;
     if (timeLeft() < minPatience) {
-        releasePlace(PlaceEnd::Abandoned);
+        releaseSlot(ReleaseReason::Cancelled);
         return refuseOrFail("no time left for an upstream");
     }
     ++m_attempts;
@@ -168,28 +169,28 @@
     m_isSilent = false;
     m_body.clear();
     m_splitter.reset();
-    UpstreamTry attempt;
-    attempt.upstream = upstream;
+    UpstreamAttempt attempt;
+    attempt.expectedInstance = upstream;
     attempt.workspace = m_request.workspace;
-    attempt.patience = timeLeft();
+    attempt.remainingTime = timeLeft();
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
     handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
         return self->noteHead(head);
     };
     handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
-    handlers.end = [self = shared_from_this()](net::CallEnd end) { self->callEnded(end); };
+    handlers.end = [self = shared_from_this()](net::CallStatus end) { self->callEnded(end); };
     m_isCalling = true;
     armSilenceTimer();
     m_call = m_context.upstreams.call(
             address,
-            net::serialize(m_context.dialect.upstreamRequest(m_exchange->request(), attempt)),
+            net::serialize(m_context.protocol.upstreamRequest(m_exchange->request(), attempt)),
             std::move(handlers));
 }
 
-bool PassingRequest::noteHead(const net::ResponseHead &head)
+bool ProxiedRequest::noteHead(const net::ResponseHead &head)
 {
-    const AnswerFacts facts = m_context.dialect.readAnswer(head);
+    const ResponseInfo facts = m_context.protocol.parseResponse(head);
     if (!facts.requestId.empty() && facts.requestId != m_request.caller.id) {
         log(LogLevel::Warning, "foreign-answer-dropped",
             {{"requestId", m_request.caller.id},
@@ -200,14 +201,14 @@
     m_head = head;
     m_facts = facts;
     m_hasHead = true;
-    if (facts.requests)
-        m_context.places.loadReported({m_upstream, *facts.requests});
+    if (facts.outstandingRequests)
+        m_context.slotClient.reportLoad({m_upstream, *facts.outstandingRequests});
     m_isStream = !facts.notRun && head.status >= 200 && head.status < 300
-                 && m_route.kind == RouteKind::Streaming && m_context.dialect.isEventStream(head);
+                 && m_route.kind == RouteKind::Streaming && m_context.protocol.isEventStream(head);
     return true;
 }
 
-void PassingRequest::noteBody(std::string_view bytes)
+void ProxiedRequest::noteBody(std::string_view bytes)
 {
     if (m_ended)
         return;
@@ -216,10 +217,10 @@
         return noteEvents(bytes);
     m_body.append(bytes);
     if (m_body.size() > maxWholeAnswer)
-        tryFailed("the answer is too long", PlaceEnd::Failed);
+        attemptFailed("the answer is too long", ReleaseReason::Failed);
 }
 
-void PassingRequest::noteEvents(std::string_view bytes)
+void ProxiedRequest::noteEvents(std::string_view bytes)
 {
     std::vector<StreamEvent> events;
     m_splitter.feed(bytes, events);
@@ -232,15 +233,15 @@
 }
 
 /// Returns false when the try has ended.
-bool PassingRequest::deliver(const StreamEvent &event)
+bool ProxiedRequest::deliver(const StreamEvent &event)
 {
-    switch (m_position.take(event)) {
-    case EventVerdict::Repeated:
+    switch (m_position.advance(event)) {
+    case SequenceCheck::Repeated:
         return true;
-    case EventVerdict::Gap:
-        tryFailed("an event is missing", PlaceEnd::Failed);
+    case SequenceCheck::Gap:
+        attemptFailed("an event is missing", ReleaseReason::Failed);
         return false;
-    case EventVerdict::Deliver:
+    case SequenceCheck::InOrder:
         break;
     }
     startAnswer();
@@ -253,7 +254,7 @@
 }
 
 /// The head of the first upstream stays, also when another one goes on with the stream.
-void PassingRequest::startAnswer()
+void ProxiedRequest::startAnswer()
 {
     if (m_exchange->started())
         return;
@@ -263,31 +264,32 @@
     m_exchange->startStream(std::move(head));
 }
 
-void PassingRequest::callEnded(net::CallEnd end)
+void ProxiedRequest::callEnded(net::CallStatus end)
 {
     m_isCalling = false;
     if (m_ended)
         return;
-    if (end == net::CallEnd::NotConnected)
-        return tryFailed("no connection to the upstream", PlaceEnd::Gone);
-    const bool saysNotRun = end == net::CallEnd::Complete && m_hasHead && m_facts.notRun;
+    if (end == net::CallStatus::NotConnected)
+        return attemptFailed("no connection to the upstream", ReleaseReason::Unreachable);
+    const bool saysNotRun = end == net::CallStatus::Complete && m_hasHead && m_facts.notRun;
     if (!saysNotRun)
         m_mayHaveRun = true;
-    if (end == net::CallEnd::Broken)
-        return tryFailed("the upstream broke off", PlaceEnd::Failed);
+    if (end == net::CallStatus::Broken)
+        return attemptFailed("the upstream broke off", ReleaseReason::Failed);
     if (saysNotRun)
-        return tryFailed("the upstream refused",
-                         m_facts.isOtherInstance ? PlaceEnd::Gone : PlaceEnd::Failed);
+        return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
+                                                             ? ReleaseReason::Unreachable
+                                                             : ReleaseReason::Failed);
     answerComplete();
 }
 
-void PassingRequest::answerComplete()
+void ProxiedRequest::answerComplete()
 {
     const bool isServerError = m_head.status >= 500;
     if (isServerError && mayRunAgain() && m_attempts < m_route.maxAttempts
         && timeLeft() > minPatience)
-        return tryFailed("the upstream failed", PlaceEnd::Served);
-    releasePlace(PlaceEnd::Served);
+        return attemptFailed("the upstream failed", ReleaseReason::Completed);
+    releaseSlot(ReleaseReason::Completed);
     if (m_isStream) {
         startAnswer();
         m_exchange->write(m_splitter.rest());
@@ -308,10 +310,10 @@
 }
 
 /// Goes on at another upstream when the request may still run there.
-void PassingRequest::tryFailed(std::string_view reason, PlaceEnd end)
+void ProxiedRequest::attemptFailed(std::string_view reason, ReleaseReason end)
 {
     cancelCall();
-    releasePlace(end);
+    releaseSlot(end);
     log(LogLevel::Info, "try-failed",
         {{"requestId", m_request.caller.id},
          {"upstream", m_upstream},
@@ -330,52 +332,53 @@
         askForPlace();
 }
 
-void PassingRequest::refuseOrFail(std::string_view reason)
+void ProxiedRequest::refuseOrFail(std::string_view reason)
 {
     if (m_mayHaveRun || m_exchange->started())
         return fail(ErrorCode::UpstreamFailed, std::string(reason));
     refuse(ErrorCode::UpstreamUnavailable, std::string(reason), shortReturn);
 }
 
-void PassingRequest::refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter)
+void ProxiedRequest::refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter)
 {
-    m_exchange->respond(m_context.dialect.refusal(notRun(code, detail), retryAfter));
+    m_exchange->respond(m_context.protocol.errorResponse(notRun(code, detail), retryAfter));
     finish(Outcome::Refused, detail);
 }
 
-void PassingRequest::fail(ErrorCode code, const std::string &detail)
+void ProxiedRequest::fail(ErrorCode code, const std::string &detail)
 {
     if (m_exchange->started()) {
         m_exchange->abort();
         return finish(Outcome::CutOff, detail);
     }
-    m_exchange->respond(m_context.dialect.refusal(mayHaveRun(code, detail), absl::ZeroDuration()));
+    m_exchange->respond(
+            m_context.protocol.errorResponse(mayHaveRun(code, detail), absl::ZeroDuration()));
     finish(Outcome::Failed, detail);
 }
 
-void PassingRequest::deadlinePassed()
+void ProxiedRequest::deadlinePassed()
 {
     m_deadlineTimer = 0;
     if (m_isCalling)
         m_mayHaveRun = true;
     cancelCall();
-    releasePlace(PlaceEnd::Abandoned);
+    releaseSlot(ReleaseReason::Cancelled);
     if (m_mayHaveRun || m_exchange->started())
         return fail(ErrorCode::Timeout, "the deadline has passed");
     refuse(ErrorCode::Overloaded, "the deadline has passed", absl::ZeroDuration());
 }
 
-void PassingRequest::callerLeft()
+void ProxiedRequest::callerLeft()
 {
     if (m_ended)
         return;
     cancelCall();
-    releasePlace(PlaceEnd::Abandoned);
+    releaseSlot(ReleaseReason::Cancelled);
     m_exchange->abort();
     finish(Outcome::CallerLeft, "the caller left");
 }
 
-void PassingRequest::armSilenceTimer()
+void ProxiedRequest::armSilenceTimer()
 {
     auto &timers = m_context.loop.timers();
     if (m_silenceTimer != 0)
@@ -385,15 +388,15 @@
     const bool isStreaming = m_route.kind == RouteKind::Streaming;
     absl::Duration limit =
             m_route.latencyObjective * (isStreaming ? firstEventSilence : wholeAnswerSilence);
-    if (m_isStream && m_position.lastId() && m_route.gapObjective > absl::ZeroDuration())
-        limit = m_route.gapObjective * gapSilence;
+    if (m_isStream && m_position.lastId() && m_route.interEventObjective > absl::ZeroDuration())
+        limit = m_route.interEventObjective * gapSilence;
     m_silenceTimer = timers.subscribeOnce(limit, [self = shared_from_this()] {
         self->m_silenceTimer = 0;
         self->silenceExpired();
     });
 }
 
-void PassingRequest::silenceExpired()
+void ProxiedRequest::silenceExpired()
 {
     if (m_ended || !m_isCalling || m_asking)
         return;
@@ -402,29 +405,30 @@
     askForPlace();
 }
 
-void PassingRequest::releasePlace(PlaceEnd end)
+void ProxiedRequest::releaseSlot(ReleaseReason end)
 {
-    if (!m_heldPlace.empty())
-        release(std::exchange(m_heldPlace, std::string()), m_upstream, end);
+    if (!m_heldSlot.empty())
+        release(std::exchange(m_heldSlot, std::string()), m_upstream, end);
 }
 
-void PassingRequest::release(const std::string &place, const std::string &upstream, PlaceEnd end)
+void ProxiedRequest::release(const std::string &slot, const std::string &upstream,
+                             ReleaseReason end)
 {
-    wire::PlaceRelease release;
-    release.instance = m_context.self.instance;
-    release.requestId = place;
+    wire::SlotRelease release;
+    release.instance = m_context.identity.instance;
+    release.requestId = slot;
     release.upstream = upstream;
     release.end = std::string(policy::name(end));
-    m_context.places.release(release);
+    m_context.slotClient.release(release);
 }
 
-void PassingRequest::cancelCall()
+void ProxiedRequest::cancelCall()
 {
     if (std::exchange(m_isCalling, false))
         m_context.upstreams.cancel(m_call);
 }
 
-void PassingRequest::finish(Outcome outcome, std::string_view reason)
+void ProxiedRequest::finish(Outcome outcome, std::string_view reason)
 {
     m_ended = true;
     auto &timers = m_context.loop.timers();
@@ -433,7 +437,7 @@
             timers.unsubscribe(std::exchange(*timer, 0));
     }
     if (m_asking)
-        release(m_askedPlace, "", PlaceEnd::Abandoned);
+        release(m_askedSlot, "", ReleaseReason::Cancelled);
     const absl::Time now = m_context.clock.now();
     const std::string kind(serving::name(m_route.kind));
     m_context.metrics.count("rattanrill_requests_total",
--- a/src/serving/passingrequest.h
+++ b/src/serving/proxiedrequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/serving/eventstream.h"
-#include "rattanrill/serving/passthrough.h"
+#include "rattanrill/serving/proxyrequest.h"
 
 #include <memory>
 #include <optional>
@@ -12,10 +12,10 @@
 namespace rattanrill::serving {
 
 /// One request on its way through this entry.
-class PassingRequest : public std::enable_shared_from_this<PassingRequest>
+class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest>
 {
 public:
-    PassingRequest(const ServingContext &context, RoutedRequest request,
+    ProxiedRequest(const ServingContext &context, RoutedRequest request,
                    std::shared_ptr<net::Exchange> exchange);
 
     void start();
@@ -35,16 +35,16 @@
     bool mayRunAgain() const;
     absl::Duration timeLeft() const;
     void askForPlace();
-    void placeAnswered(const wire::PlaceResponse &response, bool fromOwnShare);
+    void placeAnswered(const wire::SlotResponse &response, bool fromOwnShare);
     void send(const std::string &upstream, const std::string &address);
     bool noteHead(const net::ResponseHead &head);
     void noteBody(std::string_view bytes);
     void noteEvents(std::string_view bytes);
     bool deliver(const StreamEvent &event);
     void startAnswer();
-    void callEnded(net::CallEnd end);
+    void callEnded(net::CallStatus end);
     void answerComplete();
-    void tryFailed(std::string_view reason, policy::PlaceEnd end);
+    void attemptFailed(std::string_view reason, policy::ReleaseReason end);
     void refuseOrFail(std::string_view reason);
     void refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter);
     void fail(ErrorCode code, const std::string &detail);
@@ -53,8 +53,8 @@
     void armSilenceTimer();
     void silenceExpired();
     void leaveSilentUpstream();
-    void releasePlace(policy::PlaceEnd end);
-    void release(const std::string &place, const std::string &upstream, policy::PlaceEnd end);
+    void releaseSlot(policy::ReleaseReason end);
+    void release(const std::string &slot, const std::string &upstream, policy::ReleaseReason end);
     void cancelCall();
     void finish(Outcome outcome, std::string_view reason);
 
@@ -70,16 +70,16 @@
     // The current try.
     bool m_asking = false;
     /// Broker's name of the place that this request holds, and of the one that it asks for.
-    std::string m_heldPlace;
-    std::string m_askedPlace;
+    std::string m_heldSlot;
+    std::string m_askedSlot;
     int m_asked = 0;
     /// Nothing came for long; another upstream is looked for while this one may still answer.
     bool m_isSilent = false;
     bool m_isCalling = false;
-    net::UpstreamPool::CallId m_call = 0;
+    net::ConnectionPool::CallId m_call = 0;
     std::string m_upstream;
     net::ResponseHead m_head;
-    AnswerFacts m_facts;
+    ResponseInfo m_facts;
     bool m_hasHead = false;
     bool m_isStream = false;
     std::string m_body;
--- a/src/serving/placebroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/slotbroker.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/logger.h"
@@ -14,14 +14,14 @@
 /// Prompt tokens that cost an upstream as much as one token of output.
 constexpr double promptTokensPerOutputToken = 100;
 
-std::string workId(const std::string &instance, const std::string &request)
+std::string taskId(const std::string &instance, const std::string &request)
 {
     return concat(instance, "/", request);
 }
 
 } // namespace
 
-PlaceBroker::PlaceBroker(TimerService &timers, const Clock &clock, BrokerSettings settings)
+SlotBroker::SlotBroker(TimerService &timers, const Clock &clock, SlotBrokerSettings settings)
     : m_timers(timers)
     , m_clock(clock)
     , m_settings(settings)
@@ -30,36 +30,36 @@
     m_sweepTimer = m_timers.subscribeEvery(sweepPeriod, [this] { sweep(); });
 }
 
-PlaceBroker::~PlaceBroker()
+SlotBroker::~SlotBroker()
 {
     m_timers.unsubscribe(m_sweepTimer);
     if (m_decisionTimer != 0)
         m_timers.unsubscribe(m_decisionTimer);
 }
 
-void PlaceBroker::reset()
+void SlotBroker::reset()
 {
     const absl::Time now = m_clock.now();
     while (!m_online.empty()) {
         const std::string id = m_online.begin()->first;
-        m_table.withdraw(id);
+        m_table.cancel(id);
         forget(id);
     }
     const auto batch = std::exchange(m_batch, {});
     for (const auto &[id, handlers] : batch)
-        m_table.withdraw(id);
-    m_table.begin(now);
+        m_table.cancel(id);
+    m_table.beginTakeover(now);
     m_buckets.clear();
     if (m_deployment)
         setDeployment(m_deployment);
 }
 
-policy::RateContract PlaceBroker::contractOf(const Workspace &workspace) const
+policy::RateContract SlotBroker::contractOf(const Workspace &workspace) const
 {
-    return {workspace.ratePerSecond * m_share.rate, workspace.burst * m_share.rate};
+    return {workspace.ratePerSecond * m_share.rateFraction, workspace.burst * m_share.rateFraction};
 }
 
-void PlaceBroker::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
+void SlotBroker::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
 {
     m_deployment = std::move(deployment);
     const absl::Time now = m_clock.now();
@@ -72,11 +72,12 @@
 }
 
 /// Bucket of a broker whose predecessor may just have granted the whole burst.
-policy::TokenBucket PlaceBroker::freshBucket(const policy::RateContract &contract) const
+policy::TokenBucket SlotBroker::freshBucket(const policy::RateContract &contract) const
 {
     const double window = absl::ToDoubleSeconds(m_settings.rateWindow);
-    const double allowed = m_settings.rateOver * (contract.ratePerSecond * window + contract.burst)
-                           + m_settings.rateSlack * m_share.rate;
+    const double allowed =
+            m_settings.rateToleranceFraction * (contract.ratePerSecond * window + contract.burst)
+            + m_settings.rateToleranceRequests * m_share.rateFraction;
     const double level = std::min(contract.burst, allowed / 2);
     const absl::Duration earned = contract.ratePerSecond > 0
                                           ? absl::Seconds(level / contract.ratePerSecond)
@@ -84,18 +85,18 @@
     return policy::TokenBucket(contract, m_clock.now() - earned);
 }
 
-void PlaceBroker::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
-                               const BrokerShare &share)
+void SlotBroker::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                              const CapacityShare &share)
 {
-    const bool hasNewRate = share.rate != m_share.rate;
+    const bool hasNewRate = share.rateFraction != m_share.rateFraction;
     m_share = share;
     if (hasNewRate && m_deployment)
         setDeployment(m_deployment);
-    std::vector<policy::PlaceUpstream> list;
+    std::vector<policy::SlotUpstream> list;
     for (const wire::FleetUpstream &upstream : upstreams) {
         const double slots = static_cast<double>(std::max<std::int64_t>(upstream.slots, 1));
         list.push_back({upstream.id, upstream.service, upstream.address, upstream.failureDomain,
-                        static_cast<std::int64_t>(std::ceil(slots * share.places)),
+                        static_cast<std::int64_t>(std::ceil(slots * share.slotFraction)),
                         upstream.draining});
     }
     m_table.setUpstreams(list);
@@ -103,7 +104,7 @@
 }
 
 /// Null when the workspace has no limit.
-policy::TokenBucket *PlaceBroker::bucket(const std::string &workspace)
+policy::TokenBucket *SlotBroker::bucket(const std::string &workspace)
 {
     const Workspace *known = m_deployment ? m_deployment->workspace(workspace) : nullptr;
     if (known == nullptr || known->ratePerSecond <= 0)
@@ -111,10 +112,10 @@
     return &m_buckets.at(workspace);
 }
 
-void PlaceBroker::place(const wire::PlaceRequest &request, Answer answer)
+void SlotBroker::acquire(const wire::SlotRequest &request, ResponseCallback answer)
 {
     const absl::Time now = m_clock.now();
-    const std::string id = workId(request.instance, request.requestId);
+    const std::string id = taskId(request.instance, request.requestId);
     const auto known = m_online.find(id);
     if (request.again && known != m_online.end()) {
         known->second.answer = std::move(answer);
@@ -133,26 +134,26 @@
     if (rate != nullptr && rate->level(now) < 1)
         return refuseRate(id,
                           absl::Seconds((1 - rate->level(now)) / rate->contract().ratePerSecond));
-    policy::PlaceWork work;
-    work.id = id;
-    work.service = request.service;
-    work.workspace = request.workspace;
-    work.failureDomain = request.failureDomain;
-    work.priority = static_cast<int>(request.priority);
-    work.tokens = 1 + static_cast<double>(request.outputTokens)
+    policy::SlotTask task;
+    task.id = id;
+    task.service = request.service;
+    task.workspace = request.workspace;
+    task.failureDomain = request.failureDomain;
+    task.priority = static_cast<int>(request.priority);
+    task.tokens = 1 + static_cast<double>(request.outputTokens)
                   + static_cast<double>(request.promptTokens) / promptTokensPerOutputToken;
-    work.due = now
-               + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.waitShare,
-                          absl::Milliseconds(request.deadlineMs));
-    work.longestReturn = absl::Milliseconds(request.deadlineMs) * m_settings.returnShareOfPatience;
-    work.excluded = request.excluded;
-    m_table.request(now, work);
+    task.deadline = now
+                    + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.waitShare,
+                               absl::Milliseconds(request.deadlineMs));
+    task.maxRetryAfter = absl::Milliseconds(request.deadlineMs) * m_settings.maxRetryAfterFraction;
+    task.excluded = request.excluded;
+    m_table.request(now, task);
     decide();
     startSlice(id);
 }
 
 /// Bounds the time without a word to the asker of a request that waits.
-void PlaceBroker::startSlice(const std::string &id)
+void SlotBroker::startSlice(const std::string &id)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end() || !found->second.answer)
@@ -162,25 +163,25 @@
         if (waiting == m_online.end())
             return;
         waiting->second.sliceTimer = 0;
-        wire::PlaceResponse response;
-        response.verdict = wire::PlaceVerdict::Waiting;
-        if (const Answer answer = std::exchange(waiting->second.answer, nullptr))
+        wire::SlotResponse response;
+        response.verdict = wire::SlotOutcome::Waiting;
+        if (const ResponseCallback answer = std::exchange(waiting->second.answer, nullptr))
             answer(response);
     });
 }
 
 /// Gives the verdict to the asker, or keeps it until the asker asks again. A refusal ends the
 /// request.
-void PlaceBroker::give(const std::string &id, const wire::PlaceResponse &response)
+void SlotBroker::give(const std::string &id, const wire::SlotResponse &response)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end())
         return;
     Online &online = found->second;
-    online.isGranted = response.verdict == wire::PlaceVerdict::Granted;
+    online.isGranted = response.verdict == wire::SlotOutcome::Granted;
     if (online.sliceTimer != 0)
         m_timers.unsubscribe(std::exchange(online.sliceTimer, 0));
-    const Answer answer = std::exchange(online.answer, nullptr);
+    const ResponseCallback answer = std::exchange(online.answer, nullptr);
     if (!answer) {
         online.decided = response;
         return;
@@ -191,56 +192,56 @@
 }
 
 /// Forgets a request; an asker that still waits for a word is refused.
-void PlaceBroker::forget(const std::string &id)
+void SlotBroker::forget(const std::string &id)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end())
         return;
     if (found->second.sliceTimer != 0)
         m_timers.unsubscribe(found->second.sliceTimer);
-    const Answer waiting = std::exchange(found->second.answer, nullptr);
+    const ResponseCallback waiting = std::exchange(found->second.answer, nullptr);
     m_online.erase(found);
     if (waiting)
-        waiting(wire::PlaceResponse());
+        waiting(wire::SlotResponse());
 }
 
-void PlaceBroker::release(const wire::PlaceRelease &release)
+void SlotBroker::release(const wire::SlotRelease &release)
 {
-    const std::string id = workId(release.instance, release.requestId);
+    const std::string id = taskId(release.instance, release.requestId);
     forget(id);
-    const auto end = policy::placeEndFromName(release.end);
-    m_table.release(m_clock.now(), id, end.value_or(policy::PlaceEnd::Abandoned));
+    const auto end = policy::releaseReasonFromName(release.end);
+    m_table.release(m_clock.now(), id, end.value_or(policy::ReleaseReason::Cancelled));
     decide();
 }
 
-void PlaceBroker::adopt(const wire::HeldPlaces &held)
+void SlotBroker::restoreHeldSlots(const wire::HeldSlots &held)
 {
     const absl::Time now = m_clock.now();
-    for (const wire::HeldPlace &place : held.places) {
-        const std::string id = workId(held.instance, place.requestId);
+    for (const wire::HeldSlot &slot : held.places) {
+        const std::string id = taskId(held.instance, slot.requestId);
         if (m_online.count(id) != 0)
             continue;
-        policy::PlaceWork work;
-        work.id = id;
-        work.service = place.service;
-        work.workspace = place.workspace;
-        m_table.adopt(now, work, place.upstream);
-        if (!m_table.knows(id))
+        policy::SlotTask task;
+        task.id = id;
+        task.service = slot.service;
+        task.workspace = slot.workspace;
+        m_table.adopt(now, task, slot.upstream);
+        if (!m_table.contains(id))
             continue;
         Online &online = m_online[id];
         online.instance = held.instance;
-        online.workspace = place.workspace;
+        online.workspace = slot.workspace;
         online.isGranted = true;
-        online.expires = now + absl::Milliseconds(place.deadlineMs) + m_settings.releaseSlack;
+        online.expires = now + absl::Milliseconds(slot.deadlineMs) + m_settings.releaseSlack;
     }
 }
 
-void PlaceBroker::loadReported(const wire::UpstreamLoad &load)
+void SlotBroker::updateLoad(const wire::UpstreamLoad &load)
 {
     m_table.loadReported(m_clock.now(), load.upstream, load.requests);
 }
 
-void PlaceBroker::keepInstances(const std::vector<std::string> &instances)
+void SlotBroker::setLiveInstances(const std::vector<std::string> &instances)
 {
     std::vector<std::string> gone;
     for (const auto &[id, online] : m_online) {
@@ -249,102 +250,102 @@
     }
     for (const std::string &id : gone) {
         forget(id);
-        m_table.withdraw(id);
+        m_table.cancel(id);
     }
     if (!gone.empty())
         decide();
 }
 
-void PlaceBroker::placeBatch(const policy::PlaceWork &work, BatchHandlers handlers)
+void SlotBroker::acquireBatch(const policy::SlotTask &task, BatchHandlers handlers)
 {
-    m_batch[work.id] = std::move(handlers);
-    m_table.request(m_clock.now(), work);
+    m_batch[task.id] = std::move(handlers);
+    m_table.request(m_clock.now(), task);
     decide();
 }
 
-void PlaceBroker::releaseBatch(const std::string &work, policy::PlaceEnd end)
+void SlotBroker::releaseBatch(const std::string &task, policy::ReleaseReason end)
 {
-    m_batch.erase(work);
-    m_table.release(m_clock.now(), work, end);
+    m_batch.erase(task);
+    m_table.release(m_clock.now(), task, end);
     decide();
 }
 
-void PlaceBroker::withdrawBatch(const std::string &work)
+void SlotBroker::cancelBatch(const std::string &task)
 {
-    m_batch.erase(work);
-    m_table.withdraw(work);
+    m_batch.erase(task);
+    m_table.cancel(task);
     decide();
 }
 
 /// A handler may ask for or release a place while decisions are carried out; the outer call goes on
 /// until none is left.
-void PlaceBroker::decide()
+void SlotBroker::decide()
 {
     if (m_deciding)
         return;
     m_deciding = true;
     for (auto decisions = m_table.decide(m_clock.now()); !decisions.empty();
          decisions = m_table.decide(m_clock.now())) {
-        for (const policy::PlaceDecision &decision : decisions)
+        for (const policy::SlotDecision &decision : decisions)
             std::visit([this](const auto &kind) { carryOut(kind); }, decision);
     }
     m_deciding = false;
     armTimer();
 }
 
-void PlaceBroker::carryOut(const policy::GrantPlace &decision)
+void SlotBroker::carryOut(const policy::GrantSlot &decision)
 {
-    const auto batch = m_batch.find(decision.work);
+    const auto batch = m_batch.find(decision.task);
     if (batch != m_batch.end()) {
         const auto granted = batch->second.granted;
         return granted(decision.upstream, decision.address);
     }
-    const auto found = m_online.find(decision.work);
+    const auto found = m_online.find(decision.task);
     if (found == m_online.end())
-        return m_table.withdraw(decision.work);
+        return m_table.cancel(decision.task);
     Online &online = found->second;
     policy::TokenBucket *rate = online.chargesRate ? bucket(online.workspace) : nullptr;
     if (rate != nullptr) {
         const policy::RateGrant grant = rate->take(m_clock.now(), 1);
         if (!grant.granted) {
-            m_table.withdraw(decision.work);
-            return refuseRate(decision.work, grant.wait);
+            m_table.cancel(decision.task);
+            return refuseRate(decision.task, grant.wait);
         }
     }
-    wire::PlaceResponse response;
-    response.verdict = wire::PlaceVerdict::Granted;
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::Granted;
     response.upstream = decision.upstream;
     response.address = decision.address;
-    give(decision.work, response);
+    give(decision.task, response);
 }
 
-void PlaceBroker::carryOut(const policy::RefusePlace &decision)
+void SlotBroker::carryOut(const policy::RejectSlot &decision)
 {
-    wire::PlaceResponse response;
-    response.verdict = wire::PlaceVerdict::NoPlace;
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::NoSlot;
     response.retryAfterMs = absl::ToInt64Milliseconds(decision.retryAfter);
-    give(decision.work, response);
+    give(decision.task, response);
 }
 
-void PlaceBroker::carryOut(const policy::YieldPlace &decision)
+void SlotBroker::carryOut(const policy::PreemptSlot &decision)
 {
-    const auto found = m_batch.find(decision.work);
+    const auto found = m_batch.find(decision.task);
     if (found == m_batch.end())
         return;
-    const auto yield = found->second.yield;
+    const auto preempted = found->second.preempted;
     m_batch.erase(found);
-    yield();
+    preempted();
 }
 
-void PlaceBroker::refuseRate(const std::string &id, absl::Duration wait)
+void SlotBroker::refuseRate(const std::string &id, absl::Duration wait)
 {
-    wire::PlaceResponse response;
-    response.verdict = wire::PlaceVerdict::OverRate;
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::OverRate;
     response.retryAfterMs = absl::ToInt64Milliseconds(std::min(wait, absl::Seconds(60)));
     give(id, response);
 }
 
-void PlaceBroker::armTimer()
+void SlotBroker::armTimer()
 {
     if (m_decisionTimer != 0)
         m_timers.unsubscribe(std::exchange(m_decisionTimer, 0));
@@ -358,7 +359,7 @@
     });
 }
 
-void PlaceBroker::sweep()
+void SlotBroker::sweep()
 {
     const absl::Time now = m_clock.now();
     std::vector<std::string> expired;
@@ -370,7 +371,7 @@
         log(LogLevel::Warning, "place-expired",
             {{"work", id}, {"instance", m_online.at(id).instance}});
         forget(id);
-        m_table.withdraw(id);
+        m_table.cancel(id);
     }
     // Also returns upstreams whose ejection has ended.
     decide();
--- a/src/serving/placeclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/serving/placeclient.h"
+#include "rattanrill/serving/slotclient.h"
 
 #include "rattanrill/base/logger.h"
 #include "rattanrill/wire/codec.h"
@@ -10,10 +10,10 @@
 
 namespace rattanrill::serving {
 
-struct PlaceClient::Impl : std::enable_shared_from_this<PlaceClient::Impl>
+struct SlotClient::Impl : std::enable_shared_from_this<SlotClient::Impl>
 {
     Impl(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
-         PlaceClientSettings settings)
+         SlotClientSettings settings)
         : loop(loop)
         , channels(channels)
         , clock(clock)
@@ -21,12 +21,12 @@
         , own(loop.timers(), clock, settings.own)
     {}
 
-    void place(const wire::PlaceRequest &request, Answer answer)
+    void acquire(const wire::SlotRequest &request, ResponseCallback answer)
     {
         if (broker.empty() || clock.now() < avoidUntil)
-            return placeFromOwn(request, std::move(answer));
+            return acquireFromOwn(request, std::move(answer));
         channels.channel(broker)->call(
-                wire::Method::Place, wire::encode(request),
+                wire::Method::RequestSlot, wire::encode(request),
                 settings.own.waitSlice + settings.answerSlack,
                 [self = shared_from_this(), address = broker, request,
                  answer = std::move(answer)](Outcome<std::string> outcome) {
@@ -36,27 +36,27 @@
                 });
     }
 
-    void answered(const std::string &address, const wire::PlaceRequest &request,
-                  const Answer &answer, const Outcome<std::string> &outcome)
+    void answered(const std::string &address, const wire::SlotRequest &request,
+                  const ResponseCallback &answer, const Outcome<std::string> &outcome)
     {
         if (stopped)
             return;
         auto response = outcome.ok() ? outcomeOf(
-                                [&] { return wire::decode<wire::PlaceResponse>(outcome.value()); })
-                                     : Outcome<wire::PlaceResponse>(outcome.failure());
+                                [&] { return wire::decode<wire::SlotResponse>(outcome.value()); })
+                                     : Outcome<wire::SlotResponse>(outcome.failure());
         if (response.ok()) {
             noteBroker(address, true, Failure());
-            if (response.value().verdict == wire::PlaceVerdict::Waiting)
-                return place(askingAgain(request), answer);
+            if (response.value().verdict == wire::SlotOutcome::Waiting)
+                return acquire(askingAgain(request), answer);
             noteHeld(request, response.value());
             return answer(response.value(), false);
         }
         noteBroker(address, false, response.failure());
         // The broker may have granted a place whose answer was lost.
-        channels.channel(address)->push(
-                wire::Method::Release,
-                wire::encode(wire::PlaceRelease{request.instance, request.requestId, "", ""}));
-        placeFromOwn(request, answer);
+        channels.channel(address)->sendOneWay(
+                wire::Method::ReleaseSlot,
+                wire::encode(wire::SlotRelease{request.instance, request.requestId, "", ""}));
+        acquireFromOwn(request, answer);
     }
 
     void noteBroker(const std::string &address, bool isReachable, const Failure &failure)
@@ -75,34 +75,34 @@
              {"detail", failure.detail}});
     }
 
-    static wire::PlaceRequest askingAgain(wire::PlaceRequest request)
+    static wire::SlotRequest askingAgain(wire::SlotRequest request)
     {
         request.again = true;
         return request;
     }
 
-    void placeFromOwn(const wire::PlaceRequest &request, Answer answer)
+    void acquireFromOwn(const wire::SlotRequest &request, ResponseCallback answer)
     {
         ownRequests.insert(request.requestId);
-        own.place(request, [self = shared_from_this(), request,
-                            answer = std::move(answer)](const wire::PlaceResponse &response) {
+        own.acquire(request, [self = shared_from_this(), request,
+                              answer = std::move(answer)](const wire::SlotResponse &response) {
             const bool isReleased = self->ownRequests.count(request.requestId) == 0;
-            if (response.verdict == wire::PlaceVerdict::Waiting && !isReleased)
-                return self->placeFromOwn(askingAgain(request), answer);
-            if (response.verdict != wire::PlaceVerdict::Granted)
+            if (response.verdict == wire::SlotOutcome::Waiting && !isReleased)
+                return self->acquireFromOwn(askingAgain(request), answer);
+            if (response.verdict != wire::SlotOutcome::Granted)
                 self->ownRequests.erase(request.requestId);
             self->noteHeld(request, response);
             answer(response, true);
         });
     }
 
-    void noteHeld(const wire::PlaceRequest &request, const wire::PlaceResponse &response)
+    void noteHeld(const wire::SlotRequest &request, const wire::SlotResponse &response)
     {
-        if (response.verdict != wire::PlaceVerdict::Granted)
+        if (response.verdict != wire::SlotOutcome::Granted)
             return;
-        Held &place = held[request.requestId];
-        place.place = {request.requestId, request.service, request.workspace, response.upstream, 0};
-        place.deadline = clock.now() + absl::Milliseconds(request.deadlineMs);
+        Held &slot = held[request.requestId];
+        slot.slot = {request.requestId, request.service, request.workspace, response.upstream, 0};
+        slot.deadline = clock.now() + absl::Milliseconds(request.deadlineMs);
         instance = request.instance;
     }
 
@@ -111,37 +111,37 @@
     {
         if (held.empty() || broker.empty())
             return;
-        wire::HeldPlaces message;
+        wire::HeldSlots message;
         message.instance = instance;
-        for (const auto &[id, place] : held) {
-            message.places.push_back(place.place);
+        for (const auto &[id, slot] : held) {
+            message.places.push_back(slot.slot);
             message.places.back().deadlineMs =
-                    absl::ToInt64Milliseconds(place.deadline - clock.now());
+                    absl::ToInt64Milliseconds(slot.deadline - clock.now());
         }
-        channels.channel(broker)->push(wire::Method::Hold, wire::encode(message));
+        channels.channel(broker)->sendOneWay(wire::Method::ReportHeldSlots, wire::encode(message));
     }
 
-    void release(const wire::PlaceRelease &release)
+    void release(const wire::SlotRelease &release)
     {
         held.erase(release.requestId);
         // The broker may have adopted a place of the own share.
         if (ownRequests.erase(release.requestId) > 0)
             own.release(release);
         if (!broker.empty())
-            channels.channel(broker)->push(wire::Method::Release, wire::encode(release));
+            channels.channel(broker)->sendOneWay(wire::Method::ReleaseSlot, wire::encode(release));
     }
 
     net::EventLoop &loop;
     peer::ChannelPool &channels;
     const Clock &clock;
-    const PlaceClientSettings settings;
-    PlaceBroker own;
+    const SlotClientSettings settings;
+    SlotBroker own;
     std::string broker;
     absl::Time avoidUntil = absl::InfinitePast();
     std::set<std::string> ownRequests;
     struct Held
     {
-        wire::HeldPlace place;
+        wire::HeldSlot slot;
         absl::Time deadline;
     };
     /// By request; of the broker and of the own share.
@@ -151,17 +151,17 @@
     bool stopped = false;
 };
 
-PlaceClient::PlaceClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
-                         PlaceClientSettings settings)
+SlotClient::SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
+                       SlotClientSettings settings)
     : m_impl(std::make_shared<Impl>(loop, channels, clock, settings))
 {}
 
-PlaceClient::~PlaceClient()
+SlotClient::~SlotClient()
 {
     stop();
 }
 
-void PlaceClient::setBroker(const std::string &address)
+void SlotClient::setBroker(const std::string &address)
 {
     if (m_impl->broker == address)
         return;
@@ -172,37 +172,38 @@
     m_impl->announceHeld();
 }
 
-void PlaceClient::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
+void SlotClient::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
 {
     m_impl->own.setDeployment(std::move(deployment));
 }
 
-void PlaceClient::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
-                               std::size_t entries)
+void SlotClient::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                              std::size_t entries)
 {
     const double sharers = static_cast<double>(std::max<std::size_t>(entries, 1));
     m_impl->own.setUpstreams(upstreams,
                              {1 / sharers, std::min(1.0, m_impl->settings.placeFactor / sharers)});
 }
 
-void PlaceClient::place(const wire::PlaceRequest &request, Answer answer)
+void SlotClient::acquire(const wire::SlotRequest &request, ResponseCallback answer)
 {
-    m_impl->place(request, std::move(answer));
+    m_impl->acquire(request, std::move(answer));
 }
 
-void PlaceClient::release(const wire::PlaceRelease &release)
+void SlotClient::release(const wire::SlotRelease &release)
 {
     m_impl->release(release);
 }
 
-void PlaceClient::loadReported(const wire::UpstreamLoad &load)
+void SlotClient::reportLoad(const wire::UpstreamLoad &load)
 {
-    m_impl->own.loadReported(load);
+    m_impl->own.updateLoad(load);
     if (!m_impl->broker.empty())
-        m_impl->channels.channel(m_impl->broker)->push(wire::Method::Load, wire::encode(load));
+        m_impl->channels.channel(m_impl->broker)
+                ->sendOneWay(wire::Method::Load, wire::encode(load));
 }
 
-void PlaceClient::stop()
+void SlotClient::stop()
 {
     m_impl->stopped = true;
 }
--- a/src/wire/fleetmessages.cpp
+++ b/src/wire/fleetmessages.cpp
@@ -13,52 +13,53 @@
         {MemberRole::Store, "store"},
 }};
 
-constexpr std::array<EnumName<PlaceVerdict>, 4> placeVerdictNames = {{
-        {PlaceVerdict::Granted, "granted"},
-        {PlaceVerdict::OverRate, "over_rate"},
-        {PlaceVerdict::NoPlace, "no_place"},
-        {PlaceVerdict::Waiting, "waiting"},
+constexpr std::array<EnumName<SlotOutcome>, 4> placeVerdictNames = {{
+        {SlotOutcome::Granted, "granted"},
+        {SlotOutcome::OverRate, "over_rate"},
+        {SlotOutcome::NoSlot, "no_place"},
+        {SlotOutcome::Waiting, "waiting"},
 }};
 
 } // namespace
 
 RATTANRILL_WIRE_ENUM(MemberRole, memberRoleNames)
-RATTANRILL_WIRE_ENUM(PlaceVerdict, placeVerdictNames)
+RATTANRILL_WIRE_ENUM(SlotOutcome, placeVerdictNames)
 RATTANRILL_WIRE_FIELDS(FleetMember, instance, role, failureDomain, peerAddress, replica)
 RATTANRILL_WIRE_FIELDS(FleetUpstream, id, service, address, failureDomain, slots, draining)
 RATTANRILL_WIRE_FIELDS(PutConfiguration, version, document)
 RATTANRILL_WIRE_FIELDS(RetireStore, replica)
-RATTANRILL_WIRE_FIELDS(FoundStoreGroup, voters)
+RATTANRILL_WIRE_FIELDS(BootstrapStoreGroup, voters)
 RATTANRILL_WIRE_FIELDS(FleetCommand, operation)
 RATTANRILL_WIRE_FIELDS(FleetResult, configurationVersion)
 RATTANRILL_WIRE_FIELDS(FleetQuery, knownVersion)
-RATTANRILL_WIRE_FIELDS(FleetRecords, configurationVersion, configuration, retiringStores,
+RATTANRILL_WIRE_FIELDS(FleetSnapshot, configurationVersion, configuration, retiringStores,
                        storeFounders)
-RATTANRILL_WIRE_FIELDS(LiveMember, member, alive, leadsStores, retiring, holdsCopy)
-RATTANRILL_WIRE_FIELDS(SyncRequest, self, leadsStores, storeTerm, storeReplicas, leaving, viewTerm,
-                       viewSequence, configurationVersion, waitMs)
-RATTANRILL_WIRE_FIELDS(SyncResponse, viewTerm, viewSequence, configurationVersion, configuration,
-                       members, membersSettled, storeFounders, upstreamsKnown, upstreams)
-RATTANRILL_WIRE_FIELDS(PlaceRequest, again, requestId, instance, failureDomain, service, workspace,
+RATTANRILL_WIRE_FIELDS(FleetMemberStatus, member, alive, leadsStores, retiring, holdsCopy)
+RATTANRILL_WIRE_FIELDS(FleetSyncRequest, self, leadsStores, storeTerm, storeReplicas, leaving,
+                       viewTerm, viewSequence, configurationVersion, waitMs)
+RATTANRILL_WIRE_FIELDS(FleetSyncResponse, viewTerm, viewSequence, configurationVersion,
+                       configuration, members, membersSettled, storeFounders, upstreamsKnown,
+                       upstreams)
+RATTANRILL_WIRE_FIELDS(SlotRequest, again, requestId, instance, failureDomain, service, workspace,
                        priority, chargesRate, promptTokens, outputTokens, objectiveMs, deadlineMs,
                        excluded)
-RATTANRILL_WIRE_FIELDS(PlaceResponse, verdict, upstream, address, retryAfterMs)
-RATTANRILL_WIRE_FIELDS(HeldPlace, requestId, service, workspace, upstream, deadlineMs)
-RATTANRILL_WIRE_FIELDS(HeldPlaces, instance, places)
+RATTANRILL_WIRE_FIELDS(SlotResponse, verdict, upstream, address, retryAfterMs)
+RATTANRILL_WIRE_FIELDS(HeldSlot, requestId, service, workspace, upstream, deadlineMs)
+RATTANRILL_WIRE_FIELDS(HeldSlots, instance, places)
 RATTANRILL_WIRE_FIELDS(UpstreamLoad, upstream, requests)
-RATTANRILL_WIRE_FIELDS(PlaceRelease, instance, requestId, upstream, end)
+RATTANRILL_WIRE_FIELDS(SlotRelease, instance, requestId, upstream, end)
 
 RATTANRILL_WIRE_MESSAGE(FleetCommand)
 RATTANRILL_WIRE_MESSAGE(FleetResult)
 RATTANRILL_WIRE_MESSAGE(FleetQuery)
-RATTANRILL_WIRE_MESSAGE(FleetRecords)
-RATTANRILL_WIRE_MESSAGE(SyncRequest)
-RATTANRILL_WIRE_MESSAGE(SyncResponse)
-RATTANRILL_WIRE_MESSAGE(PlaceRequest)
-RATTANRILL_WIRE_MESSAGE(PlaceResponse)
-RATTANRILL_WIRE_MESSAGE(HeldPlaces)
+RATTANRILL_WIRE_MESSAGE(FleetSnapshot)
+RATTANRILL_WIRE_MESSAGE(FleetSyncRequest)
+RATTANRILL_WIRE_MESSAGE(FleetSyncResponse)
+RATTANRILL_WIRE_MESSAGE(SlotRequest)
+RATTANRILL_WIRE_MESSAGE(SlotResponse)
+RATTANRILL_WIRE_MESSAGE(HeldSlots)
 RATTANRILL_WIRE_MESSAGE(UpstreamLoad)
-RATTANRILL_WIRE_MESSAGE(PlaceRelease)
+RATTANRILL_WIRE_MESSAGE(SlotRelease)
 
 std::string_view name(MemberRole role)
 {
--- a/tests/batch/batchmodel.cpp
+++ b/tests/batch/batchmodel.cpp
@@ -160,7 +160,7 @@
             continue;
         item->readyAtMs = m_nowMs + operation.backoffMs;
         item->failedTries += operation.failedTry ? 1 : 0;
-        if (operation.failedTry && item->failedTries >= maxFailedTries) {
+        if (operation.failedTry && item->failedTries >= maxFailedAttempts) {
             item->state = ItemState::Failed;
             item->reason = operation.reason;
         }
@@ -227,8 +227,8 @@
                                 const Outcome<wire::BatchResult> &answer)
 {
     if (answer.ok()) {
-        m_claims[operation.idempotencyKey] = {operation.holder, "", m_nowMs + abandonedClaimKeepMs,
-                                              true};
+        m_claims[operation.idempotencyKey] = {operation.holder, "",
+                                              m_nowMs + abandonedClaimRetentionMs, true};
     }
     return {};
 }
--- a/tests/batch/statemachine_test.cpp
+++ b/tests/batch/statemachine_test.cpp
@@ -120,7 +120,7 @@
     driver.makeJob("j", "w", 1);
     for (int round = 0; round < 50; ++round)
         driver.apply(wire::ReleaseItems{{driver.lease(1).at(0).item}, false, "", 0});
-    for (int tries = 0; tries < maxFailedTries; ++tries) {
+    for (int tries = 0; tries < maxFailedAttempts; ++tries) {
         BOOST_TEST((driver.job("j").state == JobState::InProgress));
         const auto leased = driver.lease(1).at(0);
         BOOST_TEST(leased.failedTries == tries);
@@ -221,7 +221,7 @@
     driver.restart();
     BOOST_TEST(refused(driver.query(wire::ReadResults{"j", "w", 0, 9}), ErrorCode::ResultExpired));
     BOOST_TEST(driver.job("j").counts.completed == 3u);
-    driver.nowMs += expiredJobKeepMs;
+    driver.nowMs += expiredJobRetentionMs;
     driver.apply(wire::AdvanceTime{});
     BOOST_TEST(refused(driver.query(wire::ReadJob{"j", "w"}), ErrorCode::NotFound));
 }
--- a/tests/control/controlcluster.cpp
+++ b/tests/control/controlcluster.cpp
@@ -70,7 +70,7 @@
     const auto index = static_cast<std::size_t>(i);
     std::filesystem::create_directories(m_folder);
     m_nodes[index] = std::make_unique<ControlNode>(m_settings[index], SystemClock::instance(),
-                                                   replication::openGroup);
+                                                   replication::startRaftNode);
     const auto started = outcomeOf([&] { return m_nodes[index]->start(); });
     BOOST_REQUIRE_MESSAGE(started.ok(), (started.ok() ? "" : describe(started.failure())));
 }
--- a/tests/control/controlnode_test.cpp
+++ b/tests/control/controlnode_test.cpp
@@ -24,14 +24,15 @@
         , control(channels, std::move(addresses), timers, SystemClock::instance())
     {}
 
-    Outcome<wire::FollowResponse> follow(std::uint64_t after, std::int64_t waitMs)
+    Outcome<wire::PollChangesResponse> follow(std::uint64_t after, std::int64_t waitMs)
     {
         absl::Notification done;
-        std::optional<Outcome<wire::FollowResponse>> answer;
-        control.follow({"entry-1", after, waitMs}, absl::Seconds(3), [&](const auto &outcome) {
-            answer = outcome;
-            done.Notify();
-        });
+        std::optional<Outcome<wire::PollChangesResponse>> answer;
+        control.pollDirectory({"entry-1", after, waitMs}, absl::Seconds(3),
+                              [&](const auto &outcome) {
+                                  answer = outcome;
+                                  done.Notify();
+                              });
         done.WaitForNotification();
         return *answer;
     }
--- a/tests/control/directoryfixture.cpp
+++ b/tests/control/directoryfixture.cpp
@@ -10,15 +10,15 @@
 
 constexpr absl::Duration step = absl::Milliseconds(100);
 
-Result<std::unique_ptr<replication::ReplicatedGroup>>
-openStub(const replication::GroupOptions &options,
-         std::unique_ptr<replication::StateMachine> machine, replication::GroupTransport &,
+Result<std::unique_ptr<replication::RaftNode>>
+openStub(const replication::RaftNodeOptions &options,
+         std::unique_ptr<replication::StateMachine> machine, replication::RaftTransport &,
          const Clock &)
 {
     auto group = std::make_unique<StubGroup>(std::move(machine));
     group->now.group = options.group;
     group->now.leader = options.self;
-    return std::unique_ptr<replication::ReplicatedGroup>(std::move(group));
+    return std::unique_ptr<replication::RaftNode>(std::move(group));
 }
 
 ControlSettings settingsOfOne()
@@ -39,8 +39,8 @@
     BOOST_REQUIRE(outcomeOf([&] { return groups.open(); }).ok());
     follow = std::make_shared<FollowService>(groups.directory(), timers, clock);
     source = std::make_unique<LocalPollSource>(follow);
-    view = std::make_unique<directory::Follower>(directory::FollowerOptions{}, *source, timers,
-                                                 clock);
+    view = std::make_unique<directory::DirectorySubscriber>(directory::SubscriberOptions{}, *source,
+                                                            timers, clock);
     members = std::make_shared<MemberWatch>(settings, groups, *view, timers, clock);
     partitions = std::make_shared<PartitionClock>(settings, groups, timers, clock);
     follow->start();
@@ -72,7 +72,7 @@
                                                                             std::int64_t waitMs)
 {
     auto answer = std::make_shared<std::optional<Outcome<std::string>>>();
-    follow->poll(wire::FollowRequest{"entry-1", after, waitMs},
+    follow->poll(wire::PollChangesRequest{"entry-1", after, waitMs},
                  [answer](const Outcome<std::string> &outcome) {
                      BOOST_REQUIRE(!answer->has_value());
                      *answer = outcome;
--- a/tests/control/directoryfixture.h
+++ b/tests/control/directoryfixture.h
@@ -7,7 +7,7 @@
 #include "partitionclock.h"
 #include "stubgroup.h"
 
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include <memory>
 #include <optional>
@@ -40,7 +40,7 @@
     GroupHost groups;
     std::shared_ptr<FollowService> follow;
     std::unique_ptr<LocalPollSource> source;
-    std::unique_ptr<directory::Follower> view;
+    std::unique_ptr<directory::DirectorySubscriber> view;
     std::shared_ptr<MemberWatch> members;
     std::shared_ptr<PartitionClock> partitions;
 };
--- a/tests/control/followservice_test.cpp
+++ b/tests/control/followservice_test.cpp
@@ -13,7 +13,7 @@
 {
     BOOST_REQUIRE(answer.ok());
     const auto response =
-            outcomeOf([&] { return wire::decode<wire::FollowResponse>(answer.value()); });
+            outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(answer.value()); });
     BOOST_REQUIRE(response.ok());
     return response.value().revision;
 }
--- a/tests/control/stubgroup.h
+++ b/tests/control/stubgroup.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include <functional>
 #include <memory>
@@ -11,7 +11,7 @@
 namespace rattanrill::control {
 
 /// Group of one replica whose role, term and quorum a test sets; answers on the caller's thread.
-class StubGroup : public replication::ReplicatedGroup
+class StubGroup : public replication::RaftNode
 {
 public:
     explicit StubGroup(std::unique_ptr<replication::StateMachine> stateMachine)
@@ -32,9 +32,9 @@
     }
     void read(std::string query, Callback callback) override
     {
-        readIndexed(std::move(query), std::move(callback));
+        linearizableRead(std::move(query), std::move(callback));
     }
-    void readIndexed(std::string query, Callback callback) override
+    void linearizableRead(std::string query, Callback callback) override
     {
         ++confirmations;
         if (beforeAnswer)
@@ -44,20 +44,20 @@
         callback(unpacked(machine->query(query)));
     }
     void receive(const replication::ReplicaId &, std::string) override {}
-    replication::GroupStatus status() const override { return now; }
+    replication::RaftNodeStatus status() const override { return now; }
     void onApplied(std::function<void(std::uint64_t)> newListener) override
     {
         listener = std::move(newListener);
     }
-    void addMember(const replication::ReplicaId &, const replication::ReplicaId &,
-                   Callback) override
+    void addReplica(const replication::ReplicaId &, const replication::ReplicaId &,
+                    Callback) override
     {}
-    void removeMember(const replication::ReplicaId &, Callback) override {}
+    void removeReplica(const replication::ReplicaId &, Callback) override {}
     void transferLeadership() override {}
     void stop() override {}
 
     std::unique_ptr<replication::StateMachine> machine;
-    replication::GroupStatus now;
+    replication::RaftNodeStatus now;
     bool hasQuorum = true;
     int confirmations = 0;
     std::vector<std::string> proposed;
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -29,14 +29,14 @@
 class FakeControl
 {
 public:
-    using Answer = std::function<void(const peer::Reply &)>;
+    using Answer = std::function<void(const peer::ResponseCallback &)>;
 
     explicit FakeControl(Answer answer)
         : m_answer(std::move(answer))
         , m_server(transport())
     {
         const auto handler = [this](const peer::PeerIdentity &, const std::string &,
-                                    const peer::Reply &reply) {
+                                    const peer::ResponseCallback &reply) {
             ++calls;
             m_answer(reply);
         };
@@ -55,14 +55,14 @@
     peer::Server m_server;
 };
 
-void answerDone(const peer::Reply &reply)
+void answerDone(const peer::ResponseCallback &reply)
 {
     reply(wire::encode(wire::GroupResponse{"done"}));
 }
 
 FakeControl::Answer failing(const Failure &failure)
 {
-    return [failure](const peer::Reply &reply) { reply(failure); };
+    return [failure](const peer::ResponseCallback &reply) { reply(failure); };
 }
 
 /// Client with its parts, in the order in which they are made.
@@ -144,7 +144,7 @@
 BOOST_AUTO_TEST_CASE(aLaterRefusalDoesNotDenyAnEarlierTry)
 {
     std::atomic<int> tries{0};
-    FakeControl control([&](const peer::Reply &reply) {
+    FakeControl control([&](const peer::ResponseCallback &reply) {
         if (++tries == 1)
             reply(mayHaveRun(ErrorCode::ProposalLost, ""));
         else
@@ -166,8 +166,8 @@
 BOOST_AUTO_TEST_CASE(silentInstanceDoesNotTakeTheWholeDeadline)
 {
     absl::Mutex mutex;
-    std::vector<peer::Reply> kept;
-    FakeControl silent([&](const peer::Reply &reply) {
+    std::vector<peer::ResponseCallback> kept;
+    FakeControl silent([&](const peer::ResponseCallback &reply) {
         absl::MutexLock lock(&mutex);
         kept.push_back(reply);
     });
@@ -179,8 +179,8 @@
 BOOST_AUTO_TEST_CASE(stopFailsOpenCallsBeforeItReturns)
 {
     absl::Mutex mutex;
-    std::vector<peer::Reply> kept;
-    FakeControl silent([&](const peer::Reply &reply) {
+    std::vector<peer::ResponseCallback> kept;
+    FakeControl silent([&](const peer::ResponseCallback &reply) {
         absl::MutexLock lock(&mutex);
         kept.push_back(reply);
     });
--- a/tests/directory/controlpollsource_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -1,8 +1,8 @@
-#include "rattanrill/directory/controlpollsource.h"
+#include "rattanrill/directory/controlpollclient.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/controlclient/controlclient.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/peer/server.h"
 #include "rattanrill/wire/codec.h"
 
@@ -26,35 +26,36 @@
 }
 
 /// Answers each poll with the next revision.
-void answerPoll(const std::string &body, const peer::Reply &reply)
+void answerPoll(const std::string &body, const peer::ResponseCallback &reply)
 {
-    const auto request = outcomeOf([&] { return wire::decode<wire::FollowRequest>(body); });
-    wire::FollowResponse response;
+    const auto request = outcomeOf([&] { return wire::decode<wire::PollChangesRequest>(body); });
+    wire::PollChangesResponse response;
     response.revision = request.value().afterRevision + 1;
     reply(wire::encode(response));
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ControlPollSourceTest)
+BOOST_AUTO_TEST_SUITE(ControlPollClientTest)
 
 // Guards against a follower that works with fakes only: polls by the real channel, client and
 // timers, and answers that arrive while the follower stops.
 BOOST_AUTO_TEST_CASE(followerFollowsOverTheNetwork)
 {
     peer::Server server(transport());
-    server.handle(wire::Method::Follow, [](const peer::PeerIdentity &, const std::string &body,
-                                           const peer::Reply &reply) { answerPoll(body, reply); });
+    server.handle(wire::Method::PollChanges,
+                  [](const peer::PeerIdentity &, const std::string &body,
+                     const peer::ResponseCallback &reply) { answerPoll(body, reply); });
     BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", 0); }).ok());
     ThreadTimerService timers;
     peer::ChannelPool channels(transport());
     controlclient::ControlClient client(channels, {concat("127.0.0.1:", server.port())}, timers,
                                         SystemClock::instance());
-    ControlPollSource source(client);
+    ControlPollClient source(client);
     for (int round = 0; round < 20; ++round) {
         absl::Notification third;
-        Follower follower({"entry-1"}, source, timers, SystemClock::instance());
-        follower.onChange([&third](const std::shared_ptr<const View> &view) {
+        DirectorySubscriber follower({"entry-1"}, source, timers, SystemClock::instance());
+        follower.onChange([&third](const std::shared_ptr<const DirectoryView> &view) {
             if (view->revision() == 3)
                 third.Notify();
         });
--- a/tests/directory/directorydriver.cpp
+++ b/tests/directory/directorydriver.cpp
@@ -41,15 +41,15 @@
     return unpack<wire::DirectoryResult>(m_machine->apply(++m_index, wire::encode(command)));
 }
 
-wire::FollowResponse DirectoryDriver::query(std::uint64_t afterRevision) const
+wire::PollChangesResponse DirectoryDriver::query(std::uint64_t afterRevision) const
 {
     const std::string bytes = wire::encode(wire::DirectoryQuery{afterRevision});
-    return unpack<wire::FollowResponse>(m_machine->query(bytes)).value();
+    return unpack<wire::PollChangesResponse>(m_machine->query(bytes)).value();
 }
 
-View DirectoryDriver::followFrom(const View &view) const
+DirectoryView DirectoryDriver::followFrom(const DirectoryView &view) const
 {
-    return outcomeOf([&] { return view.with(query(view.revision())); }).value();
+    return outcomeOf([&] { return view.withChanges(query(view.revision())); }).value();
 }
 
 void DirectoryDriver::restart()
--- a/tests/directory/directorydriver.h
+++ b/tests/directory/directorydriver.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/directory/statemachine.h"
-#include "rattanrill/directory/view.h"
 
 #include <memory>
 #include <string>
@@ -19,11 +19,11 @@
     /// Unconditional write.
     Outcome<wire::DirectoryResult> writeAnyway(wire::DirectoryOperation operation);
     Outcome<wire::DirectoryResult> apply(const wire::DirectoryCommand &command);
-    wire::FollowResponse query(std::uint64_t afterRevision) const;
+    wire::PollChangesResponse query(std::uint64_t afterRevision) const;
     /// \a view with the changes since.
-    View followFrom(const View &view) const;
+    DirectoryView followFrom(const DirectoryView &view) const;
     /// View of all records.
-    View view() const { return followFrom(View()); }
+    DirectoryView view() const { return followFrom(DirectoryView()); }
     /// Continues with a machine restored from a snapshot.
     void restart();
     /// Code of the failure to restore \a snapshot; Internal when it was accepted.
