--- a/tests/directory/follower_test.cpp
+++ b/tests/directory/directorysubscriber_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "rattanrill/wire/codec.h"
 
@@ -12,21 +12,21 @@
 namespace {
 
 /// Keeps polls until the test answers them.
-class ManualPolls : public PollSource
+class ManualPolls : public DirectoryPollClient
 {
 public:
     struct Poll
     {
-        wire::FollowRequest request;
+        wire::PollChangesRequest request;
         Callback callback;
     };
 
-    void poll(const wire::FollowRequest &request, absl::Duration, Callback callback) override
+    void poll(const wire::PollChangesRequest &request, absl::Duration, Callback callback) override
     {
         open.push_back({request, std::move(callback)});
     }
 
-    void answer(Outcome<wire::FollowResponse> outcome)
+    void answer(Outcome<wire::PollChangesResponse> outcome)
     {
         const Poll poll = open.front();
         open.pop_front();
@@ -47,10 +47,10 @@
     ManualTimerService timers{clock};
     ManualPolls polls;
     std::vector<std::uint64_t> seen;
-    Follower follower{{"entry-1"}, polls, timers, clock};
+    DirectorySubscriber follower{{"entry-1"}, polls, timers, clock};
 };
 
-wire::FollowResponse contractAt(std::uint64_t revision, double rate)
+wire::PollChangesResponse contractAt(std::uint64_t revision, double rate)
 {
     wire::Contract contract;
     contract.workspace = "w";
@@ -62,14 +62,14 @@
             0};
 }
 
-wire::FollowResponse unchanged(std::uint64_t revision)
+wire::PollChangesResponse unchanged(std::uint64_t revision)
 {
     return {revision, false, {}, 0};
 }
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(FollowerTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(DirectorySubscriberTest, Fixture)
 
 // Guards against a stale view that looks fresh: the answer proves what held when the poll was sent,
 // not when the answer came.
@@ -108,7 +108,7 @@
     BOOST_TEST(follower.view()->contract("w")->ratePerSecond == 5);
     BOOST_TEST((follower.age() == absl::Milliseconds(100)));
     timers.advance(absl::Seconds(1));
-    wire::FollowResponse snapshot = contractAt(3, 3);
+    wire::PollChangesResponse snapshot = contractAt(3, 3);
     snapshot.snapshot = true;
     polls.answer(snapshot);
     BOOST_TEST(follower.view()->revision() == 5u);
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(unreadableChangeIsNotSkipped)
 {
     follower.start();
-    wire::FollowResponse damaged = contractAt(1, 1);
+    wire::PollChangesResponse damaged = contractAt(1, 1);
     damaged.changes[0].body = "damaged";
     polls.answer(damaged);
     BOOST_TEST(follower.view()->revision() == 0u);
@@ -134,8 +134,8 @@
     polls.answer(contractAt(7, 1));
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.front().request.afterRevision == 7u);
-    const std::shared_ptr<const View> before = follower.view();
-    wire::FollowResponse removal = unchanged(8);
+    const std::shared_ptr<const DirectoryView> before = follower.view();
+    wire::PollChangesResponse removal = unchanged(8);
     removal.changes.push_back({8, wire::RecordKind::Route, "r", true, ""});
     polls.answer(removal);
     timers.advance(absl::Milliseconds(20));
@@ -181,19 +181,20 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(ViewTest)
+BOOST_AUTO_TEST_SUITE(DirectoryViewTest)
 
 // Guards against a call to a protected route that an open one with a shorter or similar prefix
 // takes (R4).
 BOOST_AUTO_TEST_CASE(longestPrefixOfWholeSegmentsWins)
 {
-    wire::FollowResponse response = unchanged(3);
+    wire::PollChangesResponse response = unchanged(3);
     for (const char *prefix : {"/a", "/a/b/", "/ab"}) {
         const wire::Route route{prefix, prefix, "s", false, false, 1};
         response.changes.push_back(
                 {1, wire::RecordKind::Route, prefix, false, wire::encode(route)});
     }
-    const View view = outcomeOf([&] { return View().with(response); }).value();
+    const DirectoryView view =
+            outcomeOf([&] { return DirectoryView().withChanges(response); }).value();
     BOOST_TEST(view.route("/a/b/c")->name == "/a/b/");
     BOOST_TEST(view.route("/a/b")->name == "/a/b/");
     BOOST_TEST(view.route("/a/bc")->name == "/a");
@@ -205,10 +206,11 @@
 // Guards against an old record that a repeated change brings back.
 BOOST_AUTO_TEST_CASE(changesUpToTheViewsRevisionAreSkipped)
 {
-    const View view = outcomeOf([&] { return View().with(contractAt(5, 5)); }).value();
-    wire::FollowResponse overlap = contractAt(4, 4);
+    const DirectoryView view =
+            outcomeOf([&] { return DirectoryView().withChanges(contractAt(5, 5)); }).value();
+    wire::PollChangesResponse overlap = contractAt(4, 4);
     overlap.revision = 6;
-    const View next = outcomeOf([&] { return view.with(overlap); }).value();
+    const DirectoryView next = outcomeOf([&] { return view.withChanges(overlap); }).value();
     BOOST_TEST(next.revision() == 6u);
     BOOST_TEST(next.contract("w")->ratePerSecond == 5);
 }
@@ -216,15 +218,17 @@
 // Guards against a copy of all workspaces for one change.
 BOOST_AUTO_TEST_CASE(changeSharesAllOtherRecords)
 {
-    wire::FollowResponse response = unchanged(1);
+    wire::PollChangesResponse response = unchanged(1);
     for (int index = 0; index < 6300; ++index) {
         wire::Contract contract;
         contract.workspace = std::to_string(index);
         response.changes.push_back(
                 {1, wire::RecordKind::Contract, contract.workspace, false, wire::encode(contract)});
     }
-    const View before = outcomeOf([&] { return View().with(response); }).value();
-    const View after = outcomeOf([&] { return before.with(contractAt(2, 1)); }).value();
+    const DirectoryView before =
+            outcomeOf([&] { return DirectoryView().withChanges(response); }).value();
+    const DirectoryView after =
+            outcomeOf([&] { return before.withChanges(contractAt(2, 1)); }).value();
     BOOST_TEST(after.contractCount() == 6301u);
     BOOST_TEST(before.contractCount() == 6300u);
     BOOST_TEST(after.contract("17") == before.contract("17"));
--- a/tests/directory/model_test.cpp
+++ b/tests/directory/model_test.cpp
@@ -30,7 +30,7 @@
 
     std::size_t below(std::size_t end) { return m_random() % end; }
 
-    wire::DirectoryCommand next(std::int64_t nowMs, const View &view)
+    wire::DirectoryCommand next(std::int64_t nowMs, const DirectoryView &view)
     {
         const bool resend = !m_sent.empty() && below(6) == 0;
         wire::DirectoryCommand command = resend ? m_sent[below(m_sent.size())] : make(view);
@@ -43,7 +43,7 @@
 private:
     std::string text(const char *stem, std::size_t end) { return concat(stem, below(end)); }
 
-    wire::DirectoryCommand make(const View &view)
+    wire::DirectoryCommand make(const DirectoryView &view)
     {
         wire::DirectoryCommand command;
         command.requestId = below(4) == 0 ? "" : concat("request-", m_sent.size());
@@ -75,14 +75,14 @@
             return wire::AddKey{{text("k-", 20), std::string(64, "0123456789abcdef"[below(16)]),
                                  workspace, false, 0}};
         case 4:
-            return wire::WithdrawKey{text("k-", 20)};
+            return wire::RevokeKey{text("k-", 20)};
         case 5:
             return wire::PutUpstream{{upstream, wire::UpstreamKind::Engine, "m", "h",
                                       static_cast<std::int64_t>(below(3)), "d"}};
         case 6:
             return wire::RemoveUpstream{upstream};
         case 7:
-            return wire::IssueFence{upstream};
+            return wire::IssueFencingToken{upstream};
         case 8:
             return wire::JoinMember{{text("e-", 2), "d", "h:1", "h:2", text("i-", 4), 0}};
         case 9:
@@ -110,8 +110,8 @@
     using Answer = Outcome<wire::DirectoryResult>;
 
     /// The first fault, or an empty text.
-    std::string check(const wire::DirectoryCommand &command, const Answer &answer, const View &view,
-                      const wire::FollowResponse &records)
+    std::string check(const wire::DirectoryCommand &command, const Answer &answer,
+                      const DirectoryView &view, const wire::PollChangesResponse &records)
     {
         const auto first = m_answers.find(command.requestId);
         const bool resend = !command.requestId.empty() && first != m_answers.end();
@@ -133,13 +133,13 @@
     }
 
 private:
-    std::string checkKeys(const wire::FollowResponse &records, const View &view)
+    std::string checkKeys(const wire::PollChangesResponse &records, const DirectoryView &view)
     {
         std::set<std::string> hashes;
-        for (const wire::Change &change : records.changes) {
-            if (change.kind != wire::RecordKind::Key)
+        for (const wire::RecordChange &change : records.changes) {
+            if (change.kind != wire::RecordKind::ApiKey)
                 continue;
-            const auto key = outcomeOf([&] { return wire::decode<wire::Key>(change.body); });
+            const auto key = outcomeOf([&] { return wire::decode<wire::ApiKey>(change.body); });
             const std::string &hash = key.value().hash;
             if (!hashes.insert(hash).second)
                 return "two keys have one hash";
@@ -152,7 +152,7 @@
                 return "a key outlived its contract";
         }
         for (const std::string &hash : m_withdrawn) {
-            if (!view.keyByHash(hash))
+            if (!view.apiKeyByHash(hash))
                 return "a withdrawn key was forgotten";
         }
         return {};
@@ -165,11 +165,11 @@
 };
 
 /// Everything that entries read in a view.
-std::string summary(const View &view)
+std::string summary(const DirectoryView &view)
 {
     std::string text = concat(view.revision(), "/", view.memberRevision());
     for (const auto &[id, upstream] : view.upstreams())
-        text += concat(" ", id, ":", upstream->revision, ":", view.fence(id));
+        text += concat(" ", id, ":", upstream->revision, ":", view.fencingToken(id));
     for (const auto &[id, member] : view.members())
         text += concat(" ", id, ":", member->incarnation);
     for (const auto &[id, route] : view.routes())
@@ -179,11 +179,11 @@
         text += contract ? concat(" ", contract->revision, contract->withdrawn ? "-" : "+") : " .";
     }
     for (const char digit : std::string("0123456789abcdef")) {
-        const auto key = view.keyByHash(std::string(64, digit));
+        const auto key = view.apiKeyByHash(std::string(64, digit));
         text += key ? concat(key->keyId, key->withdrawn ? "-" : "+") : ".";
     }
     for (const char *fingerprint : {"f-0", "f-1"})
-        text += view.held(fingerprint, 0) ? "held" : "free";
+        text += view.quarantinedRequest(fingerprint, 0) ? "held" : "free";
     return text;
 }
 
@@ -196,7 +196,7 @@
     Invariants invariants;
     DirectoryDriver steady;
     DirectoryDriver restarting;
-    std::vector<View> followers(4);
+    std::vector<DirectoryView> followers(4);
     for (int step = 0; step < steps; ++step) {
         steady.nowMs += static_cast<std::int64_t>(writes.below(300));
         const wire::DirectoryCommand command = writes.next(steady.nowMs, steady.view());
@@ -205,11 +205,11 @@
         const auto answer = steady.apply(applied);
         if (textOf(answer) != textOf(restarting.apply(applied)))
             return "the restored replica gave another answer";
-        const View view = steady.view();
+        const DirectoryView view = steady.view();
         const std::string fault = invariants.check(command, answer, view, steady.query(0));
         if (!fault.empty())
             return concat("seed ", seed, ", step ", step, ": ", fault);
-        View &follower = followers[writes.below(followers.size())];
+        DirectoryView &follower = followers[writes.below(followers.size())];
         follower = restarting.followFrom(follower);
         if (summary(follower) != summary(view))
             return concat(summary(follower), " differs from ", summary(view));
--- a/tests/directory/statemachine_test.cpp
+++ b/tests/directory/statemachine_test.cpp
@@ -22,7 +22,7 @@
     return contract;
 }
 
-wire::Key keyOf(const std::string &keyId, const std::string &workspace, char digit)
+wire::ApiKey keyOf(const std::string &keyId, const std::string &workspace, char digit)
 {
     return {keyId, std::string(64, digit), workspace, false, 0};
 }
@@ -90,7 +90,7 @@
     const auto again = driver.write(wire::AddKey{keyOf("k-2", "w", 'b')}, 0, "r-1");
     BOOST_REQUIRE(again.ok());
     BOOST_TEST(again.value().id == "k-1");
-    BOOST_TEST(!driver.view().keyByHash(std::string(64, 'b')));
+    BOOST_TEST(!driver.view().apiKeyByHash(std::string(64, 'b')));
 }
 
 // Guards against a revoked key that comes back.
@@ -99,13 +99,13 @@
     DirectoryDriver driver;
     driver.write(wire::PutContract{contractOf("w")}, 0);
     driver.write(wire::AddKey{keyOf("k", "w", 'a')}, 0);
-    driver.write(wire::WithdrawKey{"k"}, 2);
+    driver.write(wire::RevokeKey{"k"}, 2);
     driver.restart();
     BOOST_TEST(
             refused(driver.writeAnyway(wire::AddKey{keyOf("k", "w", 'b')}), ErrorCode::Conflict));
     BOOST_TEST(
             refused(driver.writeAnyway(wire::AddKey{keyOf("k-2", "w", 'a')}), ErrorCode::Conflict));
-    BOOST_TEST(driver.view().keyByHash(std::string(64, 'a'))->withdrawn);
+    BOOST_TEST(driver.view().apiKeyByHash(std::string(64, 'a'))->withdrawn);
 }
 
 // Guards against keys that outlive their contract, or that are added after its end.
@@ -116,14 +116,14 @@
     driver.write(wire::PutContract{contractOf("w")}, 0);
     driver.write(wire::AddKey{keyOf("k-1", "w", 'a')}, 0);
     driver.write(wire::AddKey{keyOf("k-2", "w", 'b')}, 0);
-    const View before = driver.view();
+    const DirectoryView before = driver.view();
     BOOST_TEST(driver.write(wire::WithdrawContract{"w"}, 1).value().revision == 4u);
-    const View after = driver.followFrom(before);
+    const DirectoryView after = driver.followFrom(before);
     BOOST_TEST(after.revision() == 4u);
     BOOST_TEST(after.contract("w")->withdrawn);
-    BOOST_TEST(after.keyByHash(std::string(64, 'a'))->withdrawn);
-    BOOST_TEST(after.keyByHash(std::string(64, 'b'))->withdrawn);
-    BOOST_TEST(!before.keyByHash(std::string(64, 'b'))->withdrawn);
+    BOOST_TEST(after.apiKeyByHash(std::string(64, 'a'))->withdrawn);
+    BOOST_TEST(after.apiKeyByHash(std::string(64, 'b'))->withdrawn);
+    BOOST_TEST(!before.apiKeyByHash(std::string(64, 'b'))->withdrawn);
     BOOST_TEST(refused(driver.write(wire::AddKey{keyOf("k-3", "w", 'c')}, 0), ErrorCode::Conflict));
 }
 
@@ -132,13 +132,13 @@
 {
     DirectoryDriver driver;
     const wire::Upstream upstream{"u", wire::UpstreamKind::Engine, "m", "127.0.0.1", 80, "d"};
-    BOOST_TEST(refused(driver.writeAnyway(wire::IssueFence{"u"}), ErrorCode::NotFound));
+    BOOST_TEST(refused(driver.writeAnyway(wire::IssueFencingToken{"u"}), ErrorCode::NotFound));
     driver.writeAnyway(wire::PutUpstream{upstream});
-    BOOST_TEST(driver.writeAnyway(wire::IssueFence{"u"}).value().fence == 1u);
+    BOOST_TEST(driver.writeAnyway(wire::IssueFencingToken{"u"}).value().fence == 1u);
     driver.writeAnyway(wire::RemoveUpstream{"u"});
     driver.restart();
     driver.writeAnyway(wire::PutUpstream{upstream});
-    BOOST_TEST(driver.writeAnyway(wire::IssueFence{"u"}).value().fence == 2u);
+    BOOST_TEST(driver.writeAnyway(wire::IssueFencingToken{"u"}).value().fence == 2u);
 }
 
 // Guards against holding a request after crashes of one upstream only, and against a hold without
@@ -150,11 +150,11 @@
     BOOST_TEST(!driver.writeAnyway(wire::ReportCrash{"f", "u-1", 500}).value().held);
     BOOST_TEST(!driver.writeAnyway(wire::ReportCrash{"f", "u-1", 500}).value().held);
     BOOST_TEST(driver.writeAnyway(wire::ReportCrash{"f", "u-2", 500}).value().held);
-    BOOST_TEST(bool(driver.view().held("f", 1499)));
-    BOOST_TEST(!driver.view().held("f", 1500));
+    BOOST_TEST(bool(driver.view().quarantinedRequest("f", 1499)));
+    BOOST_TEST(!driver.view().quarantinedRequest("f", 1500));
     driver.nowMs = 1500;
     BOOST_TEST(!driver.writeAnyway(wire::ReportCrash{"f", "u-3", 500}).value().held);
-    BOOST_TEST(!driver.view().held("f", 1500));
+    BOOST_TEST(!driver.view().quarantinedRequest("f", 1500));
 }
 
 // Guards against two processes under one instance name, and against a delayed join of the old one.
@@ -182,11 +182,11 @@
 {
     DirectoryDriver driver;
     driver.writeAnyway(wire::JoinMember{memberOf("e", "one")});
-    const View before = driver.view();
+    const DirectoryView before = driver.view();
     driver.writeAnyway(wire::RemoveMember{"e", ""});
     driver.writeAnyway(wire::PutContract{contractOf("w")});
     BOOST_TEST(driver.followFrom(before).memberRevision() == 2u);
-    BOOST_TEST(driver.followFrom(View()).memberRevision() == 2u);
+    BOOST_TEST(driver.followFrom(DirectoryView()).memberRevision() == 2u);
 }
 
 // Guards against routes that hide the callers' interface or the probes, and against fields that
@@ -225,14 +225,14 @@
     DirectoryDriver driver;
     driver.writeAnyway(wire::PutRoute{routeOf("r", "/old")});
     driver.writeAnyway(wire::PutContract{contractOf("w", 1)});
-    const View before = driver.view();
+    const DirectoryView before = driver.view();
     driver.writeAnyway(wire::RemoveRoute{"r"});
-    for (std::size_t change = 0; change <= keptChanges; ++change)
+    for (std::size_t change = 0; change <= changeHistoryLimit; ++change)
         driver.writeAnyway(wire::PutContract{contractOf("w", 2)});
     driver.restart();
     BOOST_TEST(driver.query(before.revision()).snapshot);
     BOOST_TEST(!driver.query(driver.view().revision() - 1).snapshot);
-    const View after = driver.followFrom(before);
+    const DirectoryView after = driver.followFrom(before);
     BOOST_TEST(!after.route("/old"));
     BOOST_TEST(after.contract("w")->ratePerSecond == 2);
 }
--- a/tests/engine/engineclient_test.cpp
+++ b/tests/engine/engineclient_test.cpp
@@ -52,8 +52,8 @@
     int m_port = 0;
 };
 
-Outcome<StreamEnd> run(EngineClient &client, Cancellation &cancellation,
-                       absl::Time deadline = absl::InfiniteFuture())
+Outcome<StreamSummary> run(EngineClient &client, AbortSignal &cancellation,
+                           absl::Time deadline = absl::InfiniteFuture())
 {
     StreamRequest request;
     request.path = "/v1/completions";
@@ -91,7 +91,7 @@
         response.set_content(body, "application/json");
     });
     EngineClient client(server.options());
-    Cancellation cancellation;
+    AbortSignal cancellation;
     const auto busy = run(client, cancellation);
     BOOST_TEST((busy.failure().code == ErrorCode::UpstreamBusy));
     BOOST_TEST((busy.failure().run == RunState::NotRun));
@@ -110,7 +110,7 @@
 {
     Server server(answerAndHang);
     EngineClient client(server.options());
-    Cancellation cancellation;
+    AbortSignal cancellation;
     const auto broken = run(client, cancellation);
     BOOST_TEST((broken.failure().code == ErrorCode::StreamBroken));
     BOOST_TEST((broken.failure().run == RunState::MayHaveRun));
@@ -129,14 +129,14 @@
     EngineOptions options = server.options();
     options.idleTimeout = absl::Minutes(5);
     EngineClient client(options);
-    Cancellation cancellation;
+    AbortSignal cancellation;
     std::thread other([&] {
         answering.WaitForNotification();
         cancellation.abort();
     });
     const auto ended = run(client, cancellation);
     other.join();
-    BOOST_TEST((ended.failure().code == ErrorCode::ClientGone));
+    BOOST_TEST((ended.failure().code == ErrorCode::ClientDisconnected));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/entry/fakecontrol.cpp
+++ b/tests/entry/fakecontrol.cpp
@@ -4,8 +4,8 @@
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/batch/statemachine.h"
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/directory/statemachine.h"
-#include "rattanrill/directory/view.h"
 #include "rattanrill/wire/codec.h"
 #include "rattanrill/wire/envelope.h"
 
@@ -45,15 +45,16 @@
     using peer::PeerIdentity;
     m_server.handle(wire::Method::Propose,
                     [this](const PeerIdentity &, const std::string &body,
-                           const peer::Reply &reply) { propose(body, reply); });
-    m_server.handle(wire::Method::Read, [this](const PeerIdentity &, const std::string &body,
-                                               const peer::Reply &reply) { read(body, reply); });
-    m_server.handle(wire::Method::Follow,
+                           const peer::ResponseCallback &reply) { propose(body, reply); });
+    m_server.handle(wire::Method::Read,
                     [this](const PeerIdentity &, const std::string &body,
-                           const peer::Reply &reply) { follow(body, reply); });
+                           const peer::ResponseCallback &reply) { read(body, reply); });
+    m_server.handle(wire::Method::PollChanges,
+                    [this](const PeerIdentity &, const std::string &body,
+                           const peer::ResponseCallback &reply) { follow(body, reply); });
     m_server.handle(wire::Method::Heartbeat,
                     [this](const PeerIdentity &, const std::string &body,
-                           const peer::Reply &reply) { heartbeat(body, reply); });
+                           const peer::ResponseCallback &reply) { heartbeat(body, reply); });
     BOOST_REQUIRE(outcomeOf([&] { return m_server.start("127.0.0.1", 0); }).ok());
 }
 
@@ -101,7 +102,7 @@
     setSilent(pollGroup, silent);
 }
 
-void FakeControl::propose(const std::string &body, const peer::Reply &reply)
+void FakeControl::propose(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::ProposeRequest>(body);
     Outcome<std::string> answer = std::string();
@@ -117,7 +118,7 @@
         reply(answer.failure());
 }
 
-void FakeControl::read(const std::string &body, const peer::Reply &reply)
+void FakeControl::read(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::ReadRequest>(body);
     Outcome<std::string> answer = std::string();
@@ -137,7 +138,7 @@
 {
     const auto answer = run(directoryGroup, wire::encode(wire::DirectoryQuery{after}), false);
     BOOST_REQUIRE(answer.ok());
-    any = decoded<wire::FollowResponse>(answer.value()).revision > after;
+    any = decoded<wire::PollChangesResponse>(answer.value()).revision > after;
     return answer.value();
 }
 
@@ -145,22 +146,22 @@
 {
     absl::MutexLock lock(&m_mutex);
     bool any = false;
-    return decoded<wire::FollowResponse>(changes(0, any)).revision;
+    return decoded<wire::PollChangesResponse>(changes(0, any)).revision;
 }
 
 std::size_t FakeControl::members()
 {
     absl::MutexLock lock(&m_mutex);
     bool any = false;
-    const auto all = decoded<wire::FollowResponse>(changes(0, any));
-    const auto view = outcomeOf([&] { return directory::View().with(all); });
+    const auto all = decoded<wire::PollChangesResponse>(changes(0, any));
+    const auto view = outcomeOf([&] { return directory::DirectoryView().withChanges(all); });
     BOOST_REQUIRE(view.ok());
     return view.value().members().size();
 }
 
-void FakeControl::follow(const std::string &body, const peer::Reply &reply)
+void FakeControl::follow(const std::string &body, const peer::ResponseCallback &reply)
 {
-    const auto request = decoded<wire::FollowRequest>(body);
+    const auto request = decoded<wire::PollChangesRequest>(body);
     {
         absl::MutexLock lock(&m_mutex);
         if (m_silent[pollGroup])
@@ -176,7 +177,7 @@
             pollHold, [this, after = request.afterRevision, reply] { answerPoll(after, reply); });
 }
 
-void FakeControl::answerPoll(std::uint64_t after, const peer::Reply &reply)
+void FakeControl::answerPoll(std::uint64_t after, const peer::ResponseCallback &reply)
 {
     absl::MutexLock lock(&m_mutex);
     bool any = false;
@@ -184,7 +185,7 @@
         reply(changes(after, any));
 }
 
-void FakeControl::heartbeat(const std::string &body, const peer::Reply &reply)
+void FakeControl::heartbeat(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::HeartbeatRequest>(body);
     wire::DirectoryCommand command;
--- a/tests/entry/fakecontrol.h
+++ b/tests/entry/fakecontrol.h
@@ -35,12 +35,17 @@
 private:
     Outcome<std::string> run(const std::string &group, const std::string &bytes, bool write)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void propose(const std::string &body, const peer::Reply &reply) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void read(const std::string &body, const peer::Reply &reply) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void follow(const std::string &body, const peer::Reply &reply) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void heartbeat(const std::string &body, const peer::Reply &reply) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void propose(const std::string &body, const peer::ResponseCallback &reply)
+            ABSL_LOCKS_EXCLUDED(m_mutex);
+    void read(const std::string &body, const peer::ResponseCallback &reply)
+            ABSL_LOCKS_EXCLUDED(m_mutex);
+    void follow(const std::string &body, const peer::ResponseCallback &reply)
+            ABSL_LOCKS_EXCLUDED(m_mutex);
+    void heartbeat(const std::string &body, const peer::ResponseCallback &reply)
+            ABSL_LOCKS_EXCLUDED(m_mutex);
     std::string changes(std::uint64_t after, bool &any) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void answerPoll(std::uint64_t after, const peer::Reply &reply) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void answerPoll(std::uint64_t after, const peer::ResponseCallback &reply)
+            ABSL_LOCKS_EXCLUDED(m_mutex);
 
     absl::Mutex m_mutex;
     std::map<std::string, std::unique_ptr<replication::StateMachine>>
--- a/tests/entry/online_test.cpp
+++ b/tests/entry/online_test.cpp
@@ -36,7 +36,7 @@
 {
     TestFleet fleet(1, 1);
     fleet.addWorkspace("gone", 10, 10);
-    fleet.control().write(wire::WithdrawKey{"id-gone"});
+    fleet.control().write(wire::RevokeKey{"id-gone"});
     fleet.awaitInForce();
     const std::size_t runs = fleet.engine(0).runs();
     const std::pair<const char *, const char *> rows[] = {
@@ -112,7 +112,7 @@
     fleet.engine(0).setScript(script);
     StreamedCall call(fleet.port(0), "key-acme", "long", 1000);
     BOOST_TEST(call.awaitText(expectedText("long", 3)));
-    fleet.control().write(wire::WithdrawKey{"id-acme"});
+    fleet.control().write(wire::RevokeKey{"id-acme"});
     call.join();
     BOOST_TEST(call.errorCode == "key_withdrawn");
     BOOST_TEST(call.errorRun == "may_have_run");
--- a/tests/entry/testfleet.cpp
+++ b/tests/entry/testfleet.cpp
@@ -206,7 +206,7 @@
     contract.burst = burst;
     contract.batchShare = 1;
     m_control.write(wire::PutContract{contract});
-    wire::Key key;
+    wire::ApiKey key;
     key.keyId = "id-" + workspace;
     key.hash = sha256Hex(keyOf(workspace));
     key.workspace = workspace;
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -106,7 +106,7 @@
     }
 
     Faults faults;
-    RecordBook records;
+    RequestLog records;
     EngineHost host;
     FakeHttpServer server;
     EngineServer engine;
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 #include "rattanrill/fakes/servicemodel.h"
 
 #include <boost/test/unit_test.hpp>
@@ -68,7 +68,7 @@
 {
     const std::string file = "recordbook_test.jsonl";
     std::remove(file.c_str());
-    RecordBook records(RecordSettings{2, file});
+    RequestLog records(RecordSettings{2, file});
     Record record;
     record.requestId = "r";
     const std::int64_t seq = records.add(record);
--- a/tests/fleet/syncservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -1,8 +1,8 @@
-#include "rattanrill/fleet/syncservice.h"
+#include "rattanrill/fleet/fleetservice.h"
 
 #include "loopthread.h"
 
-#include "rattanrill/fleet/fleetfollower.h"
+#include "rattanrill/fleet/fleetclient.h"
 #include "rattanrill/wire/codec.h"
 
 #include "absl/synchronization/notification.h"
@@ -29,7 +29,7 @@
     return options;
 }
 
-class NoList : public UpstreamList
+class NoList : public UpstreamDiscovery
 {
 public:
     void read(Callback callback) override { callback(notRun(ErrorCode::Timeout, "")); }
@@ -52,7 +52,7 @@
     AskedServer()
     {
         m_server.handle(wire::Method::Sync, [this](const peer::PeerIdentity &, const std::string &,
-                                                   const peer::Reply &reply) {
+                                                   const peer::ResponseCallback &reply) {
             if (!m_asked.HasBeenNotified())
                 m_asked.Notify();
             reply(notRun(ErrorCode::Timeout, ""));
@@ -71,7 +71,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(SyncServiceTest)
+BOOST_AUTO_TEST_SUITE(FleetServiceTest)
 
 // Guards against processes that ask again and again, and find a new leader only with the next
 // question: after a loss of power all of them wait for the first leader.
@@ -82,13 +82,13 @@
     // Never opened, so that it knows no leader.
     GroupReplica replica(on.loop(), channels, GroupReplicaSettings(), SystemClock::instance());
     NoList list;
-    SyncService service(on.loop(), replica, list, SyncSettings(), SystemClock::instance());
+    FleetService service(on.loop(), replica, list, FleetServiceSettings(), SystemClock::instance());
     peer::Server server(transport("c"));
     service.install(server);
     start(server);
     on.run([&] { service.start(); });
 
-    wire::SyncRequest request;
+    wire::FleetSyncRequest request;
     request.waitMs = 300;
     const absl::Time start = absl::Now();
     absl::Notification answered;
@@ -112,19 +112,19 @@
     net::LoopThread on;
     AskedServer leader;
     peer::Server other(transport("other"));
-    other.handle(wire::Method::Sync,
-                 [&](const peer::PeerIdentity &, const std::string &, const peer::Reply &reply) {
-                     reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
-                 });
+    other.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
+                                         const peer::ResponseCallback &reply) {
+        reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
+    });
     start(other);
 
     peer::ChannelPool channels(transport("f"));
-    FollowerSettings settings;
+    FleetClientSettings settings;
     settings.seeds = {addressOf(other)};
     // Longer than the test, so that only an immediate question arrives.
     settings.minBackoff = absl::Minutes(10);
     settings.maxBackoff = absl::Minutes(10);
-    FleetFollower follower(on.loop(), channels, settings, SystemClock::instance());
+    FleetClient follower(on.loop(), channels, settings, SystemClock::instance());
     on.run([&] { follower.start(); });
     BOOST_TEST(leader.awaitAsked());
     on.run([&] { follower.stop(); });
@@ -136,18 +136,19 @@
 {
     net::LoopThread on;
     // A reply that is dropped would be answered.
-    std::vector<peer::Reply> kept;
+    std::vector<peer::ResponseCallback> kept;
     peer::Server silent(transport("silent"));
-    silent.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
-                                          const peer::Reply &reply) { kept.push_back(reply); });
+    silent.handle(wire::Method::Sync,
+                  [&](const peer::PeerIdentity &, const std::string &,
+                      const peer::ResponseCallback &reply) { kept.push_back(reply); });
     start(silent);
     AskedServer leader;
 
     peer::ChannelPool channels(transport("f"));
-    FollowerSettings settings;
+    FleetClientSettings settings;
     settings.seeds = {addressOf(silent), leader.address()};
     settings.pollTimeout = absl::Minutes(10);
-    FleetFollower follower(on.loop(), channels, settings, SystemClock::instance());
+    FleetClient follower(on.loop(), channels, settings, SystemClock::instance());
     on.run([&] { follower.start(); });
     BOOST_TEST(leader.awaitAsked());
     on.run([&] { follower.stop(); });
--- a/tests/fleet/fleetview_test.cpp
+++ b/tests/fleet/fleetview_test.cpp
@@ -12,9 +12,9 @@
 const absl::Time start = absl::FromUnixSeconds(1000);
 constexpr absl::Duration timeout = absl::Seconds(2);
 
-wire::SyncRequest call(const std::string &instance, wire::MemberRole role)
+wire::FleetSyncRequest call(const std::string &instance, wire::MemberRole role)
 {
-    wire::SyncRequest request;
+    wire::FleetSyncRequest request;
     request.self.instance = instance;
     request.self.role = role;
     request.self.peerAddress = instance + ":1";
@@ -22,9 +22,9 @@
     return request;
 }
 
-wire::SyncRequest storeLeader(const std::string &instance, std::uint64_t term)
+wire::FleetSyncRequest storeLeader(const std::string &instance, std::uint64_t term)
 {
-    wire::SyncRequest request = call(instance, wire::MemberRole::Store);
+    wire::FleetSyncRequest request = call(instance, wire::MemberRole::Store);
     request.leadsStores = true;
     request.storeTerm = term;
     return request;
@@ -33,7 +33,8 @@
 std::vector<std::string> leaders(const FleetView &view)
 {
     std::vector<std::string> result;
-    for (const wire::LiveMember &live : view.answer(wire::SyncRequest()).members) {
+    for (const wire::FleetMemberStatus &live :
+         view.makeResponse(wire::FleetSyncRequest()).members) {
         if (live.leadsStores)
             result.push_back(live.member.instance);
     }
@@ -42,7 +43,7 @@
 
 struct Fixture
 {
-    Fixture() { view.begin(1, start); }
+    Fixture() { view.beginTerm(1, start); }
 
     FleetView view{timeout};
 };
@@ -55,49 +56,49 @@
 // it: the lost one counts as alive until the member timeout.
 BOOST_AUTO_TEST_CASE(storeLeaderOfTheHighestTermCounts)
 {
-    view.heard(storeLeader("z", 3), start);
-    view.heard(storeLeader("a", 4), start + absl::Milliseconds(100));
+    view.recordHeartbeat(storeLeader("z", 3), start);
+    view.recordHeartbeat(storeLeader("a", 4), start + absl::Milliseconds(100));
     BOOST_TEST(leaders(view) == std::vector<std::string>{"a"}, boost::test_tools::per_element());
     // The former leader does not know yet that it was replaced.
-    view.heard(storeLeader("z", 3), start + absl::Milliseconds(200));
+    view.recordHeartbeat(storeLeader("z", 3), start + absl::Milliseconds(200));
     BOOST_TEST(leaders(view) == std::vector<std::string>{"a"}, boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(silentMemberIsNotAlive)
 {
-    view.heard(call("e", wire::MemberRole::Entry), start);
+    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start);
     const std::uint64_t before = view.sequence();
     view.expire(start + timeout + absl::Milliseconds(1));
     BOOST_TEST(view.sequence() > before);
-    BOOST_TEST(!view.answer(wire::SyncRequest()).members.front().alive);
-    view.heard(call("e", wire::MemberRole::Entry), start + absl::Seconds(3));
-    BOOST_TEST(view.answer(wire::SyncRequest()).members.front().alive);
+    BOOST_TEST(!view.makeResponse(wire::FleetSyncRequest()).members.front().alive);
+    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start + absl::Seconds(3));
+    BOOST_TEST(view.makeResponse(wire::FleetSyncRequest()).members.front().alive);
     view.expire(start + absl::Minutes(1));
-    BOOST_TEST(view.answer(wire::SyncRequest()).members.empty());
+    BOOST_TEST(view.makeResponse(wire::FleetSyncRequest()).members.empty());
 }
 
 // Guards against voters that are taken for lost by a leader that has only just begun to listen.
 BOOST_AUTO_TEST_CASE(newLeaderNamesNoCandidatesBeforeItHasHeardOfAll)
 {
-    view.heard(call("c", wire::MemberRole::Control), start);
-    BOOST_TEST(view.candidates(wire::MemberRole::Control).empty());
-    view.heard(call("c", wire::MemberRole::Control), start + timeout);
+    view.recordHeartbeat(call("c", wire::MemberRole::Control), start);
+    BOOST_TEST(view.voterCandidates(wire::MemberRole::Control).empty());
+    view.recordHeartbeat(call("c", wire::MemberRole::Control), start + timeout);
     view.expire(start + timeout + absl::Milliseconds(1));
-    BOOST_TEST(view.candidates(wire::MemberRole::Control).size() == 1u);
-    view.begin(2, start + absl::Seconds(3));
-    BOOST_TEST(view.candidates(wire::MemberRole::Control).empty());
+    BOOST_TEST(view.voterCandidates(wire::MemberRole::Control).size() == 1u);
+    view.beginTerm(2, start + absl::Seconds(3));
+    BOOST_TEST(view.voterCandidates(wire::MemberRole::Control).empty());
 }
 
 BOOST_AUTO_TEST_CASE(unchangedViewIsNotSentAgain)
 {
-    view.heard(call("e", wire::MemberRole::Entry), start);
-    wire::SyncRequest request = call("e", wire::MemberRole::Entry);
-    const wire::SyncResponse first = view.answer(request);
+    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start);
+    wire::FleetSyncRequest request = call("e", wire::MemberRole::Entry);
+    const wire::FleetSyncResponse first = view.makeResponse(request);
     request.viewTerm = first.viewTerm;
     request.viewSequence = first.viewSequence;
-    view.heard(request, start + absl::Milliseconds(500));
+    view.recordHeartbeat(request, start + absl::Milliseconds(500));
     BOOST_TEST(view.isCurrent(request));
-    BOOST_TEST(view.answer(request).members.empty());
+    BOOST_TEST(view.makeResponse(request).members.empty());
 }
 
 BOOST_AUTO_TEST_CASE(unchangedListRaisesNoSequence)
@@ -114,12 +115,12 @@
 // Guards against a store group that is founded by fewer stores than are about to appear.
 BOOST_AUTO_TEST_CASE(storesFoundTheirGroupWhenEnoughAreThere)
 {
-    view.heard(call("s1", wire::MemberRole::Store), start);
-    view.heard(call("s2", wire::MemberRole::Store), start);
+    view.recordHeartbeat(call("s1", wire::MemberRole::Store), start);
+    view.recordHeartbeat(call("s2", wire::MemberRole::Store), start);
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
-    view.heard(call("s3", wire::MemberRole::Store), start + absl::Seconds(1));
+    view.recordHeartbeat(call("s3", wire::MemberRole::Store), start + absl::Seconds(1));
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).size() == 3u);
-    wire::FleetRecords founded;
+    wire::FleetSnapshot founded;
     founded.storeFounders = {"a"};
     view.setRecords(founded);
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
@@ -128,7 +129,7 @@
 // Guards against a document that is dropped by a read which left it out as known.
 BOOST_AUTO_TEST_CASE(recordsWithoutDocumentKeepTheKnownOne)
 {
-    wire::FleetRecords records;
+    wire::FleetSnapshot records;
     records.configurationVersion = 4;
     records.configuration = "four";
     view.setRecords(records);
--- a/tests/fleet/membershipkeeper_test.cpp
+++ b/tests/fleet/membershipchange_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fleet/membershipkeeper.h"
+#include "rattanrill/fleet/membershipchange.h"
 
 #include "rattanrill/fleet/replicaidentity.h"
 
@@ -13,10 +13,10 @@
 
 namespace {
 
-replication::GroupStatus leading(std::vector<std::string> voters,
-                                 std::vector<std::string> learners = {})
+replication::RaftNodeStatus leading(std::vector<std::string> voters,
+                                    std::vector<std::string> learners = {})
 {
-    replication::GroupStatus status;
+    replication::RaftNodeStatus status;
     status.role = replication::Role::Leader;
     status.leader = voters.front();
     status.voters = std::move(voters);
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(MembershipKeeperTest)
+BOOST_AUTO_TEST_SUITE(MembershipChangeTest)
 
 // Guards against a lost disk that stays a voter: the process at its address has another identity.
 BOOST_AUTO_TEST_CASE(emptiedDiskIsExchangedAtItsOwnAddress)
--- a/tests/fleet/statemachine_test.cpp
+++ b/tests/fleet/statemachine_test.cpp
@@ -31,13 +31,13 @@
         return result.value();
     }
 
-    static wire::FleetRecords records(const replication::StateMachine &machine,
-                                      std::uint64_t known = 0)
+    static wire::FleetSnapshot records(const replication::StateMachine &machine,
+                                       std::uint64_t known = 0)
     {
         const std::string answer = machine.query(wire::encode(wire::FleetQuery{known}));
-        const auto result = outcomeOf([&]() -> Result<wire::FleetRecords> {
+        const auto result = outcomeOf([&]() -> Result<wire::FleetSnapshot> {
             BOOST_LEAF_AUTO(decoded, wire::decode<wire::CommandResult>(answer));
-            return wire::decode<wire::FleetRecords>(decoded.body);
+            return wire::decode<wire::FleetSnapshot>(decoded.body);
         });
         BOOST_REQUIRE(result.ok());
         return result.value();
@@ -79,20 +79,20 @@
 // Guards against a second store group beside the one that holds accepted jobs.
 BOOST_AUTO_TEST_CASE(storeGroupIsFoundedOnce)
 {
-    perform(wire::FoundStoreGroup{{"a", "b", "c"}});
-    perform(wire::FoundStoreGroup{{"x"}});
+    perform(wire::BootstrapStoreGroup{{"a", "b", "c"}});
+    perform(wire::BootstrapStoreGroup{{"x"}});
     BOOST_TEST(records(*machine).storeFounders.size() == 3u);
 }
 
 BOOST_AUTO_TEST_CASE(snapshotHoldsEverything)
 {
     put(7, "seven");
-    perform(wire::FoundStoreGroup{{"a"}});
+    perform(wire::BootstrapStoreGroup{{"a"}});
     perform(wire::RetireStore{"r"});
     perform(wire::RetireStore{"r"});
     const auto other = fleet::makeFleetStateMachine();
     BOOST_REQUIRE(outcomeOf([&] { return other->restore(machine->snapshot()); }).ok());
-    const wire::FleetRecords restored = records(*other);
+    const wire::FleetSnapshot restored = records(*other);
     BOOST_TEST(restored.configuration == "seven");
     BOOST_TEST(restored.storeFounders.size() == 1u);
     BOOST_TEST(restored.retiringStores.size() == 1u);
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -52,13 +52,13 @@
     net::EventLoop &loop = thread.loop();
     Metrics metrics;
     serving::TestDialect dialect;
-    net::UpstreamPool upstreams{loop, net::UpstreamPoolOptions()};
+    net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
-    serving::PlaceClient places{loop, channels, SystemClock::instance(),
-                                serving::PlaceClientSettings()};
+    serving::SlotClient slotClient{loop, channels, SystemClock::instance(),
+                                   serving::SlotClientSettings()};
     jobs::JobClient jobs{loop, channels, SystemClock::instance()};
     const serving::ServingContext context{
-            loop, SystemClock::instance(), metrics, dialect, upstreams, places, {"e", "d"}};
+            loop, SystemClock::instance(), metrics, dialect, upstreams, slotClient, {"e", "d"}};
     std::unique_ptr<Gateway> gateway;
     std::unique_ptr<net::Server> server;
 };
--- a/tests/jobs/executor_test.cpp
+++ b/tests/jobs/executor_test.cpp
@@ -14,13 +14,14 @@
     net::EventLoop loop;
     Metrics metrics;
     serving::TestDialect dialect;
-    net::UpstreamPool upstreams{loop, net::UpstreamPoolOptions()};
+    net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
     fleet::GroupReplica replica{loop, channels, fleet::GroupReplicaSettings(),
                                 SystemClock::instance()};
-    serving::PlaceBroker broker{loop.timers(), SystemClock::instance(), serving::BrokerSettings()};
-    JobExecutor executor{ExecutorContext{loop, SystemClock::instance(), metrics, dialect, upstreams,
-                                         broker, replica, "d"}};
+    serving::SlotBroker broker{loop.timers(), SystemClock::instance(),
+                               serving::SlotBrokerSettings()};
+    JobExecutor executor{JobExecutorContext{loop, SystemClock::instance(), metrics, dialect,
+                                            upstreams, broker, replica, "d"}};
 
     static wire::OpenJob open(const std::string &id)
     {
@@ -40,9 +41,9 @@
 {
     executor.add(open("j"));
     executor.add(open("j"));
-    BOOST_TEST(executor.openItems() == 1u);
-    executor.end("j");
-    BOOST_TEST(executor.openItems() == 0u);
+    BOOST_TEST(executor.openItemCount() == 1u);
+    executor.cancel("j");
+    BOOST_TEST(executor.openItemCount() == 0u);
 }
 
 // Guards against items of an ended job that run: a new leader lists the open jobs, one of them is
@@ -50,13 +51,13 @@
 BOOST_AUTO_TEST_CASE(listThatIsOlderThanAnEndStartsNothing)
 {
     const wire::OpenJob listed = open("j");
-    executor.end("j");
+    executor.cancel("j");
     executor.add(listed);
-    BOOST_TEST(executor.openItems() == 0u);
+    BOOST_TEST(executor.openItemCount() == 0u);
     // Another leadership begins with what its own list says.
-    executor.clear();
+    executor.stopAll();
     executor.add(listed);
-    BOOST_TEST(executor.openItems() == 1u);
+    BOOST_TEST(executor.openItemCount() == 1u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/load/loadrunner_test.cpp
+++ b/tests/load/loadrunner_test.cpp
@@ -69,7 +69,7 @@
     }
 
     fakes::Faults faults;
-    fakes::RecordBook records;
+    fakes::RequestLog records;
     fakes::EngineHost host;
     fakes::FakeHttpServer server;
     fakes::EngineServer engine;
--- a/tests/net/upstreampool_test.cpp
+++ b/tests/net/connectionpool_test.cpp
@@ -1,7 +1,7 @@
 #include "loopthread.h"
 
+#include "rattanrill/net/connectionpool.h"
 #include "rattanrill/net/server.h"
-#include "rattanrill/net/upstreampool.h"
 
 #include "absl/synchronization/mutex.h"
 
@@ -21,7 +21,7 @@
 
 struct Answer
 {
-    std::optional<CallEnd> end;
+    std::optional<CallStatus> end;
     int status = 0;
     std::string body;
 };
@@ -34,9 +34,9 @@
             server = std::make_unique<Server>(
                     thread.loop(), [this](std::shared_ptr<Exchange> exchange) { serve(exchange); });
             BOOST_REQUIRE(outcomeOf([&] { return server->start(address); }).ok());
-            UpstreamPoolOptions options;
+            ConnectionPoolOptions options;
             options.connectTimeout = absl::Milliseconds(300);
-            pool = std::make_unique<UpstreamPool>(thread.loop(), options);
+            pool = std::make_unique<ConnectionPool>(thread.loop(), options);
         });
     }
     ~Fixture()
@@ -54,7 +54,7 @@
         const std::string path(exchange->request().path());
         if (path == "/wait") {
             kept = exchange;
-            exchange->onClientGone([this] { ++gone; });
+            exchange->onClientDisconnected([this] { ++gone; });
             return;
         }
         if (path == "/cut") {
@@ -65,7 +65,7 @@
         exchange->respond(textResponse(200, "whole", "text/plain"));
     }
 
-    UpstreamPool::CallId start(const std::string &target, const std::string &path)
+    ConnectionPool::CallId start(const std::string &target, const std::string &path)
     {
         Request request;
         request.method = "GET";
@@ -77,11 +77,11 @@
             return true;
         };
         handlers.body = [this](std::string_view bytes) { result.body.append(bytes); };
-        handlers.end = [this](CallEnd end) {
+        handlers.end = [this](CallStatus end) {
             absl::MutexLock lock(&mutex);
             result.end = end;
         };
-        UpstreamPool::CallId id = 0;
+        ConnectionPool::CallId id = 0;
         thread.run([&] {
             result = Answer();
             id = pool->call(target, serialize(request), std::move(handlers));
@@ -99,7 +99,7 @@
 
     LoopThread thread;
     std::unique_ptr<Server> server;
-    std::unique_ptr<UpstreamPool> pool;
+    std::unique_ptr<ConnectionPool> pool;
     std::shared_ptr<Exchange> kept;
     std::atomic<int> served{0};
     std::atomic<int> gone{0};
@@ -109,7 +109,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(UpstreamPoolTest)
+BOOST_AUTO_TEST_SUITE(ConnectionPoolTest)
 
 BOOST_AUTO_TEST_CASE(connectionIsUsedAgain)
 {
@@ -117,7 +117,7 @@
     for (int i = 0; i < 3; ++i) {
         fixture.start(address, "/whole");
         const Answer result = fixture.wait();
-        BOOST_TEST((result.end == CallEnd::Complete));
+        BOOST_TEST((result.end == CallStatus::Complete));
         BOOST_TEST(result.body == "whole");
     }
     fixture.thread.run([&] { BOOST_TEST(fixture.pool->connectionsMade() == 1u); });
@@ -127,7 +127,7 @@
 {
     Fixture fixture;
     fixture.start(address, "/cut");
-    BOOST_TEST((fixture.wait().end == CallEnd::Broken));
+    BOOST_TEST((fixture.wait().end == CallStatus::Broken));
 }
 
 // Guards against "may have run" for a request that was never sent.
@@ -135,7 +135,7 @@
 {
     Fixture fixture;
     fixture.start("127.0.0.1:9", "/whole");
-    BOOST_TEST((fixture.wait().end == CallEnd::NotConnected));
+    BOOST_TEST((fixture.wait().end == CallStatus::NotConnected));
 }
 
 // Guards against an upstream that works on after the call was given up.
--- a/tests/net/requestreader_test.cpp
+++ b/tests/net/requestparser_test.cpp
@@ -1,11 +1,11 @@
-#include "rattanrill/net/requestreader.h"
+#include "rattanrill/net/requestparser.h"
 
 #include <boost/test/unit_test.hpp>
 
 #include <string>
 
 using namespace rattanrill::net;
-using State = RequestReader::State;
+using State = RequestParser::State;
 
 namespace {
 
@@ -14,7 +14,7 @@
 
 int refusalOf(const std::string &bytes, RequestLimits limits = {})
 {
-    RequestReader reader(limits);
+    RequestParser reader(limits);
     reader.feed(bytes);
     BOOST_TEST_REQUIRE((reader.state() == State::Refused));
     return reader.status();
@@ -22,12 +22,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(RequestReaderTest)
+BOOST_AUTO_TEST_SUITE(RequestParserTest)
 
 // Guards against requests that change when they arrive in small pieces.
 BOOST_AUTO_TEST_CASE(requestIsTheSameByteByByte)
 {
-    RequestReader reader(RequestLimits{});
+    RequestParser reader(RequestLimits{});
     for (const char c : plainRequest)
         reader.feed(std::string_view(&c, 1));
     BOOST_TEST_REQUIRE((reader.state() == State::Complete));
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_CASE(chunkedBodyIsJoined)
 {
-    RequestReader reader(RequestLimits{});
+    RequestParser reader(RequestLimits{});
     reader.feed("POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                 "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     BOOST_TEST_REQUIRE((reader.state() == State::Complete));
@@ -53,7 +53,7 @@
 // Guards against a following request that is lost or taken for the body of the one before.
 BOOST_AUTO_TEST_CASE(requestsInARowStayApart)
 {
-    RequestReader reader(RequestLimits{});
+    RequestParser reader(RequestLimits{});
     reader.feed(plainRequest + "GET /second HTTP/1.1\r\nHost: h\r\n\r\n");
     BOOST_TEST_REQUIRE((reader.state() == State::Complete));
     BOOST_TEST(reader.take().body == "body");
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_CASE(expectationIsToldOnce)
 {
-    RequestReader reader(RequestLimits{});
+    RequestParser reader(RequestLimits{});
     reader.feed("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
     BOOST_TEST(reader.wantsContinue());
     BOOST_TEST(!reader.wantsContinue());
--- a/tests/net/responsereader_test.cpp
+++ b/tests/net/responseparser_test.cpp
@@ -1,18 +1,18 @@
-#include "rattanrill/net/responsereader.h"
+#include "rattanrill/net/responseparser.h"
 
 #include <boost/test/unit_test.hpp>
 
 #include <string>
 
 using namespace rattanrill::net;
-using State = ResponseReader::State;
+using State = ResponseParser::State;
 
 namespace {
 
 /// Collects the response to the request "own".
 struct Collector
 {
-    ResponseReader reader{{[this](const ResponseHead &answer) {
+    ResponseParser reader{{[this](const ResponseHead &answer) {
                                const bool isOwn = answer.headers.value("Id") == "own";
                                if (isOwn)
                                    head = answer;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ResponseReaderTest)
+BOOST_AUTO_TEST_SUITE(ResponseParserTest)
 
 BOOST_AUTO_TEST_CASE(answerIsTheSameByteByByte)
 {
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -45,13 +45,13 @@
         const std::string path(exchange->request().path());
         if (path == "/wait") {
             kept = exchange;
-            exchange->onClientGone([this] { ++gone; });
+            exchange->onClientDisconnected([this] { ++gone; });
             return;
         }
         if (path == "/held") {
             auto owner = std::make_shared<int>();
             handlerOwner = owner;
-            exchange->onClientGone([owner, exchange] {});
+            exchange->onClientDisconnected([owner, exchange] {});
             return exchange->respond(textResponse(200, "held", "text/plain"));
         }
         if (path == "/echo")
--- a/tests/peer/callresult.h
+++ b/tests/peer/callresult.h
@@ -14,7 +14,7 @@
 class CallResult
 {
 public:
-    Reply reply()
+    ResponseCallback reply()
     {
         return [state = m_state](Outcome<std::string> outcome) {
             absl::MutexLock lock(&state->mutex);
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -39,26 +39,28 @@
         : server(std::move(options))
     {
         server.handle(wire::Method::Read,
-                      [this](const PeerIdentity &from, std::string body, Reply reply) {
+                      [this](const PeerIdentity &from, std::string body, ResponseCallback reply) {
                           ++calls;
                           reply(concat(from.instance, "=", body));
                       });
         server.handle(wire::Method::Propose,
-                      [this](const PeerIdentity &, std::string, Reply reply) {
+                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
                           absl::MutexLock lock(&mutex);
                           kept.push_back(std::move(reply));
                       });
-        server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body, Reply reply) {
-            reply(body + body);
-        });
-        server.handle(wire::Method::Follow, [](const PeerIdentity &, std::string, Reply) {});
-        server.handle(wire::Method::Heartbeat, [](const PeerIdentity &, std::string, Reply reply) {
-            reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
-        });
-        server.handle(wire::Method::Grant, [this](const PeerIdentity &, std::string, Reply reply) {
-            blocked.WaitForNotification();
-            reply(std::string());
-        });
+        server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body,
+                                             ResponseCallback reply) { reply(body + body); });
+        server.handle(wire::Method::PollChanges,
+                      [](const PeerIdentity &, std::string, ResponseCallback) {});
+        server.handle(wire::Method::Heartbeat,
+                      [](const PeerIdentity &, std::string, ResponseCallback reply) {
+                          reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
+                      });
+        server.handle(wire::Method::Grant,
+                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
+                          blocked.WaitForNotification();
+                          reply(std::string());
+                      });
         BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", port); }).ok());
     }
     ~EchoServer()
@@ -76,7 +78,7 @@
     }
 
     absl::Mutex mutex;
-    std::vector<Reply> kept;
+    std::vector<ResponseCallback> kept;
     std::atomic<int> calls{0};
     absl::Notification blocked;
     Server server;
@@ -153,7 +155,7 @@
     BOOST_REQUIRE(callAndWait(channel, "").ok());
     checkFailure(callAndWait(channel, "", absl::Milliseconds(50), wire::Method::Propose),
                  ErrorCode::Timeout, RunState::MayHaveRun);
-    checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::Follow),
+    checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::PollChanges),
                  ErrorCode::Internal, RunState::MayHaveRun);
 }
 
@@ -257,7 +259,7 @@
     const auto channel = pool.channel(address);
     BOOST_TEST(channel == pool.channel(address));
     BOOST_TEST(callAndWait(*channel, "").ok());
-    pool.drop(address);
+    pool.remove(address);
     checkFailure(callAndWait(*channel, ""), ErrorCode::Stopped, RunState::NotRun);
     BOOST_TEST(callAndWait(*pool.channel(address), "").ok());
     pool.close();
--- a/tests/platform/operator_test.cpp
+++ b/tests/platform/operator_test.cpp
@@ -1,5 +1,5 @@
-#include "instancelist.h"
-#include "platformoperator.h"
+#include "instancelistclient.h"
+#include "platformoperatoradapter.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -24,7 +24,7 @@
  "tenants":[{"name":"w","api-keys":["k1","k2"],"priority":1,"rate-per-s":45,"burst":50}],
  "unknown":{"x":1}})";
 
-const PlatformOperator dialect;
+const PlatformOperatorAdapter dialect;
 
 Outcome<fleet::OperatorCall> put(const std::string &body)
 {
@@ -32,18 +32,18 @@
     request.method = "POST";
     request.target = "/Config.Replace";
     request.body = body;
-    return outcomeOf([&] { return dialect.readCall(request); });
+    return outcomeOf([&] { return dialect.parseCall(request); });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PlatformOperatorTest)
+BOOST_AUTO_TEST_SUITE(PlatformOperatorAdapterTest)
 
 BOOST_AUTO_TEST_CASE(configurationIsRead)
 {
     const auto call = put(document);
     BOOST_REQUIRE(call.ok());
-    const auto &parsed = std::get<fleet::PutDocument>(call.value());
+    const auto &parsed = std::get<fleet::PutConfigurationCall>(call.value());
     BOOST_TEST(parsed.document == document);
     const serving::Deployment &deployment = parsed.deployment;
     BOOST_TEST(deployment.version == 7u);
@@ -51,7 +51,7 @@
     const serving::Route &stream = deployment.routes[0];
     BOOST_TEST((stream.kind == serving::RouteKind::Streaming));
     BOOST_TEST(stream.targets.size() == 2u);
-    BOOST_TEST((stream.gapObjective == absl::Milliseconds(250)));
+    BOOST_TEST((stream.interEventObjective == absl::Milliseconds(250)));
     BOOST_TEST(stream.maxAttempts == 2);
     BOOST_TEST(stream.resumable);
     const serving::Route &batch = deployment.routes[1];
@@ -83,21 +83,23 @@
         net::Request request;
         request.method = method;
         request.target = target;
-        return outcomeOf([&] { return dialect.readCall(request); });
+        return outcomeOf([&] { return dialect.parseCall(request); });
     };
-    BOOST_TEST(std::holds_alternative<fleet::GetDocument>(read("GET", "/Config.Get").value()));
+    BOOST_TEST(std::holds_alternative<fleet::ReadConfigurationCall>(
+            read("GET", "/Config.Get").value()));
+    BOOST_TEST(std::get<fleet::StartRetirementCall>(read("POST", "/Retire.Start/store-1").value())
+                       .instance
+               == "store-1");
     BOOST_TEST(
-            std::get<fleet::StartRetiring>(read("POST", "/Retire.Start/store-1").value()).instance
+            std::get<fleet::ReadRetirementCall>(read("GET", "/Retire.Get/store-1").value()).instance
             == "store-1");
-    BOOST_TEST(std::get<fleet::GetRetiring>(read("GET", "/Retire.Get/store-1").value()).instance
-               == "store-1");
     BOOST_TEST(!read("GET", "/Retire.Get/").ok());
     BOOST_TEST(!read("GET", "/elsewhere").ok());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(InstanceListTest)
+BOOST_AUTO_TEST_SUITE(InstanceListClientTest)
 
 // Guards against an entry of another writer that is used, or that hides the others.
 BOOST_AUTO_TEST_CASE(entriesOfAnotherWriterAreSkipped)
--- a/tests/platform/dialect_test.cpp
+++ b/tests/platform/platformprotocoladapter_test.cpp
@@ -1,5 +1,5 @@
 #include "jobcalls.h"
-#include "platformdialect.h"
+#include "platformprotocoladapter.h"
 
 #include "rattanrill/base/json.h"
 
@@ -31,19 +31,19 @@
     return request;
 }
 
-const PlatformDialect dialect;
+const PlatformProtocolAdapter dialect;
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PlatformDialectTest)
+BOOST_AUTO_TEST_SUITE(PlatformProtocolAdapterTest)
 
 BOOST_AUTO_TEST_CASE(callerRequestIsRead)
 {
-    const auto caller = outcomeOf([&] { return dialect.readRequest(callerRequest()); });
+    const auto caller = outcomeOf([&] { return dialect.parseRequest(callerRequest()); });
     BOOST_REQUIRE(caller.ok());
     BOOST_TEST(caller.value().id == "ab12");
-    BOOST_TEST(caller.value().key == "secret-key");
-    BOOST_TEST((caller.value().patience == absl::Seconds(5)));
+    BOOST_TEST(caller.value().apiKey == "secret-key");
+    BOOST_TEST((caller.value().timeout == absl::Seconds(5)));
     BOOST_TEST(caller.value().promptTokens == 540);
     BOOST_TEST(caller.value().outputTokens == 400);
     BOOST_TEST(!caller.value().resumeAfter.has_value());
@@ -54,7 +54,7 @@
     for (const char *value : {"soon", "-5", "", "5s"}) {
         net::Request request = callerRequest();
         request.headers.set("Deadline-Ms", value);
-        BOOST_TEST(!outcomeOf([&] { return dialect.readRequest(request); }).ok(), value);
+        BOOST_TEST(!outcomeOf([&] { return dialect.parseRequest(request); }).ok(), value);
     }
 }
 
@@ -62,10 +62,10 @@
 // that is longer than what is left.
 BOOST_AUTO_TEST_CASE(upstreamRequestCarriesOnlyWhatItShould)
 {
-    serving::UpstreamTry attempt;
-    attempt.upstream = "i-7";
+    serving::UpstreamAttempt attempt;
+    attempt.expectedInstance = "i-7";
     attempt.workspace = "huka";
-    attempt.patience = absl::Milliseconds(1234);
+    attempt.remainingTime = absl::Milliseconds(1234);
     attempt.resumeAfter = 12;
     const net::Request sent = dialect.upstreamRequest(callerRequest(), attempt);
     BOOST_TEST(sent.method == "POST");
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(promisesAreKept)
 {
     const auto statusOf = [](const Failure &failure) {
-        return refusalResponse(failure, absl::ZeroDuration()).head.status;
+        return makeErrorResponse(failure, absl::ZeroDuration()).head.status;
     };
     for (const ErrorCode code :
          {ErrorCode::Overloaded, ErrorCode::RateLimited, ErrorCode::UpstreamUnavailable,
@@ -108,7 +108,7 @@
 BOOST_AUTO_TEST_CASE(retryAfterIsInSeconds)
 {
     const net::Response response =
-            refusalResponse(notRun(ErrorCode::Overloaded, ""), absl::Milliseconds(350));
+            makeErrorResponse(notRun(ErrorCode::Overloaded, ""), absl::Milliseconds(350));
     BOOST_TEST(response.head.headers.value("Retry-After") == "0.350");
 }
 
@@ -119,24 +119,24 @@
     head.headers.add("Request-Id", "ab12");
     head.headers.add("Not-Executed", "1");
     head.headers.add("Server-Load", "7,2,8");
-    const serving::AnswerFacts facts = dialect.readAnswer(head);
+    const serving::ResponseInfo facts = dialect.parseResponse(head);
     BOOST_TEST(facts.notRun);
-    BOOST_TEST(!facts.isOtherInstance);
-    BOOST_TEST(*facts.requests == 9);
+    BOOST_TEST(!facts.isInstanceMismatch);
+    BOOST_TEST(*facts.outstandingRequests == 9);
     head.headers.remove("Not-Executed");
     head.headers.set("Server-Load", "7,x");
-    BOOST_TEST(!dialect.readAnswer(head).notRun);
-    BOOST_TEST(!dialect.readAnswer(head).requests.has_value());
+    BOOST_TEST(!dialect.parseResponse(head).notRun);
+    BOOST_TEST(!dialect.parseResponse(head).outstandingRequests.has_value());
     head.status = 421;
-    BOOST_TEST(dialect.readAnswer(head).isOtherInstance);
+    BOOST_TEST(dialect.parseResponse(head).isInstanceMismatch);
 }
 
 BOOST_AUTO_TEST_CASE(itemIsARequestOfItsOwn)
 {
     wire::JobItem item{
             "it1", "/lamps/3", {{"Model-Name", "m"}, {"Authorization", "x"}}, "bytes", 9};
-    serving::UpstreamTry attempt;
-    attempt.upstream = "i-7";
+    serving::UpstreamAttempt attempt;
+    attempt.expectedInstance = "i-7";
     attempt.workspace = "huka";
     const net::Request request = dialect.itemRequest(item, "booth.example", attempt);
     BOOST_TEST(request.method == "POST");
@@ -198,7 +198,7 @@
     read.method = "GET";
     read.target = "/lots/job1?after=12";
     read.headers.add("Wait-Ms", "1000");
-    BOOST_TEST(isJobPath(read));
+    BOOST_TEST(isJobRequest(read));
     const auto call = outcomeOf([&] { return decodeJobCall(read, ""); });
     BOOST_TEST(std::get<serving::ReadJobCall>(call.value()).after == 12);
     BOOST_TEST((std::get<serving::ReadJobCall>(call.value()).wait == absl::Seconds(1)));
@@ -210,7 +210,7 @@
     net::Request end;
     end.method = "DELETE";
     end.target = "/lots/job1";
-    BOOST_TEST(isJobPath(end));
+    BOOST_TEST(isJobRequest(end));
     const auto endCall = outcomeOf([&] { return decodeJobCall(end, ""); });
     BOOST_TEST(std::get<serving::EndJobCall>(endCall.value()).job == "job1");
 }
--- a/tests/policy/assignment_test.cpp
+++ b/tests/policy/assignment_test.cpp
@@ -90,7 +90,7 @@
 {
     setEngines(4);
     for (int i = 0; i < 24; ++i)
-        add(WorkKind::Online);
+        add(TaskKind::Online);
     decide();
     const auto before = running;
     std::size_t lost = 0;
@@ -98,13 +98,13 @@
         for (const auto &[id, run] : before) {
             if (run.engine != engine)
                 continue;
-            fail(id, TryFailure::Kind::Crashed);
+            fail(id, AttemptFailure::Kind::Crashed);
             ++lost;
         }
     }
     BOOST_TEST(lost >= 4U);
     const std::size_t places = 16 - running.size();
-    const auto again = only<StartWork>(advance(absl::Milliseconds(100)));
+    const auto again = only<StartTask>(advance(absl::Milliseconds(100)));
     BOOST_TEST(again.size() >= std::min({lost, places, std::size_t{10}}));
 }
 
--- a/tests/policy/fairqueue_test.cpp
+++ b/tests/policy/fairqueue_test.cpp
@@ -1,5 +1,5 @@
 #include "rattanrill/policy/fairqueue.h"
-#include "rattanrill/policy/leaseorder.h"
+#include "rattanrill/policy/leasequeue.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -15,12 +15,12 @@
 const absl::Time later = absl::InfiniteFuture();
 
 /// Serves the front and charges \a tokens to \a owner's workspace.
-WorkId serve(FairQueue &queue, const std::map<WorkId, std::string> &owner, double tokens)
+TaskId serve(FairQueue &queue, const std::map<TaskId, std::string> &owner, double tokens)
 {
-    const WorkId work = *queue.front();
-    queue.remove(work);
-    queue.charge(owner.at(work), tokens);
-    return work;
+    const TaskId task = *queue.front();
+    queue.remove(task);
+    queue.charge(owner.at(task), tokens);
+    return task;
 }
 
 } // namespace
@@ -34,9 +34,9 @@
     FairQueue queue;
     queue.setWeight("a", 3);
     queue.setWeight("b", 1);
-    std::map<WorkId, std::string> owner;
+    std::map<TaskId, std::string> owner;
     std::mt19937 random(5);
-    for (WorkId id = 1; id <= 4000; ++id) {
+    for (TaskId id = 1; id <= 4000; ++id) {
         owner[id] = id % 2 == 0 ? "a" : "b";
         queue.push(owner[id], id, later);
     }
@@ -55,8 +55,8 @@
 BOOST_AUTO_TEST_CASE(surgeTakesNothingFromOthers)
 {
     FairQueue queue;
-    std::map<WorkId, std::string> owner;
-    WorkId id = 0;
+    std::map<TaskId, std::string> owner;
+    TaskId id = 0;
     for (int i = 0; i < 1000; ++i) {
         owner[++id] = "surge";
         queue.push("surge", id, later);
@@ -76,8 +76,8 @@
 BOOST_AUTO_TEST_CASE(idleWorkspaceGainsNoCredit)
 {
     FairQueue queue;
-    std::map<WorkId, std::string> owner;
-    WorkId id = 0;
+    std::map<TaskId, std::string> owner;
+    TaskId id = 0;
     const auto push = [&](const std::string &workspace) {
         owner[++id] = workspace;
         queue.push(workspace, id, later);
@@ -111,35 +111,35 @@
 // Guards against items of a small workspace that become late while shares are kept.
 BOOST_AUTO_TEST_CASE(leaseOrderServesNearDueTimesBeforeShares)
 {
-    LeaseOrderSettings settings;
+    LeaseQueueSettings settings;
     settings.runTime = absl::Seconds(10);
     settings.safetyFactor = 2;
     settings.itemsPerSecond = 10;
-    LeaseOrder order(settings);
-    order.setWeight("large", 1000);
-    order.setWeight("small", 1);
-    order.push("small", 500, start + absl::Seconds(30));
-    order.pop(start, 100);
-    for (WorkId id = 1; id <= 100; ++id)
-        order.push("large", id, later);
-    for (WorkId id = 501; id <= 550; ++id)
-        order.push("small", id, start + absl::Seconds(30));
+    LeaseQueue tieBreak(settings);
+    tieBreak.setWeight("large", 1000);
+    tieBreak.setWeight("small", 1);
+    tieBreak.push("small", 500, start + absl::Seconds(30));
+    tieBreak.pop(start, 100);
+    for (TaskId id = 1; id <= 100; ++id)
+        tieBreak.push("large", id, later);
+    for (TaskId id = 501; id <= 550; ++id)
+        tieBreak.push("small", id, start + absl::Seconds(30));
     // 50 items need 5 s, and 20 s are kept, so that shares hold until 5 s after the start.
     for (int i = 0; i < 10; ++i)
-        BOOST_TEST(*order.pop(start + absl::Seconds(4), 100) <= 100U);
+        BOOST_TEST(*tieBreak.pop(start + absl::Seconds(4), 100) <= 100U);
     for (int i = 0; i < 10; ++i)
-        BOOST_TEST(*order.pop(start + absl::Seconds(6), 100) > 500U);
+        BOOST_TEST(*tieBreak.pop(start + absl::Seconds(6), 100) > 500U);
 }
 
 // Guards against a due time that takes more than it needs: shares hold again afterwards.
 BOOST_AUTO_TEST_CASE(leaseOrderReturnsToShares)
 {
-    LeaseOrder order{LeaseOrderSettings{}};
-    order.push("a", 1, start);
-    order.push("b", 2, later);
-    BOOST_TEST(*order.pop(start, 100) == 1U);
-    BOOST_TEST(order.remove(2));
-    BOOST_TEST(!order.pop(start, 100).has_value());
+    LeaseQueue tieBreak{LeaseQueueSettings{}};
+    tieBreak.push("a", 1, start);
+    tieBreak.push("b", 2, later);
+    BOOST_TEST(*tieBreak.pop(start, 100) == 1U);
+    BOOST_TEST(tieBreak.remove(2));
+    BOOST_TEST(!tieBreak.pop(start, 100).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/retrypolicy_test.cpp
+++ b/tests/policy/retrypolicy_test.cpp
@@ -24,7 +24,7 @@
     int retries = 0;
     constexpr int requests = 2000;
     for (int i = 0; i < requests; ++i) {
-        policy.firstTry();
+        policy.firstAttempt();
         for (int attempt = 1; policy.mayRetry(attempt, RunState::NotRun, true); ++attempt)
             ++retries;
     }
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -23,13 +23,13 @@
         engines.back()->loadReported(start, load);
     }
 
-    std::string choose(const Work &work = {})
+    std::string choose(const Task &task = {})
     {
         std::vector<RouteCandidate> candidates;
         for (const auto &engine : engines)
             candidates.push_back({engine.get(), 0});
         const Router router(settings, "near");
-        const int chosen = router.choose(start, work, candidates, {}, prefixes, 6, random);
+        const int chosen = router.choose(start, task, candidates, {}, prefixes, 6, random);
         return chosen < 0 ? "" : engines[static_cast<std::size_t>(chosen)]->info().name;
     }
 
@@ -56,19 +56,19 @@
 // Guards against a popular prefix that overloads the engine which has it cached.
 BOOST_AUTO_TEST_CASE(prefixAttractsOnlyBelowTheLoadBound)
 {
-    Work work;
-    work.promptTokens = 16;
-    work.prefixHashes = {42};
-    prefixes.sent(start, "cached", work.prefixHashes, 16);
+    Task task;
+    task.promptTokens = 16;
+    task.prefixHashes = {42};
+    prefixes.sent(start, "cached", task.prefixHashes, 16);
     add("cached", 30);
     add("other", 20);
     for (int i = 0; i < 50; ++i)
-        BOOST_TEST(choose(work) == "cached");
+        BOOST_TEST(choose(task) == "cached");
     engines.clear();
     add("cached", 60);
     add("other", 20);
     for (int i = 0; i < 50; ++i)
-        BOOST_TEST(choose(work) == "other");
+        BOOST_TEST(choose(task) == "other");
 }
 
 // Guards against all own work on one engine while its report is late.
@@ -77,9 +77,9 @@
     add("a", 20);
     add("b", 20);
     for (int i = 0; i < 40; ++i)
-        engines[choose() == "a" ? 0 : 1]->workStarted(start, WorkKind::Online, 200, 300);
-    BOOST_TEST(engines[0]->own(WorkKind::Online) > 12);
-    BOOST_TEST(engines[1]->own(WorkKind::Online) > 12);
+        engines[choose() == "a" ? 0 : 1]->workStarted(start, TaskKind::Online, 200, 300);
+    BOOST_TEST(engines[0]->own(TaskKind::Online) > 12);
+    BOOST_TEST(engines[1]->own(TaskKind::Online) > 12);
 }
 
 // Guards against counting own work twice once a report includes it.
@@ -87,7 +87,7 @@
 {
     add("a", 20);
     EngineState &engine = *engines[0];
-    engine.workStarted(start + absl::Milliseconds(10), WorkKind::Online, 100, 100);
+    engine.workStarted(start + absl::Milliseconds(10), TaskKind::Online, 100, 100);
     BOOST_TEST(engine.requestsSeen() == 21);
     EngineLoad load;
     load.running = 21;
@@ -95,7 +95,7 @@
     load.age = absl::Milliseconds(50);
     engine.loadReported(start + absl::Milliseconds(100), load);
     BOOST_TEST(engine.requestsSeen() == 21);
-    BOOST_TEST(engine.own(WorkKind::Online) == 1);
+    BOOST_TEST(engine.own(TaskKind::Online) == 1);
 }
 
 // Guards against a flood on an upstream that has just come back, and against one that is never
@@ -107,10 +107,10 @@
     engines[0]->outlier().failed(start, true);
     BOOST_TEST(choose() == "b");
     const OutlierDetector &outlier = engines[0]->outlier();
-    BOOST_TEST(outlier.share(start) == 0);
+    BOOST_TEST(outlier.trafficShare(start) == 0);
     const absl::Time back = outlier.ejectedUntil();
-    BOOST_TEST(outlier.share(back) < 0.2);
-    BOOST_TEST(outlier.share(back + settings.outlier.returnTime) == 1);
+    BOOST_TEST(outlier.trafficShare(back) < 0.2);
+    BOOST_TEST(outlier.trafficShare(back + settings.outlier.rampUpTime) == 1);
 }
 
 // Guards against an ejection by one slow answer, and against a slow upstream that keeps its share.
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -13,11 +13,11 @@
 void fillWithBatch(SchedulerFixture &fixture, const std::string &workspace = "a")
 {
     for (int i = 0; i < 20; ++i)
-        fixture.add(WorkKind::Batch, workspace);
+        fixture.add(TaskKind::Batch, workspace);
     for (int i = 0; i < 100; ++i) {
-        for (const StartWork &start :
-             fixture.only<StartWork>(fixture.advance(absl::Milliseconds(20))))
-            fixture.firstToken(start.work);
+        for (const StartTask &start :
+             fixture.only<StartTask>(fixture.advance(absl::Milliseconds(20))))
+            fixture.firstToken(start.task);
     }
 }
 
@@ -30,11 +30,11 @@
 {
     setEngines(1);
     for (int i = 0; i < 50; ++i)
-        add(WorkKind::Batch);
-    const WorkId online = add(WorkKind::Online);
-    const auto starts = only<StartWork>(decide());
+        add(TaskKind::Batch);
+    const TaskId online = add(TaskKind::Online);
+    const auto starts = only<StartTask>(decide());
     BOOST_REQUIRE(!starts.empty());
-    BOOST_TEST(starts[0].work == online);
+    BOOST_TEST(starts[0].task == online);
 }
 
 // Guards against batch work that takes the reserve, and against capacity left idle.
@@ -42,11 +42,11 @@
 {
     setEngines(1);
     for (int i = 0; i < 50; ++i)
-        add(WorkKind::Batch);
-    for (const StartWork &start : only<StartWork>(advance(absl::Seconds(1))))
-        firstToken(start.work);
-    for (const StartWork &start : only<StartWork>(advance(absl::Seconds(1))))
-        firstToken(start.work);
+        add(TaskKind::Batch);
+    for (const StartTask &start : only<StartTask>(advance(absl::Seconds(1))))
+        firstToken(start.task);
+    for (const StartTask &start : only<StartTask>(advance(absl::Seconds(1))))
+        firstToken(start.task);
     BOOST_TEST(running.size() >= 6U);
     BOOST_TEST(running.size() < 8U);
 }
@@ -60,12 +60,12 @@
     const std::size_t batch = running.size();
     const std::size_t burst = 8;
     for (std::size_t i = 0; i < burst; ++i)
-        add(WorkKind::Online);
-    const std::vector<Decision> made = decide();
-    BOOST_TEST(only<StartWork>(made).size() == burst);
-    BOOST_TEST(only<PreemptWork>(made).size() == batch + burst - 8);
-    for (const PreemptWork &preempt : only<PreemptWork>(made))
-        BOOST_TEST(preempt.work <= 20U);
+        add(TaskKind::Online);
+    const std::vector<SchedulerDecision> made = decide();
+    BOOST_TEST(only<StartTask>(made).size() == burst);
+    BOOST_TEST(only<PreemptTask>(made).size() == batch + burst - 8);
+    for (const PreemptTask &preempt : only<PreemptTask>(made))
+        BOOST_TEST(preempt.task <= 20U);
 }
 
 // Guards against lost progress: preempted work starts again from its last token.
@@ -73,22 +73,22 @@
 {
     setEngines(1);
     fillWithBatch(*this);
-    std::set<WorkId> online;
+    std::set<TaskId> online;
     for (int i = 0; i < 8; ++i)
-        online.insert(add(WorkKind::Online));
-    const auto preempts = only<PreemptWork>(decide());
+        online.insert(add(TaskKind::Online));
+    const auto preempts = only<PreemptTask>(decide());
     BOOST_REQUIRE(!preempts.empty());
-    for (const PreemptWork &preempt : preempts)
+    for (const PreemptTask &preempt : preempts)
         carryOut(preempt, 40);
-    for (const WorkId id : online)
+    for (const TaskId id : online)
         finish(id);
-    std::set<WorkId> again;
+    std::set<TaskId> again;
     for (int i = 0; i < 60; ++i) {
-        for (const StartWork &start : only<StartWork>(advance(absl::Milliseconds(20)))) {
-            firstToken(start.work);
+        for (const StartTask &start : only<StartTask>(advance(absl::Milliseconds(20)))) {
+            firstToken(start.task);
             if (start.attempt == 2) {
                 BOOST_TEST(start.resumeAfter == 40);
-                again.insert(start.work);
+                again.insert(start.task);
             }
         }
     }
@@ -100,32 +100,32 @@
 BOOST_AUTO_TEST_CASE(itemUnderRepeatedPreemptionMeetsItsDueTime)
 {
     setEngines(1, 2);
-    Work item = work(WorkKind::Batch);
-    item.due = now + absl::Seconds(60);
+    Task item = task(TaskKind::Batch);
+    item.deadline = now + absl::Seconds(60);
     add(item);
     std::int64_t delivered = 0;
     int preemptions = 0;
     absl::Time finishedAt = absl::InfiniteFuture();
-    std::set<WorkId> online;
+    std::set<TaskId> online;
     // An online burst every 200 ms takes every place; the item gets a token in 50 ms while it runs.
     for (int step = 0; step < 3000 && finishedAt == absl::InfiniteFuture(); ++step) {
         now += absl::Milliseconds(25);
         if (step % 8 == 0) {
-            for (const WorkId id : online) {
+            for (const TaskId id : online) {
                 if (running.count(id) > 0)
                     finish(id);
                 else
-                    scheduler.withdrawn(now, id);
+                    scheduler.cancelled(now, id);
             }
             online.clear();
         }
         if (step % 8 == 4) {
-            online.insert(add(WorkKind::Online));
-            online.insert(add(WorkKind::Online));
+            online.insert(add(TaskKind::Online));
+            online.insert(add(TaskKind::Online));
         }
         report();
-        for (const PreemptWork &preempt : only<PreemptWork>(decide())) {
-            BOOST_TEST(preempt.work == item.id);
+        for (const PreemptTask &preempt : only<PreemptTask>(decide())) {
+            BOOST_TEST(preempt.task == item.id);
             ++preemptions;
             carryOut(preempt, delivered);
         }
@@ -138,7 +138,7 @@
         }
     }
     BOOST_TEST(preemptions >= 2);
-    BOOST_TEST((finishedAt <= item.due));
+    BOOST_TEST((finishedAt <= item.deadline));
 }
 
 // Guards against unequal treatment under overload: a workspace with ten times the requests delays
@@ -147,11 +147,11 @@
 {
     setEngines(1, 4);
     scheduler.setWorkspaces({{"surge", 1, 1}, {"steady", 1, 1}});
-    std::set<WorkId> steady;
+    std::set<TaskId> steady;
     for (int i = 0; i < 100; ++i)
-        add(WorkKind::Online, "surge");
+        add(TaskKind::Online, "surge");
     for (int i = 0; i < 10; ++i)
-        steady.insert(add(WorkKind::Online, "steady"));
+        steady.insert(add(TaskKind::Online, "steady"));
     std::size_t served = 0;
     std::size_t servedSteady = 0;
     while (servedSteady < 10 && served < 110) {
@@ -173,21 +173,21 @@
 BOOST_AUTO_TEST_CASE(workOutsideTheContractIsRefusedFirst)
 {
     setEngines(1, 2);
-    std::set<WorkId> outside;
+    std::set<TaskId> outside;
     for (int i = 0; i < 4; ++i) {
-        Work beyond = work(WorkKind::Online);
+        Task beyond = task(TaskKind::Online);
         beyond.insideContract = false;
         outside.insert(add(beyond));
     }
     for (int i = 0; i < 2; ++i)
-        add(WorkKind::Online);
-    const std::vector<Decision> made = decide();
-    BOOST_TEST(only<StartWork>(made).size() == 2U);
-    for (const StartWork &start : only<StartWork>(made))
-        BOOST_TEST(outside.count(start.work) == 0U);
-    BOOST_TEST(only<RefuseWork>(made).size() == 4U);
-    for (const RefuseWork &refuse : only<RefuseWork>(made)) {
-        BOOST_TEST(outside.count(refuse.work) == 1U);
+        add(TaskKind::Online);
+    const std::vector<SchedulerDecision> made = decide();
+    BOOST_TEST(only<StartTask>(made).size() == 2U);
+    for (const StartTask &start : only<StartTask>(made))
+        BOOST_TEST(outside.count(start.task) == 0U);
+    BOOST_TEST(only<RejectTask>(made).size() == 4U);
+    for (const RejectTask &refuse : only<RejectTask>(made)) {
+        BOOST_TEST(outside.count(refuse.task) == 1U);
         BOOST_TEST((refuse.failure.run == RunState::NotRun));
     }
 }
@@ -196,13 +196,13 @@
 BOOST_AUTO_TEST_CASE(onlineIsRefusedAsNotRunAfterTheQueueLimit)
 {
     setEngines(1, 1);
-    add(WorkKind::Online);
-    const WorkId waiting = add(WorkKind::Online);
-    BOOST_TEST(only<StartWork>(decide()).size() == 1U);
+    add(TaskKind::Online);
+    const TaskId waiting = add(TaskKind::Online);
+    BOOST_TEST(only<StartTask>(decide()).size() == 1U);
     BOOST_TEST((scheduler.nextDecision() < absl::InfiniteFuture()));
-    const auto refused = only<RefuseWork>(advance(absl::Milliseconds(500)));
+    const auto refused = only<RejectTask>(advance(absl::Milliseconds(500)));
     BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_TEST(refused[0].work == waiting);
+    BOOST_TEST(refused[0].task == waiting);
     BOOST_TEST((refused[0].failure.code == ErrorCode::Overloaded));
     BOOST_TEST((refused[0].failure.run == RunState::NotRun));
 }
@@ -211,35 +211,36 @@
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNeverRetriedAfterItMayHaveRun)
 {
     setEngines(3);
-    for (const TryFailure::Kind kind : {TryFailure::Kind::Broken, TryFailure::Kind::Crashed}) {
-        Work once = work(WorkKind::Online);
+    for (const AttemptFailure::Kind kind :
+         {AttemptFailure::Kind::Broken, AttemptFailure::Kind::Crashed}) {
+        Task once = task(TaskKind::Online);
         once.idempotent = false;
         add(once);
         decide();
         fail(once.id, kind);
-        const std::vector<Decision> after = advance(absl::Seconds(2));
-        BOOST_TEST(only<StartWork>(after).empty());
-        const auto refused = only<RefuseWork>(after);
+        const std::vector<SchedulerDecision> after = advance(absl::Seconds(2));
+        BOOST_TEST(only<StartTask>(after).empty());
+        const auto refused = only<RejectTask>(after);
         BOOST_REQUIRE(refused.size() == 1U);
         BOOST_TEST((refused[0].failure.run == RunState::MayHaveRun));
     }
-    Work once = work(WorkKind::Online);
+    Task once = task(TaskKind::Online);
     once.idempotent = false;
     add(once);
     decide();
-    fail(once.id, TryFailure::Kind::Refused);
-    BOOST_TEST(only<StartWork>(advance(absl::Seconds(1))).size() == 1U);
+    fail(once.id, AttemptFailure::Kind::Refused);
+    BOOST_TEST(only<StartTask>(advance(absl::Seconds(1))).size() == 1U);
 }
 
 // Guards against a broken stream that starts over: an idempotent one continues elsewhere.
 BOOST_AUTO_TEST_CASE(idempotentContinuesOnAnotherEngineFromTheLastToken)
 {
     setEngines(3);
-    const WorkId id = add(WorkKind::Online);
+    const TaskId id = add(TaskKind::Online);
     decide();
     const std::string failedEngine = running.at(id).engine;
-    fail(id, TryFailure::Kind::Broken, 17);
-    const auto again = only<StartWork>(advance(absl::Milliseconds(200)));
+    fail(id, AttemptFailure::Kind::Broken, 17);
+    const auto again = only<StartTask>(advance(absl::Milliseconds(200)));
     BOOST_REQUIRE(again.size() == 1U);
     BOOST_TEST(again[0].resumeAfter == 17);
     BOOST_TEST(again[0].attempt == 2);
@@ -250,14 +251,14 @@
 BOOST_AUTO_TEST_CASE(eventsOfAnEarlierTryAreIgnored)
 {
     setEngines(2);
-    const WorkId id = add(WorkKind::Online);
+    const TaskId id = add(TaskKind::Online);
     decide();
-    fail(id, TryFailure::Kind::Broken);
+    fail(id, AttemptFailure::Kind::Broken);
     advance(absl::Milliseconds(200));
     scheduler.finished(now, id, 1, 100);
-    BOOST_TEST(scheduler.running(WorkKind::Online) == 1U);
+    BOOST_TEST(scheduler.running(TaskKind::Online) == 1U);
     finish(id);
-    BOOST_TEST(scheduler.running(WorkKind::Online) == 0U);
+    BOOST_TEST(scheduler.running(TaskKind::Online) == 0U);
 }
 
 // Guards against more than two crashes by one request, and against innocent requests that are held
@@ -265,13 +266,13 @@
 BOOST_AUTO_TEST_CASE(poisonIsHeldAndInnocentsComplete)
 {
     setEngines(4);
-    std::set<WorkId> innocents;
-    Work poison = work(WorkKind::Online);
+    std::set<TaskId> innocents;
+    Task poison = task(TaskKind::Online);
     add(poison);
     decide();
     const std::string first = running.at(poison.id).engine;
     for (int i = 0; i < 12; ++i)
-        innocents.insert(add(WorkKind::Online));
+        innocents.insert(add(TaskKind::Online));
     decide();
     std::set<std::string> crashed;
     std::size_t completed = 0;
@@ -283,7 +284,7 @@
             const auto all = running;
             for (const auto &[id, run] : all) {
                 if (run.engine == engine)
-                    fail(id, TryFailure::Kind::Crashed);
+                    fail(id, AttemptFailure::Kind::Crashed);
             }
         } else {
             const auto all = running;
@@ -292,9 +293,9 @@
                 completed += innocents.count(id);
             }
         }
-        for (const RefuseWork &refuse : only<RefuseWork>(advance(absl::Milliseconds(40)))) {
-            BOOST_TEST(refuse.work == poison.id);
-            held = (refuse.failure.code == ErrorCode::RequestHeld);
+        for (const RejectTask &refuse : only<RejectTask>(advance(absl::Milliseconds(40)))) {
+            BOOST_TEST(refuse.task == poison.id);
+            held = (refuse.failure.code == ErrorCode::RequestQuarantined);
         }
     }
     BOOST_TEST(crashed.count(first) == 1U);
@@ -303,25 +304,25 @@
     BOOST_TEST(completed == 12U);
     poison.id = nextWork++;
     add(poison);
-    const auto refused = only<RefuseWork>(decide());
+    const auto refused = only<RejectTask>(decide());
     BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_TEST((refused[0].failure.code == ErrorCode::RequestHeld));
+    BOOST_TEST((refused[0].failure.code == ErrorCode::RequestQuarantined));
 }
 
 // Guards against work for an upstream that leaves, while its running work is left alone.
 BOOST_AUTO_TEST_CASE(leavingEngineGetsNoNewWork)
 {
     setEngines(1);
-    const WorkId before = add(WorkKind::Online);
+    const TaskId before = add(TaskKind::Online);
     decide();
     scheduler.setEngines(now, {{"engine-0", "m", "d", true}});
     for (int i = 0; i < 20; ++i) {
-        add(WorkKind::Online);
-        add(WorkKind::Batch);
+        add(TaskKind::Online);
+        add(TaskKind::Batch);
     }
-    BOOST_TEST(only<StartWork>(advance(absl::Milliseconds(300))).empty());
+    BOOST_TEST(only<StartTask>(advance(absl::Milliseconds(300))).empty());
     BOOST_TEST(running.count(before) == 1U);
-    BOOST_TEST(scheduler.batchRoom(now) == 0U);
+    BOOST_TEST(scheduler.batchCapacity(now) == 0U);
 }
 
 // Guards against a cancelled job whose item runs or waits on, and against counts that drift.
@@ -329,14 +330,14 @@
 {
     setEngines(1, 4);
     for (int i = 0; i < 10; ++i)
-        add(WorkKind::Batch);
+        add(TaskKind::Batch);
     advance(absl::Milliseconds(100));
-    for (WorkId id = 1; id <= 10; ++id)
-        scheduler.withdrawn(now, id);
-    BOOST_TEST(scheduler.running(WorkKind::Batch) == 0U);
-    BOOST_TEST(scheduler.waiting(WorkKind::Batch) == 0U);
-    BOOST_TEST(scheduler.engine("engine-0")->own(WorkKind::Batch) == 0);
-    BOOST_TEST(scheduler.engine("engine-0")->ownPrefill(WorkKind::Batch) == 0);
+    for (TaskId id = 1; id <= 10; ++id)
+        scheduler.cancelled(now, id);
+    BOOST_TEST(scheduler.running(TaskKind::Batch) == 0U);
+    BOOST_TEST(scheduler.waiting(TaskKind::Batch) == 0U);
+    BOOST_TEST(scheduler.engine("engine-0")->own(TaskKind::Batch) == 0);
+    BOOST_TEST(scheduler.engine("engine-0")->ownPrefill(TaskKind::Batch) == 0);
 }
 
 // Guards against an item that fails without end.
@@ -344,17 +345,17 @@
 {
     SchedulerSettings settings;
     setEngines(2);
-    const WorkId id = add(WorkKind::Batch);
+    const TaskId id = add(TaskKind::Batch);
     int tries = 0;
-    std::vector<RefuseWork> refused;
+    std::vector<RejectTask> refused;
     for (int i = 0; i < 500 && refused.empty(); ++i) {
-        refused = only<RefuseWork>(advance(absl::Milliseconds(100)));
+        refused = only<RejectTask>(advance(absl::Milliseconds(100)));
         if (running.count(id) > 0) {
             ++tries;
-            fail(id, TryFailure::Kind::Broken);
+            fail(id, AttemptFailure::Kind::Broken);
         }
     }
-    BOOST_TEST(tries == settings.batchTries);
+    BOOST_TEST(tries == settings.maxBatchAttempts);
     BOOST_REQUIRE(refused.size() == 1U);
     BOOST_TEST((refused[0].failure.code == ErrorCode::ItemFailed));
 }
@@ -371,14 +372,14 @@
         other.scheduler.setEntries(names[static_cast<std::size_t>(entry)], names);
         other.setEngines(1, 64);
         for (int i = 0; i < 100; ++i)
-            other.add(WorkKind::Batch);
+            other.add(TaskKind::Batch);
         // The report does not change while the entries start work on it.
         for (int i = 0; i < 50; ++i) {
             other.now += absl::Milliseconds(20);
-            for (const StartWork &start : only<StartWork>(other.decide()))
-                other.firstToken(start.work);
+            for (const StartTask &start : only<StartTask>(other.decide()))
+                other.firstToken(start.task);
         }
-        started += other.scheduler.engine("engine-0")->own(WorkKind::Batch);
+        started += other.scheduler.engine("engine-0")->own(TaskKind::Batch);
     }
     BOOST_TEST(started <= 64);
     BOOST_TEST(started >= 48);
--- a/tests/policy/schedulerfixture.h
+++ b/tests/policy/schedulerfixture.h
@@ -35,9 +35,9 @@
             scheduler.loadReported(now, name, load);
     }
 
-    Work work(WorkKind kind, const std::string &workspace = "a")
+    Task task(TaskKind kind, const std::string &workspace = "a")
     {
-        Work made;
+        Task made;
         made.id = nextWork++;
         made.workspace = workspace;
         made.kind = kind;
@@ -48,23 +48,23 @@
         return made;
     }
 
-    WorkId add(const Work &made)
+    TaskId add(const Task &made)
     {
         scheduler.arrived(now, made);
         return made.id;
     }
-    WorkId add(WorkKind kind, const std::string &workspace = "a")
+    TaskId add(TaskKind kind, const std::string &workspace = "a")
     {
-        return add(work(kind, workspace));
+        return add(task(kind, workspace));
     }
 
     /// Decides and keeps track of what runs where; the next reports show it.
-    std::vector<Decision> decide()
+    std::vector<SchedulerDecision> decide()
     {
-        std::vector<Decision> made = scheduler.decide(now);
-        for (const Decision &decision : made) {
-            if (const auto *start = std::get_if<StartWork>(&decision)) {
-                running[start->work] = *start;
+        std::vector<SchedulerDecision> made = scheduler.decide(now);
+        for (const SchedulerDecision &decision : made) {
+            if (const auto *start = std::get_if<StartTask>(&decision)) {
+                running[start->task] = *start;
                 ++engines[start->engine].running;
             }
         }
@@ -72,50 +72,50 @@
     }
 
     /// Advances time in small steps with reports and decisions.
-    std::vector<Decision> advance(absl::Duration time)
+    std::vector<SchedulerDecision> advance(absl::Duration time)
     {
-        std::vector<Decision> all;
+        std::vector<SchedulerDecision> all;
         for (const absl::Time end = now + time; now < end;) {
             now += absl::Milliseconds(20);
             report();
-            for (const Decision &decision : decide())
+            for (const SchedulerDecision &decision : decide())
                 all.push_back(decision);
         }
         return all;
     }
 
-    void firstToken(WorkId id) { scheduler.firstToken(now, id, running.at(id).attempt); }
+    void firstToken(TaskId id) { scheduler.firstToken(now, id, running.at(id).attempt); }
 
-    void finish(WorkId id, std::int64_t tokens = 100)
+    void finish(TaskId id, std::int64_t tokens = 100)
     {
-        const StartWork run = take(id);
+        const StartTask run = take(id);
         scheduler.finished(now, id, run.attempt, tokens);
     }
 
-    void fail(WorkId id, TryFailure::Kind kind, std::int64_t delivered = 0)
+    void fail(TaskId id, AttemptFailure::Kind kind, std::int64_t delivered = 0)
     {
-        const StartWork run = take(id);
-        TryFailure failure;
+        const StartTask run = take(id);
+        AttemptFailure failure;
         failure.kind = kind;
         failure.deliveredTokens = delivered;
-        const bool ran = kind != TryFailure::Kind::Refused;
+        const bool ran = kind != AttemptFailure::Kind::Refused;
         failure.failure = ran ? mayHaveRun(ErrorCode::UpstreamFailed, "connection lost")
                               : notRun(ErrorCode::UpstreamUnavailable, "no connection");
         scheduler.failed(now, id, run.attempt, failure);
     }
 
-    void carryOut(const PreemptWork &preempt, std::int64_t delivered)
+    void carryOut(const PreemptTask &preempt, std::int64_t delivered)
     {
-        take(preempt.work);
+        take(preempt.task);
         const bool exported = preempt.method == PreemptMethod::ExportKv;
-        scheduler.preempted(now, preempt.work, preempt.attempt, delivered, exported ? "kv" : "");
+        scheduler.preempted(now, preempt.task, preempt.attempt, delivered, exported ? "kv" : "");
     }
 
     template <typename Kind>
-    static std::vector<Kind> only(const std::vector<Decision> &decisions)
+    static std::vector<Kind> only(const std::vector<SchedulerDecision> &decisions)
     {
         std::vector<Kind> kept;
-        for (const Decision &decision : decisions) {
+        for (const SchedulerDecision &decision : decisions) {
             if (const Kind *found = std::get_if<Kind>(&decision))
                 kept.push_back(*found);
         }
@@ -125,13 +125,13 @@
     Scheduler scheduler;
     absl::Time now = absl::FromUnixSeconds(1000);
     std::map<std::string, EngineLoad> engines;
-    std::map<WorkId, StartWork> running;
-    WorkId nextWork = 1;
+    std::map<TaskId, StartTask> running;
+    TaskId nextWork = 1;
 
 private:
-    StartWork take(WorkId id)
+    StartTask take(TaskId id)
     {
-        const StartWork run = running.at(id);
+        const StartTask run = running.at(id);
         running.erase(id);
         --engines[run.engine].running;
         return run;
--- a/tests/policy/placetable_test.cpp
+++ b/tests/policy/slotscheduler_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/policy/placetable.h"
+#include "rattanrill/policy/slotscheduler.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,40 +13,40 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000);
 
-PlaceUpstream upstream(const std::string &id, std::int64_t slots)
+SlotUpstream upstream(const std::string &id, std::int64_t slots)
 {
     return {id, "llm", id + ":1", "d", slots, false};
 }
 
-PlaceWork online(const std::string &id, absl::Time due, const std::string &workspace = "w")
+SlotTask online(const std::string &id, absl::Time due, const std::string &workspace = "w")
 {
-    PlaceWork work;
-    work.id = id;
-    work.service = "llm";
-    work.workspace = workspace;
-    work.due = due;
-    return work;
+    SlotTask task;
+    task.id = id;
+    task.service = "llm";
+    task.workspace = workspace;
+    task.deadline = due;
+    return task;
 }
 
-PlaceWork batch(const std::string &id, const std::string &workspace = "w")
+SlotTask batch(const std::string &id, const std::string &workspace = "w")
 {
-    PlaceWork work = online(id, absl::InfiniteFuture(), workspace);
-    work.kind = WorkKind::Batch;
-    return work;
+    SlotTask task = online(id, absl::InfiniteFuture(), workspace);
+    task.kind = TaskKind::Batch;
+    return task;
 }
 
 /// Decisions by work.
 struct Decided
 {
-    explicit Decided(const std::vector<PlaceDecision> &decisions)
+    explicit Decided(const std::vector<SlotDecision> &decisions)
     {
-        for (const PlaceDecision &decision : decisions) {
-            if (const auto *grant = std::get_if<GrantPlace>(&decision))
-                granted[grant->work] = grant->upstream;
-            if (const auto *refusal = std::get_if<RefusePlace>(&decision))
-                refused[refusal->work] = refusal->retryAfter;
-            if (const auto *yield = std::get_if<YieldPlace>(&decision))
-                yielded.push_back(yield->work);
+        for (const SlotDecision &decision : decisions) {
+            if (const auto *grant = std::get_if<GrantSlot>(&decision))
+                granted[grant->task] = grant->upstream;
+            if (const auto *refusal = std::get_if<RejectSlot>(&decision))
+                refused[refusal->task] = refusal->retryAfter;
+            if (const auto *yield = std::get_if<PreemptSlot>(&decision))
+                yielded.push_back(yield->task);
         }
     }
 
@@ -59,12 +59,12 @@
 {
     Decided decide(absl::Time now = start) { return Decided(table.decide(now)); }
 
-    PlaceTable table{PlaceTableSettings()};
+    SlotScheduler table{SlotSchedulerSettings()};
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(PlaceTableTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(SlotSchedulerTest, Fixture)
 
 BOOST_AUTO_TEST_CASE(leastLoadedUpstreamIsChosen)
 {
@@ -72,7 +72,7 @@
     std::multiset<std::string> used;
     for (int i = 0; i < 4; ++i) {
         table.request(start, online(std::to_string(i), start + absl::Seconds(1)));
-        for (const auto &[work, chosen] : decide().granted)
+        for (const auto &[task, chosen] : decide().granted)
             used.insert(chosen);
     }
     BOOST_TEST(used.count("a") == 2u);
@@ -104,8 +104,8 @@
     table.request(start, batch("fresh"));
     decide();
     const absl::Time later = start + absl::Seconds(1);
-    PlaceWork resumed = batch("resumed");
-    resumed.served = absl::Seconds(3);
+    SlotTask resumed = batch("resumed");
+    resumed.priorRunTime = absl::Seconds(3);
     table.request(later, resumed);
     decide(later);
     table.request(later, online("o", later + absl::Seconds(1)));
@@ -126,10 +126,10 @@
     std::set<std::string> running;
     int ended = 0;
     const auto request = [&](absl::Time now, const std::string &id) {
-        PlaceWork work = batch(id);
-        work.due = start + absl::Minutes(10);
-        work.served = served[id];
-        table.request(now, work);
+        SlotTask task = batch(id);
+        task.deadline = start + absl::Minutes(10);
+        task.priorRunTime = served[id];
+        table.request(now, task);
     };
     for (int i = 0; i < items; ++i)
         request(start, std::to_string(i));
@@ -150,7 +150,7 @@
             const absl::Time end = since[next] + (need - served[next]);
             if (end > gapEnd)
                 break;
-            table.release(end, next, PlaceEnd::Served);
+            table.release(end, next, ReleaseReason::Completed);
             running.erase(next);
             ++ended;
             for (const auto &[id, place] : decide(end).granted) {
@@ -168,7 +168,7 @@
         }
         now += absl::Seconds(2);
         for (const char *id : {"o1", "o2"})
-            table.release(now, id, PlaceEnd::Served);
+            table.release(now, id, ReleaseReason::Completed);
     }
     // Two places for 24 s are 48 s, enough for all items of 4 s each.
     BOOST_TEST(ended == items);
@@ -180,20 +180,20 @@
 {
     table.setUpstreams({upstream("a", 1)});
     const auto due = [](const std::string &id, absl::Duration after) {
-        PlaceWork work = batch(id);
-        work.due = start + after;
-        return work;
+        SlotTask task = batch(id);
+        task.deadline = start + after;
+        return task;
     };
     table.request(start, due("first", absl::Seconds(10)));
     decide();
     absl::Time now = start + absl::Seconds(4);
-    table.release(now, "first", PlaceEnd::Served);
+    table.release(now, "first", ReleaseReason::Completed);
     // An item takes 4 s, so this one can't be done in time any more.
     table.request(now, due("late", absl::Seconds(6)));
     table.request(now, due("inTime", absl::Seconds(20)));
     BOOST_TEST(decide(now).granted.count("inTime") == 1u);
     now += absl::Seconds(4);
-    table.release(now, "inTime", PlaceEnd::Served);
+    table.release(now, "inTime", ReleaseReason::Completed);
     BOOST_TEST(decide(now).granted.count("late") == 1u);
 }
 
@@ -201,8 +201,8 @@
 BOOST_AUTO_TEST_CASE(lateItemsGetSomePlaces)
 {
     table.setUpstreams({upstream("a", 1)});
-    PlaceWork late = batch("late");
-    late.due = start - absl::Seconds(1);
+    SlotTask late = batch("late");
+    late.deadline = start - absl::Seconds(1);
     table.request(start, late);
     bool isServed = false;
     for (int i = 0; i < 20 && !isServed; ++i) {
@@ -210,7 +210,7 @@
         table.request(start, batch(std::to_string(i) + "b"));
         for (const auto &[id, place] : decide().granted) {
             isServed = isServed || id == "late";
-            table.release(start, id, PlaceEnd::Abandoned);
+            table.release(start, id, ReleaseReason::Cancelled);
         }
     }
     BOOST_TEST(isServed);
@@ -224,7 +224,7 @@
     table.request(start, batch("b"));
     table.request(start, online("second", start + absl::Seconds(5)));
     BOOST_TEST(decide().granted.empty());
-    table.release(start, "first", PlaceEnd::Served);
+    table.release(start, "first", ReleaseReason::Completed);
     const Decided decided = decide();
     BOOST_TEST(decided.granted.count("second") == 1u);
     BOOST_TEST(decided.granted.count("b") == 0u);
@@ -253,10 +253,10 @@
     for (int i = 0; i < 6; ++i)
         table.request(start, online("late" + std::to_string(i), start + absl::Milliseconds(50)));
     std::set<absl::Duration> returns;
-    for (const auto &[work, wait] : decide().refused)
+    for (const auto &[task, wait] : decide().refused)
         returns.insert(wait);
     BOOST_TEST(returns.size() == 6u);
-    BOOST_TEST((*returns.begin() >= PlaceTableSettings().shortestReturn));
+    BOOST_TEST((*returns.begin() >= SlotSchedulerSettings().minRetryAfter));
 }
 
 BOOST_AUTO_TEST_CASE(returnStaysInsideTheCallersPatience)
@@ -265,11 +265,11 @@
     table.request(start, online("runs", start));
     decide();
     for (int i = 0; i < 20; ++i) {
-        PlaceWork work = online(std::to_string(i), start);
-        work.longestReturn = absl::Seconds(1);
-        table.request(start, work);
+        SlotTask task = online(std::to_string(i), start);
+        task.maxRetryAfter = absl::Seconds(1);
+        table.request(start, task);
     }
-    for (const auto &[work, wait] : decide().refused)
+    for (const auto &[task, wait] : decide().refused)
         BOOST_TEST((wait <= absl::Seconds(1)));
 }
 
@@ -297,9 +297,9 @@
         table.request(start, online("large" + std::to_string(i), due, "large"));
     table.request(start, online("small", due, "small"));
     decide();
-    table.release(start, "runs", PlaceEnd::Served);
+    table.release(start, "runs", ReleaseReason::Completed);
     const std::string next = decide().granted.begin()->first;
-    table.release(start, next, PlaceEnd::Served);
+    table.release(start, next, ReleaseReason::Completed);
     BOOST_TEST((next == "small" || decide().granted.count("small") == 1u));
 }
 
@@ -310,7 +310,7 @@
     table.setUpstreams({upstream("gone", 4), upstream("here", 4)});
     table.request(start, online("1", start + absl::Seconds(1)));
     const std::string first = decide().granted.at("1");
-    table.release(start, "1", PlaceEnd::Gone);
+    table.release(start, "1", ReleaseReason::Unreachable);
     for (int i = 2; i < 6; ++i) {
         const std::string id = std::to_string(i);
         table.request(start, online(id, start + absl::Seconds(1)));
@@ -327,7 +327,7 @@
     for (int i = 0; i < 5; ++i)
         table.request(start, online(std::to_string(i), start + absl::Seconds(60)));
     int onA = 0;
-    for (const auto &[work, chosen] : decide().granted)
+    for (const auto &[task, chosen] : decide().granted)
         onA += chosen == "a" ? 1 : 0;
     BOOST_TEST(onA == 1);
     // A report says nothing for long.
@@ -340,7 +340,7 @@
 BOOST_AUTO_TEST_CASE(upstreamsAreProbedAfterATakeover)
 {
     table.setUpstreams({upstream("a", 8)});
-    table.begin(start);
+    table.beginTakeover(start);
     for (int i = 0; i < 10; ++i)
         table.request(start, online(std::to_string(i), start + absl::Seconds(60)));
     BOOST_TEST(decide().granted.size() == 2u);
@@ -357,7 +357,7 @@
 BOOST_AUTO_TEST_CASE(requestsWaitForProbes)
 {
     table.setUpstreams({upstream("a", 8)});
-    table.begin(start);
+    table.beginTakeover(start);
     for (int i = 0; i < 8; ++i)
         table.request(start, online(std::to_string(i), start + absl::Milliseconds(200)));
     const Decided first = decide();
@@ -378,7 +378,7 @@
     for (int i = 0; i < 4; ++i) {
         const std::string id = std::to_string(i);
         table.adopt(start, online(id, start), "a");
-        table.release(start, id, PlaceEnd::Failed);
+        table.release(start, id, ReleaseReason::Failed);
     }
     const absl::Time later = start + absl::Milliseconds(1100);
     table.request(later, online("next", later + absl::Seconds(1)));
@@ -394,14 +394,14 @@
     table.adopt(start, online("elsewhere", start), "unknown");
     table.request(start, online("1", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.at("1") == "b");
-    table.release(start, "held", PlaceEnd::Served);
+    table.release(start, "held", ReleaseReason::Completed);
     table.request(start, online("2", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.at("2") == "a");
 }
 
 BOOST_AUTO_TEST_CASE(leavingUpstreamGetsNothing)
 {
-    PlaceUpstream leaving = upstream("a", 4);
+    SlotUpstream leaving = upstream("a", 4);
     leaving.leaving = true;
     table.setUpstreams({leaving});
     table.request(start, online("1", start + absl::Seconds(1)));
@@ -414,9 +414,9 @@
 BOOST_AUTO_TEST_CASE(excludedUpstreamIsNotTriedAgain)
 {
     table.setUpstreams({upstream("a", 4), upstream("b", 1)});
-    PlaceWork work = online("1", start + absl::Seconds(1));
-    work.excluded = {"a"};
-    table.request(start, work);
+    SlotTask task = online("1", start + absl::Seconds(1));
+    task.excluded = {"a"};
+    table.request(start, task);
     BOOST_TEST(decide().granted.at("1") == "b");
 }
 
@@ -426,10 +426,10 @@
     table.request(start, online("1", start + absl::Seconds(1)));
     decide();
     table.request(start, batch("b"));
-    table.withdraw("b");
-    table.withdraw("1");
-    BOOST_TEST(table.held("llm", WorkKind::Online) == 0u);
-    BOOST_TEST(table.waiting("llm", WorkKind::Batch) == 0u);
+    table.cancel("b");
+    table.cancel("1");
+    BOOST_TEST(table.runningCount("llm", TaskKind::Online) == 0u);
+    BOOST_TEST(table.waiting("llm", TaskKind::Batch) == 0u);
     table.request(start, online("2", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.count("2") == 1u);
 }
--- a/tests/replication/groupdriver_test.cpp
+++ b/tests/replication/groupdriver_test.cpp
@@ -27,7 +27,7 @@
     {
         LocalCluster::waitUntil([this] { return !m_gate.isBlocked; });
         if (m_gate.failsSync)
-            return fail(notRun(ErrorCode::SyncFailed, "injected"));
+            return fail(notRun(ErrorCode::FsyncFailed, "injected"));
         return {};
     }
     Result<void> install(const PersistRequest &) override { return {}; }
@@ -79,7 +79,7 @@
     std::map<ReplicaId, std::unique_ptr<GroupDriver>> drivers;
 
 private:
-    struct Link : GroupTransport
+    struct Link : RaftTransport
     {
         void send(const ReplicaId &to, const std::string &, std::string message) override
         {
@@ -93,7 +93,7 @@
 
     void open(const ReplicaId &id)
     {
-        GroupOptions options;
+        RaftNodeOptions options;
         options.group = "directory";
         options.heartbeatPeriod = absl::Milliseconds(20);
         options.electionTimeout = absl::Milliseconds(300);
@@ -146,14 +146,14 @@
     const ReplicaId leader = group.leader();
     group.gates[leader].hasSpace = false;
     const auto refusal = [&] {
-        const auto outcome = await([&](ReplicatedGroup::Callback done) {
+        const auto outcome = await([&](RaftNode::Callback done) {
             group.drivers.at(leader)->propose("key=1", std::move(done));
         });
         return !outcome.ok() && outcome.failure().code == ErrorCode::DiskFull
                && outcome.failure().run == RunState::NotRun;
     };
     BOOST_TEST(LocalCluster::waitUntil(refusal));
-    const auto value = await([&](ReplicatedGroup::Callback done) {
+    const auto value = await([&](RaftNode::Callback done) {
         group.drivers.at(leader)->read("key", std::move(done));
     });
     BOOST_TEST(value.ok());
@@ -167,7 +167,7 @@
     group.gates[leader].failsSync = true;
     group.drivers.at(leader)->propose("key=1", [](const Outcome<std::string> &) {});
     BOOST_TEST(LocalCluster::waitUntil([&] { return group.drivers.at(leader)->status().stopped; }));
-    const auto outcome = await([&](ReplicatedGroup::Callback done) {
+    const auto outcome = await([&](RaftNode::Callback done) {
         group.drivers.at(leader)->propose("key=2", std::move(done));
     });
     BOOST_REQUIRE(!outcome.ok());
--- a/tests/replication/groupsimulation.cpp
+++ b/tests/replication/groupsimulation.cpp
@@ -67,7 +67,7 @@
     raft.incarnation = disk.incarnation;
     raft.heartbeatPeriod = heartbeat;
     raft.electionTimeout = electionTimeout;
-    raft.firstElectionTimeout = m_options.firstElectionTimeout;
+    raft.initialElectionTimeout = m_options.initialElectionTimeout;
     raft.maxBatchBytes = m_options.maxBatchBytes;
     raft.maxInFlightBytes = 4096;
     raft.snapshotChunkBytes = 64;
@@ -423,7 +423,7 @@
     scheduleOn(id, absl::ZeroDuration(), [floor, token, indexed](Node &node) {
         node.reads[token] = {floor, 0};
         if (indexed)
-            node.core->readIndexed(token);
+            node.core->linearizableRead(token);
         else
             node.core->read(token);
     });
--- a/tests/replication/groupsimulation.h
+++ b/tests/replication/groupsimulation.h
@@ -20,7 +20,7 @@
     absl::Duration length = absl::Milliseconds(1500);
     DisabledSafeguards disabled;
     /// As in RaftOptions.
-    absl::Duration firstElectionTimeout;
+    absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 512;
     /// False: start() is left to the script.
     bool startReplicas = true;
--- a/tests/replication/groupsimulation_test.cpp
+++ b/tests/replication/groupsimulation_test.cpp
@@ -142,7 +142,7 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SimulationOptions options = seeded(seed);
         // A quarter of the simulation's election timeout.
-        options.firstElectionTimeout = absl::Milliseconds(25);
+        options.initialElectionTimeout = absl::Milliseconds(25);
         GroupSimulation simulation(options);
         simulation.run();
         BOOST_TEST(simulation.violation() == "");
--- a/tests/replication/localcluster.cpp
+++ b/tests/replication/localcluster.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-Outcome<std::string> await(const std::function<void(ReplicatedGroup::Callback)> &call)
+Outcome<std::string> await(const std::function<void(RaftNode::Callback)> &call)
 {
     struct State
     {
@@ -32,7 +32,7 @@
     return state->outcome;
 }
 
-class LocalCluster::Link : public GroupTransport
+class LocalCluster::Link : public RaftTransport
 {
 public:
     Link(LocalCluster &cluster, ReplicaId from)
@@ -66,7 +66,7 @@
 
 Outcome<Done> LocalCluster::open(const ReplicaId &id, const std::vector<ReplicaId> &voters)
 {
-    GroupOptions options;
+    RaftNodeOptions options;
     options.group = "directory";
     options.self = id;
     options.initialVoters = voters;
@@ -78,8 +78,8 @@
     if (!link)
         link = std::make_unique<Link>(*this, id);
     auto group = outcomeOf([&] {
-        return openGroup(options, std::make_unique<RegisterMachine>(), *link,
-                         SystemClock::instance());
+        return startRaftNode(options, std::make_unique<RegisterMachine>(), *link,
+                             SystemClock::instance());
     });
     if (!group.ok())
         return group.failure();
@@ -156,20 +156,19 @@
 
 Outcome<std::string> LocalCluster::propose(const ReplicaId &id, const std::string &command)
 {
-    return await([&](ReplicatedGroup::Callback done) { at(id).propose(command, std::move(done)); });
+    return await([&](RaftNode::Callback done) { at(id).propose(command, std::move(done)); });
 }
 
-Outcome<std::string> LocalCluster::readIndexed(const ReplicaId &id, const std::string &query)
+Outcome<std::string> LocalCluster::linearizableRead(const ReplicaId &id, const std::string &query)
 {
-    return await(
-            [&](ReplicatedGroup::Callback done) { at(id).readIndexed(query, std::move(done)); });
+    return await([&](RaftNode::Callback done) { at(id).linearizableRead(query, std::move(done)); });
 }
 
-Outcome<std::string> LocalCluster::addMember(const ReplicaId &leader, const ReplicaId &member,
-                                             const ReplicaId &replaced)
+Outcome<std::string> LocalCluster::addReplica(const ReplicaId &leader, const ReplicaId &member,
+                                              const ReplicaId &replaced)
 {
-    return await([&](ReplicatedGroup::Callback done) {
-        at(leader).addMember(member, replaced, std::move(done));
+    return await([&](RaftNode::Callback done) {
+        at(leader).addReplica(member, replaced, std::move(done));
     });
 }
 
--- a/tests/replication/localcluster.h
+++ b/tests/replication/localcluster.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/replication/replicatedgroup.h"
+#include "rattanrill/replication/raftnode.h"
 
 #include "registermachine.h"
 
@@ -14,7 +14,7 @@
 namespace rattanrill::replication {
 
 /// Outcome of an asynchronous call; Timeout when no callback comes within 10 s.
-Outcome<std::string> await(const std::function<void(ReplicatedGroup::Callback)> &call);
+Outcome<std::string> await(const std::function<void(RaftNode::Callback)> &call);
 
 /// Replicas in one process with real files, threads and time, joined by direct calls.
 class LocalCluster
@@ -28,16 +28,16 @@
     void close(const ReplicaId &id);
     void cut(const ReplicaId &id, bool isCut);
     std::string folder(const ReplicaId &id) const;
-    ReplicatedGroup &at(const ReplicaId &id) { return *m_groups.at(id); }
+    RaftNode &at(const ReplicaId &id) { return *m_groups.at(id); }
 
     /// Waits until some replica leads; empty after 10 s.
     ReplicaId waitForLeader();
     /// Repeats the proposal on whoever leads until it succeeds or 10 s have passed.
     Outcome<std::string> write(const std::string &command);
     Outcome<std::string> propose(const ReplicaId &id, const std::string &command);
-    Outcome<std::string> readIndexed(const ReplicaId &id, const std::string &query);
-    Outcome<std::string> addMember(const ReplicaId &leader, const ReplicaId &member,
-                                   const ReplicaId &replaced);
+    Outcome<std::string> linearizableRead(const ReplicaId &id, const std::string &query);
+    Outcome<std::string> addReplica(const ReplicaId &leader, const ReplicaId &member,
+                                    const ReplicaId &replaced);
     /// Polls \a condition for up to 10 s.
     static bool waitUntil(const std::function<bool()> &condition);
 
@@ -48,9 +48,9 @@
 
     std::string m_folder;
     std::map<ReplicaId, std::unique_ptr<Link>> m_links;
-    std::map<ReplicaId, std::unique_ptr<ReplicatedGroup>> m_groups;
+    std::map<ReplicaId, std::unique_ptr<RaftNode>> m_groups;
     absl::Mutex m_mutex;
-    std::map<ReplicaId, ReplicatedGroup *> m_reachable ABSL_GUARDED_BY(m_mutex);
+    std::map<ReplicaId, RaftNode *> m_reachable ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::replication
--- a/tests/replication/memoryfilesystem.cpp
+++ b/tests/replication/memoryfilesystem.cpp
@@ -16,7 +16,7 @@
 
     Result<void> sync() override
     {
-        BOOST_LEAF_CHECK(m_files.count(ErrorCode::SyncFailed));
+        BOOST_LEAF_CHECK(m_files.count(ErrorCode::FsyncFailed));
         if (!m_files.m_ignoresSyncs)
             m_content->synced = m_content->data;
         return {};
@@ -157,7 +157,7 @@
 
 Result<void> MemoryFileSystem::syncFolder(const std::string &)
 {
-    BOOST_LEAF_CHECK(count(ErrorCode::SyncFailed));
+    BOOST_LEAF_CHECK(count(ErrorCode::FsyncFailed));
     m_syncedFiles = m_files;
     return {};
 }
--- a/tests/replication/replicatedgroup_test.cpp
+++ b/tests/replication/raftnode_test.cpp
@@ -9,7 +9,7 @@
 using namespace rattanrill;
 using namespace rattanrill::replication;
 
-BOOST_AUTO_TEST_SUITE(ReplicatedGroupTest)
+BOOST_AUTO_TEST_SUITE(RaftNodeTest)
 
 // Guards against a group that cannot form or that loses acknowledged writes over a restart.
 BOOST_AUTO_TEST_CASE(singleReplicaKeepsWritesOverRestarts)
@@ -21,7 +21,7 @@
     cluster.close("a");
     BOOST_REQUIRE(cluster.open("a", {"a"}).ok());
     cluster.waitForLeader();
-    const auto value = cluster.readIndexed("a", "key0");
+    const auto value = cluster.linearizableRead("a", "key0");
     BOOST_REQUIRE(value.ok());
     BOOST_TEST(value.value() == "399");
 }
@@ -35,7 +35,7 @@
         BOOST_REQUIRE(cluster.open(id, voters).ok());
     BOOST_REQUIRE(cluster.write("key=1").ok());
     for (const ReplicaId &id : voters)
-        BOOST_TEST(cluster.readIndexed(id, "key").value() == "1");
+        BOOST_TEST(cluster.linearizableRead(id, "key").value() == "1");
     const ReplicaId lost = cluster.waitForLeader();
     cluster.close(lost);
     BOOST_REQUIRE(cluster.write("key=2").ok());
@@ -43,7 +43,7 @@
         BOOST_REQUIRE(cluster.write(concat("other=", i)).ok());
     BOOST_REQUIRE(cluster.open(lost, voters).ok());
     BOOST_TEST(LocalCluster::waitUntil([&] {
-        const auto value = cluster.readIndexed(lost, "key");
+        const auto value = cluster.linearizableRead(lost, "key");
         return value.ok() && value.value() == "2";
     }));
 }
@@ -65,7 +65,7 @@
     cluster.close(lost);
     BOOST_REQUIRE(cluster.open("d", voters).ok());
     BOOST_REQUIRE(cluster.write("key=2").ok());
-    const auto changed = cluster.addMember(cluster.waitForLeader(), "d", lost);
+    const auto changed = cluster.addReplica(cluster.waitForLeader(), "d", lost);
     BOOST_TEST_INFO((changed.ok() ? "" : describe(changed.failure())));
     BOOST_REQUIRE(changed.ok());
     const auto isVoter = [&] {
@@ -73,7 +73,7 @@
         return now.size() == 3 && std::count(now.begin(), now.end(), "d") == 1;
     };
     BOOST_TEST(LocalCluster::waitUntil(isVoter));
-    BOOST_TEST(cluster.readIndexed("d", "key").value() == "2");
+    BOOST_TEST(cluster.linearizableRead("d", "key").value() == "2");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/serving/deployment_test.cpp
+++ b/tests/serving/deployment_test.cpp
@@ -110,8 +110,8 @@
     std::map<std::string, int> counts;
     for (int i = 0; i < 10000; ++i) {
         const std::string key = "request" + std::to_string(i);
-        const std::string service = targetService(split, key);
-        BOOST_TEST_REQUIRE(service == targetService(split, key));
+        const std::string service = selectService(split, key);
+        BOOST_TEST_REQUIRE(service == selectService(split, key));
         ++counts[service];
     }
     BOOST_TEST(counts["never"] == 0);
--- a/tests/serving/eventstream_test.cpp
+++ b/tests/serving/eventstream_test.cpp
@@ -65,15 +65,15 @@
 BOOST_AUTO_TEST_CASE(positionTellsRepeatsAndGaps)
 {
     StreamPosition position{std::nullopt};
-    BOOST_TEST((position.take(event(1)) == EventVerdict::Deliver));
-    BOOST_TEST((position.take(event(2)) == EventVerdict::Deliver));
-    BOOST_TEST((position.take(event(2)) == EventVerdict::Repeated));
-    BOOST_TEST((position.take(event(4)) == EventVerdict::Gap));
-    BOOST_TEST((position.take(event(3)) == EventVerdict::Deliver));
+    BOOST_TEST((position.advance(event(1)) == SequenceCheck::InOrder));
+    BOOST_TEST((position.advance(event(2)) == SequenceCheck::InOrder));
+    BOOST_TEST((position.advance(event(2)) == SequenceCheck::Repeated));
+    BOOST_TEST((position.advance(event(4)) == SequenceCheck::Gap));
+    BOOST_TEST((position.advance(event(3)) == SequenceCheck::InOrder));
     BOOST_TEST(*position.lastId() == 3);
     StreamPosition resumed{12};
-    BOOST_TEST((resumed.take(event(14)) == EventVerdict::Gap));
-    BOOST_TEST((resumed.take(event(13)) == EventVerdict::Deliver));
+    BOOST_TEST((resumed.advance(event(14)) == SequenceCheck::Gap));
+    BOOST_TEST((resumed.advance(event(13)) == SequenceCheck::InOrder));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/serving/passthrough_test.cpp
+++ b/tests/serving/proxyrequest_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/serving/passthrough.h"
+#include "rattanrill/serving/proxyrequest.h"
 
 #include "loopthread.h"
 #include "rawcall.h"
@@ -161,23 +161,24 @@
         route.pathPrefix = "/";
         route.targets = {{"s", 1}};
         route.latencyObjective = absl::Milliseconds(300);
-        route.gapObjective = absl::Milliseconds(300);
+        route.interEventObjective = absl::Milliseconds(300);
         Deployment deployment;
         deployment.version = 1;
         deployment.routes = {route};
         index = std::make_shared<const DeploymentIndex>(std::move(deployment));
         thread.run([this] {
-            places.setDeployment(index);
-            places.setUpstreams({{"u1", "s", "127.0.0.1:38482", "d", 4, false},
-                                 {"u2", "s", "127.0.0.1:38483", "d", 4, false}},
-                                1);
+            slotClient.setDeployment(index);
+            slotClient.setUpstreams({{"u1", "s", "127.0.0.1:38482", "d", 4, false},
+                                     {"u2", "s", "127.0.0.1:38483", "d", 4, false}},
+                                    1);
             server = std::make_unique<net::Server>(loop, [this](auto exchange) {
                 RoutedRequest request;
                 request.deployment = index;
                 request.route = &index->deployment().routes.front();
-                request.caller =
-                        outcomeOf([&] { return dialect.readRequest(exchange->request()); }).value();
-                passThrough(context, std::move(request), std::move(exchange));
+                request.caller = outcomeOf([&] {
+                                     return dialect.parseRequest(exchange->request());
+                                 }).value();
+                proxyRequest(context, std::move(request), std::move(exchange));
             });
             BOOST_REQUIRE(outcomeOf([&] { return server->start(entryAddress); }).ok());
         });
@@ -202,11 +203,11 @@
     net::EventLoop &loop = thread.loop();
     Metrics metrics;
     TestDialect dialect;
-    net::UpstreamPool upstreams{loop, net::UpstreamPoolOptions()};
+    net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
-    PlaceClient places{loop, channels, SystemClock::instance(), PlaceClientSettings()};
+    SlotClient slotClient{loop, channels, SystemClock::instance(), SlotClientSettings()};
     const ServingContext context{
-            loop, SystemClock::instance(), metrics, dialect, upstreams, places, {"e", "d"}};
+            loop, SystemClock::instance(), metrics, dialect, upstreams, slotClient, {"e", "d"}};
     std::shared_ptr<const DeploymentIndex> index;
     std::unique_ptr<net::Server> server;
 };
@@ -227,7 +228,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PassThroughTest)
+BOOST_AUTO_TEST_SUITE(ProxyRequestTest)
 
 BOOST_AUTO_TEST_CASE(answerIsPassedOnUnchanged)
 {
--- a/tests/serving/placebroker_test.cpp
+++ b/tests/serving/slotbroker_test.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/slotbroker.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -8,7 +8,7 @@
 
 using namespace rattanrill;
 using namespace rattanrill::serving;
-using wire::PlaceVerdict;
+using wire::SlotOutcome;
 
 namespace {
 
@@ -20,11 +20,11 @@
     return std::make_shared<const DeploymentIndex>(std::move(result));
 }
 
-BrokerSettings settings()
+SlotBrokerSettings settings()
 {
-    BrokerSettings result;
-    result.rateOver = 0.1;
-    result.rateSlack = 20;
+    SlotBrokerSettings result;
+    result.rateToleranceFraction = 0.1;
+    result.rateToleranceRequests = 20;
     return result;
 }
 
@@ -33,12 +33,12 @@
     Fixture()
     {
         broker.setDeployment(deployment(10, 10));
-        broker.setUpstreams({{"u", "llm", "u:1", "d", 100, false}}, BrokerShare());
+        broker.setUpstreams({{"u", "llm", "u:1", "d", 100, false}}, CapacityShare());
     }
 
-    wire::PlaceRequest request(const std::string &id)
+    wire::SlotRequest request(const std::string &id)
     {
-        wire::PlaceRequest result;
+        wire::SlotRequest result;
         result.requestId = id;
         result.instance = "e";
         result.service = "llm";
@@ -48,30 +48,30 @@
         return result;
     }
 
-    std::optional<wire::PlaceResponse> place(const wire::PlaceRequest &question)
+    std::optional<wire::SlotResponse> acquire(const wire::SlotRequest &question)
     {
         last.reset();
-        broker.place(question, [this](const wire::PlaceResponse &response) { last = response; });
+        broker.acquire(question, [this](const wire::SlotResponse &response) { last = response; });
         return last;
     }
 
     bool isGranted(const std::string &id)
     {
-        const auto answer = place(request(id));
-        return answer && answer->verdict == PlaceVerdict::Granted;
+        const auto answer = acquire(request(id));
+        return answer && answer->verdict == SlotOutcome::Granted;
     }
 
     void release(const std::string &id) { broker.release({"e", id, "u", "served"}); }
 
     ManualClock clock;
     ManualTimerService timers{clock};
-    PlaceBroker broker{timers, clock, settings()};
-    std::optional<wire::PlaceResponse> last;
+    SlotBroker broker{timers, clock, settings()};
+    std::optional<wire::SlotResponse> last;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(PlaceBrokerTest, Fixture)
+BOOST_FIXTURE_TEST_SUITE(SlotBrokerTest, Fixture)
 
 // Guards against a workspace that gets more than its rate and burst, with what the deployment
 // allows on top, in any window, also over changes of the broker.
@@ -107,7 +107,7 @@
     for (int i = 0; i < 30; ++i)
         granted += isGranted(std::to_string(i)) ? 1 : 0;
     BOOST_TEST(granted == 10);
-    BOOST_TEST((last->verdict == PlaceVerdict::OverRate));
+    BOOST_TEST((last->verdict == SlotOutcome::OverRate));
     BOOST_TEST(last->retryAfterMs > 0);
     BOOST_TEST(last->retryAfterMs <= 100);
 }
@@ -118,36 +118,36 @@
     timers.advance(absl::Seconds(10));
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(isGranted(std::to_string(i)));
-    wire::PlaceRequest again = request("0~2");
+    wire::SlotRequest again = request("0~2");
     again.chargesRate = false;
-    BOOST_TEST((place(again)->verdict == PlaceVerdict::Granted));
+    BOOST_TEST((acquire(again)->verdict == SlotOutcome::Granted));
 }
 
 // Guards against a lost broker that is noticed only after the whole wait for a place.
 BOOST_AUTO_TEST_CASE(waitingRequestIsToldSoAndKeepsItsTurn)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, BrokerShare());
-    wire::PlaceRequest patient = request("waits");
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    wire::SlotRequest patient = request("waits");
     patient.objectiveMs = 5000;
     BOOST_TEST(isGranted("runs"));
-    BOOST_TEST(!place(patient).has_value());
+    BOOST_TEST(!acquire(patient).has_value());
     timers.advance(settings().waitSlice);
     BOOST_TEST_REQUIRE(last.has_value());
-    BOOST_TEST((last->verdict == PlaceVerdict::Waiting));
+    BOOST_TEST((last->verdict == SlotOutcome::Waiting));
     // The place becomes free between two questions.
     release("runs");
     patient.again = true;
-    BOOST_TEST((place(patient)->verdict == PlaceVerdict::Granted));
+    BOOST_TEST((acquire(patient)->verdict == SlotOutcome::Granted));
 }
 
 // Guards against a caller that leaves while it waits, whose asker then takes the broker for lost.
 BOOST_AUTO_TEST_CASE(releasedWhileWaitingIsAnswered)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, BrokerShare());
-    wire::PlaceRequest patient = request("waits");
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    wire::SlotRequest patient = request("waits");
     patient.objectiveMs = 5000;
     isGranted("runs");
-    place(patient);
+    acquire(patient);
     release("waits");
     BOOST_TEST(last.has_value());
 }
@@ -155,15 +155,15 @@
 // Guards against places that stay taken after the process that held them is gone.
 BOOST_AUTO_TEST_CASE(placesOfAGoneProcessAreTakenBack)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, BrokerShare());
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
     BOOST_TEST(isGranted("lost"));
-    broker.keepInstances({"other"});
+    broker.setLiveInstances({"other"});
     BOOST_TEST(isGranted("next"));
 }
 
 BOOST_AUTO_TEST_CASE(silentHolderLosesItsPlaceAfterItsDeadline)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, BrokerShare());
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
     BOOST_TEST(isGranted("lost"));
     timers.advance(absl::Seconds(9));
     BOOST_TEST(isGranted("next"));
@@ -172,14 +172,14 @@
 // Guards against a new broker that gives out places which entries hold.
 BOOST_AUTO_TEST_CASE(placesOfAFormerBrokerAreAdopted)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 2, false}}, BrokerShare());
-    broker.adopt({"e", {{"old", "llm", "w", "u", 3000}}});
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 2, false}}, CapacityShare());
+    broker.restoreHeldSlots({"e", {{"old", "llm", "w", "u", 3000}}});
     BOOST_TEST(isGranted("new"));
     BOOST_TEST(!isGranted("third"));
     release("old");
     BOOST_TEST(isGranted("fourth"));
     // A holder that says nothing any more loses an adopted place like any other.
-    broker.adopt({"f", {{"lost", "llm", "w", "u", 100}}});
+    broker.restoreHeldSlots({"f", {{"lost", "llm", "w", "u", 100}}});
     timers.advance(absl::Seconds(4));
     release("new");
     release("fourth");
@@ -189,17 +189,17 @@
 
 BOOST_AUTO_TEST_CASE(batchWorkIsToldToLeave)
 {
-    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, BrokerShare());
-    policy::PlaceWork work;
-    work.id = "item";
-    work.service = "llm";
-    work.workspace = "w";
-    work.kind = policy::WorkKind::Batch;
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    policy::SlotTask task;
+    task.id = "item";
+    task.service = "llm";
+    task.workspace = "w";
+    task.kind = policy::TaskKind::Batch;
     std::string events;
-    PlaceBroker::BatchHandlers handlers;
+    SlotBroker::BatchHandlers handlers;
     handlers.granted = [&](const std::string &, const std::string &) { events += "granted "; };
-    handlers.yield = [&] { events += "yield"; };
-    broker.placeBatch(work, handlers);
+    handlers.preempted = [&] { events += "yield"; };
+    broker.acquireBatch(task, handlers);
     BOOST_TEST(events == "granted ");
     BOOST_TEST(isGranted("online"));
     BOOST_TEST(events == "granted yield");
--- a/tests/serving/testdialect.h
+++ b/tests/serving/testdialect.h
@@ -1,24 +1,24 @@
 #pragma once
 
-#include "rattanrill/serving/dialect.h"
+#include "rattanrill/serving/protocoladapter.h"
 
 #include <string>
 
 namespace rattanrill::serving {
 
 /// Headers with short names, so that the tests stand apart from any deployment's.
-class TestDialect : public Dialect
+class TestDialect : public ProtocolAdapter
 {
 public:
-    Result<CallerRequest> readRequest(const net::Request &request) const override
+    Result<CallerRequest> parseRequest(const net::Request &request) const override
     {
         CallerRequest caller;
         caller.id = std::string(request.headers.value("Id"));
-        caller.patience = absl::Seconds(3);
+        caller.timeout = absl::Seconds(3);
         return caller;
     }
     net::Request upstreamRequest(const net::Request &request,
-                                 const UpstreamTry &attempt) const override
+                                 const UpstreamAttempt &attempt) const override
     {
         net::Request result = request;
         net::removeConnectionHeaders(result.headers);
@@ -27,13 +27,13 @@
         return result;
     }
     net::Request itemRequest(const wire::JobItem &, const std::string &,
-                             const UpstreamTry &) const override
+                             const UpstreamAttempt &) const override
     {
         return {};
     }
-    AnswerFacts readAnswer(const net::ResponseHead &head) const override
+    ResponseInfo parseResponse(const net::ResponseHead &head) const override
     {
-        AnswerFacts facts;
+        ResponseInfo facts;
         facts.requestId = std::string(head.headers.value("Id"));
         facts.notRun = head.headers.find("Not-Run") != nullptr;
         return facts;
@@ -43,12 +43,12 @@
         return head.headers.value("Content-Type") == "text/event-stream";
     }
     bool isJobCall(const net::Request &) const override { return false; }
-    Result<JobCall> readJobCall(const net::Request &, const CallerRequest &) const override
+    Result<JobCall> parseJobCall(const net::Request &, const CallerRequest &) const override
     {
         return fail(notRun(ErrorCode::NotFound, ""));
     }
-    net::Response jobResults(const wire::ReadJobResponse &) const override { return {}; }
-    net::Response refusal(const Failure &failure, absl::Duration) const override
+    net::Response jobResultsResponse(const wire::ReadJobResponse &) const override { return {}; }
+    net::Response errorResponse(const Failure &failure, absl::Duration) const override
     {
         return net::textResponse(failure.run == RunState::NotRun ? 503 : 502, failure.detail, "t");
     }
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -18,11 +18,11 @@
     DirectoryCommand command;
     command.requestId = "r-1";
     command.baseRevision = 7;
-    command.operation = WithdrawKey{"key-9"};
+    command.operation = RevokeKey{"key-9"};
     const auto decoded = outcomeOf([&] { return decode<DirectoryCommand>(encode(command)); });
     BOOST_REQUIRE(decoded.ok());
     BOOST_TEST(decoded.value().baseRevision == 7u);
-    BOOST_TEST(std::get<WithdrawKey>(decoded.value().operation).keyId == "key-9");
+    BOOST_TEST(std::get<RevokeKey>(decoded.value().operation).keyId == "key-9");
 }
 
 // Guards against binary bodies that a text encoding would change.
