--- a/include/rattanrill/wire/codec.h
+++ b/include/rattanrill/wire/codec.h
@@ -8,16 +8,17 @@
 
 namespace rattanrill::wire {
 
-/// CBOR encoding of a message struct of this library.
+/// Encodes a message struct of this library as CBOR.
 template <typename Message>
 std::string encode(const Message &message);
 
-/// Inverse of encode(). Fails with MalformedMessage on anything else; a member that is missing
-/// keeps its default value, an unknown member is ignored, so that versions can differ by one.
+/// Inverse of encode(). A missing member keeps its default value and an unknown member is ignored,
+/// so that the versions of two processes can differ by one. Fails with MalformedMessage on any
+/// other deviation.
 template <typename Message>
 Result<Message> decode(std::string_view bytes);
 
-/// The same message as JSON text, for operators and logs.
+/// Encodes a message as JSON text, for operators and logs.
 template <typename Message>
 std::string toJsonText(const Message &message);
 
@@ -25,7 +26,7 @@
 template <typename Message>
 Result<Message> fromJsonText(std::string_view text);
 
-/// What a state machine answers: an encoded CommandResult with the message or the failure.
+/// Encodes the response of a state machine: a CommandResult with the message or the failure.
 template <typename Message>
 std::string encodeCommandResult(const Outcome<Message> &outcome)
 {
--- a/include/rattanrill/wire/directorymessages.h
+++ b/include/rattanrill/wire/directorymessages.h
@@ -7,20 +7,25 @@
 #include <variant>
 #include <vector>
 
-/// Records, commands and queries of the directory group. Times are wall-clock milliseconds since
-/// the epoch, taken by the proposing leader, so that every replica computes the same state.
+/// Records, commands and queries of the directory group. Members named ...AtMs and \c nowMs are
+/// wall-clock milliseconds since the Unix epoch, taken by the proposing leader, so that every
+/// replica computes the same state. Other members that end in Ms are durations in milliseconds.
+/// The \c revision of a record is the directory revision of its last write.
 namespace rattanrill::wire {
 
+/// What an upstream runs: an inference engine or a plain service.
 enum class UpstreamKind {
     Engine,
     Service,
 };
 
+/// Whether an upstream is in use or being removed.
 enum class UpstreamState {
     Active,
     Leaving,
 };
 
+/// Type of a directory record.
 enum class RecordKind {
     Contract,
     ApiKey,
@@ -36,17 +41,19 @@
 std::string_view name(UpstreamState state);
 std::string_view name(RecordKind kind);
 
-/// What one workspace is granted. Absent or withdrawn: nothing.
+/// Limits and shares granted to one workspace. A workspace whose contract is absent or withdrawn is
+/// granted nothing.
 struct Contract
 {
     std::string workspace;
-    /// Requests per second over the whole fleet.
+    /// Requests per second over all entry instances.
     double ratePerSecond = 0;
-    /// Requests that may exceed the rate at once, over the whole fleet.
+    /// Number of requests that may exceed the rate at once, over all entry instances.
     double burst = 0;
-    /// Weight of the workspace's batch work against that of others; 0 grants no batch work.
+    /// Weight of the workspace's batch work relative to other workspaces; 0 grants no batch work.
     double batchShare = 0;
-    /// Share of rate and burst per region, for the time when regions lose each other.
+    /// Share of rate and burst by region name, for use while regions cannot reach each other. The
+    /// shares add up to at most 1.
     std::map<std::string, double> regionShares;
     /// How long batch results stay readable after the job has ended.
     std::int64_t retentionSeconds = 7 * 24 * 3600;
@@ -54,7 +61,7 @@
     std::uint64_t revision = 0;
 };
 
-/// A caller's key. The key itself is never stored.
+/// A caller's API key. Only its hash is stored, never the key itself.
 struct ApiKey
 {
     std::string keyId;
@@ -65,6 +72,7 @@
     std::uint64_t revision = 0;
 };
 
+/// A named setting.
 struct Config
 {
     std::string name;
@@ -73,19 +81,20 @@
     std::uint64_t revision = 0;
 };
 
-/// Route of the callers' interface to a plain service.
+/// Maps a path prefix of the callers' interface to a plain service.
 struct Route
 {
     std::string name;
     std::string pathPrefix;
     std::string service;
-    /// Open to all: no key is asked for.
+    /// The route needs no API key.
     bool open = false;
-    /// A call may be repeated without a second effect.
+    /// A request can be repeated without a further effect.
     bool idempotent = false;
     std::uint64_t revision = 0;
 };
 
+/// A server that runs requests: an inference engine or an instance of a plain service.
 struct Upstream
 {
     std::string name;
@@ -96,19 +105,19 @@
     std::int64_t port = 0;
     std::string failureDomain;
     UpstreamState state = UpstreamState::Active;
-    /// The upstream refuses orders with an old fencing number.
+    /// The upstream rejects orders with a fencing number lower than the highest one received.
     bool checksFence = false;
     std::uint64_t revision = 0;
 };
 
-/// An acknowledged entry instance.
+/// An entry instance that has joined the directory.
 struct Member
 {
     std::string instance;
     std::string failureDomain;
     std::string peerAddress;
     std::string httpAddress;
-    /// Drawn at process start; a restarted process is a new incarnation.
+    /// Random value generated at process start, so that a restarted process is a new incarnation.
     std::string incarnation;
     std::uint64_t revision = 0;
 };
@@ -121,100 +130,115 @@
     std::uint64_t revision = 0;
 };
 
-/// A request fingerprint with the upstreams that crashed while running it.
+/// Fingerprint of a request with the upstreams that crashed while running it.
 struct QuarantinedRequest
 {
     std::string fingerprint;
     std::vector<std::string> crashedUpstreams;
     std::int64_t expiresAtMs = 0;
-    /// True from the second crashed upstream on.
+    /// The request is not run any more; true from the second crashed upstream on.
     bool held = false;
     std::uint64_t revision = 0;
 };
 
+/// Creates or replaces a workspace's contract.
 struct PutContract
 {
     static constexpr std::string_view kind = "put_contract";
     Contract contract;
 };
 
+/// Withdraws a workspace's contract and its API keys.
 struct WithdrawContract
 {
     static constexpr std::string_view kind = "withdraw_contract";
     std::string workspace;
 };
 
+/// Adds an API key.
 struct AddKey
 {
     static constexpr std::string_view kind = "add_key";
     ApiKey key;
 };
 
+/// Revokes an API key.
 struct RevokeKey
 {
     static constexpr std::string_view kind = "withdraw_key";
     std::string keyId;
 };
 
+/// Creates or replaces a setting.
 struct PutConfig
 {
     static constexpr std::string_view kind = "put_config";
     Config config;
 };
 
+/// Creates or replaces a route.
 struct PutRoute
 {
     static constexpr std::string_view kind = "put_route";
     Route route;
 };
 
+/// Removes a route.
 struct RemoveRoute
 {
     static constexpr std::string_view kind = "remove_route";
     std::string name;
 };
 
+/// Creates or replaces an upstream.
 struct PutUpstream
 {
     static constexpr std::string_view kind = "put_upstream";
     Upstream upstream;
 };
 
+/// Removes an upstream.
 struct RemoveUpstream
 {
     static constexpr std::string_view kind = "remove_upstream";
     std::string name;
 };
 
+/// Adds an entry instance or replaces its previous incarnation. Fails with NotMember if a newer
+/// incarnation has replaced this one.
 struct JoinMember
 {
     static constexpr std::string_view kind = "join_member";
     Member member;
 };
 
+/// Removes an entry instance.
 struct RemoveMember
 {
     static constexpr std::string_view kind = "remove_member";
     std::string instance;
-    /// Only this incarnation is removed; empty: any.
+    /// If not empty, the command fails with Conflict unless the member is this incarnation.
     std::string incarnation;
 };
 
+/// Issues the next fencing number for orders to an upstream. Fails with NotFound.
 struct IssueFencingToken
 {
     static constexpr std::string_view kind = "issue_fence";
     std::string upstream;
 };
 
+/// Reports that an upstream crashed while running a request.
 struct ReportCrash
 {
     static constexpr std::string_view kind = "report_crash";
     std::string fingerprint;
     std::string upstream;
-    /// How long the record is kept.
+    /// How long the record is kept after this report.
     std::int64_t holdMs = 0;
 };
 
+/// Removes the quarantine record of a request.
 struct ReleaseQuarantined
 {
     static constexpr std::string_view kind = "release_held";
@@ -229,101 +253,109 @@
 /// A write to the directory.
 struct DirectoryCommand
 {
-    /// Of the operator or process; a resend with the same id gets the first answer. Empty: none.
+    /// Chosen by the operator or process. A resend with the same id receives the first response.
+    /// Empty if resends are not detected.
     std::string requestId;
-    /// Revision of the record that the write is based on; 0 for a new record. A write whose record
-    /// has another revision fails with Conflict. Ignored when \a unconditional.
+    /// Revision of the record that the write is based on; 0 for a new record. The write fails with
+    /// Conflict if the record has another revision. Ignored if \a unconditional.
     std::uint64_t baseRevision = 0;
     bool unconditional = false;
     std::int64_t nowMs = 0;
     DirectoryOperation operation;
 };
 
-/// Answer to a DirectoryCommand.
+/// Response to a DirectoryCommand.
 struct DirectoryResult
 {
     /// Revision of the directory after the command.
     std::uint64_t revision = 0;
-    /// Number that IssueFencingToken drew.
+    /// Fencing number that IssueFencingToken issued.
     std::uint64_t fence = 0;
-    /// ReportCrash: the request is held from now on.
+    /// ReportCrash: the request is quarantined and not run any more.
     bool held = false;
-    /// Id of the written record. A resent AddKey is answered with the id of the first key.
+    /// Id of the written record. A resent AddKey returns the id of the first key.
     std::string id;
 };
 
-/// One changed record.
+/// A record that was written or removed.
 struct RecordChange
 {
     std::uint64_t revision = 0;
     RecordKind kind = RecordKind::Contract;
     std::string id;
     bool removed = false;
-    /// CBOR of the record; empty when removed.
+    /// CBOR of the record; empty if \a removed.
     std::string body;
 };
 
-/// Request of Method::PollChanges.
+/// Request of Method::PollChanges, a long poll for directory changes.
 struct PollChangesRequest
 {
     std::string instance;
-    /// Last revision that the follower has.
+    /// Last revision that the sender has applied.
     std::uint64_t afterRevision = 0;
-    /// How long the other side may wait for a change before it answers.
+    /// How long the receiver may wait for a change before it responds.
     std::int64_t waitMs = 0;
 };
 
 /// Response of Method::PollChanges.
 struct PollChangesResponse
 {
-    /// Directory revision that the leader confirmed after the request had arrived.
+    /// Directory revision that the leader confirmed after it had received the request.
     std::uint64_t revision = 0;
-    /// The changes replace the whole view (the follower was too far behind).
+    /// The changes replace the sender's whole view because it was too far behind.
     bool snapshot = false;
     std::vector<RecordChange> changes;
-    /// Revision of the last member change. A snapshot does not show removals, and all entries must
-    /// choose owners of rate buckets by the same revision.
+    /// Revision of the last membership change. It is sent because a snapshot does not show
+    /// removals, and all entries must choose owners of rate buckets by the same revision.
     std::uint64_t memberRevision = 0;
 };
 
-/// Request of Method::Heartbeat.
+/// Request of Method::Heartbeat. The first one of an incarnation makes it join the directory.
 struct HeartbeatRequest
 {
     Member member;
+    /// Directory revision that the sender applies at present.
     std::uint64_t revisionInForce = 0;
+    /// The instance shuts down and must be removed from the members.
     bool leaving = false;
 };
 
+/// Response of Method::Heartbeat.
 struct HeartbeatResponse
 {
+    /// Directory revision of the leader.
     std::uint64_t revision = 0;
 };
 
 /// Query to the directory group.
 struct DirectoryQuery
 {
-    /// Changes after this revision; 0 asks for all records.
+    /// Selects the changes after this revision; 0 selects all records.
     std::uint64_t afterRevision = 0;
 };
 
-/// A request for rate grants, several callers' requests at once. Method::Grant.
+/// Request of Method::Grant: one request to the owner of a workspace's rate bucket for the grants
+/// of one or several callers' requests.
 struct RateGrantRequest
 {
     std::string workspace;
-    /// Revision of the membership by which the sender chose the owner.
+    /// Membership revision by which the sender chose the owner.
     std::uint64_t memberRevision = 0;
+    /// Number of requests to grant.
     std::int64_t requests = 1;
-    /// How long a granted request may wait for its turn.
+    /// Longest time that a granted request may wait before it runs.
     std::int64_t maxWaitMs = 0;
 };
 
+/// Response of Method::Grant.
 struct RateGrantResponse
 {
     /// Number of requests granted, in order of arrival.
     std::int64_t granted = 0;
-    /// Wait before each granted request may run.
+    /// Time that each granted request must wait before it runs; \a granted elements.
     std::vector<std::int64_t> waitsMs;
-    /// When nothing or less was granted: earliest time for another try.
+    /// Time before another attempt can succeed; set if fewer requests were granted than requested.
     std::int64_t retryAfterMs = 0;
 };
 
@@ -331,17 +363,17 @@
 struct RateBucketLevel
 {
     std::string workspace;
-    /// Units left; negative while granted ones wait.
+    /// Requests left in the bucket; negative while granted requests wait.
     double level = 0;
 };
 
-/// Pushed by an entry that has seen its ownership of workspaces end to the one that owns them now.
-/// Method::TransferRateBuckets.
+/// Push of Method::TransferRateBuckets, sent by an entry that no longer owns the rate buckets of
+/// some workspaces to the entry that owns them now.
 struct RateBucketTransfer
 {
-    /// Former owner, which grants no more.
+    /// Former owner; it grants no more requests of these workspaces.
     std::string instance;
-    /// Revision of the membership by which the receiver is the owner.
+    /// Membership revision by which the receiver is the owner.
     std::uint64_t memberRevision = 0;
     std::vector<RateBucketLevel> levels;
 };
--- a/include/rattanrill/wire/envelope.h
+++ b/include/rattanrill/wire/envelope.h
@@ -11,6 +11,7 @@
 /// Version of the envelope and of the messages in it.
 constexpr std::uint32_t protocolVersion = 1;
 
+/// Role of an envelope in the exchange between two processes.
 enum class EnvelopeKind {
     Hello,
     Request,
@@ -18,6 +19,7 @@
     Push,
 };
 
+/// Operation that an envelope belongs to.
 enum class Method {
     Hello,
     Raft,
@@ -41,7 +43,7 @@
 std::string_view name(EnvelopeKind kind);
 std::string_view name(Method method);
 
-/// A \c Failure on the wire; \a failed is false in a response that carries a value.
+/// A \c Failure as it is sent. \a failed is false in a response that carries a value.
 struct FailureMessage
 {
     bool failed = false;
@@ -53,21 +55,24 @@
 FailureMessage toMessage(const Failure &failure);
 Failure fromMessage(const FailureMessage &message);
 
-/// One websocket frame between two processes.
+/// One WebSocket frame between two processes.
 struct Envelope
 {
     std::uint32_t version = protocolVersion;
     EnvelopeKind kind = EnvelopeKind::Request;
-    /// Of a request, chosen by its sender; repeated in the response.
+    /// Chosen by the sender of a request and repeated in the response.
     std::uint64_t id = 0;
     Method method = Method::Hello;
+    /// Set if the request failed or the connection was refused.
     FailureMessage failure;
-    /// CBOR of the method's message.
+    /// CBOR encoding of the message of \a method.
     std::string body;
 };
 
-/// First message of both sides. \a proof is the HMAC-SHA256 of the other side's nonce and the own
-/// instance name under the cluster secret; it is empty in the opening message of the client.
+/// Message by which the two ends of a connection authenticate each other before any other message.
+/// \a proof is the HMAC-SHA256 under the cluster secret of the sender's side (client or server),
+/// the receiver's nonce, and the sender's nonce, instance name, failure domain and role. It is
+/// empty in the client's opening message.
 struct HelloMessage
 {
     std::uint32_t version = protocolVersion;
@@ -92,20 +97,20 @@
     std::string query;
 };
 
-/// Response of Method::Propose and Method::Read: what the state machine answered.
+/// Response of Method::Propose and Method::Read: what the state machine returned.
 struct GroupResponse
 {
     std::string body;
 };
 
-/// Request and push of Method::Raft.
+/// Request and push of Method::Raft: an encoded Raft message of \a group.
 struct RaftEnvelope
 {
     std::string group;
     std::string message;
 };
 
-/// What a state machine's apply() and query() return: a failure or an encoded message.
+/// Return value of apply() and query() of a state machine: a failure or an encoded message.
 struct CommandResult
 {
     FailureMessage failure;
--- a/include/rattanrill/wire/fleetmessages.h
+++ b/include/rattanrill/wire/fleetmessages.h
@@ -6,10 +6,12 @@
 #include <variant>
 #include <vector>
 
-/// Records and messages by which the processes of a deployment find each other, share the
-/// deployment's configuration, place requests and keep batch jobs. Times are milliseconds.
+/// Records and messages by which the processes of a deployment discover each other, share the
+/// deployment's configuration and acquire slots at upstreams. Members that end in Ms are durations
+/// in milliseconds.
 namespace rattanrill::wire {
 
+/// What a process of the deployment does.
 enum class MemberRole {
     Entry,
     Control,
@@ -25,24 +27,26 @@
     MemberRole role = MemberRole::Entry;
     std::string failureDomain;
     std::string peerAddress;
-    /// Replica id in the group of its role: the peer address and an identity that is drawn when
-    /// the data folder is first used. Of an entry: its address and an identity of this start.
+    /// Replica id in the group of its role: the peer address and an identity that is generated when
+    /// the data directory is first used. For an entry: its address and an identity generated at
+    /// each start.
     std::string replica;
 };
 
-/// An upstream as the platform's list names it.
+/// An upstream as listed by the platform.
 struct FleetUpstream
 {
     std::string id;
     std::string service;
     std::string address;
     std::string failureDomain;
+    /// Number of requests that it can run at once.
     std::int64_t slots = 0;
-    /// It takes no new work.
+    /// The upstream accepts no new work.
     bool draining = false;
 };
 
-/// Replaces the configuration if \a version is higher than the one held.
+/// Replaces the configuration if \a version is higher than the stored one; otherwise has no effect.
 struct PutConfiguration
 {
     static constexpr std::string_view kind = "put_configuration";
@@ -51,59 +55,66 @@
     std::string document;
 };
 
-/// The operator wants a store emptied. The answer comes before it is.
+/// Marks a store for retirement at the request of an operator, so that its copy of the store
+/// group's data is removed. The response is sent before the removal.
 struct RetireStore
 {
     static constexpr std::string_view kind = "retire_store";
     std::string replica;
 };
 
-/// Names the first voters of the store group, once in the life of a deployment.
+/// Sets the first voters of the store group. Only the first such command of a deployment has an
+/// effect.
 struct BootstrapStoreGroup
 {
     static constexpr std::string_view kind = "found_store_group";
+    /// Replica ids.
     std::vector<std::string> voters;
 };
 
 using FleetOperation = std::variant<PutConfiguration, RetireStore, BootstrapStoreGroup>;
 
+/// A write to the fleet group.
 struct FleetCommand
 {
     FleetOperation operation;
 };
 
+/// Response to a FleetCommand.
 struct FleetResult
 {
     /// Version of the configuration after the command.
     std::uint64_t configurationVersion = 0;
 };
 
-/// Asks for the whole state; the document is left out when \a knownVersion is the one held.
+/// Reads the state of the fleet group. The document is left out if \a knownVersion equals the
+/// stored version.
 struct FleetQuery
 {
     std::uint64_t knownVersion = 0;
 };
 
-/// State of the fleet group.
+/// State of the fleet group. The lists hold replica ids.
 struct FleetSnapshot
 {
     std::uint64_t configurationVersion = 0;
     std::string configuration;
     std::vector<std::string> retiringStores;
+    /// First voters of the store group; empty until it is bootstrapped.
     std::vector<std::string> storeFounders;
 };
 
-/// A member with what the leader of the fleet group knows about its life.
+/// A member with its status as the leader of the fleet group sees it.
 struct FleetMemberStatus
 {
     FleetMember member;
-    /// The leader heard of it within the member timeout.
+    /// The leader received a sync request from it within the member timeout.
     bool alive = false;
-    /// It leads the store group, as it says itself.
+    /// It leads the store group, as it reports itself.
     bool leadsStores = false;
-    /// The operator wants it emptied.
+    /// An operator has requested its retirement.
     bool retiring = false;
-    /// It keeps a copy of the store group, as the store group's leader says.
+    /// It is a replica of the store group, as the leader of that group reports.
     bool holdsCopy = false;
 };
 
@@ -111,103 +122,120 @@
 struct FleetSyncRequest
 {
     FleetMember self;
+    /// The sender leads the store group.
     bool leadsStores = false;
-    /// Of the store group's leader: its term, and the replicas of that group.
+    /// Term and replica ids of the store group; set only by its leader.
     std::uint64_t storeTerm = 0;
     std::vector<std::string> storeReplicas;
+    /// The sender shuts down.
     bool leaving = false;
-    /// Of the last answer; an unequal one is answered at once.
+    /// View and configuration that the sender received last. The leader responds at once if its
+    /// view differs or its configuration is newer.
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::uint64_t configurationVersion = 0;
+    /// How long the leader may wait for a change before it responds.
     std::int64_t waitMs = 0;
 };
 
+/// Response of Method::Sync. Only the fields up to \a configuration are set if the sender of the
+/// request has the current view.
 struct FleetSyncResponse
 {
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::uint64_t configurationVersion = 0;
-    /// Empty when the asker has this version.
+    /// Empty if the sender of the request has this version.
     std::string configuration;
     std::vector<FleetMemberStatus> members;
-    /// The leader has led for long enough to have heard of every process that lives.
+    /// The leader has led for longer than the member timeout, so that every live process has sent
+    /// it a sync request.
     bool membersSettled = false;
+    /// Replica ids of the first voters of the store group; empty until it is bootstrapped.
     std::vector<std::string> storeFounders;
-    /// False until the platform's list was read once in this term; \a upstreams then means nothing.
+    /// False until the platform's list has been read once in this term; until then \a upstreams is
+    /// not valid.
     bool upstreamsKnown = false;
     std::vector<FleetUpstream> upstreams;
 };
 
-/// Request of Method::RequestSlot: asks for a place at an upstream for one request.
+/// Request of Method::RequestSlot: requests a slot at an upstream for one request.
 struct SlotRequest
 {
-    /// Asks again for one that waits.
+    /// Polls a request that already waits. The broker treats it as new if it does not hold the
+    /// request.
     bool again = false;
     std::string requestId;
+    /// Entry instance that sends the request.
     std::string instance;
     std::string failureDomain;
     std::string service;
     std::string workspace;
-    /// 0 is served first.
+    /// Lower values are served first; 0 is the highest priority.
     std::int64_t priority = 0;
-    /// The workspace's rate is charged; false for a further try of the same request.
+    /// The request counts against the workspace's rate; false for a further attempt of the same
+    /// request.
     bool chargesRate = true;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    /// Until the answer's start is late.
+    /// Time left until the start of the response misses its latency objective.
     std::int64_t objectiveMs = 0;
-    /// Until the request is of no use any more.
+    /// Time left until the request's deadline, after which a response is of no use.
     std::int64_t deadlineMs = 0;
-    /// Upstreams that this request was already sent to.
+    /// Ids of upstreams that this request has already been sent to.
     std::vector<std::string> excluded;
 };
 
+/// Outcome of a SlotRequest.
 enum class SlotOutcome {
     Granted,
     /// The workspace has used up its rate.
     OverRate,
-    /// No place will be free in time.
+    /// No slot will be free in time.
     NoSlot,
-    /// It waits; the asker asks again, by which both know that the other one lives.
+    /// The request still waits; the sender polls again. The polls show each side that the other is
+    /// alive.
     Waiting,
 };
 
+/// Response of Method::RequestSlot.
 struct SlotResponse
 {
     SlotOutcome verdict = SlotOutcome::NoSlot;
+    /// Id and address of the upstream; set if granted.
     std::string upstream;
     std::string address;
+    /// Time before another attempt can succeed; set if refused.
     std::int64_t retryAfterMs = 0;
 };
 
-/// A place that a process holds.
+/// A slot that an entry instance holds.
 struct HeldSlot
 {
     std::string requestId;
     std::string service;
     std::string workspace;
     std::string upstream;
-    /// Until the request's deadline.
+    /// Time left until the request's deadline.
     std::int64_t deadlineMs = 0;
 };
 
-/// Push of Method::ReportHeldSlots: tells a new broker which places are taken.
+/// Push of Method::ReportHeldSlots: reports the occupied slots to a new broker.
 struct HeldSlots
 {
     std::string instance;
     std::vector<HeldSlot> places;
 };
 
-/// Push of Method::Load: what an upstream said of its load with the head of an answer.
+/// Push of Method::Load: the load that an upstream reported in the headers of a response.
 struct UpstreamLoad
 {
     std::string upstream;
-    /// Requests that it runs or that wait there, from all senders.
+    /// Requests that run or wait at the upstream, from all senders.
     std::int64_t requests = 0;
 };
 
-/// Push of Method::ReleaseSlot: a granted place is free again.
+/// Push of Method::ReleaseSlot: releases a granted slot.
 struct SlotRelease
 {
     std::string instance;
--- a/include/rattanrill/wire/jobmessages.h
+++ b/include/rattanrill/wire/jobmessages.h
@@ -7,18 +7,19 @@
 #include <variant>
 #include <vector>
 
-/// Records, commands and queries of the store group: batch jobs of requests that are passed to
-/// upstreams unchanged. Times are wall-clock milliseconds since the epoch, taken by the proposer.
+/// Records, commands and queries of the store group: batch jobs whose requests are passed to
+/// upstreams unchanged. \c acceptedAtMs and \c beforeMs are wall-clock milliseconds since the Unix
+/// epoch, taken by the proposer; other members that end in Ms are durations in milliseconds.
 namespace rattanrill::wire {
 
-/// One item of a job, as its caller handed it in.
+/// One item of a job, as submitted by the caller.
 struct JobItem
 {
     std::string id;
     std::string path;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
-    /// Prompt tokens and the largest output together.
+    /// Prompt tokens plus the maximum number of output tokens.
     std::int64_t tokens = 0;
 };
 
@@ -33,6 +34,7 @@
     std::vector<JobItem> items;
 };
 
+/// How an item ended.
 enum class ItemOutcome {
     Completed,
     DeadLettered,
@@ -40,7 +42,7 @@
 
 std::string_view name(ItemOutcome outcome);
 
-/// Final state of one item. Its place in the job's list of results never changes.
+/// Final state of one item. Its position in the job's list of results never changes.
 struct ItemResult
 {
     std::string id;
@@ -48,16 +50,17 @@
     std::string output;
 };
 
-/// Accepts a job once; a repeat is answered as the first time.
+/// Accepts a job. A repeat with the same job id has no further effect; it fails with Conflict if
+/// the job belongs to another workspace.
 struct AcceptJob
 {
     static constexpr std::string_view kind = "accept_job";
     JobRecord job;
-    /// Tokens that the workspace may have waiting on the route; 0: no limit.
+    /// Maximum number of tokens in unfinished items of the workspace on the route; 0 for no limit.
     std::int64_t maxWaitingTokens = 0;
 };
 
-/// Appends results in this order; items that already have one are left out.
+/// Appends results in this order. Results of items that already have one are ignored.
 struct AppendResults
 {
     static constexpr std::string_view kind = "append_results";
@@ -65,28 +68,30 @@
     std::vector<ItemResult> results;
 };
 
-/// What an item that still runs has produced since its last stored event.
+/// Output that a running item has produced since its last stored event.
 struct ItemProgress
 {
     std::string job;
     std::string item;
-    /// Event up to which the store has the output; -1 for none. Progress that does not begin there
-    /// changes nothing.
+    /// Last event of which the store holds the output; -1 for none. The progress is ignored if the
+    /// store holds another event.
     std::int64_t after = -1;
+    /// Last event in \a output.
     std::int64_t lastEvent = -1;
-    /// Data of the events in between, as in a result.
+    /// Data of the events from \a after (exclusive) to \a lastEvent, in the format of a result.
     std::string output;
-    /// Time for which the item has held places at upstreams.
+    /// Total time for which the item has held slots at upstreams.
     std::int64_t servedMs = 0;
 };
 
-/// Stores progress, so that another executor goes on after it.
+/// Stores progress, so that another executor can continue after it.
 struct AppendProgress
 {
     static constexpr std::string_view kind = "append_progress";
     std::vector<ItemProgress> items;
 };
 
+/// Ends a job; its unfinished items do not run any more. Fails with NotFound.
 struct EndJob
 {
     static constexpr std::string_view kind = "end_job";
@@ -94,7 +99,7 @@
     std::string job;
 };
 
-/// Forgets jobs that were accepted before \a beforeMs and are finished or ended.
+/// Removes jobs that were accepted before \a beforeMs and are finished or ended.
 struct ForgetJobs
 {
     static constexpr std::string_view kind = "forget_jobs";
@@ -103,18 +108,20 @@
 
 using JobOperation = std::variant<AcceptJob, AppendResults, AppendProgress, EndJob, ForgetJobs>;
 
+/// A write to the store group.
 struct JobCommand
 {
     JobOperation operation;
 };
 
-/// Answer to a JobCommand.
+/// Response to a JobCommand.
 struct JobCommandResult
 {
-    /// AcceptJob: the job does not fit under the workspace's limit of waiting tokens.
+    /// AcceptJob: the job was refused because it exceeds the workspace's limit of waiting tokens.
     bool overLimit = false;
-    /// AcceptJob: the job was not known before.
+    /// AcceptJob: the job was accepted now, not by an earlier command.
     bool isNew = false;
+    /// AcceptJob: tokens in unfinished items of the workspace on the route after the command.
     std::int64_t waitingTokens = 0;
 };
 
@@ -124,24 +131,30 @@
     JobRecord job;
 };
 
-/// Request of Method::ReadJob, and a query.
+/// Request of Method::ReadJob, also a query: reads results of a job. Fails with NotFound.
 struct ReadJobRequest
 {
     static constexpr std::string_view kind = "read_job";
     std::string workspace;
     std::string job;
+    /// Number of results to skip, in the order of the job's list of results.
     std::int64_t after = 0;
+    /// How long the store may wait for a further result before it responds.
     std::int64_t waitMs = 0;
 };
 
+/// Response of Method::ReadJob.
 struct ReadJobResponse
 {
+    /// Number of items of the job.
     std::int64_t total = 0;
+    /// Value of \a after for the next request.
     std::int64_t next = 0;
     std::vector<ItemResult> results;
 };
 
-/// Request of Method::ReadItem, and a query.
+/// Request of Method::ReadItem, also a query: reads the request body of an item. Fails with
+/// NotFound.
 struct ReadItemRequest
 {
     static constexpr std::string_view kind = "read_item";
@@ -150,27 +163,29 @@
     std::string item;
 };
 
+/// Response of Method::ReadItem.
 struct ReadItemResponse
 {
     std::string body;
 };
 
-/// Asks for the jobs that have items without a result.
+/// Lists the jobs that have items without a result and were not ended.
 struct ListOpenJobs
 {
     static constexpr std::string_view kind = "list_open_jobs";
 };
 
-/// A job with what a new executor needs to go on with it.
+/// A job with the state that a new executor needs to continue it.
 struct OpenJob
 {
     JobRecord job;
-    /// Items that have a result.
+    /// Ids of the items that have a result.
     std::vector<std::string> finished;
-    /// Stored progress of the others, from their beginning.
+    /// Stored progress of the other items, from their first event.
     std::vector<ItemProgress> progress;
 };
 
+/// Response to ListOpenJobs.
 struct OpenJobs
 {
     std::vector<OpenJob> jobs;
@@ -184,7 +199,7 @@
     JobQueryKind query;
 };
 
-/// Whole state, for snapshots.
+/// A job with its whole state, for snapshots.
 struct StoredJob
 {
     JobRecord job;
@@ -193,6 +208,7 @@
     bool ended = false;
 };
 
+/// Whole state of the store group, for snapshots.
 struct StoredJobs
 {
     std::vector<StoredJob> jobs;
