--- a/include/rattanrill/fleet/fleetclient.h
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -14,21 +14,25 @@
 
 namespace rattanrill::fleet {
 
+/// Settings of a FleetClient.
 struct FleetClientSettings
 {
-    /// How this process announces itself.
+    /// Member record that this process sends to the leader.
     wire::FleetMember self;
-    /// Peer addresses of processes that may serve the fleet group; others are learned.
+    /// Peer addresses of processes that may hold a replica of the fleet group. The client discovers
+    /// further ones from the list of members.
     std::vector<std::string> seeds;
-    /// How long the leader may hold a poll; also the period of the heartbeat.
+    /// How long the leader may hold a poll before it responds. This is also the heartbeat period,
+    /// because each poll is a heartbeat.
     absl::Duration pollWait = absl::Milliseconds(500);
-    /// A poll without an answer after this long has failed.
+    /// A poll without a response after this long has failed.
     absl::Duration pollTimeout = absl::Milliseconds(1200);
+    /// Delay after a failed round of polls; doubles with each further failure up to maxBackoff.
     absl::Duration minBackoff = absl::Milliseconds(40);
     absl::Duration maxBackoff = absl::Milliseconds(150);
 };
 
-/// State of the deployment as one process knows it.
+/// Copy of the deployment's state that one process holds.
 struct FleetState
 {
     std::uint64_t configurationVersion = 0;
@@ -36,14 +40,16 @@
     std::vector<wire::FleetMemberStatus> members;
     /// The list of members is complete.
     bool membersSettled = false;
+    /// Replica ids of the first voters of the store group; empty until it is founded.
     std::vector<std::string> storeFounders;
+    /// The platform's list of upstreams has been received at least once.
     bool upstreamsKnown = false;
     std::vector<wire::FleetUpstream> upstreams;
 };
 
-/// Announces this process to the leader of the fleet group and keeps a copy of the deployment's
-/// state, by long polls. Finds the leader through its seeds, through members that it has learned
-/// of, and by the hints of those that do not lead. Used on the event loop only.
+/// Registers this process with the leader of the fleet group and keeps a copy of the deployment's
+/// state up to date by long polls. Finds the leader through the seeds, the control processes in the
+/// list of members, and the hints that non-leaders return. Used on the event loop only.
 class FleetClient
 {
 public:
@@ -55,22 +61,25 @@
     FleetClient(const FleetClient &) = delete;
     FleetClient &operator=(const FleetClient &) = delete;
 
-    /// \a listener is called after each change of the state. Call before start().
+    /// Adds \a listener, which is called after each change of the state. Call before start().
     void onChange(Listener listener);
-    /// Says with each poll whether this process leads the store group, and its replicas.
+    /// Sets the function that fills in, for each poll, whether this process leads the store group,
+    /// with which term and which replicas.
     void setStoreReport(std::function<void(wire::FleetSyncRequest &)> report);
     void start();
-    /// Tells the leader at once what it would learn with the next poll.
+    /// Sends the leader a heartbeat at once, with the same content as the next poll. Does nothing
+    /// while no leader is known.
     void sendHeartbeat();
-    /// Tells the leader that this process leaves; no poll follows.
+    /// Notifies the leader that this process leaves the deployment, and stops polling.
     void leave();
     void stop();
-    /// The settings name other seeds now.
+    /// Replaces the seeds, after the settings have changed.
     void setSeeds(std::vector<std::string> seeds);
     const FleetState &state() const;
-    /// Time since the last answered poll was sent; infinite before the first one.
+    /// Time since the sending of the last poll that received a response; infinite before the first
+    /// one.
     absl::Duration staleness() const;
-    /// Peer address of the leader of the fleet group, as last known.
+    /// Last known peer address of the leader of the fleet group; empty when unknown.
     std::string leaderAddress() const;
 
 private:
--- a/include/rattanrill/fleet/fleetservice.h
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -21,21 +21,23 @@
     using Callback = std::function<void(Outcome<std::vector<wire::FleetUpstream>>)>;
 
     virtual ~UpstreamDiscovery() = default;
-    /// \a callback runs on the event loop, exactly once.
+    /// Reads the list asynchronously. \a callback runs on the event loop, exactly once.
     virtual void read(Callback callback) = 0;
 };
 
+/// Settings of a FleetService.
 struct FleetServiceSettings
 {
-    /// A process that was silent for this long is not alive.
+    /// A process that has sent no heartbeat for this long is considered not alive.
     absl::Duration memberTimeout = absl::Seconds(2);
-    /// The platform's list is read this often, by the leader alone: calls are limited over all
-    /// processes and each is paid for.
+    /// Interval at which the leader reads the platform's list. Only the leader reads it, because
+    /// the platform limits the calls of all processes together and charges for each one.
     absl::Duration listPeriod = absl::Seconds(1);
 };
 
-/// Serves the polls of FleetClient on the leader of the fleet group: keeps the FleetView, reads
-/// the platform's list for everybody, founds the store group. Used on the event loop only.
+/// Serves the polls of FleetClient on the leader of the fleet group. Maintains the FleetView, reads
+/// the platform's list on behalf of all processes, and founds the store group. Used on the event
+/// loop only.
 class FleetService
 {
 public:
@@ -48,9 +50,9 @@
     void install(peer::Server &server);
     void start();
     void stop();
-    /// Processes of the control role, for the voters of the fleet group.
+    /// Processes with the control role, as candidates for the voters of the fleet group.
     std::vector<VoterCandidate> controlCandidates() const;
-    /// State as the leader knows it; meaningless on others.
+    /// Valid on the leader only.
     const FleetView &view() const;
 
 private:
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -12,37 +12,42 @@
 
 namespace rattanrill::fleet {
 
-/// What the leader of the fleet group knows of the deployment: the group's records, the processes
-/// that it hears of and the platform's list of upstreams. Any change raises the sequence, by which
-/// followers see that they are behind. Apart from input and output.
+/// The leader's view of the deployment: the records of the fleet group, the processes that send
+/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number,
+/// which shows a FleetClient that its copy is out of date. Performs no input or output.
 class FleetView
 {
 public:
-    /// \a memberTimeout: a process that was silent for this long is not alive.
+    /// \a memberTimeout: a process that has sent no heartbeat for longer than this is considered
+    /// not alive.
     explicit FleetView(absl::Duration memberTimeout);
 
-    /// Starts over for a term of leadership; what was heard in another one is forgotten.
+    /// Resets the view for a new term of leadership. Members and upstreams of earlier terms are
+    /// discarded.
     void beginTerm(std::uint64_t term, absl::Time now);
     std::uint64_t term() const { return m_term; }
     std::uint64_t sequence() const { return m_sequence; }
 
     void setRecords(const wire::FleetSnapshot &records);
     const wire::FleetSnapshot &records() const { return m_records; }
-    /// The platform's list, as read just now.
+    /// Replaces the platform's list of upstreams with the result of the latest read.
     void setUpstreams(std::vector<wire::FleetUpstream> upstreams);
     void recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now);
-    /// Marks silent processes; forgets those that were silent for very long.
+    /// Marks processes as not alive after the member timeout without a heartbeat; removes them
+    /// after 10 times the member timeout.
     void expire(absl::Time now);
 
-    /// This leader has led for long enough to have heard of every process that lives.
+    /// True when this leader has led for longer than the member timeout, in which every live
+    /// process should have sent a heartbeat.
     bool isSettled() const { return m_settled; }
+    /// True when the sender of \a request already holds this version of the view.
     bool isCurrent(const wire::FleetSyncRequest &request) const;
     wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
-    /// Processes of \a role, for decisions on the voters of their group; none before the view is
-    /// settled, when a voter that has not called yet would look lost.
+    /// Processes of \a role as candidates for the voters of their group. Empty until the view is
+    /// settled, because a voter that has not sent a heartbeat yet would be taken for lost.
     std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
-    /// First voters of the store group, when it can be founded now: enough stores are there, or
-    /// those that are there have waited long enough for others. Empty otherwise.
+    /// Replica ids of the first voters of the store group, when it can be founded now: 3 live
+    /// stores or, once 3 s of this term have passed, as many as are alive. Empty otherwise.
     std::vector<std::string> storeFounders(absl::Time now) const;
 
 private:
--- a/include/rattanrill/fleet/groupreplica.h
+++ b/include/rattanrill/fleet/groupreplica.h
@@ -17,31 +17,34 @@
 
 namespace rattanrill::fleet {
 
+/// Settings of a GroupReplica.
 struct GroupReplicaSettings
 {
     std::string group;
     std::string dataFolder;
     MembershipRules rules;
     absl::Duration heartbeatPeriod = absl::Milliseconds(100);
-    /// Long enough for a machine with a seventh of a core that also serves its other work.
+    /// Long enough for a machine on which the replica has a seventh of a core, shared with the
+    /// other work of the machine.
     absl::Duration electionTimeout = absl::Milliseconds(450);
-    /// Until a leader has been heard; leaves time for a vote, which takes two synced writes.
+    /// Replaces electionTimeout until the first message from a leader. Leaves time for a vote,
+    /// which takes two synced writes.
     absl::Duration initialElectionTimeout = absl::Milliseconds(120);
     std::uint64_t snapshotAfterBytes = std::uint64_t(8) << 20;
-    /// A proposal that was passed on to the leader fails after this long without an answer.
+    /// A proposal that was forwarded to the leader fails after this long without a response.
     absl::Duration forwardTimeout = absl::Milliseconds(900);
 };
 
-/// The replica of a group on this process. Replica ids carry the peer address, so that messages
-/// find processes that no settings name; the leader exchanges lost voters for present processes.
-/// Used on the event loop only.
+/// The replica of a Raft group in this process. Replica ids contain the peer address, so that
+/// messages reach processes that are not listed in any settings. The leader replaces lost voters by
+/// processes that are alive. Used on the event loop only.
 class GroupReplica
 {
 public:
     using Callback = replication::RaftNode::Callback;
-    /// Processes that can hold a replica, as known just now.
+    /// Returns the processes that can currently hold a replica.
     using CandidateSource = std::function<std::vector<VoterCandidate>()>;
-    /// Called with true when this replica begins to lead, and with false when it no longer does.
+    /// Called with true when this replica gains leadership, and with false when it loses it.
     using LeadershipListener = std::function<void(bool leads)>;
 
     GroupReplica(net::EventLoop &loop, peer::ChannelPool &channels, GroupReplicaSettings settings,
@@ -50,9 +53,9 @@
     GroupReplica(const GroupReplica &) = delete;
     GroupReplica &operator=(const GroupReplica &) = delete;
 
-    /// Serves the messages of the group; before the server starts.
+    /// Registers the handlers for the group's messages. Call before the server starts.
     void install(peer::Server &server);
-    /// Opens the data folder. Fails as replication::startRaftNode().
+    /// Opens the data folder and starts the replica. Fails like replication::startRaftNode().
     Result<void> open(const ReplicaIdentity &identity,
                       std::unique_ptr<replication::StateMachine> machine);
     bool isOpen() const;
@@ -63,14 +66,15 @@
 
     bool isLeader() const;
     replication::RaftNodeStatus status() const;
-    /// Proposes here or, when another replica leads, there. Callbacks run on the loop. Fails as
-    /// RaftNode::propose().
+    /// Proposes \a command on this replica or, when another replica leads, forwards it to the
+    /// leader. Callbacks run on the loop. Fails like RaftNode::propose().
     void propose(std::string command, Callback callback);
-    /// Linearizable read on the leader.
+    /// Linearizable read that only the leader serves.
     void read(std::string query, Callback callback);
     /// Linearizable read that any replica serves.
     void linearizableRead(std::string query, Callback callback);
-    /// Hands leadership over, for a graceful stop.
+    /// Transfers leadership to another replica before a graceful stop. Does nothing when this
+    /// replica does not lead.
     void transferLeadership();
     void stop();
 
--- a/include/rattanrill/fleet/membershipchange.h
+++ b/include/rattanrill/fleet/membershipchange.h
@@ -14,30 +14,34 @@
 {
     replication::ReplicaId replica;
     std::string failureDomain;
-    /// It was heard of within the member timeout.
+    /// The process has sent a heartbeat within the member timeout.
     bool alive = true;
-    /// The operator wants it emptied.
+    /// The operator has requested that the process holds no replica any more.
     bool retiring = false;
 };
 
-/// One change of a group's voters; either id may be empty, not both.
+/// One change of a group's voters: adds a replica, removes one, or replaces one by another. One of
+/// the ids may be empty, but not both.
 struct MembershipChange
 {
     replication::ReplicaId added;
     replication::ReplicaId replaced;
 };
 
+/// Limits on the voters of a group.
 struct MembershipRules
 {
-    /// An odd number: one more voter than that adds work but no tolerance.
+    /// An odd number, because one more voter would add work but would not increase the number of
+    /// tolerated failures.
     std::size_t maxVoters = 5;
 };
 
-/// Decides the next change of a group's voters, for the group's leader; no change when the voters
-/// are as they should be. Load pattern: machines and disks that are lost one after another without
-/// an operator. A voter leaves only together with the arrival of a process that has caught up, so
-/// that the number of copies never falls, except for a retiring one when enough others remain.
-/// Without candidates nothing is known, and nothing is changed.
+/// Decides the next change of a group's voters, on the group's leader. Returns no change when the
+/// set of voters needs none. Designed for machines and disks that are lost one after another
+/// without an operator. A voter is removed only when a replica that has caught up replaces it, so
+/// that the number of copies never decreases; the exception is a retiring voter when enough others
+/// remain. Returns no change when \a candidates is empty, because the state of the voters is then
+/// unknown.
 std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
                                                      const MembershipRules &rules);
--- a/include/rattanrill/fleet/operatorprotocoladapter.h
+++ b/include/rattanrill/fleet/operatorprotocoladapter.h
@@ -9,22 +9,25 @@
 
 namespace rattanrill::fleet {
 
-/// The operator replaces the configuration.
+/// An operator's request to replace the configuration.
 struct PutConfigurationCall
 {
     std::string document;
     serving::Deployment deployment;
 };
 
+/// An operator's request to read the configuration.
 struct ReadConfigurationCall
 {};
 
-/// The operator wants the store on this instance emptied.
+/// An operator's request to retire the store on this instance, so that it holds no replica any
+/// more.
 struct StartRetirementCall
 {
     std::string instance;
 };
 
+/// An operator's request for the status of a retirement.
 struct ReadRetirementCall
 {
     std::string instance;
@@ -33,16 +36,17 @@
 using OperatorCall = std::variant<PutConfigurationCall, ReadConfigurationCall, StartRetirementCall,
                                   ReadRetirementCall>;
 
-/// How operators speak: names, formats and encodings, no decisions.
+/// Translates between the operators' HTTP protocol and the types of this library. Defines names,
+/// formats and encodings only; makes no decisions.
 class OperatorProtocolAdapter
 {
 public:
     virtual ~OperatorProtocolAdapter() = default;
 
-    /// Fails with InvalidRequest (also for a configuration that can't be read in full) or
-    /// NotFound.
+    /// Parses an operator's request. Fails with InvalidRequest (also for a configuration that can't
+    /// be read in full) or NotFound.
     virtual Result<OperatorCall> parseCall(const net::Request &request) const = 0;
-    /// Configuration in a document that was accepted earlier. Fails with InvalidRequest.
+    /// Parses the configuration in a document that was accepted earlier. Fails with InvalidRequest.
     virtual Result<serving::Deployment> parseConfiguration(const std::string &document) const = 0;
     virtual net::Response acceptedResponse() const = 0;
     virtual net::Response configurationResponse(const std::string &document) const = 0;
--- a/include/rattanrill/fleet/replicaidentity.h
+++ b/include/rattanrill/fleet/replicaidentity.h
@@ -8,32 +8,33 @@
 
 namespace rattanrill::fleet {
 
-/// Who a replica is, as kept in its data folder: a replica whose disk was lost comes back under
-/// another id and never votes for the former one.
+/// Identity of a replica, stored in its data folder. A replica whose disk was lost returns under
+/// another id, so that it never votes in place of the previous one.
 struct ReplicaIdentity
 {
     replication::ReplicaId replica;
-    /// First voters of the group, when this replica is one of them.
+    /// First voters of the group if this replica is one of them; otherwise empty.
     std::vector<replication::ReplicaId> founders;
 };
 
-/// Replica id at \a peerAddress ("host:port"). \a incarnation tells apart the replicas that one
-/// address has had.
+/// Returns the replica id for \a peerAddress ("host:port"). \a incarnation distinguishes the
+/// replicas that have successively used one address.
 replication::ReplicaId makeReplicaId(const std::string &peerAddress,
                                      const std::string &incarnation);
 
-/// Mark of the replicas that found a deployment; known to all of them without an exchange.
+/// Incarnation of the replicas that found a deployment. It is fixed, so that each founder can
+/// derive the ids of the others without an exchange of messages.
 constexpr const char *founderIncarnation = "founder";
 
-/// Peer address inside a replica id.
+/// Returns the peer address that a replica id contains.
 std::string peerAddressOf(const replication::ReplicaId &replica);
 
-/// Reads the identity in \a folder, or keeps and syncs \a fresh as the new one. Fails with IoError
-/// or CorruptData.
+/// Reads the identity in \a folder. When there is none, stores \a fresh there, synced to disk, and
+/// returns it. Fails with IoError or CorruptData.
 Result<ReplicaIdentity> loadOrCreateIdentity(const std::string &folder,
                                              const ReplicaIdentity &fresh);
 
-/// Replaces the identity in \a folder; synced before return. Fails with IoError.
+/// Replaces the identity in \a folder and syncs it to disk before returning. Fails with IoError.
 Result<void> saveIdentity(const std::string &folder, const ReplicaIdentity &identity);
 
 } // namespace rattanrill::fleet
--- a/include/rattanrill/fleet/statemachine.h
+++ b/include/rattanrill/fleet/statemachine.h
@@ -6,16 +6,17 @@
 
 namespace rattanrill::fleet {
 
-/// Name of the group that keeps the configuration and the deployment's few lasting facts.
+/// Name of the group that stores the configuration, the founders of the store group and the stores
+/// that are being retired.
 constexpr const char *fleetGroup = "fleet";
-/// Name of the group that keeps batch jobs.
+/// Name of the group that stores batch jobs.
 constexpr const char *storeGroup = "store";
 
-/// State of the fleet group: applies wire::FleetCommand, answered by a wire::FleetResult, and
-/// answers wire::FleetQuery by wire::FleetSnapshot.
+/// Creates the state machine of the fleet group. It applies wire::FleetCommand, returning
+/// wire::FleetResult, and evaluates wire::FleetQuery, returning wire::FleetSnapshot.
 ///
-/// A configuration whose version is not above the one held changes nothing and is answered like
-/// one that was taken, so that a resent or overtaken change is acknowledged. The store group is
+/// A configuration whose version is not higher than the stored one has no effect but returns
+/// success, so that a change that was sent again or superseded is acknowledged. The store group is
 /// founded once. Failures: MalformedMessage.
 std::unique_ptr<replication::StateMachine> makeFleetStateMachine();
 
--- a/include/rattanrill/gateway/gateway.h
+++ b/include/rattanrill/gateway/gateway.h
@@ -9,20 +9,21 @@
 
 namespace rattanrill::gateway {
 
-/// Takes callers' requests on an entry: finds route and workspace, and passes the request on to an
-/// upstream or, for batch jobs, to the stores. Used on the event loop only.
+/// Receives callers' requests in an entry process: resolves route and workspace, and forwards the
+/// request to an upstream or, for batch jobs, to the store processes. Used on the event loop only.
 class Gateway
 {
 public:
     Gateway(const serving::ServingContext &context, jobs::JobClient &jobs);
 
-    /// The configuration in force from now on; never an older one.
+    /// Makes \a deployment the current configuration unless the current version is at least as new.
+    /// Serves the requests that were held until a configuration arrived.
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     const std::shared_ptr<const serving::DeploymentIndex> &deployment() const;
     void serve(std::shared_ptr<net::Exchange> exchange);
 
 private:
-    /// A request that came before the first configuration.
+    /// A request that arrived before the first configuration.
     struct EarlyRequest
     {
         std::shared_ptr<net::Exchange> exchange;
@@ -30,7 +31,7 @@
         TimerService::TimerId timer = 0;
     };
 
-    /// Keeps a request for the configuration that is on its way.
+    /// Holds a request until the first configuration arrives; refuses it after a timeout.
     void hold(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller);
     void refuseEarly(const std::shared_ptr<net::Exchange> &exchange,
                      const serving::CallerRequest &caller);
--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -11,15 +11,15 @@
 
 namespace rattanrill::gateway {
 
-/// What a process needs from its surroundings. All members outlive it.
+/// Dependencies of a process. All members outlive it.
 struct ProcessContext
 {
     net::EventLoop &loop;
     const serving::ProtocolAdapter &protocol;
     const fleet::OperatorProtocolAdapter &operatorProtocol;
-    /// Reads the platform's list; used by control processes.
+    /// Reads the platform's list of upstreams; used by control processes.
     fleet::UpstreamDiscovery &upstreamList;
-    /// True for a request that asks whether the process wants new connections.
+    /// True for a request that checks whether the process accepts new connections.
     std::function<bool(const net::Request &)> isReadinessProbe;
 };
 
@@ -29,26 +29,28 @@
 public:
     virtual ~Process() = default;
 
-    /// Opens state and addresses. Fails with the first of them that does not open.
+    /// Opens the stored state and the listening addresses. Fails with the error of the first one
+    /// that can't be opened.
     virtual Result<void> start() = 0;
-    /// The settings name other seeds.
+    /// Replaces the seeds, after the settings have changed.
     virtual void setSeeds(const std::vector<std::string> &seedPeers) = 0;
-    /// Begins the graceful stop; \a stopped is called at its end.
+    /// Begins a graceful stop; \a stopped is called when it has completed.
     virtual void drain(std::function<void()> stopped) = 0;
 };
 
-/// Takes callers' requests.
+/// Creates a process that receives callers' requests.
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
                                           const ProcessContext &parts);
-/// Holds a replica of the fleet group and serves operators.
+/// Creates a process that holds a replica of the fleet group and serves operators.
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
                                             const ProcessContext &parts);
-/// Holds a replica of the store group; its leader runs batch items and gives out places.
+/// Creates a process that holds a replica of the store group. The leader of the group runs batch
+/// items and grants slots.
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
                                           const ProcessContext &parts);
 
 /// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
-/// the settings again.
+/// the settings again and returns their peer addresses.
 using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
                                                     const ProcessContext &);
 int runProcess(const ProcessSettings &settings, const ProcessContext &parts, ProcessFactory make,
--- a/include/rattanrill/gateway/processsettings.h
+++ b/include/rattanrill/gateway/processsettings.h
@@ -10,8 +10,8 @@
 
 namespace rattanrill::gateway {
 
-/// Settings of the processes of a deployment whose members find each other. Addresses are
-/// "host:port"; an empty one is not served.
+/// Settings of one process of a deployment. Addresses have the form "host:port"; a process does not
+/// listen on an empty one. The processes of a deployment discover each other through the seeds.
 struct ProcessSettings
 {
     std::string instance;
@@ -25,21 +25,22 @@
     int peerPort = 0;
     /// Operator addresses of control processes.
     std::vector<std::string> seeds;
-    /// The deployment starts for the first time.
+    /// True when the deployment starts for the first time.
     bool bootstrap = false;
     /// Empty on machines without a disk.
     std::string dataFolder;
     std::string clusterSecret;
     /// Address of the platform's list of upstreams.
     std::string upstreamListAddress;
-    /// Time from the order to stop to the end of the process.
+    /// Time from the stop signal to the end of the process.
     absl::Duration shutdownTimeout = absl::Seconds(8);
-    /// What the count of a workspace's requests may exceed rate and burst by, in any window of this
-    /// length: a share of it, and requests beside.
+    /// Number of requests by which a workspace may exceed its rate and burst in any window of
+    /// length rateWindow: rateToleranceFraction of what rate and burst allow in the window, plus
+    /// rateToleranceRequests.
     absl::Duration rateWindow = absl::Seconds(5);
     double rateToleranceFraction = 0;
     double rateToleranceRequests = 0;
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at the same time.
     int toleratedFailures = 1;
 
     std::string peerAddress() const;
@@ -49,8 +50,8 @@
 
 std::string_view processSettingsSchema();
 
-/// Fills \a result from checked JSON. Fails with InvalidSetting, naming the key, when a value is no
-/// address.
+/// Fills \a result from JSON that was checked against processSettingsSchema(). Fails with
+/// InvalidSetting, naming the key, when a value is not an address.
 Result<void> readProcessSettings(const Json &settings, ProcessSettings &result);
 
 } // namespace rattanrill::gateway
--- a/include/rattanrill/jobs/jobclient.h
+++ b/include/rattanrill/jobs/jobclient.h
@@ -14,9 +14,9 @@
 
 namespace rattanrill::jobs {
 
-/// Calls the leader of the store group about batch jobs. All calls may be repeated, so they go on
-/// to another store until the deadline; a failure says MayHaveRun when any try may have had its
-/// effect. Used on the event loop only.
+/// Sends calls about batch jobs to the leader of the store group. All calls are idempotent, so that
+/// a failed attempt is repeated at another store until the timeout; a failure reports MayHaveRun
+/// when any attempt may have taken effect. Used on the event loop only.
 class JobClient
 {
 public:
@@ -28,7 +28,8 @@
     JobClient(const JobClient &) = delete;
     JobClient &operator=(const JobClient &) = delete;
 
-    /// Peer addresses of the stores, and of the one that leads; empty when unknown.
+    /// \a stores: peer addresses of the stores. \a leader: peer address of their leader; empty when
+    /// unknown.
     void setStores(std::vector<std::string> stores, const std::string &leader);
     void submit(const wire::SubmitJobRequest &request, absl::Duration timeout,
                 Callback<Done> callback);
--- a/include/rattanrill/jobs/jobexecutor.h
+++ b/include/rattanrill/jobs/jobexecutor.h
@@ -16,7 +16,7 @@
 
 namespace rattanrill::jobs {
 
-/// What the executor works with. All members outlive it.
+/// Dependencies of the executor. All members outlive it.
 struct JobExecutorContext
 {
     net::EventLoop &loop;
@@ -29,8 +29,8 @@
     std::string failureDomain;
 };
 
-/// Runs the items of open jobs, on the leader of the store group. An item that has to leave its
-/// place goes on after its last event when it gets another one. Used on the event loop only.
+/// Runs the items of open jobs on the leader of the store group. An item whose slot is preempted
+/// resumes after its last event when it is granted another slot. Used on the event loop only.
 class JobExecutor
 {
 public:
@@ -42,11 +42,11 @@
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Calls \a listener with the job's id after a result was stored.
     void onResultStored(std::function<void(const std::string &job)> listener);
-    /// Adds a job that was accepted; one that is known already changes nothing.
+    /// Adds an accepted job. Adding the same job again has no effect.
     void add(const wire::OpenJob &job);
-    /// The job was ended: its items stop.
+    /// Stops the items of a job that was ended.
     void cancel(const std::string &job);
-    /// This replica no longer leads: everything stops.
+    /// Stops all items, because this replica no longer leads the store group.
     void stopAll();
     std::size_t openItemCount() const;
 
--- a/include/rattanrill/jobs/jobservice.h
+++ b/include/rattanrill/jobs/jobservice.h
@@ -7,8 +7,8 @@
 
 namespace rattanrill::jobs {
 
-/// Serves calls about batch jobs on the leader of the store group, and keeps the executor in step
-/// with the group's leadership. Used on the event loop only.
+/// Serves calls about batch jobs on the leader of the store group. Starts and stops the executor's
+/// work when this replica gains or loses leadership. Used on the event loop only.
 class JobService
 {
 public:
@@ -19,7 +19,7 @@
 
     void install(peer::Server &server);
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
-    /// Leadership of the store group began or ended.
+    /// Call when this replica has gained or lost leadership of the store group.
     void leadershipChanged(bool leads);
     void stop();
 
--- a/include/rattanrill/jobs/statemachine.h
+++ b/include/rattanrill/jobs/statemachine.h
@@ -6,11 +6,12 @@
 
 namespace rattanrill::jobs {
 
-/// State of the store group: batch jobs whose items are passed to upstreams unchanged. Applies
-/// wire::JobCommand, answered by a wire::JobCommandResult, and answers wire::JobQuery.
+/// Creates the state machine of the store group. Its state is the batch jobs, whose items are
+/// forwarded to upstreams unchanged. It applies wire::JobCommand, returning wire::JobCommandResult,
+/// and evaluates wire::JobQuery.
 ///
-/// A job is accepted once under its id; a repeat changes nothing. Results are only ever appended,
-/// once for each item. Failures: MalformedMessage, NotFound (no such job or item of the workspace)
+/// A job is accepted once under its id; submitting it again has no effect. Results are append-only,
+/// one for each item. Failures: MalformedMessage, NotFound (the workspace has no such job or item)
 /// and Conflict (the id belongs to a job of another workspace).
 std::unique_ptr<replication::StateMachine> makeJobStateMachine();
 
--- a/include/rattanrill/serving/deployment.h
+++ b/include/rattanrill/serving/deployment.h
@@ -14,28 +14,28 @@
 
 namespace rattanrill::serving {
 
-/// What a request on a route is to the upstream.
+/// How the requests of a route are executed, which decides whether they may be repeated.
 enum class RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// Runs at most once for each request of a caller.
+    /// Each request of a caller runs at most once.
     NonIdempotent,
-    /// The answer is a series of events with increasing ids.
+    /// The response is a series of events with increasing ids.
     Streaming,
-    /// Jobs of many requests that run later.
+    /// A request submits a job of many items, which run later.
     Batch,
 };
 
 std::string_view name(RouteKind kind);
 
-/// A service that a route sends a share of its requests to.
+/// A service that receives a share of a route's requests.
 struct RouteTarget
 {
     std::string service;
     double weight = 1;
 };
 
-/// Requests of one host under one path prefix are passed to upstreams of some services.
+/// Maps requests for one host under one path prefix to the services whose upstreams process them.
 struct Route
 {
     std::string name;
@@ -44,51 +44,57 @@
     std::string pathPrefix;
     RouteKind kind = RouteKind::Idempotent;
     std::vector<RouteTarget> targets;
-    /// Longest time that a request is kept waiting.
+    /// Deadline of a request, counted from its arrival. A shorter timeout of the caller takes
+    /// precedence.
     absl::Duration timeout = absl::Seconds(30);
-    /// Time to the whole answer, or to the first event, that counts as prompt.
+    /// Longest time to the complete response, or on streams to the first event, that meets the
+    /// objective.
     absl::Duration latencyObjective = absl::Seconds(1);
-    /// Longest pause between two events that counts as prompt; zero when the route has no streams.
+    /// Longest pause between two events that meets the objective; zero when the route has no
+    /// streams.
     absl::Duration interEventObjective;
-    /// 0 is served first.
+    /// Requests of priority 0 are served first.
     int priority = 0;
-    /// Upstreams that one request may be sent to.
+    /// Number of upstreams that one request may be sent to.
     int maxAttempts = 1;
-    /// No key is asked for.
+    /// Requests without an API key are accepted.
     bool allowsAnonymous = false;
-    /// A stream may go on at another upstream after its last event.
+    /// A stream that breaks off may be resumed at another upstream after its last event.
     bool resumable = false;
-    /// Batch: after the job was handed in, its results are due after this time, and what is not
-    /// done may be given up after the second one.
+    /// Batch routes only, both counted from the acceptance of the job: its results are due after
+    /// completionObjective, and items that have not completed are abandoned after abandonAfter
+    /// (zero: never).
     absl::Duration completionObjective;
     absl::Duration abandonAfter;
-    /// Batch: tokens that a workspace may have waiting on the route; 0 is no limit.
+    /// Batch routes only: number of tokens that a workspace may have waiting on the route; 0 means
+    /// no limit.
     std::int64_t maxWaitingTokens = 0;
 };
 
+/// A group of upstreams that process the same kind of request.
 struct Service
 {
     std::string name;
     std::string healthPath;
-    /// Connections that an upstream takes from all callers together.
+    /// Number of connections that an upstream accepts from all callers together.
     int maxConnections = 0;
-    /// Requests that a model engine runs at once; 0 for a plain service.
+    /// Number of requests that a model engine runs concurrently; 0 for a plain service.
     int engineSlots = 0;
 };
 
-/// A workspace with the keys and the rate that its contract grants.
+/// A workspace with its API keys and the request rate that its contract grants.
 struct Workspace
 {
     std::string name;
     std::vector<std::string> keys;
-    /// Goes before the route's priority; absent when negative.
+    /// Overrides the route's priority; a negative value means that the workspace sets none.
     int priority = -1;
-    /// 0: no limit.
+    /// Requests per second; 0 means no limit.
     double ratePerSecond = 0;
     double burst = 0;
 };
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of callers' requests and on the time for receiving them.
 struct CallerLimits
 {
     std::size_t maxHeaderBytes = 16384;
@@ -107,15 +113,19 @@
     CallerLimits limits;
 };
 
-/// Fails with InvalidRequest, naming the place, when a route names an unknown service, two routes
-/// share host and prefix, weights add up to 0, a timeout is 0, or workspaces share a key.
+/// Validates a configuration. Fails with InvalidRequest, naming the route or workspace, when a
+/// route names an unknown service, two routes share host and prefix, a prefix does not begin and
+/// end with a slash, a weight is negative, weights add up to 0, a timeout is not positive, or
+/// workspaces share a key.
 Result<void> checkDeployment(const Deployment &deployment);
 
-/// Service that a request goes to, drawn by the weights of the route's targets from \a key, so that
-/// all tries of a request agree.
+/// Returns the service that processes a request. The choice follows the weights of the route's
+/// targets and depends only on \a key, so that all attempts of a request select the same service.
+/// The route must have passed checkDeployment().
 const std::string &selectService(const Route &route, std::string_view key);
 
-/// Lookups in one version; immutable.
+/// Looks up routes, services and workspaces in one version of the configuration. Immutable. Lookups
+/// return null when there is no match; the pointers are valid as long as the index.
 class DeploymentIndex
 {
 public:
@@ -123,19 +133,21 @@
 
     const Deployment &deployment() const { return m_deployment; }
     std::uint64_t version() const { return m_deployment.version; }
-    /// Route of \a host with the longest prefix of \a path; null when there is none.
+    /// Returns the route of \a host with the longest prefix of \a path. The case and the port of \a
+    /// host are ignored.
     const Route *route(std::string_view host, std::string_view path) const;
     const Route *routeNamed(std::string_view name) const;
     const Service *service(std::string_view name) const;
-    /// Workspace that holds \a key; null when none does.
+    /// Returns the workspace that holds the API key \a key.
     const Workspace *workspaceOfKey(std::string_view key) const;
     const Workspace *workspace(std::string_view name) const;
-    /// Workspaces and their keys are configured, so that requests need a key.
+    /// True when workspaces are configured. Requests then need an API key, except on routes that
+    /// allow anonymous requests.
     bool hasWorkspaces() const { return !m_deployment.workspaces.empty(); }
 
 private:
     Deployment m_deployment;
-    /// By host, then by prefix.
+    /// By host (in lower case, without port), then by path prefix.
     std::map<std::string, std::map<std::string, const Route *, std::less<>>, std::less<>> m_routes;
     std::map<std::string, const Service *, std::less<>> m_services;
     std::map<std::string, const Workspace *, std::less<>> m_keys;
--- a/include/rattanrill/serving/eventstream.h
+++ b/include/rattanrill/serving/eventstream.h
@@ -12,50 +12,52 @@
 /// One server-sent event.
 struct StreamEvent
 {
-    /// Absent when the event has no numeric id.
+    /// Value of the id field; absent when the event has no numeric id.
     std::optional<std::int64_t> id;
-    /// Its data lines, joined by line feeds.
+    /// Values of the data fields, joined by line feeds.
     std::string data;
-    /// All its bytes with the empty line at its end.
+    /// Bytes of the event as received, including the empty line that ends it.
     std::string bytes;
 };
 
-/// Cuts the bytes of a text/event-stream into whole events.
+/// Splits the bytes of a text/event-stream into complete events.
 class EventSplitter
 {
 public:
-    /// Appends the events that \a bytes complete to \a events.
+    /// Appends to \a events those that are complete with \a bytes.
     void feed(std::string_view bytes, std::vector<StreamEvent> &events);
-    /// Bytes of an event that is not complete.
+    /// Bytes received so far of an incomplete event.
     const std::string &rest() const { return m_pending; }
-    /// Forgets an incomplete event, whose upstream has broken off.
+    /// Discards an incomplete event after the connection to its upstream was lost.
     void reset() { m_pending.clear(); }
 
 private:
     std::string m_pending;
 };
 
-/// What becomes of an event of a stream that may have been resumed.
+/// Result of checking an event's id in a stream that may have been resumed.
 enum class SequenceCheck {
     InOrder,
-    /// It was delivered before.
+    /// The event was delivered before.
     Repeated,
-    /// An event before it is missing.
+    /// At least one event before this one is missing.
     Gap,
 };
 
-/// Keeps a stream whole over resumes: ids rise by one from where the stream began.
+/// Detects repeated and missing events when a stream is resumed. Ids must increase by one from the
+/// position where the stream began.
 class StreamPosition
 {
 public:
-    /// \a lastId: the event after which the caller wants to go on; absent for a whole stream.
+    /// \a lastId: the event after which the caller resumes; absent for a complete stream.
     explicit StreamPosition(std::optional<std::int64_t> lastId)
         : m_lastId(lastId)
     {}
 
-    /// Notes a delivered event.
+    /// Checks \a event and, when it is in order, makes it the last delivered one. An event without
+    /// an id is always in order.
     SequenceCheck advance(const StreamEvent &event);
-    /// Last delivered id; absent before the first one.
+    /// Id of the last delivered event; absent before the first one.
     std::optional<std::int64_t> lastId() const { return m_lastId; }
 
 private:
--- a/include/rattanrill/serving/protocoladapter.h
+++ b/include/rattanrill/serving/protocoladapter.h
@@ -14,53 +14,55 @@
 
 namespace rattanrill::serving {
 
-/// What the product needs to know of a caller's request; the request itself stays as it is.
+/// Fields of a caller's request that serving decisions use. The request itself is not changed.
 struct CallerRequest
 {
-    /// Of this try of the caller.
+    /// Identifies this attempt of the caller.
     std::string id;
     std::string host;
-    /// Empty when the caller presents none.
+    /// Empty when the request carries no key.
     std::string apiKey;
-    /// How long the caller waits, from the arrival of the request.
+    /// How long the caller waits for the response, counted from the arrival of the request.
     absl::Duration timeout = absl::InfiniteDuration();
-    /// The caller has the events up to this one.
+    /// Id of the last event that the caller has received; absent unless it resumes a stream.
     std::optional<std::int64_t> resumeAfter;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
 };
 
-/// One try of a request at an upstream.
+/// One attempt of a request at an upstream.
 struct UpstreamAttempt
 {
-    /// Instance that is expected at the address; another one refuses.
+    /// Instance that is expected at the address; any other instance rejects the request.
     std::string expectedInstance;
-    /// Workspace for which the request runs; empty on open routes.
+    /// Workspace of the caller; empty for a request without a key.
     std::string workspace;
-    /// What is left of the caller's remainingTime.
+    /// Time until the deadline of the request.
     absl::Duration remainingTime = absl::InfiniteDuration();
     std::optional<std::int64_t> resumeAfter;
 };
 
-/// What an upstream's answer says besides its bytes.
+/// Fields that the head of an upstream's response carries for the serving system.
 struct ResponseInfo
 {
-    /// Request that it answers; empty when it does not say.
+    /// Id of the request that the response belongs to; empty when the response has none.
     std::string requestId;
-    /// The upstream says that the request did not run.
+    /// The upstream reports that the request did not run.
     bool notRun = false;
-    /// Another instance than the expected one answered.
+    /// An instance other than the expected one responded.
     bool isInstanceMismatch = false;
-    /// Requests that the upstream runs or that wait there, when it says so.
+    /// Number of requests that run or wait at the upstream; absent when it does not report them.
     std::optional<std::int64_t> outstandingRequests;
 };
 
-/// Call about a batch job, as a caller makes it.
+/// A caller's request to submit a batch job.
 struct SubmitJobCall
 {
     wire::JobRecord job;
 };
 
+/// A caller's request to read the results of a batch job from position \a after on, waiting up to
+/// \a wait for new ones.
 struct ReadJobCall
 {
     std::string job;
@@ -68,12 +70,14 @@
     absl::Duration wait;
 };
 
+/// A caller's request to read one result of a batch job.
 struct ReadItemCall
 {
     std::string job;
     std::string item;
 };
 
+/// A caller's request to end a batch job.
 struct EndJobCall
 {
     std::string job;
@@ -81,32 +85,35 @@
 
 using JobCall = std::variant<SubmitJobCall, ReadJobCall, ReadItemCall, EndJobCall>;
 
-/// How callers and upstreams of a deployment speak: names, formats and encodings, no decisions.
+/// Translates between the HTTP protocol of a deployment's callers and upstreams and the types of
+/// this library. Defines names, formats and encodings only; makes no decisions.
 class ProtocolAdapter
 {
 public:
     virtual ~ProtocolAdapter() = default;
 
-    /// Fails with InvalidRequest.
+    /// Reads the fields of a caller's request. Fails with InvalidRequest.
     virtual Result<CallerRequest> parseRequest(const net::Request &request) const = 0;
-    /// The caller's request as sent to an upstream: method, path and body are unchanged, and no key
-    /// is in it.
+    /// Returns the caller's request as sent to an upstream: method, path and body are unchanged,
+    /// and the API key is removed.
     virtual net::Request upstreamRequest(const net::Request &request,
                                          const UpstreamAttempt &attempt) const = 0;
     virtual net::Request itemRequest(const wire::JobItem &item, const std::string &host,
                                      const UpstreamAttempt &attempt) const = 0;
     virtual ResponseInfo parseResponse(const net::ResponseHead &head) const = 0;
-    /// True when \a head begins a series of events.
+    /// True when the body that follows \a head is a series of events.
     virtual bool isEventStream(const net::ResponseHead &head) const = 0;
 
-    /// True when \a request concerns a job that exists already, on a path outside all routes.
+    /// True when \a request concerns an existing job. The paths of such requests belong to no
+    /// route.
     virtual bool isJobCall(const net::Request &request) const = 0;
     /// Fails with InvalidRequest or NotFound.
     virtual Result<JobCall> parseJobCall(const net::Request &request,
                                          const CallerRequest &caller) const = 0;
     virtual net::Response jobResultsResponse(const wire::ReadJobResponse &results) const = 0;
 
-    /// Refusal of a request. \a retryAfter of zero says nothing about a return.
+    /// Returns the error response for a request. With a \a retryAfter of zero, the response does
+    /// not state when to retry.
     virtual net::Response errorResponse(const Failure &failure,
                                         absl::Duration retryAfter) const = 0;
 };
--- a/include/rattanrill/serving/proxyrequest.h
+++ b/include/rattanrill/serving/proxyrequest.h
@@ -14,14 +14,14 @@
 
 namespace rattanrill::serving {
 
-/// How this entry names itself.
+/// Identity of the entry process that serves the requests.
 struct InstanceIdentity
 {
     std::string instance;
     std::string failureDomain;
 };
 
-/// What all requests of an entry share. All members outlive the requests.
+/// Dependencies that all requests of an entry process share. All members outlive the requests.
 struct ServingContext
 {
     net::EventLoop &loop;
@@ -33,21 +33,21 @@
     InstanceIdentity identity;
 };
 
-/// A caller's request whose route and workspace are known.
+/// A caller's request after its route and workspace have been resolved.
 struct RoutedRequest
 {
     std::shared_ptr<const DeploymentIndex> deployment;
     const Route *route = nullptr;
-    /// Empty on an open route without a key.
+    /// Empty for a request without a key on a route that allows anonymous requests.
     std::string workspace;
     int priority = 0;
     CallerRequest caller;
 };
 
-/// Passes \a exchange on to an upstream of the route and answers it with the upstream's answer:
-/// unchanged, event by event on streams. A request that may run again goes on at another upstream
-/// when the first one breaks off; a refusal that says "not run" is true. Keeps itself alive until
-/// the exchange has ended.
+/// Forwards the request of \a exchange to an upstream of the route and returns the upstream's
+/// response unchanged, event by event on streams. When an attempt fails, a request that may run
+/// again continues at another upstream. An error response states "not run" only if no upstream has
+/// run the request. The proxied request keeps itself alive until the exchange has ended.
 void proxyRequest(const ServingContext &context, RoutedRequest request,
                   std::shared_ptr<net::Exchange> exchange);
 
--- a/include/rattanrill/serving/slotbroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -18,48 +18,52 @@
 
 namespace rattanrill::serving {
 
+/// Settings of a SlotBroker.
 struct SlotBrokerSettings
 {
     policy::SlotSchedulerSettings table;
-    /// What the contracts' count may exceed in a window, as the deployment allows: a share of rate
-    /// and burst, and requests beside. A broker that follows another one starts with as much, half
-    /// of it for a second change in the same window.
+    /// Number of requests by which a workspace may exceed its contract in any window of length
+    /// rateWindow: rateToleranceFraction of what rate and burst allow in the window, plus
+    /// rateToleranceRequests. A broker that replaces another one starts its rate buckets with half
+    /// of this number (at most the burst); the other half is left for a second replacement in the
+    /// same window.
     absl::Duration rateWindow = absl::Seconds(5);
     double rateToleranceFraction = 0;
     double rateToleranceRequests = 0;
-    /// Share of a request's latency objective for which it may wait for a place; the rest is for
-    /// the way to the upstream and its first event.
+    /// Fraction of a request's latency objective for which it may wait for a slot; the rest covers
+    /// the transfer to the upstream and the time to its first event.
     double waitShare = 0.7;
-    /// Retry-After is at most this share of the time that the caller has left.
+    /// Upper bound of Retry-After, as a fraction of the time until the request's deadline.
     double maxRetryAfterFraction = 0.3;
-    /// A request that waits for a place is told so after this long, and asks again.
+    /// A request that has waited for a slot for this long receives the outcome Waiting; the
+    /// requester then repeats it.
     absl::Duration waitSlice = absl::Milliseconds(40);
-    /// A place is taken back this long after its request's deadline, when its holder is silent.
+    /// A slot that its holder has not released is reclaimed this long after the request's deadline.
     absl::Duration releaseSlack = absl::Seconds(2);
 };
 
-/// What a broker gives out.
+/// Fractions (0 to 1) of the deployment's rates and slots that one broker grants.
 struct CapacityShare
 {
-    /// Part of each workspace's rate.
+    /// Fraction of each workspace's rate and burst.
     double rateFraction = 1;
-    /// Part of each upstream's places.
+    /// Fraction of each upstream's slots, rounded up to whole slots.
     double slotFraction = 1;
 };
 
-/// Gives out the places at the upstreams and charges the workspaces' rates. One process of the
-/// deployment gives out all of them; an entry that can't reach it uses a broker of its own over its
-/// share. Used on the event loop only.
+/// Grants the slots of the upstreams and charges the requests to the workspaces' rates. One process
+/// of the deployment grants all slots; an entry process that can't reach it uses a local broker for
+/// its share of them. Used on the event loop only.
 class SlotBroker
 {
 public:
     using ResponseCallback = std::function<void(const wire::SlotResponse &)>;
 
-    /// How batch work learns of its place.
+    /// Callbacks that notify a batch task of decisions on its slot.
     struct BatchHandlers
     {
         std::function<void(const std::string &upstream, const std::string &address)> granted;
-        /// The work must leave its place at once; the broker has forgotten it.
+        /// The task must stop using its slot at once; the broker has already removed the task.
         std::function<void()> preempted;
     };
 
@@ -68,21 +72,23 @@
     SlotBroker(const SlotBroker &) = delete;
     SlotBroker &operator=(const SlotBroker &) = delete;
 
-    /// Forgets all places and starts with empty rate buckets and unknown loads: another process may
-    /// have given out everything just now.
+    /// Discards all granted slots and waiting requests; batch handlers are not called. Starts with
+    /// unknown loads and with rate buckets that hold no more than the rate tolerance allows,
+    /// because another process may have granted everything a moment ago.
     void reset();
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
-    /// What this broker gives out.
+    /// Sets the upstreams and the share of them and of the rates that this broker grants.
     void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
                       const CapacityShare &share);
 
-    /// The answer says Waiting when the request has to ask again.
+    /// Requests a slot. \a answer receives the outcome Waiting when the requester must repeat the
+    /// request with SlotRequest::again set.
     void acquire(const wire::SlotRequest &request, ResponseCallback answer);
     void release(const wire::SlotRelease &release);
-    /// Places that a process got from a former broker or from its own share.
+    /// Adopts slots that a process obtained from a previous broker or from its local share.
     void restoreHeldSlots(const wire::HeldSlots &held);
     void updateLoad(const wire::UpstreamLoad &load);
-    /// Takes back the places of processes that are not in \a instances.
+    /// Reclaims the slots of processes that are not in \a instances.
     void setLiveInstances(const std::vector<std::string> &instances);
 
     void acquireBatch(const policy::SlotTask &task, BatchHandlers handlers);
@@ -99,9 +105,9 @@
         bool chargesRate = false;
         bool isGranted = false;
         absl::Time expires;
-        /// Null between two questions of the asker.
+        /// Null while no request is pending, between an outcome Waiting and the repeated request.
         ResponseCallback answer;
-        /// What was decided between two questions.
+        /// Decision that was made while no request was pending; returned to the repeated request.
         std::optional<wire::SlotResponse> decided;
         TimerService::TimerId sliceTimer = 0;
     };
@@ -127,7 +133,7 @@
     std::shared_ptr<const DeploymentIndex> m_deployment;
     CapacityShare m_share;
     std::map<std::string, policy::TokenBucket> m_buckets;
-    /// By work id.
+    /// By task id.
     std::map<std::string, Online> m_online;
     std::map<std::string, BatchHandlers> m_batch;
     TimerService::TimerId m_decisionTimer = 0;
--- a/include/rattanrill/serving/slotclient.h
+++ b/include/rattanrill/serving/slotclient.h
@@ -11,24 +11,30 @@
 
 namespace rattanrill::serving {
 
+/// Settings of a SlotClient.
 struct SlotClientSettings
 {
-    /// Time for the way to the broker and back, beside the time for which it may hold a question.
+    /// Time for the round trip to the broker. The timeout of a call is this time plus the slice for
+    /// which the broker may hold a request.
     absl::Duration answerSlack = absl::Milliseconds(60);
-    /// Own share of the places, as a multiple of an equal one: callers are spread unevenly over
-    /// entries, and batch work stops while there is no broker.
+    /// Local share of the slots, as a multiple of an equal share. It is larger than an equal share
+    /// because callers are distributed unevenly over entry processes, and because batch tasks stop
+    /// while there is no broker.
     double placeFactor = 2;
-    /// After a call without an answer, places come from the own share for this long.
+    /// After a call without a response, slots are granted from the local share for this long.
     absl::Duration avoidFor = absl::Milliseconds(500);
+    /// Settings of the local broker. The timeout of calls to the deployment's broker uses its
+    /// waitSlice too.
     SlotBrokerSettings own;
 };
 
-/// Asks the deployment's broker for places, and falls back on the entry's own share while the
-/// broker can't be reached. Used on the event loop only.
+/// Requests slots from the deployment's broker, and falls back to the local share of the entry
+/// process while the broker can't be reached. Used on the event loop only.
 class SlotClient
 {
 public:
-    /// \a fromOwnShare: the broker did not answer.
+    /// \a fromOwnShare: the local share made the decision because the broker was unknown or did not
+    /// respond.
     using ResponseCallback = std::function<void(const wire::SlotResponse &, bool fromOwnShare)>;
 
     SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
@@ -40,10 +46,10 @@
     /// \a address: the broker's peer address; empty when none is known.
     void setBroker(const std::string &address);
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
-    /// \a entries: entries that share the upstreams.
+    /// \a entries: number of entry processes that share the upstreams.
     void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams, std::size_t entries);
     void acquire(const wire::SlotRequest &request, ResponseCallback answer);
-    /// Also for a request whose answer has not come.
+    /// Releases a slot. May also be called for a request whose outcome has not arrived.
     void release(const wire::SlotRelease &release);
     void reportLoad(const wire::UpstreamLoad &load);
     void stop();
