--- a/include/rattanrill/base/clock.h
+++ b/include/rattanrill/base/clock.h
@@ -6,16 +6,17 @@
 
 namespace rattanrill {
 
-/// Source of time. Decision code takes it as an argument so that tests and the bench use virtual
-/// time.
+/// Source of time. Code whose decisions depend on time takes a Clock as an argument, so that tests
+/// and benchmarks can run it in virtual time.
 class Clock
 {
 public:
     virtual ~Clock() = default;
 
-    /// Monotonic time since an arbitrary start; never goes back. For leases, timeouts and rates.
+    /// Monotonic time since an arbitrary start; never decreases. Use it for leases, timeouts and
+    /// rates.
     virtual absl::Time now() const = 0;
-    /// Wall-clock time, for log lines, due times and retention.
+    /// Wall-clock time. Use it for log lines, due times and retention.
     virtual absl::Time wallNow() const = 0;
 };
 
@@ -29,7 +30,7 @@
     static const SystemClock &instance();
 };
 
-/// Clock that a test or the bench moves.
+/// Clock that a test or benchmark advances explicitly. Thread-safe.
 class ManualClock : public Clock
 {
 public:
--- a/include/rattanrill/base/concat.h
+++ b/include/rattanrill/base/concat.h
@@ -6,11 +6,11 @@
 
 namespace rattanrill {
 
-/// Shortest text of \a value with up to six significant digits.
+/// Formats \a value as the shortest text with up to six significant digits.
 std::string formatNumber(double value);
 
-/// Joins texts and numbers. absl::StrCat is not used because Debian's Abseil has a string_view of
-/// its own that std::string_view does not convert to.
+/// Concatenates strings, characters and numbers. absl::StrCat is not used because Debian's Abseil
+/// defines its own string_view, to which std::string_view does not convert.
 template <typename... Parts>
 std::string concat(const Parts &...parts)
 {
--- a/include/rattanrill/base/enumnames.h
+++ b/include/rattanrill/base/enumnames.h
@@ -7,7 +7,7 @@
 
 namespace rattanrill {
 
-/// One row of a name table: an enumerator and the word that files, messages and logs use for it.
+/// Row of a name table: an enumerator and its name in files, messages and logs.
 template <typename Enum>
 struct EnumName
 {
@@ -15,7 +15,7 @@
     std::string_view name;
 };
 
-/// Name of \a value in \a table; "unknown" for a value outside the table.
+/// Name of \a value in \a table, or "unknown" if the table does not contain the value.
 template <typename Enum, std::size_t Size>
 constexpr std::string_view nameOf(const std::array<EnumName<Enum>, Size> &table, Enum value)
 {
@@ -26,7 +26,7 @@
     return "unknown";
 }
 
-/// Enumerator that \a table lists under \a name.
+/// Enumerator with the name \a name in \a table, or nullopt if there is none.
 template <typename Enum, std::size_t Size>
 constexpr std::optional<Enum> valueOf(const std::array<EnumName<Enum>, Size> &table,
                                       std::string_view name)
--- a/include/rattanrill/base/errorcode.h
+++ b/include/rattanrill/base/errorcode.h
@@ -5,7 +5,7 @@
 
 namespace rattanrill {
 
-/// Every way an operation can fail. The names are part of the caller and operator interfaces.
+/// Reasons why an operation can fail. Their names are part of the caller and operator interfaces.
 enum class ErrorCode {
     // Requests
     InvalidRequest,
@@ -69,7 +69,7 @@
     Internal,
 };
 
-/// Whether the refused operation may have had an effect.
+/// Whether the failed operation may have had an effect.
 enum class RunState {
     NotRun,
     MayHaveRun,
@@ -79,7 +79,7 @@
 std::optional<ErrorCode> errorCodeFromName(std::string_view name);
 std::string_view name(RunState state);
 
-/// HTTP status that carries \a code to a caller or an operator.
+/// HTTP status with which \a code is reported to a caller or an operator.
 int httpStatus(ErrorCode code);
 
 } // namespace rattanrill
--- a/include/rattanrill/base/failure.h
+++ b/include/rattanrill/base/failure.h
@@ -6,8 +6,8 @@
 
 namespace rattanrill {
 
-/// A typed failure. \a detail says what was being done, which value was wrong and where it came
-/// from; it is for people, code decides by \a code and \a run.
+/// Typed failure of an operation. \a detail is for people: it describes the operation, the wrong
+/// value and where the value came from. Code decides by \a code and \a run only.
 struct Failure
 {
     ErrorCode code = ErrorCode::Internal;
@@ -15,13 +15,13 @@
     std::string detail;
 };
 
-/// "code: detail", for log lines and terminals.
+/// Formats \a failure as "code: detail" for log lines and terminals.
 std::string describe(const Failure &failure);
 
 /// Failure of an operation that had no effect.
 Failure notRun(ErrorCode code, std::string detail);
 
-/// Failure of an operation that may have had its effect.
+/// Failure of an operation that may have had an effect.
 Failure mayHaveRun(ErrorCode code, std::string detail);
 
 } // namespace rattanrill
--- a/include/rattanrill/base/hash.h
+++ b/include/rattanrill/base/hash.h
@@ -7,21 +7,23 @@
 
 namespace rattanrill {
 
-/// xxHash (XXH3, 64 bit): equal in every process and version. Use it for anything that several
-/// processes agree on; std::hash and absl::Hash differ between processes.
+/// 64-bit XXH3 hash, which is the same in every process and version. Use it for everything on which
+/// several processes must agree; std::hash and absl::Hash can differ between processes.
 std::uint64_t stableHash(std::string_view data, std::uint64_t seed = 0);
 
-/// Index in \a members of the owner of \a key by rendezvous hashing; a change of membership moves
-/// only the keys of the member that came or went. Requires a non-empty list.
+/// Index in \a members of the owner of \a key by rendezvous hashing. When a member joins or leaves,
+/// only the keys of that member change their owner. Requires a non-empty list.
 std::size_t rendezvousOwner(std::string_view key, const std::vector<std::string> &members);
 
-/// SHA-256 as 64 lower-case hexadecimal digits.
+/// SHA-256 digest as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view data);
-/// HMAC-SHA256 as 64 lower-case hexadecimal digits.
+/// HMAC-SHA256 code as 64 lower-case hexadecimal digits.
 std::string hmacSha256Hex(std::string_view key, std::string_view data);
-/// Comparison whose time does not depend on where the texts differ.
+/// Compares two strings in a time that does not depend on where they differ.
 bool constantTimeEquals(std::string_view left, std::string_view right);
-/// \a bytes random bytes of the system's generator as hexadecimal digits.
+/// Returns \a bytes cryptographically random bytes as 2 * \a bytes lower-case hexadecimal digits.
+/// Aborts the process when no random bytes are available, because keys and nonces would be
+/// predictable.
 std::string randomHex(std::size_t bytes);
 
 } // namespace rattanrill
--- a/include/rattanrill/base/json.h
+++ b/include/rattanrill/base/json.h
@@ -11,15 +11,16 @@
 
 using Json = nlohmann::json;
 
-/// Parses JSON text. Fails with InvalidRequest, naming \a what, on a syntax error or invalid UTF-8.
+/// Parses JSON text. Fails with InvalidRequest on a syntax error or invalid UTF-8; the detail of
+/// the failure names \a what.
 Result<Json> parseJson(std::string_view text, std::string_view what);
 
-/// Member \a key of \a object as T. Fails with InvalidRequest when it is missing or of another
-/// type.
+/// Returns member \a key of \a object as T. Fails with InvalidRequest when the member is missing or
+/// has another type.
 template <typename T>
 Result<T> jsonMember(const Json &object, std::string_view key);
 
-/// As jsonMember(), with \a fallback for a missing or null member.
+/// Like jsonMember(), but returns \a fallback for a missing or null member.
 template <typename T>
 Result<T> jsonMemberOr(const Json &object, std::string_view key, T fallback);
 
@@ -32,7 +33,7 @@
 extern template Result<double> jsonMemberOr(const Json &, std::string_view, double);
 extern template Result<bool> jsonMemberOr(const Json &, std::string_view, bool);
 
-/// Serializes \a json; invalid UTF-8 is replaced rather than thrown.
+/// Serializes \a json. Invalid UTF-8 is replaced; no exception is thrown for it.
 std::string dumpJson(const Json &json);
 
 } // namespace rattanrill
--- a/include/rattanrill/base/logger.h
+++ b/include/rattanrill/base/logger.h
@@ -17,19 +17,20 @@
 
 std::string_view name(LogLevel level);
 
+/// Destination of the log of a process, and the fields that every line carries.
 struct LogSettings
 {
     LogLevel level = LogLevel::Info;
-    /// Empty: standard output.
+    /// Path of the log file; empty for standard output.
     std::string file;
-    /// Added to every line.
+    /// This field and the next two are added to every line.
     std::string instance;
     std::string failureDomain;
     std::string program;
 };
 
-/// One field of a log line. Keys are standing names: requestId, workspace, revision, upstream,
-/// code, detail and the like.
+/// One field of a log line. The key is a fixed name that all log lines share, such as requestId,
+/// workspace, revision, upstream, code or detail.
 struct LogField
 {
     LogField(std::string_view key, std::string_view value)
@@ -69,13 +70,14 @@
     std::variant<std::string, bool, double, std::int64_t> value;
 };
 
-/// Sets the sink of this process. Call once, before threads start.
+/// Configures the log output of this process. Call it once, before any thread starts.
 void initLogging(const LogSettings &settings);
 
-/// Queues one JSON line: time, level, event, instance, failureDomain, program and \a fields.
-/// \a event is a fixed lower-case word such as "leader-elected". Never blocks: lines below the
-/// level of a warning are left out beyond a rate, and all lines while the writer is far behind;
-/// what was left out is counted in a line of its own.
+/// Queues one JSON line with the members time, level, event, program, instance and failureDomain,
+/// followed by \a fields. \a event is a fixed lower-case name such as "leader-elected". Never
+/// blocks: debug and info lines beyond a rate limit are dropped, and lines of every level are
+/// dropped while the queue of the writer is full. A separate line reports how many lines were
+/// dropped.
 void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
 } // namespace rattanrill
--- a/include/rattanrill/base/metrics.h
+++ b/include/rattanrill/base/metrics.h
@@ -9,11 +9,12 @@
 
 namespace rattanrill {
 
-/// Label names and values of one time series, in order of name.
+/// Label names and values of one time series, ordered by name.
 using MetricLabels = std::map<std::string, std::string>;
 
 /// Registry of counters, gauges and histograms, rendered in the Prometheus text exposition format.
-/// Histograms share fixed bucket bounds, so that those of several instances add up.
+/// All histograms have the same fixed bucket bounds, so that the histograms of several instances
+/// can be added up.
 class Metrics
 {
 public:
@@ -29,9 +30,9 @@
     /// Adds a duration in seconds to a histogram; \a name ends in "_seconds".
     void observe(std::string_view name, const MetricLabels &labels, double seconds);
 
-    /// Value of a counter; 0 when it was never counted.
+    /// Value of a counter; 0 when the counter does not exist.
     std::uint64_t counter(std::string_view name, const MetricLabels &labels = {}) const;
-    /// Text exposition format, version 0.0.4.
+    /// All metrics in the Prometheus text exposition format, version 0.0.4.
     std::string exposition() const;
 
 private:
@@ -40,7 +41,8 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Upper bounds of the histogram buckets in seconds, from 1 ms to 1000 s, about 26% apart.
+/// Upper bounds of the histogram buckets in seconds, in ascending order from 1 ms to 1000 s. Each
+/// bound is about 26% larger than the one before.
 const std::vector<double> &histogramBounds();
 
 } // namespace rattanrill
--- a/include/rattanrill/base/result.h
+++ b/include/rattanrill/base/result.h
@@ -11,18 +11,18 @@
 
 namespace rattanrill {
 
-/// Result of a synchronous call. The error object is always a \c Failure. A caller handles it with
-/// \c outcomeOf(), which is also the only way to carry it to another thread.
+/// Result of a synchronous call. The error object is always a \c Failure. Callers convert a Result
+/// with \c outcomeOf(), which is also the only way to pass it to another thread.
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-/// Starts a failed \c Result: `return fail(notRun(ErrorCode::NotFound, "..."));`
+/// Creates the error of a failed \c Result: `return fail(notRun(ErrorCode::NotFound, "..."));`
 inline boost::leaf::error_id fail(Failure failure)
 {
     return boost::leaf::new_error(std::move(failure));
 }
 
-/// Value or failure as plain data, for callbacks and other threads.
+/// Value or failure as plain data, which can be passed to callbacks and other threads.
 template <typename T>
 class Outcome
 {
@@ -43,7 +43,7 @@
     /// Requires !ok().
     const Failure &failure() const { return std::get<Failure>(m_state); }
 
-    /// Back to a Result, for synchronous code.
+    /// Converts the outcome back to a Result, for synchronous code.
     Result<T> result() const
     {
         if (ok())
@@ -55,11 +55,11 @@
     std::variant<T, Failure> m_state;
 };
 
-/// Value of an \c Outcome that carries none.
+/// Value type of an \c Outcome that only reports success.
 struct Done
 {};
 
-/// T of a Result<T>.
+/// Type trait that maps Result<T> to T.
 template <typename R>
 struct ResultValue;
 
@@ -69,7 +69,8 @@
     using Type = T;
 };
 
-/// Runs \a operation, which returns a Result<T>, and converts its value or failure.
+/// Runs \a operation, which returns a Result<T>, and converts its value or failure to an
+/// Outcome<T>; a Result<void> becomes an Outcome<Done>.
 template <typename Operation>
 auto outcomeOf(Operation &&operation)
 {
--- a/include/rattanrill/base/shutdownsignal.h
+++ b/include/rattanrill/base/shutdownsignal.h
@@ -2,14 +2,14 @@
 
 namespace rattanrill {
 
-/// Turns SIGTERM and SIGINT into a return from wait(). Construct before any thread starts, so that
-/// all threads inherit the signal mask. SIGPIPE is ignored.
+/// Blocks SIGTERM and SIGINT, so that a process can wait for them with wait(), and ignores SIGPIPE.
+/// Construct it before any thread starts, so that all threads inherit the signal mask.
 class ShutdownSignal
 {
 public:
     ShutdownSignal();
 
-    /// Blocks until SIGTERM or SIGINT; returns its number.
+    /// Waits until SIGTERM or SIGINT arrives and returns the signal number.
     int wait();
 };
 
--- a/include/rattanrill/base/timerservice.h
+++ b/include/rattanrill/base/timerservice.h
@@ -12,8 +12,8 @@
 
 namespace rattanrill {
 
-/// Parts subscribe to points in time here instead of sleeping. Callbacks are short: they run one
-/// after another on one thread, so longer work is posted to a WorkerPool.
+/// One-shot and periodic timers, which components use instead of sleeping. Callbacks run one after
+/// another on one thread and must therefore be short; post longer work to a WorkerPool.
 class TimerService
 {
 public:
@@ -24,13 +24,14 @@
 
     /// Calls \a callback once, after \a delay.
     virtual TimerId subscribeOnce(absl::Duration delay, Callback callback) = 0;
-    /// Calls \a callback every \a period, the first time after one period.
+    /// Calls \a callback every \a period, for the first time after one period.
     virtual TimerId subscribeEvery(absl::Duration period, Callback callback) = 0;
-    /// After return the callback does not run and will not run again, unless called from it.
+    /// Removes \a timer. After return its callback is not running and will not run again. If the
+    /// callback itself calls this, the current run continues.
     virtual void unsubscribe(TimerId timer) = 0;
 };
 
-/// Timer service with a thread of its own.
+/// Timer service that runs callbacks on its own thread. Its methods may be called from any thread.
 class ThreadTimerService : public TimerService
 {
 public:
@@ -40,7 +41,7 @@
     TimerId subscribeOnce(absl::Duration delay, Callback callback) override;
     TimerId subscribeEvery(absl::Duration period, Callback callback) override;
     void unsubscribe(TimerId timer) override;
-    /// Ends the thread; later subscriptions never fire.
+    /// Ends the thread. Timers no longer fire, including those that are added later.
     void stop();
 
 private:
@@ -49,7 +50,7 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Timer service that fires when a test advances it, together with a ManualClock.
+/// Timer service for tests, whose timers fire only while advance() moves its ManualClock.
 class ManualTimerService : public TimerService
 {
 public:
@@ -58,7 +59,7 @@
     TimerId subscribeOnce(absl::Duration delay, Callback callback) override;
     TimerId subscribeEvery(absl::Duration period, Callback callback) override;
     void unsubscribe(TimerId timer) override;
-    /// Moves the clock by \a step and fires every timer that comes due, in order of time.
+    /// Advances the clock by \a step and fires every timer that becomes due, ordered by time.
     void advance(absl::Duration step);
 
 private:
--- a/include/rattanrill/base/workerpool.h
+++ b/include/rattanrill/base/workerpool.h
@@ -6,7 +6,7 @@
 
 namespace rattanrill {
 
-/// Fixed number of threads that run tasks from a bounded queue.
+/// Fixed number of threads that run tasks from a bounded queue, in the order of posting.
 class WorkerPool
 {
 public:
@@ -17,9 +17,9 @@
     WorkerPool(const WorkerPool &) = delete;
     WorkerPool &operator=(const WorkerPool &) = delete;
 
-    /// Queues \a task; false when the queue is full or the pool has stopped.
+    /// Queues \a task. Returns false when the queue is full or the pool is stopped.
     [[nodiscard]] bool post(Task task);
-    /// Runs what is queued, then ends the threads.
+    /// Runs the tasks that are already queued, then ends the threads.
     void stop();
 
 private:
--- a/include/rattanrill/controlclient/controlclient.h
+++ b/include/rattanrill/controlclient/controlclient.h
@@ -14,14 +14,15 @@
 
 namespace rattanrill::controlclient {
 
-/// Name of the directory group.
+/// Name of the Raft group that replicates the directory.
 constexpr const char *directoryGroup = "directory";
 
-/// Name of partition group \a partition: "batch-0", "batch-1" and so on.
+/// Name of the Raft group of batch partition \a partition, such as "batch-0".
 std::string batchGroup(int partition);
 
-/// Calls the control instances: finds the leader of a group by the hints of NotLeader failures,
-/// goes on to the next instance after a lost connection, and tries again until the deadline.
+/// Client of the control instances. It finds the leader of a group by the hints in NotLeader
+/// failures, tries the next instance after a connection is lost, and retries until the timeout of
+/// the call expires.
 class ControlClient
 {
 public:
@@ -33,19 +34,20 @@
                   TimerService &timers, const Clock &clock);
     ~ControlClient();
 
-    /// Proposes an encoded command to \a group. \a repeatable: the command may be sent again when
-    /// an answer is lost, because it is idempotent; otherwise such a try fails with MayHaveRun.
+    /// Proposes an encoded command to \a group. Set \a repeatable for an idempotent command: it is
+    /// sent again when a response is lost. Otherwise the call fails with MayHaveRun in that case.
     void propose(const std::string &group, std::string command, bool repeatable,
                  absl::Duration timeout, Callback<std::string> callback);
-    /// Linearizable read.
+    /// Runs an encoded query on \a group as a linearizable read.
     void read(const std::string &group, std::string query, absl::Duration timeout,
               Callback<std::string> callback);
-    /// One long poll of the directory, from any control instance.
+    /// Sends one long poll for changes of the directory, which any control instance can serve.
     void pollDirectory(const wire::PollChangesRequest &request, absl::Duration timeout,
                        Callback<wire::PollChangesResponse> callback);
+    /// Sends one heartbeat to the directory group.
     void heartbeat(const wire::HeartbeatRequest &request, absl::Duration timeout,
                    Callback<wire::HeartbeatResponse> callback);
-    /// Fails open calls with Stopped; no callback runs after return.
+    /// Stops the client. Open calls fail with Stopped; no callback runs after return.
     void stop();
 
 private:
--- a/include/rattanrill/net/address.h
+++ b/include/rattanrill/net/address.h
@@ -8,13 +8,14 @@
 
 namespace rattanrill::net {
 
+/// Numeric IP address and TCP port.
 struct Address
 {
     std::string host;
     std::uint16_t port = 0;
 };
 
-/// Parses "host:port" with a numeric host. Fails with InvalidArgument.
+/// Parses "host:port", where the host is a numeric IP address. Fails with InvalidArgument.
 Result<Address> parseAddress(std::string_view text);
 
 std::string toString(const Address &address);
--- a/include/rattanrill/net/connectionpool.h
+++ b/include/rattanrill/net/connectionpool.h
@@ -16,39 +16,44 @@
 
 /// How a call to an upstream ended.
 enum class CallStatus {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Complete,
-    /// No connection was made; nothing was sent.
+    /// No connection could be established; nothing was sent.
     NotConnected,
-    /// The connection ended or was spoiled after something may have been sent.
+    /// The connection was closed or became unusable after a part of the request may have been
+    /// sent.
     Broken,
 };
 
 std::string_view name(CallStatus end);
 
-/// Receives the answer of one call, on the event loop.
+/// Callbacks that receive the response to one call. They run on the event loop.
 struct CallHandlers
 {
-    /// Returns false when the answer belongs to another request; the next one is awaited then.
+    /// Returns false when the response belongs to another request; the pool then waits for the next
+    /// response on the connection.
     std::function<bool(const ResponseHead &)> head;
     std::function<void(std::string_view)> body;
     /// Called exactly once unless the call is cancelled.
     std::function<void(CallStatus)> end;
 };
 
+/// Timeouts and limits of a ConnectionPool.
 struct ConnectionPoolOptions
 {
     absl::Duration connectTimeout = absl::Seconds(1);
-    /// A kept connection is used again for this share of the time that its upstream announces, so
-    /// that a request does not cross the upstream's close.
+    /// Fraction (0 to 1) of the keep-alive time announced by the upstream during which an idle
+    /// connection is reused. Below 1, so that no request is sent while the upstream is closing the
+    /// connection.
     double keepShare = 0.5;
-    /// Announced time of upstreams that sendHeartbeat none.
+    /// Keep-alive time assumed for upstreams that announce none.
     absl::Duration defaultKeep = absl::Seconds(4);
-    /// Kept connections per address.
+    /// Maximum number of idle connections per address.
     std::size_t maxIdle = 16;
 };
 
-/// Kept connections to upstreams, one request at a time on each. Used on the event loop only.
+/// Pool of keep-alive connections to upstreams; each carries one request at a time. Use it on the
+/// event loop only.
 class ConnectionPool
 {
 public:
@@ -59,15 +64,17 @@
     ConnectionPool(const ConnectionPool &) = delete;
     ConnectionPool &operator=(const ConnectionPool &) = delete;
 
-    /// Sends \a request, a serialized request, to \a address ("host:port").
+    /// Sends \a request, a serialized HTTP request, to \a address ("host:port"). Errors are
+    /// reported by CallHandlers::end.
     CallId call(const std::string &address, std::string request, CallHandlers handlers);
-    /// Closes the call's connection, by which the upstream learns that nobody waits. No handler
-    /// runs after return.
+    /// Closes the connection of \a call, so that the upstream can detect that the response is no
+    /// longer needed. No handler of the call runs after return.
     void cancel(CallId call);
-    /// Closes kept connections to an address that is no longer used.
+    /// Closes the idle connections to \a address; for an address that is no longer used.
     void drop(const std::string &address);
-    /// Connections made since the start.
+    /// Number of connections opened since construction, including failed attempts.
     std::uint64_t connectionsMade() const;
+    /// Closes all connections and cancels all open calls.
     void stop();
 
 private:
--- a/include/rattanrill/net/eventloop.h
+++ b/include/rattanrill/net/eventloop.h
@@ -11,8 +11,8 @@
 
 namespace rattanrill::net {
 
-/// One thread that runs connections, timers and posted tasks of a process one after another, so
-/// that what it runs needs no locks. The machines give a process one core.
+/// Runs the connections, timers and posted tasks of a process one after another on one thread, so
+/// that they need no locks. One thread is enough because each process is deployed with one core.
 class EventLoop
 {
 public:
@@ -21,15 +21,16 @@
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
-    /// Runs on the calling thread until stop().
+    /// Runs the loop on the calling thread until stop() is called.
     void run();
-    /// From any thread.
+    /// Ends run(). May be called from any thread.
     void stop();
-    /// Queues \a task; from any thread.
+    /// Queues \a task to run on the loop. May be called from any thread.
     void post(std::function<void()> task);
-    /// Calls \a handler on the loop for each of the process's signals SIGTERM, SIGINT and SIGHUP.
+    /// Calls \a handler on the loop, with the signal number, each time the process receives
+    /// SIGTERM, SIGINT or SIGHUP.
     void onSignal(std::function<void(int)> handler);
-    /// Timers that fire on the loop; to be used on the loop only.
+    /// Timers that fire on the loop. Use them on the loop only.
     TimerService &timers();
     boost::asio::io_context &context();
 
--- a/include/rattanrill/net/message.h
+++ b/include/rattanrill/net/message.h
@@ -6,24 +6,27 @@
 
 namespace rattanrill::net {
 
+/// One HTTP header field.
 struct Header
 {
     std::string name;
     std::string value;
 };
 
-/// Headers in order of arrival; names compare without case.
+/// Header fields in order of arrival. Names are compared without regard to case.
 class Headers
 {
 public:
-    /// Null when there is no such header; the first one of several.
+    /// Value of the first header with this name, or null if there is none.
     const std::string *find(std::string_view name) const;
-    /// Value, or an empty text.
+    /// Value of the first header with this name, or an empty string if there is none.
     std::string_view value(std::string_view name) const;
+    /// Number of headers with this name.
     std::size_t count(std::string_view name) const;
     void add(std::string name, std::string value);
-    /// Replaces all headers of this name by one.
+    /// Replaces all headers with this name by a single one.
     void set(std::string_view name, std::string value);
+    /// Removes all headers with this name.
     void remove(std::string_view name);
     const std::vector<Header> &all() const { return m_headers; }
 
@@ -33,10 +36,11 @@
 
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
-/// Removes the headers that concern only one connection, also those that a Connection header
-/// names. Framing headers go as well; the sender sets them anew.
+/// Removes the hop-by-hop headers, including those that a Connection header names. Framing headers
+/// are removed as well; the sender sets them again.
 void removeConnectionHeaders(Headers &headers);
 
+/// HTTP request with its complete body.
 struct Request
 {
     std::string method;
@@ -45,10 +49,13 @@
     Headers headers;
     std::string body;
 
+    /// Part of the target before the first '?'.
     std::string_view path() const;
+    /// Part of the target after the first '?'; empty when there is none.
     std::string_view query() const;
 };
 
+/// Status line and headers of an HTTP response.
 struct ResponseHead
 {
     int status = 0;
@@ -56,6 +63,7 @@
     Headers headers;
 };
 
+/// HTTP response with its complete body.
 struct Response
 {
     ResponseHead head;
@@ -65,12 +73,12 @@
 /// Standard reason phrase of \a status.
 std::string_view reasonOf(int status);
 
-/// Response with a text body.
+/// Creates a response with \a body and the Content-Type \a contentType.
 Response textResponse(int status, std::string body, std::string_view contentType);
 
-/// Request as sent to an upstream, with Content-Length.
+/// Serializes \a request with a Content-Length header, as it is sent to an upstream.
 std::string serialize(const Request &request);
-/// Status line and headers up to and with the empty line.
+/// Serializes the status line and the headers, including the empty line that ends them.
 std::string serialize(const ResponseHead &head);
 
 } // namespace rattanrill::net
--- a/include/rattanrill/net/requestparser.h
+++ b/include/rattanrill/net/requestparser.h
@@ -9,42 +9,44 @@
 
 namespace rattanrill::net {
 
+/// Maximum sizes of a request.
 struct RequestLimits
 {
     std::size_t maxHeaderBytes = 16384;
     std::size_t maxBodyBytes = std::size_t(4) << 20;
 };
 
-/// Reads requests from the bytes of one connection, apart from any input or output.
+/// Parses the requests in the byte stream of one connection. It performs no input or output itself.
 class RequestParser
 {
 public:
     enum class State {
-        /// No byte of a request is there.
+        /// No byte of the next request has arrived.
         Idle,
         Header,
         Body,
-        /// take() gives the request.
+        /// take() returns the request.
         Complete,
-        /// The bytes are no request that is served; status() says why.
+        /// The request is malformed, too large or not supported; see status().
         Refused,
     };
 
     explicit RequestParser(RequestLimits limits);
     ~RequestParser();
 
-    /// Takes bytes; those after a complete request are kept for the next one.
+    /// Parses \a bytes. Bytes after a complete request are kept for the next one.
     void feed(std::string_view bytes);
     State state() const { return m_state; }
-    /// HTTP status for a refused request: 400, 413, 431 or 501.
+    /// HTTP status with which to answer a refused request: 400, 413, 431 or 501.
     int status() const { return m_status; }
-    /// The header asks for an interim answer before the body is sent. True once for a request.
+    /// Whether the client expects a 100 (Continue) response before it sends the body. Returns true
+    /// at most once per request.
     bool wantsContinue();
-    /// The client keeps the connection open after this request. Valid when complete.
+    /// Whether the client keeps the connection open after this request. Valid in state Complete.
     bool keepsAlive() const { return m_keepsAlive; }
-    /// The complete request; reading goes on with the next one.
+    /// Returns the complete request and starts to parse the next one. Requires state Complete.
     Request take();
-    /// Bytes that wait behind the complete request.
+    /// Number of received bytes that follow the complete request.
     std::size_t pendingBytes() const { return m_pending.size(); }
 
 private:
--- a/include/rattanrill/net/responseparser.h
+++ b/include/rattanrill/net/responseparser.h
@@ -9,19 +9,20 @@
 
 namespace rattanrill::net {
 
-/// Reads one response from the bytes of a connection, apart from any input or output. Interim
-/// responses and responses to other requests are passed over.
+/// Parses one response in the byte stream of a connection. It performs no input or output itself.
+/// Interim responses (1xx) and responses to other requests are skipped.
 class ResponseParser
 {
 public:
     enum class State {
         Reading,
-        /// The response ended as its framing says.
+        /// The response is complete according to its framing.
         Complete,
-        /// The bytes are no response, or the connection ended inside one.
+        /// The bytes are not a valid response, or the connection was closed before its end.
         Broken,
     };
 
+    /// Callbacks that receive the parts of the response during feed() or end().
     struct Handlers
     {
         /// Returns false when the response belongs to another request.
@@ -33,12 +34,12 @@
     ~ResponseParser();
 
     void feed(std::string_view bytes);
-    /// The connection was closed in order by the other side.
+    /// Handles an orderly close of the connection by the upstream.
     void end();
     State state() const { return m_state; }
-    /// Bytes follow the complete response; they belong to no request.
+    /// Whether bytes follow the complete response. They belong to no request.
     bool hasExtraBytes() const { return !m_pending.empty(); }
-    /// The connection may carry another request. Valid when complete.
+    /// Whether the connection can carry another request. Valid in state Complete.
     bool keepsAlive() const { return m_keepsAlive; }
 
 private:
--- a/include/rattanrill/net/server.h
+++ b/include/rattanrill/net/server.h
@@ -14,46 +14,49 @@
 
 namespace rattanrill::net {
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and duration of requests and on the number of connections.
 struct ServerLimits
 {
     std::size_t maxHeaderBytes = 16384;
     std::size_t maxBodyBytes = std::size_t(4) << 20;
-    /// From the first byte of a request to the end of its header.
+    /// Maximum time from the first byte of a request to the end of its header.
     absl::Duration headerTimeout = absl::Seconds(3);
-    /// Between requests, and between two pieces of a body.
+    /// Maximum time between two requests, and between two parts of a body.
     absl::Duration idleTimeout = absl::Seconds(15);
-    /// Further connections are closed at once.
+    /// Connections beyond this number are closed as soon as they are accepted.
     std::size_t maxConnections = 3000;
 };
 
-/// One request of a client and the way of its answer. Used on the event loop only. Exactly one of
-/// respond(), finish() or abort() ends it.
+/// One request of a client and its response. Use it on the event loop only. Exactly one call of
+/// respond(), finish() or abort() ends the exchange.
 class Exchange
 {
 public:
     virtual ~Exchange() = default;
 
     virtual const Request &request() const = 0;
-    /// Time at which the request was complete.
+    /// Time at which the request had arrived completely.
     virtual absl::Time receivedAt() const = 0;
-    /// Calls \a handler once if the client leaves before the answer is complete.
+    /// Calls \a handler once if the client disconnects before the response is complete.
     virtual void onClientDisconnected(std::function<void()> handler) = 0;
+    /// Sends a complete response.
     virtual void respond(Response response) = 0;
-    /// Starts an answer of unknown length.
+    /// Starts a streamed response, whose length is not known in advance.
     virtual void startStream(ResponseHead head) = 0;
+    /// Sends a part of the body of a streamed response.
     virtual void write(std::string_view bytes) = 0;
-    /// Ends the stream as complete.
+    /// Ends a streamed response as complete.
     virtual void finish() = 0;
-    /// Closes the connection, so that the answer can't look complete.
+    /// Closes the connection, so that the client cannot take the response for a complete one.
     virtual void abort() = 0;
+    /// Whether startStream() was called.
     virtual bool started() const = 0;
-    /// Bytes that the client has not taken yet.
+    /// Number of response bytes that have not been sent to the client yet.
     virtual std::size_t unsentBytes() const = 0;
 };
 
-/// HTTP/1.1 server on an event loop. A connection serves one request after another; malformed,
-/// oversized or slow input is answered with its status and costs other connections nothing.
+/// HTTP/1.1 server on an event loop. A connection serves one request after another. Malformed,
+/// oversized or slow input is answered with an error status and does not affect other connections.
 class Server
 {
 public:
@@ -64,17 +67,19 @@
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
-    /// Fails with AddressInUse or InvalidArgument.
+    /// Listens on \a address ("host:port"). Fails with AddressInUse or InvalidArgument.
     Result<void> start(const std::string &address);
+    /// Port on which the server listens.
     int port() const;
-    /// For connections that are accepted and requests that begin from now on.
+    /// Sets the limits for connections that are accepted and requests that begin from now on.
     void setLimits(const ServerLimits &limits);
-    /// From now on each answer closes its connection.
+    /// Makes the server close each connection after its next response.
     void drain();
-    /// Closes connections without an open request.
+    /// Closes the connections that have no open request.
     void closeIdle();
     std::size_t openRequests() const;
     std::size_t connections() const;
+    /// Stops listening and closes all connections.
     void stop();
 
 private:
--- a/include/rattanrill/peer/channel.h
+++ b/include/rattanrill/peer/channel.h
@@ -7,8 +7,8 @@
 
 namespace rattanrill::peer {
 
-/// Client end of one authenticated connection to another process. It connects at the first call
-/// and again, with backoff, after the connection is lost.
+/// Client side of one authenticated connection to another process. It connects at the first call
+/// and reconnects, with backoff, after the connection is lost.
 class Channel
 {
 public:
@@ -20,17 +20,18 @@
 
     /// Calls \a method. Fails with Timeout, ConnectionLost or Stopped (MayHaveRun once the request
     /// may have left this process, NotRun before), QueueFull, MessageTooLarge, AuthenticationFailed
-    /// or UnsupportedVersion (all NotRun), or with what the other side answered. While the channel
-    /// waits for the next attempt to connect, calls fail at once, so that the caller can turn to
-    /// another process. \a reply runs on a network thread and returns soon.
+    /// or UnsupportedVersion (all NotRun), or with the failure that the other process returned.
+    /// While the channel waits for the next attempt to connect, calls fail immediately, so that the
+    /// caller can try another process. \a reply runs on a network thread and must not block.
     void call(wire::Method method, std::string body, absl::Duration timeout,
               ResponseCallback reply);
-    /// Sends without an answer. Waits for a connection that is being made; dropped while the
-    /// channel waits for the next attempt to connect, or when the queue is full.
+    /// Sends a message that has no response. The message is queued while a connection is being
+    /// established. It is dropped while the channel waits for the next attempt to connect, and when
+    /// the queue is full.
     void sendOneWay(wire::Method method, std::string body);
     const std::string &address() const;
     bool connected() const;
-    /// Fails all open calls with Stopped; no reply runs after return.
+    /// Closes the channel. All open calls fail with Stopped; no reply runs after return.
     void close();
 
 private:
--- a/include/rattanrill/peer/channelpool.h
+++ b/include/rattanrill/peer/channelpool.h
@@ -7,17 +7,18 @@
 
 namespace rattanrill::peer {
 
-/// One Channel per address, made on demand.
+/// Holds one Channel per address and creates it on demand.
 class ChannelPool
 {
 public:
     explicit ChannelPool(TransportOptions options);
     ~ChannelPool();
 
-    /// Channel to \a address ("host:port"); stays valid while the caller holds it.
+    /// Channel to \a address ("host:port"). It stays valid while the caller holds the pointer.
     std::shared_ptr<Channel> channel(const std::string &address);
-    /// Closes and forgets the channel of a process that has left.
+    /// Closes and removes the channel of a process that has left the deployment.
     void remove(const std::string &address);
+    /// Closes all channels.
     void close();
 
 private:
--- a/include/rattanrill/peer/server.h
+++ b/include/rattanrill/peer/server.h
@@ -6,7 +6,7 @@
 
 namespace rattanrill::peer {
 
-/// Accepts authenticated websocket connections of other processes and serves their requests.
+/// Accepts authenticated WebSocket connections from other processes and serves their requests.
 class Server
 {
 public:
@@ -15,11 +15,12 @@
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
-    /// Sets the handler of \a method; before start() only.
+    /// Sets the handler of \a method. Call it before start() only.
     void handle(wire::Method method, MethodHandler handler);
-    /// Listens on \a host and \a port; port 0 takes a free one. Fails with AddressInUse or
+    /// Listens on \a host and \a port; port 0 selects a free port. Fails with AddressInUse or
     /// InvalidArgument.
     Result<void> start(const std::string &host, int port);
+    /// Port on which the server listens.
     int port() const;
     /// Closes all connections; no handler runs after return.
     void stop();
--- a/include/rattanrill/peer/transport.h
+++ b/include/rattanrill/peer/transport.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::peer {
 
-/// Who is at the other end, as proved by the hello exchange.
+/// Identity of a process; that of a remote process is authenticated by the hello exchange.
 struct PeerIdentity
 {
     std::string instance;
@@ -19,29 +19,29 @@
     std::string role;
 };
 
-/// Common to Server and Channel.
+/// Options that Server and Channel have in common.
 struct TransportOptions
 {
     PeerIdentity self;
-    /// Shared by all processes of a deployment; never sent.
+    /// Secret that all processes of a deployment share. It is never sent.
     std::string clusterSecret;
-    /// A larger message fails with MessageTooLarge.
+    /// A larger message is rejected with MessageTooLarge.
     std::size_t maxMessageBytes = 32u << 20;
-    /// A send beyond this many queued bytes per connection fails with QueueFull.
+    /// A send that would exceed this many queued bytes per connection fails with QueueFull.
     std::size_t maxQueuedBytes = 64u << 20;
     absl::Duration connectTimeout = absl::Seconds(2);
-    /// Longest wait between two attempts to connect.
+    /// Maximum delay between two attempts to connect.
     absl::Duration maxBackoff = absl::Seconds(1);
-    /// A ping is sent this often. A connection on which nothing arrives for several periods is
-    /// lost, so that calls with long timeouts do not wait on a host that is gone.
+    /// Interval between pings. A connection on which nothing arrives for several intervals counts
+    /// as lost, so that calls with long timeouts do not wait for a host that has failed.
     absl::Duration keepAlivePeriod = absl::Seconds(1);
 };
 
 /// Receives the response body or the failure of a call. Called exactly once.
 using ResponseCallback = std::function<void(Outcome<std::string>)>;
 
-/// Serves one method. Runs on a network thread: it returns soon and replies now or later, from any
-/// thread.
+/// Serves one method. It runs on a network thread and must not block; \a reply may be called during
+/// the call or later, from any thread.
 using MethodHandler =
         std::function<void(const PeerIdentity &from, std::string body, ResponseCallback reply)>;
 
