--- a/include/rattanrill/directory/controlpollclient.h
+++ b/include/rattanrill/directory/controlpollclient.h
@@ -8,7 +8,8 @@
 
 namespace rattanrill::directory {
 
-/// Polls the control instances. Programs that use it link rattanrill_controlclient.
+/// Sends the polls to the control instances. Programs that use this class must link
+/// rattanrill_controlclient.
 class ControlPollClient : public DirectoryPollClient
 {
 public:
--- a/include/rattanrill/directory/directorypollclient.h
+++ b/include/rattanrill/directory/directorypollclient.h
@@ -9,14 +9,15 @@
 
 namespace rattanrill::directory {
 
-/// Sends one long poll of the directory. The callback runs exactly once, on any thread, also before
-/// poll() returns; with a failure at the latest after \a timeout.
+/// Transport for long polls of the directory.
 class DirectoryPollClient
 {
 public:
     using Callback = std::function<void(Outcome<wire::PollChangesResponse>)>;
 
     virtual ~DirectoryPollClient() = default;
+    /// Sends one long poll. \a callback runs exactly once, on any thread and possibly before poll()
+    /// returns. If there is no answer within \a timeout, it runs with a failure.
     virtual void poll(const wire::PollChangesRequest &request, absl::Duration timeout,
                       Callback callback) = 0;
 };
--- a/include/rattanrill/directory/directorysubscriber.h
+++ b/include/rattanrill/directory/directorysubscriber.h
@@ -13,29 +13,33 @@
 
 namespace rattanrill::directory {
 
+/// Configuration of a DirectorySubscriber.
 struct SubscriberOptions
 {
+    /// Name of the polling instance.
     std::string instance;
-    /// How long the control instance may hold a poll. The age of a view swings between this and
-    /// twice this, which must stay well below the owner lease of 2 s.
+    /// How long the control instance may delay the answer to a poll while nothing changes. The age
+    /// of a view then varies between this value and twice this value, which must stay well below
+    /// the owner lease of 2 s.
     absl::Duration pollWait = absl::Milliseconds(400);
-    /// A poll without an answer after this long has failed; leaves time for a try at another
-    /// control instance within the owner lease.
+    /// A poll that has no answer after this time has failed. The value leaves time for an attempt
+    /// at another control instance within the owner lease.
     absl::Duration pollTimeout = absl::Seconds(1);
-    /// Time from one poll to the next at least, so that many changes in a row come together.
+    /// Minimum time between the starts of two polls, so that one answer carries a burst of changes.
     absl::Duration minPollInterval = absl::Milliseconds(20);
-    /// Wait after the first failure; doubled with each further one, times a random 0.5 to 1.
+    /// Backoff after the first failure. It doubles with each consecutive failure up to maxBackoff
+    /// and is multiplied by a random factor from 0.5 to 1.
     absl::Duration minBackoff = absl::Milliseconds(50);
     absl::Duration maxBackoff = absl::Seconds(1);
 };
 
-/// Keeps a View up to date by long polls, one at a time.
+/// Keeps a DirectoryView up to date by long polls, of which only one is open at a time.
 class DirectorySubscriber
 {
 public:
     using Listener = std::function<void(const std::shared_ptr<const DirectoryView> &)>;
 
-    /// \a source, \a timers and \a clock must outlive the follower.
+    /// \a source, \a timers and \a clock must outlive the subscriber.
     DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &source,
                         TimerService &timers, const Clock &clock);
     ~DirectorySubscriber();
@@ -44,16 +48,17 @@
 
     /// Sends the first poll.
     void start();
-    /// After return no listener runs and none will run, unless called from a listener.
+    /// Stops polling. When this returns, no listener runs or will run. A call from a listener does
+    /// not wait for that listener.
     void stop();
 
-    /// Never null; empty with revision 0 before the first answer.
+    /// Current view; never null. Empty and with revision 0 before the first answer.
     std::shared_ptr<const DirectoryView> view() const;
-    /// Time since the last successfully answered poll was sent: the view holds everything that was
-    /// committed by then. Infinite before the first answer.
+    /// Time since the sending of the last poll that was answered successfully. The view contains
+    /// everything that was committed before that time. Infinite before the first answer.
     absl::Duration age() const;
-    /// Calls \a listener with each new view, in order, on the thread of the answer. Call before
-    /// start().
+    /// Registers \a listener, which is called with each new view, in order of revision, on the
+    /// thread that receives the answer. To be called before start().
     void onChange(Listener listener);
 
 private:
--- a/include/rattanrill/directory/pathprefix.h
+++ b/include/rattanrill/directory/pathprefix.h
@@ -4,11 +4,11 @@
 
 namespace rattanrill::directory {
 
-/// \a prefix without its trailing slash: "/desk" and "/desk/" are the same route.
+/// Returns \a prefix without its trailing slash, since "/desk" and "/desk/" are the same route.
 std::string_view prefixBase(std::string_view prefix);
 
-/// \a path (without query) is \a prefix or lies below it. Whole segments are compared, so that an
-/// open route "/public" does not open "/publications".
+/// Whether \a path (without query) is \a prefix or lies below it. Compares whole segments, so that
+/// an open route "/public" does not also open "/publications" to callers without a key.
 bool matchesPrefix(std::string_view path, std::string_view prefix);
 
 } // namespace rattanrill::directory
--- a/include/rattanrill/directory/recordlist.h
+++ b/include/rattanrill/directory/recordlist.h
@@ -9,11 +9,13 @@
 
 namespace rattanrill::directory {
 
-/// Immutable list of few records in order of id. Copies share the list.
+/// Immutable list of records in order of id, for small numbers of records. Copies share the list; a
+/// change copies it. For many records, see RecordTable.
 template <typename Record>
 class RecordList
 {
 public:
+    /// A record and its id; the record is never null.
     struct Row
     {
         std::string id;
@@ -24,16 +26,17 @@
         : m_rows(std::make_shared<const std::vector<Row>>())
     {}
 
-    /// Null when there is no such record.
+    /// Returns the record \a id; null when there is none.
     std::shared_ptr<const Record> find(std::string_view id) const
     {
         const auto place = lowerBound(*m_rows, id);
         return place != m_rows->end() && place->id == id ? place->record : nullptr;
     }
 
+    /// All records in order of id.
     const std::vector<Row> &rows() const { return *m_rows; }
 
-    /// Changes a copy of a list.
+    /// Builds a changed copy of a list.
     class Editor
     {
     public:
@@ -41,6 +44,7 @@
             : m_rows(*list.m_rows)
         {}
 
+        /// Adds the record, or replaces the one with the same id.
         void put(const std::string &id, Record record)
         {
             Row row{id, std::make_shared<const Record>(std::move(record))};
@@ -51,6 +55,7 @@
                 m_rows.insert(place, std::move(row));
         }
 
+        /// Removes the record \a id if there is one.
         void remove(std::string_view id)
         {
             const auto place = lowerBound(m_rows, id);
@@ -58,7 +63,7 @@
                 m_rows.erase(place);
         }
 
-        /// The changed list; the editor is spent.
+        /// Returns the changed list. The editor must not be used afterwards.
         RecordList finish() { return RecordList(std::move(m_rows)); }
 
     private:
--- a/include/rattanrill/directory/recordtable.h
+++ b/include/rattanrill/directory/recordtable.h
@@ -14,21 +14,24 @@
 
 namespace rattanrill::directory {
 
-/// Immutable table of many records by id. Copies share their records; a change copies one of 256
-/// shards, so that one contract does not copy all others.
+/// Immutable table of records by id, for large numbers of records. Copies share their records. A
+/// change copies only one of 256 shards, so that a change of one contract does not copy all others.
 template <typename Record>
 class RecordTable
 {
+    /// A record and its id.
     struct Row
     {
         std::string id;
         std::shared_ptr<const Record> record;
     };
+    /// Rows in order of id.
     using Shard = std::vector<Row>;
+    /// A null shard is empty.
     using Shards = std::array<std::shared_ptr<const Shard>, 256>;
 
 public:
-    /// Changes a copy of a table.
+    /// Builds a changed copy of a table.
     class Editor
     {
     public:
@@ -36,6 +39,7 @@
             : m_shards(*table.m_shards)
         {}
 
+        /// Adds the record, or replaces the one with the same id.
         void put(const std::string &id, Record record)
         {
             Shard &shard = owned(id);
@@ -47,11 +51,12 @@
                 shard.insert(place, std::move(row));
         }
 
-        /// The changed table; the editor is spent.
+        /// Returns the changed table. The editor must not be used afterwards.
         RecordTable finish() { return RecordTable(std::move(m_shards)); }
 
     private:
-        /// The shard of \a id, copied before its first change.
+        /// Returns this editor's own copy of the shard of \a id, which is made on the first call
+        /// for the shard.
         Shard &owned(std::string_view id)
         {
             const std::size_t index = shardOf(id);
@@ -73,7 +78,7 @@
         : m_shards(std::make_shared<const Shards>())
     {}
 
-    /// Null when there is no such record.
+    /// Returns the record \a id; null when there is none.
     std::shared_ptr<const Record> find(std::string_view id) const
     {
         const auto &shard = (*m_shards)[shardOf(id)];
@@ -83,6 +88,7 @@
         return place != shard->end() && place->id == id ? place->record : nullptr;
     }
 
+    /// Number of records.
     std::size_t size() const
     {
         std::size_t count = 0;
--- a/include/rattanrill/directory/statemachine.h
+++ b/include/rattanrill/directory/statemachine.h
@@ -7,28 +7,34 @@
 
 namespace rattanrill::directory {
 
-/// Answers to writes with a request id that are remembered for resends, accepted and refused ones.
-/// There is no limit in time: at 5,800 changes a day this is more than two days. The oldest answer
-/// is forgotten first; a resend after that meets the comparison of revisions.
+/// Maximum number of cached answers to writes with a request id, both accepted and refused ones,
+/// which are returned again when a client resends the write. Answers do not expire; at 5,800
+/// changes a day this number covers more than two days. The oldest answer is evicted first; a write
+/// that is resent after that goes through the check of revisions like a new one.
 constexpr std::size_t maxCachedResponses = 16384;
 
-/// Changes that are kept for followers; more than a day at 5,800 changes a day. A follower that is
-/// further behind gets a snapshot.
+/// Maximum number of changes that are kept for subscribers; it covers more than a day at 5,800
+/// changes a day. A subscriber that is further behind receives a snapshot.
 constexpr std::size_t changeHistoryLimit = 8192;
 
-/// Members that were replaced by a newer incarnation and may not join again, more than six days at
-/// 640 restarts a day.
+/// Maximum number of remembered member incarnations that were replaced by a newer one and must not
+/// join again; it covers more than six days at 640 restarts a day.
 constexpr std::size_t rememberedIncarnations = 4096;
 
-/// State of the directory group: applies wire::DirectoryCommand, answered by a
-/// wire::DirectoryResult, and answers wire::DirectoryQuery by a wire::PollChangesResponse.
+/// Creates the replicated state machine of the directory group. It applies wire::DirectoryCommand
+/// and returns a wire::DirectoryResult; it answers a wire::DirectoryQuery with a
+/// wire::PollChangesResponse.
 ///
-/// Every accepted write raises the directory revision by one, except that a member which joins
-/// again unchanged leaves everything as it is. Failures: InvalidRequest (a field is out of its
-/// range), Conflict (another revision or incarnation, a key hash or id that was used before, a path
-/// prefix that is taken, a key of a withdrawn contract), NotFound, NotMember (a replaced
-/// incarnation joins), DuplicateRequest (the request id belongs to another write), StaleRevision (a
-/// query names a revision that does not exist yet) and MalformedMessage.
+/// Every accepted write increases the directory revision by one, except that a member that joins
+/// again without a change has no effect. Failures:
+/// - InvalidRequest: a field is out of its range.
+/// - Conflict: the revision or incarnation differs, a key hash or id was used before, a path
+///   prefix is taken, or the contract of a key is withdrawn.
+/// - NotFound
+/// - NotMember: the incarnation that joins was replaced by a newer one.
+/// - DuplicateRequest: the request id belongs to another write.
+/// - StaleRevision: a query names a revision that does not exist yet.
+/// - MalformedMessage
 std::unique_ptr<replication::StateMachine> makeDirectoryStateMachine();
 
 } // namespace rattanrill::directory
--- a/include/rattanrill/engine/abortsignal.h
+++ b/include/rattanrill/engine/abortsignal.h
@@ -7,17 +7,18 @@
 
 namespace rattanrill::engine {
 
-/// Lets another thread abort a blocking call. An abort closes the connection; to let the engine
-/// finish the stream in order, use EngineClient::cancel() instead.
+/// Allows another thread to abort a blocking call of EngineClient. An abort closes the connection;
+/// use EngineClient::cancel() instead to let the engine end the stream in an orderly way.
 class AbortSignal
 {
 public:
-    /// Aborts the call that runs now and every later one.
+    /// Aborts the running call and every later call that uses this signal.
     void abort() ABSL_LOCKS_EXCLUDED(m_mutex);
     bool aborted() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Sets what abort() does to the running call; null when no call runs. Called at once when
-    /// abort() came first. For clients only.
+    /// Sets the action with which abort() ends the running call; null when no call is running. If
+    /// abort() was called before, \a action runs immediately. It runs under the lock of the signal
+    /// and must not block. For use by clients such as EngineClient only.
     void onAbort(std::function<void()> action) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/rattanrill/engine/engineclient.h
+++ b/include/rattanrill/engine/engineclient.h
@@ -15,42 +15,49 @@
 
 namespace rattanrill::engine {
 
+/// Address and timeouts of an engine.
 struct EngineOptions
 {
+    /// Name of the upstream.
     std::string name;
     std::string host;
     int port = 0;
     absl::Duration connectTimeout = absl::Seconds(1);
-    /// A stream without any event for this long is broken.
+    /// A stream that receives no event for this long fails with StreamBroken.
     absl::Duration idleTimeout = absl::Seconds(10);
-    /// For cancel, export and load.
+    /// Timeout of all calls other than stream().
     absl::Duration auxiliaryCallTimeout = absl::Seconds(2);
 };
 
-/// One try of a completion.
+/// One attempt at a completion.
 struct StreamRequest
 {
     /// "/v1/completions" or "/v1/chat/completions".
     std::string path;
-    /// JSON object of the caller's request.
+    /// Body of the caller's request, a JSON object.
     std::string body;
-    /// Unique per try.
+    /// Unique per attempt.
     std::string requestId;
-    /// Tokens already delivered by earlier tries.
+    /// Number of tokens that earlier attempts have already delivered.
     std::uint64_t deliveredTokens = 0;
-    /// Of a KV export by an earlier try; may be empty.
+    /// Handle of the KV export of an earlier attempt; empty for none.
     std::string kvHandle;
     absl::Time deadline = absl::InfiniteFuture();
 };
 
+/// Load that an engine reports.
 struct EngineLoadReport
 {
+    /// Number of running requests.
     std::int64_t running = 0;
+    /// Number of waiting requests.
     std::int64_t waiting = 0;
+    /// Occupied KV memory in tokens.
     std::int64_t kvTokens = 0;
     std::int64_t kvCapacityTokens = 0;
+    /// Maximum number of running requests.
     std::int64_t maxBatch = 0;
-    /// How old the figures were when the engine sent them.
+    /// Age of the figures at the time when the engine sent them.
     absl::Duration ageWhenSent;
 };
 
@@ -58,28 +65,33 @@
 struct CacheEvent
 {
     std::uint64_t sequence = 0;
-    /// Otherwise evicted.
+    /// True when the prefix was stored, false when it was evicted.
     bool stored = false;
     std::uint64_t prefixHash = 0;
+    /// Length of the prefix in tokens.
     std::int64_t tokens = 0;
 };
 
+/// Result of one cacheEvents() call.
 struct CacheEventPage
 {
     std::vector<CacheEvent> events;
-    /// To pass as \a after next time.
+    /// Value to pass to the next cacheEvents() call.
     std::uint64_t next = 0;
 };
 
+/// A KV cache that an engine exported.
 struct ExportedCache
 {
+    /// For StreamRequest::kvHandle of the next attempt.
     std::string handle;
+    /// Number of tokens of the answer so far.
     std::int64_t tokens = 0;
 };
 
-/// Client of one model engine; the protocol is in docs/upstream-protocol.md. Calls block; they may
-/// run at the same time from several threads. Each call uses a connection of its own: a failure to
-/// connect then proves that nothing ran, which a reused connection could not prove.
+/// Client of one model engine; docs/upstream-protocol.md describes the protocol. Calls block and
+/// may be made from several threads at the same time. Each call opens its own connection: a failure
+/// to connect then proves that nothing ran, which a failure on a reused connection would not.
 class EngineClient
 {
 public:
@@ -92,23 +104,27 @@
 
     const EngineOptions &options() const;
 
-    /// Streams a completion and passes each checked token to \a onToken, in order and without
-    /// repetition. Fails with UpstreamUnavailable or UpstreamBusy (NotRun), UnknownModel,
-    /// InvalidRequest, UpstreamFailed, StreamBroken, Timeout (deadline) or ClientDisconnected
-    /// (aborted by \a cancellation), which are MayHaveRun unless the engine said otherwise.
+    /// Streams a completion and passes each validated token to \a onToken, in order and without
+    /// repetition. Fails with UpstreamUnavailable, UpstreamBusy, UnknownModel, InvalidRequest,
+    /// UpstreamFailed, StreamBroken, Timeout (the deadline passed) or ClientDisconnected (aborted
+    /// through \a cancellation). A failure is NotRun when it occurred before the request was sent
+    /// or when the engine reported that the request did not run, and MayHaveRun otherwise.
     Outcome<StreamSummary> stream(const StreamRequest &request, AbortSignal &cancellation,
                                   const TokenHandler &onToken);
-    /// Asks the engine to end a stream; returns whether the engine knew it.
+    /// Requests the engine to end a stream; returns false when the engine has no such stream.
     Outcome<bool> cancel(const std::string &requestId);
-    /// Ends a stream and keeps its KV cache for a later try.
+    /// Ends a stream and exports its KV cache for a later attempt.
     Outcome<ExportedCache> exportCache(const std::string &requestId);
     Outcome<EngineLoadReport> load();
-    /// Events of the prefix cache after number \a after; they come late and with gaps.
+    /// Returns the events of the prefix cache with sequence numbers above \a after. Events are
+    /// delayed and some are missing.
     Outcome<CacheEventPage> cacheEvents(std::uint64_t after);
-    /// Whether the engine answers at all. UpstreamUnavailable means that nothing listens there.
+    /// Checks that the engine answers. Fails with UpstreamUnavailable when nothing listens at its
+    /// address.
     Outcome<Done> probe();
 
-    /// Events dropped because they belonged to another request or repeated a token.
+    /// Number of events that were dropped because they belonged to another request or repeated a
+    /// token.
     std::uint64_t droppedEvents() const;
 
 private:
--- a/include/rattanrill/engine/streamevents.h
+++ b/include/rattanrill/engine/streamevents.h
@@ -8,7 +8,7 @@
 /// One token of an answer.
 struct Token
 {
-    /// Counted from 0 over the whole answer.
+    /// Position in the whole answer, from 0.
     std::uint64_t index = 0;
     std::string text;
 };
@@ -18,9 +18,9 @@
 {
     /// "stop", "length" or "cancelled".
     std::string finishReason;
-    /// Usage object of the engine as JSON text; empty when it sent none.
+    /// The engine's "usage" object as JSON text; empty when the engine sent none.
     std::string usage;
-    /// Tokens of the whole answer, including those of earlier tries.
+    /// Number of tokens of the whole answer, including those of earlier attempts.
     std::uint64_t tokens = 0;
 };
 
--- a/include/rattanrill/fakes/balancer.h
+++ b/include/rattanrill/fakes/balancer.h
@@ -18,28 +18,32 @@
 
 namespace rattanrill::fakes {
 
+/// Configuration of a Balancer.
 struct BalancerSettings
 {
     RelayAddress listen;
-    /// Instances of this role receive connections.
+    /// Only instances with this role receive connections.
     std::string role = "entry";
     std::string healthPath = "/readyz";
     absl::Duration healthPeriod = absl::Milliseconds(1000);
     absl::Duration healthTimeout = absl::Milliseconds(500);
-    /// Failed checks in a row until an instance gets no new connections.
+    /// Number of consecutive failed health checks after which an instance receives no new
+    /// connections. One passed check makes it healthy again.
     int unhealthyAfter = 2;
 };
 
+/// An instance of the balanced role, as the balancer reports it.
 struct BalancerTarget
 {
     Instance instance;
     bool healthy = false;
+    /// Connections assigned to the instance so far, including closed ones.
     std::int64_t connections = 0;
 };
 
-/// The platform's load balancer: spreads new TCP connections in turn over the instances that the
-/// lagging list calls live and that pass the health check. Open connections of a leaving instance
-/// stay.
+/// Simulates the platform's load balancer. Distributes new TCP connections round-robin over the
+/// instances that are live in the delayed instance list and pass the health check. Connections that
+/// are already open stay open when their instance is leaving.
 class Balancer
 {
 public:
@@ -48,8 +52,10 @@
     Balancer(BalancerSettings settings, Lister lister, TimerService &timers);
     ~Balancer();
 
-    /// Returns the port. Fails with AddressInUse.
+    /// Starts listening and health checks; returns the port. Fails with AddressInUse or
+    /// InvalidArgument (the host to listen on is not an IP address).
     Result<int> start();
+    /// All listed instances of the role, live or leaving.
     std::vector<BalancerTarget> targets() const;
     RelayCounters counters() const { return m_relay.counters(); }
 
--- a/include/rattanrill/fakes/cacheeventfeed.h
+++ b/include/rattanrill/fakes/cacheeventfeed.h
@@ -11,24 +11,29 @@
 
 namespace rattanrill::fakes {
 
+/// A change of the prefix cache with its sequence number.
 struct CacheEvent
 {
     std::int64_t seq = 0;
     PrefixChange change;
 };
 
+/// Result of one poll of a CacheEventFeed.
 struct CacheEventPage
 {
     std::vector<CacheEvent> events;
-    /// Value of "after" for the next poll.
+    /// Value to pass as "after" in the next poll.
     std::int64_t next = 0;
 };
 
-/// Publishes cache changes late and with gaps: each change gets a sequence number, a seeded share
-/// of them is lost, and the rest appears after a delay. Keeps the newest events only.
+/// Simulates an event feed that is delayed and has gaps. Each published change gets a sequence
+/// number; a random fraction of the changes is lost, and the others become visible after a delay.
+/// The feed keeps only the newest events.
 class CacheEventFeed
 {
 public:
+    /// \a lossShare is the probability, from 0 to 1, that a change is lost. \a seed makes the
+    /// losses reproducible.
     CacheEventFeed(absl::Duration delay, double lossShare, std::uint64_t seed);
 
     void publish(absl::Time now, std::vector<PrefixChange> changes);
--- a/include/rattanrill/fakes/engineeventqueue.h
+++ b/include/rattanrill/fakes/engineeventqueue.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::fakes {
 
-/// An engine event with the request that it belongs to, which is another one than the receiver's
-/// when answers were crossed.
+/// An engine event with the request that it belongs to. When a fault has crossed two answers, this
+/// is not the request of the connection that receives the event.
 struct DeliveredEvent
 {
     EngineEvent event;
@@ -25,9 +25,11 @@
 class EngineEventQueue
 {
 public:
-    /// \a event may be taken from \a readyAt on; times do not decrease.
+    /// Adds \a event, which pop() returns no earlier than \a readyAt. Successive calls must not
+    /// pass a decreasing \a readyAt.
     void push(absl::Time readyAt, DeliveredEvent event);
-    /// Next event whose time has come, waiting for it for at most \a timeout.
+    /// Removes and returns the next event that is ready, waiting for at most \a timeout; nothing
+    /// when the time runs out.
     std::optional<DeliveredEvent> pop(const Clock &clock, absl::Duration timeout);
 
 private:
--- a/include/rattanrill/fakes/enginehost.h
+++ b/include/rattanrill/fakes/enginehost.h
@@ -16,8 +16,9 @@
 
 namespace rattanrill::fakes {
 
-/// Drives an EngineModel in real time on one thread and hands its events to the streams of the
-/// connections. Lock order: this mutex, then those of Faults, RequestLog and EngineEventQueue.
+/// Runs an EngineModel in real time on one thread and passes its events to the event queues of the
+/// connections. Lock order: the mutex of this class, then those of Faults, RequestLog and
+/// EngineEventQueue.
 class EngineHost
 {
 public:
@@ -27,20 +28,24 @@
     EngineHost(const EngineHost &) = delete;
     EngineHost &operator=(const EngineHost &) = delete;
 
-    /// Queues a request; its events arrive at the returned stream. \a recordSeq is its record.
+    /// Queues a request and returns the queue that receives its events. \a recordSeq is the
+    /// sequence number of the request's record in the request log. Fails as EngineModel::submit().
     Result<std::shared_ptr<EngineEventQueue>> submit(EngineRequest request, std::int64_t recordSeq);
+    /// As EngineModel::cancel().
     std::optional<std::int64_t> cancel(const std::string &requestId);
+    /// As EngineModel::exportKv().
     std::optional<KvExport> exportKv(const std::string &requestId);
-    /// Load as the lagging report has it.
+    /// Load as the delayed report shows it.
     EngineLoad load() const;
     CacheEventPage cacheEvents(std::int64_t after) const;
     OrderAnswer order(const Order &order);
-    /// Settings never change after construction.
+    /// Needs no lock: the settings never change after construction.
     const EngineModelSettings &settings() const { return m_settings; }
-    /// Takes over faults that were set.
+    /// Applies the current faults to the model. To be called after each change of the faults.
     void applyFaults();
 
 private:
+    /// Destination of the events of one request.
     struct Route
     {
         std::shared_ptr<EngineEventQueue> stream;
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -16,8 +16,10 @@
 
 namespace rattanrill::fakes {
 
-/// Duration of a step = base + perSequence x batch + perContextToken x context tokens
-/// + prefillPerToken x prompt tokens that joined in this step.
+/// Delays of the simulated engine. A step takes stepBase + stepPerSequence x sequences in the batch
+/// + stepPerContextToken x context tokens of the batch + prefillPerToken x uncached context tokens
+/// of the requests that joined in this step. A request that resumes from a KV export costs
+/// kvImportPerToken for each imported token instead of prefillPerToken.
 struct EngineTimings
 {
     absl::Duration stepBase = absl::Milliseconds(12);
@@ -30,33 +32,42 @@
     absl::Duration cacheEventDelay = absl::Milliseconds(800);
 };
 
+/// Capacity of the simulated engine.
 struct EngineLimits
 {
+    /// Maximum number of requests in the batch.
     std::int64_t maxBatch = 32;
+    /// Maximum number of requests in the queue.
     std::int64_t maxWaiting = 64;
     std::int64_t kvCapacityTokens = 160000;
     std::int64_t prefixCacheTokens = 60000;
 };
 
+/// Configuration of an EngineModel.
 struct EngineModelSettings
 {
+    /// Names of the models that are loaded from the start.
     std::vector<std::string> models;
     EngineTimings timings;
     EngineLimits limits;
+    /// Probability, from 0 to 1, that a cache event is lost.
     double cacheEventLoss = 0.05;
+    /// Whether the engine refuses orders with an outdated fencing token.
     bool checksFence = true;
     std::uint64_t seed = 1;
 };
 
+/// A completion request to the simulated engine.
 struct EngineRequest
 {
     std::string requestId;
     std::string model;
     std::string prompt;
-    /// Tokens of the whole answer, including those before resumeAfter.
+    /// Number of tokens of the whole answer, including the first resumeAfter tokens.
     std::int64_t maxTokens = 16;
+    /// Number of tokens that earlier attempts delivered; generation continues after them.
     std::int64_t resumeAfter = 0;
-    /// Empty, or of an earlier export.
+    /// Handle of an earlier KV export; empty for none.
     std::string kvHandle;
 };
 
@@ -68,8 +79,7 @@
 
 std::string_view name(FinishReason reason);
 
-/// What happened to a request. Token events carry the token's index, Finished events the number of
-/// tokens of the whole answer so far.
+/// A change in the state of a request.
 struct EngineEvent
 {
     enum class Kind {
@@ -80,34 +90,43 @@
 
     Kind kind = Kind::Token;
     std::string requestId;
+    /// In Token events the index of the token, from 0; in Started and Finished events the number of
+    /// tokens of the whole answer so far.
     std::int64_t index = 0;
+    /// Set in Finished events only.
     FinishReason reason = FinishReason::Length;
 };
 
+/// An exported KV cache.
 struct KvExport
 {
     std::string handle;
+    /// Number of tokens of the answer so far.
     std::int64_t tokens = 0;
 };
 
-/// A model engine with continuous batching as a pure simulation: time comes in as an argument. One
-/// step loop; requests join in order of arrival while the batch and the KV memory have room.
+/// Simulates a model engine with continuous batching. The simulation reads no clock: callers pass
+/// the current time. Requests join the batch between two steps, in order of arrival, while the
+/// batch and the KV memory have room.
 class EngineModel
 {
 public:
     explicit EngineModel(EngineModelSettings settings);
 
-    /// Queues \a request. Fails as not run with UnknownModel, UpstreamBusy (queue full),
-    /// DuplicateRequest (id in use) or InvalidRequest (needs more KV memory than there is).
+    /// Queues \a request. Fails, always as NotRun, with UnknownModel, UpstreamBusy (the queue is
+    /// full), DuplicateRequest (the request id is in use) or InvalidRequest (the request needs more
+    /// KV memory than the engine has).
     Result<void> submit(absl::Time now, EngineRequest request);
-    /// Ends a request; returns the tokens of its answer so far, nothing for an unknown id.
+    /// Ends a waiting or running request; returns the number of tokens of its answer so far, or
+    /// nothing for an unknown id.
     std::optional<std::int64_t> cancel(absl::Time now, const std::string &requestId);
-    /// As cancel(), and returns a handle with which any engine resumes without prefill.
+    /// As cancel(), but also returns a handle with which any engine can resume the request without
+    /// prefill.
     std::optional<KvExport> exportKv(absl::Time now, const std::string &requestId);
 
-    /// Completes the steps that end by \a now; returns the events since the last call.
+    /// Completes all steps that end at or before \a now; returns the events since the last call.
     std::vector<EngineEvent> advance(absl::Time now);
-    /// End of the current step; InfiniteFuture when idle.
+    /// End of the current step; InfiniteFuture when the engine is idle.
     absl::Time nextEvent() const { return m_stepEnd; }
 
     EngineLoad load(absl::Time now) const { return m_history.report(now); }
@@ -115,18 +134,23 @@
     OrderAnswer order(absl::Time now, const Order &order) { return m_orders.apply(now, order); }
     const EngineModelSettings &settings() const { return m_settings; }
 
-    // Faults.
+    // Fault injection.
+
+    /// Multiplies the duration of later steps by \a factor.
     void setSlowFactor(double factor) { m_slowFactor = factor; }
     /// No step ends before \a time.
     void freezeUntil(absl::Time time);
-    /// crashed() turns true when a request whose prompt contains \a text starts; empty: never.
+    /// Makes crashed() return true once a request starts whose prompt contains \a text. An empty
+    /// \a text turns the fault off.
     void setCrashOn(std::string text) { m_crashOn = std::move(text); }
     bool crashed() const { return m_crashed; }
 
 private:
+    /// A waiting or running request.
     struct Sequence
     {
         EngineRequest request;
+        /// Index of the next token.
         std::int64_t next = 0;
         std::int64_t promptTokens = 0;
     };
@@ -136,7 +160,7 @@
     bool isKnown(const std::string &requestId) const;
     std::optional<Sequence> remove(const std::string &requestId);
     std::optional<Sequence> end(absl::Time now, const std::string &requestId);
-    /// Admits waiting requests and starts a step unless the batch stays empty.
+    /// Admits waiting requests and starts a step, unless the batch is still empty then.
     void beginStep(absl::Time at);
     void endStep();
     absl::Duration admit(absl::Time at);
--- a/include/rattanrill/fakes/faults.h
+++ b/include/rattanrill/fakes/faults.h
@@ -11,29 +11,40 @@
 
 namespace rattanrill::fakes {
 
-/// Faults of a fake that are in force. Zero or empty: off.
+/// Faults that are active in a fake. A fault is off when its member is zero, empty or false, and
+/// slowFactor when it is 1.
 struct FaultState
 {
+    /// The process crashes when it starts work on a request whose prompt (engine) or body (service)
+    /// contains this text.
     std::string crashOn;
+    /// Factor on the duration of the work.
     double slowFactor = 1;
+    /// Delay of an engine's events or a service's answer after the work for them is done.
     absl::Duration lateAnswer;
+    /// Number of pairs of running requests whose answers are still to be swapped.
     std::int64_t crossAnswers = 0;
+    /// An engine closes a stream after this many tokens; a service closes the connection halfway
+    /// through its answer when this is not zero.
     std::int64_t cutAfterTokens = 0;
+    /// Whether requests fail with UpstreamBusy.
     bool refuse = false;
 };
 
-/// Faults as "POST /faults" sets them, shared by the threads of a fake.
+/// Holds the faults that "POST /faults" sets. Thread-safe; shared by the threads of a fake.
 class Faults
 {
 public:
-    /// Sets the members that \a body has; null resets one. "freeze_ms" counts from \a now. Fails
-    /// with InvalidRequest, and changes nothing, on an unknown member or a wrong type.
+    /// Sets the faults that \a body has as members; a null member turns its fault off. The duration
+    /// "freeze_ms" starts at \a now. Fails with InvalidRequest on an unknown member or a wrong
+    /// type; then no fault changes.
     Result<void> set(const Json &body, absl::Time now);
     FaultState state() const;
+    /// End of the freeze; InfinitePast when none was set.
     absl::Time frozenUntil() const;
-    /// Takes one off the number of answers to cross; false when there is none.
+    /// Decrements crossAnswers and returns true; returns false when it is already 0.
     bool takeCrossing();
-    /// Returns at once unless the process is frozen, else when the freeze ends.
+    /// Blocks until the freeze ends; returns immediately when the process is not frozen.
     void waitWhileFrozen(absl::Time now) const;
 
 private:
@@ -42,7 +53,7 @@
     absl::Time m_frozenUntil ABSL_GUARDED_BY(m_mutex) = absl::InfinitePast();
 };
 
-/// Ends the process as a crash does: at once, with no clean-up and no answer.
+/// Ends the process like a crash: immediately, without clean-up and without answering requests.
 [[noreturn]] void crashProcess();
 
 } // namespace rattanrill::fakes
--- a/include/rattanrill/fakes/instancelist.h
+++ b/include/rattanrill/fakes/instancelist.h
@@ -13,15 +13,17 @@
 
 namespace rattanrill::fakes {
 
+/// State of an instance in the platform's list.
 enum class InstanceState {
     Live,
     Leaving,
-    /// No longer listed.
+    /// Removed from the list.
     Gone,
 };
 
 std::string_view name(InstanceState state);
 
+/// An entry of the platform's instance list.
 struct Instance
 {
     std::string name;
@@ -32,20 +34,23 @@
     InstanceState state = InstanceState::Live;
 };
 
-/// The platform's list of instances. Changes show in it a fixed lag late.
+/// Simulates the platform's list of instances, in which changes become visible after a fixed lag.
 class InstanceList
 {
 public:
     explicit InstanceList(absl::Duration lag);
 
     absl::Duration lag() const { return m_lag; }
-    /// Adds or changes an instance. Members that \a body lacks keep their values; a new instance
-    /// needs host and port. Fails with InvalidRequest.
+    /// Adds or changes the instance \a name and returns its new state. Members that \a body lacks
+    /// keep their values. Fails with InvalidRequest when a member has a wrong type, the state is
+    /// unknown, a new instance has no host, or the port is not from 1 to 65535.
     Result<Instance> set(absl::Time now, const std::string &name, const Json &body);
-    /// Instances as they were one lag before \a now, by name.
+    /// Instances as they were one lag before \a now, in order of name. Instances that were
+    /// Gone are left out.
     std::vector<Instance> listed(absl::Time now) const;
 
 private:
+    /// State of an instance from a point in time on.
     struct Version
     {
         absl::Time at;
--- a/include/rattanrill/fakes/linkfaults.h
+++ b/include/rattanrill/fakes/linkfaults.h
@@ -8,31 +8,35 @@
 
 namespace rattanrill::fakes {
 
-/// What a relay does with the bytes of one direction.
+/// How a relay handles the bytes of one direction.
 enum class LinkMode {
     Pass,
-    /// Bytes, ends and new connections wait until the link heals, as in a short partition.
+    /// Bytes, closes and new connections wait until the link is back in mode Pass, as in a short
+    /// network partition.
     Hold,
-    /// Bytes are lost. A connection that lost some is reset when the link heals, as one that ran
-    /// into its retransmission timeout.
+    /// Bytes are lost. A connection that lost bytes is reset when the link is back in mode Pass,
+    /// like a connection that reached its retransmission timeout.
     Drop,
 };
 
 std::string_view name(LinkMode mode);
-/// Fails with InvalidRequest for an unknown word.
+/// Inverse of name(). Fails with InvalidRequest for an unknown name.
 Result<LinkMode> linkModeFromName(std::string_view name);
 
+/// Faults of one direction of a link.
 struct DirectionFaults
 {
     LinkMode mode = LinkMode::Pass;
-    /// Each piece of data arrives this much later.
+    /// Added latency of each piece of data.
     absl::Duration delay;
 };
 
+/// Faults of both directions of a link.
 struct LinkFaults
 {
     /// From the connecting side to the target.
     DirectionFaults forward;
+    /// From the target to the connecting side.
     DirectionFaults backward;
 };
 
--- a/include/rattanrill/fakes/loadedmodels.h
+++ b/include/rattanrill/fakes/loadedmodels.h
@@ -19,34 +19,41 @@
     SetRole,
 };
 
+/// An order to an engine to load something or to change its role.
 struct Order
 {
     OrderKind kind = OrderKind::LoadModel;
+    /// Name of the model, adapter, version or role.
     std::string name;
+    /// Fencing token with which the order was sent.
     std::int64_t fence = 0;
 };
 
+/// Answer of an engine to an order.
 struct OrderAnswer
 {
     bool accepted = false;
-    /// Highest fencing number seen so far.
+    /// Highest fencing token of all orders accepted so far.
     std::int64_t fence = 0;
 };
 
 std::string_view name(OrderKind kind);
-/// Fails with InvalidRequest for an unknown word.
+/// Inverse of name(). Fails with InvalidRequest for an unknown name.
 Result<OrderKind> orderKindFromName(std::string_view name);
 
-/// What an engine was ordered to load. Some engines refuse an order with an old fencing number,
-/// others carry it out.
+/// The models, adapters and versions that an engine was ordered to load, and its role. An engine
+/// that checks fencing tokens refuses an order with an outdated one; an engine that does not check
+/// them executes it.
 class LoadedModels
 {
 public:
+    /// \a models are loaded from the start; a model that is ordered later takes \a loadTime.
     LoadedModels(std::vector<std::string> models, bool checksFence, absl::Duration loadTime);
 
     OrderAnswer apply(absl::Time now, const Order &order);
-    /// Whether \a model is loaded; a model ordered later is so after the load time.
+    /// Whether \a model is loaded at \a now.
     bool serves(absl::Time now, std::string_view model) const;
+    /// Role of the last accepted SetRole order; empty before the first.
     const std::string &role() const { return m_role; }
 
 private:
--- a/include/rattanrill/fakes/loadhistory.h
+++ b/include/rattanrill/fakes/loadhistory.h
@@ -7,14 +7,18 @@
 
 namespace rattanrill::fakes {
 
+/// Load of a fake engine or service at one point in time.
 struct EngineLoad
 {
+    /// Number of running requests.
     std::int64_t running = 0;
+    /// Number of waiting requests.
     std::int64_t waiting = 0;
+    /// Reserved KV memory in tokens; 0 for a service.
     std::int64_t kvTokens = 0;
 };
 
-/// Load of an engine over time, reported a fixed lag late.
+/// Simulates a delayed load report: records the load over time and reports it after a fixed lag.
 class LoadHistory
 {
 public:
@@ -22,7 +26,7 @@
 
     absl::Duration lag() const { return m_lag; }
     void record(absl::Time now, EngineLoad load);
-    /// Load as it was one lag before \a now.
+    /// Load as it was one lag before \a now; all zero when nothing was recorded by then.
     EngineLoad report(absl::Time now) const;
 
 private:
--- a/include/rattanrill/fakes/prefixcache.h
+++ b/include/rattanrill/fakes/prefixcache.h
@@ -18,22 +18,24 @@
     };
 
     Kind kind = Kind::Stored;
-    /// XXH3 of the prefix, hexadecimal.
+    /// XXH3 hash of the prefix as 16 lower-case hexadecimal digits.
     std::string prefixHash;
-    /// Tokens from the start of the prompt to the end of the prefix.
+    /// Length of the prefix in tokens.
     std::int64_t tokens = 0;
 };
 
-/// Prompt prefixes of 64, 128, 256, ... bytes that the fake engine keeps, least recently used out
-/// first. Capacity is in tokens; each prefix occupies the tokens beyond the next shorter one.
+/// Prefix cache of the fake engine: holds prompt prefixes of 64, 128, 256, ... bytes and evicts the
+/// least recently used first. The capacity is in tokens; each prefix occupies only the tokens
+/// beyond the next shorter prefix.
 class PrefixCache
 {
 public:
     explicit PrefixCache(std::int64_t capacityTokens);
 
-    /// Tokens at the start of \a prompt that are cached for \a model.
+    /// Length in tokens of the longest prefix of \a prompt that is cached for \a model.
     std::int64_t cachedTokens(std::string_view model, std::string_view prompt) const;
-    /// Keeps the prefixes of \a prompt; returns the changes in the order in which they happened.
+    /// Stores the prefixes of \a prompt and evicts others if needed; returns the changes in the
+    /// order in which they were made.
     std::vector<PrefixChange> store(std::string_view model, std::string_view prompt);
 
 private:
@@ -56,7 +58,8 @@
     std::unordered_map<std::string, Entries::iterator> m_byKey;
 };
 
-/// Tokens of \a bytes bytes of prompt: one per started 4 bytes, the usual ratio of English text.
+/// Number of tokens in \a bytes bytes of prompt: one per 4 bytes, rounded up, which is the usual
+/// ratio for English text.
 std::int64_t promptTokens(std::size_t bytes);
 
 } // namespace rattanrill::fakes
--- a/include/rattanrill/fakes/requestlog.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -12,32 +12,35 @@
 
 namespace rattanrill::fakes {
 
-/// A request as a fake saw it.
+/// A request that a fake received.
 struct Record
 {
     std::int64_t seq = 0;
     std::string requestId;
-    /// With the query.
+    /// Path with the query.
     std::string path;
     /// Values of a repeated header are joined with ", ".
     std::map<std::string, std::string> headers;
-    /// Whether work was done for it.
+    /// Whether work on the request has started.
     bool run = false;
     bool finished = false;
+    /// Number of tokens of the whole answer, once finished.
     std::int64_t tokens = 0;
 };
 
+/// Configuration of a RequestLog.
 struct RecordSettings
 {
-    /// Records kept in memory.
+    /// Maximum number of records in memory.
     std::size_t limit = 20000;
-    /// Empty: memory only.
+    /// Path of the file to append records to; when empty, records are kept in memory only.
     std::string file;
 };
 
-/// The newest requests that a fake saw. With a file, each record is also appended to it as a JSON
-/// line when it is added, when its work starts and when it ends, so that the record of a process
-/// that crashes survives; the last line of a seq is the valid one.
+/// Holds the newest requests that a fake received. With a file, each record is also appended to it
+/// as a JSON line when it is added, when work on the request starts and when it ends, so that the
+/// records survive a crash of the process. Of several lines with the same sequence number, the last
+/// one is valid.
 class RequestLog
 {
 public:
@@ -52,6 +55,7 @@
     void markFinished(std::int64_t seq, std::int64_t tokens);
     /// Records with a sequence number above \a after.
     std::vector<Record> after(std::int64_t after) const;
+    /// Sequence number of the newest record; 0 before the first.
     std::int64_t lastSeq() const;
 
 private:
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -15,13 +15,16 @@
 
 namespace rattanrill::fakes {
 
+/// Configuration of a ServiceModel.
 struct ServiceSettings
 {
+    /// Name of the service.
     std::string service;
     absl::Duration serviceTime = absl::Milliseconds(40);
     absl::Duration loadReportLag = absl::Milliseconds(500);
-    /// Requests served at once; others wait in order of arrival.
+    /// Number of requests that are served at the same time; others wait in order of arrival.
     std::int64_t capacity = 8;
+    /// Maximum number of waiting requests.
     std::int64_t maxWaiting = 64;
 };
 
@@ -34,16 +37,19 @@
     std::string echo;
 };
 
-/// Work of the fake service: a number of slots, each busy for the service time of its request.
+/// Simulates a plain service: it has a fixed number of slots, and each request occupies one of them
+/// for the service time.
 class ServiceModel
 {
 public:
     ServiceModel(ServiceSettings settings, Faults &faults,
                  const Clock &clock = SystemClock::instance());
 
-    /// Waits for a slot, calls \a started, works and returns the answer, which is another
-    /// request's after a crossing. Fails as not run with UpstreamBusy when too many wait.
+    /// Waits for a slot, calls \a started, occupies the slot for the service time and returns the
+    /// answer, which belongs to another request if a fault crossed the two. Fails as NotRun with
+    /// UpstreamBusy when too many requests are waiting.
     Result<ServiceAnswer> serve(ServiceAnswer answer, const std::function<void()> &started);
+    /// Load as the delayed report shows it.
     EngineLoad load() const;
     const ServiceSettings &settings() const { return m_settings; }
 
@@ -59,9 +65,10 @@
     mutable absl::Mutex m_mutex;
     absl::CondVar m_changed;
     std::int64_t m_nextTicket ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Tickets are served in order; this one is next.
+    /// Number of tickets that have received a slot. Tickets are numbered from 0 and served in
+    /// order, so this is also the next ticket to be served.
     std::int64_t m_servedTickets ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Answers of the requests that hold a slot, by ticket.
+    /// Answers of the requests that occupy a slot, by ticket.
     std::map<std::int64_t, ServiceAnswer *> m_running ABSL_GUARDED_BY(m_mutex);
     LoadHistory m_history ABSL_GUARDED_BY(m_mutex);
 };
--- a/include/rattanrill/fakes/tcprelay.h
+++ b/include/rattanrill/fakes/tcprelay.h
@@ -10,28 +10,33 @@
 
 namespace rattanrill::fakes {
 
-/// IP address and port, as in "127.0.0.1:8080".
+/// IP address and port, such as 127.0.0.1 and 8080.
 struct RelayAddress
 {
     std::string host;
     int port = 0;
 };
 
+/// Counters of a TcpRelay since its start, except for "open".
 struct RelayCounters
 {
+    /// Connections for which a target was chosen.
     std::int64_t accepted = 0;
-    /// Closed at once because no target was chosen.
+    /// Connections that were closed immediately because there was no valid target.
     std::int64_t refused = 0;
+    /// Connections that are open now.
     std::int64_t open = 0;
+    /// Bytes that were dropped by LinkMode::Drop.
     std::int64_t lostBytes = 0;
 };
 
-/// Accepts TCP connections on one port and relays each to a target that is chosen when it arrives.
-/// One thread serves all connections.
+/// Accepts TCP connections on one port and relays each to a target, which is chosen when the
+/// connection arrives. Can simulate faults of the link. One thread serves all connections.
 class TcpRelay
 {
 public:
-    /// Called on the relay's thread for each connection; nothing refuses it. Must not block.
+    /// Returns the target of a new connection; when it returns nothing, the connection is refused.
+    /// Called on the relay's thread; must not block.
     using Chooser = std::function<std::optional<RelayAddress>()>;
 
     TcpRelay(RelayAddress listen, Chooser chooser);
@@ -39,9 +44,10 @@
     TcpRelay(const TcpRelay &) = delete;
     TcpRelay &operator=(const TcpRelay &) = delete;
 
-    /// Listens; returns the port. Fails with AddressInUse or InvalidArgument.
+    /// Starts listening and returns the port. Fails with AddressInUse, or with InvalidArgument when
+    /// the host to listen on is not an IP address.
     Result<int> start();
-    /// Applies to open and later connections; returns when it has taken effect.
+    /// Applies \a faults to open and later connections; returns when they have taken effect.
     void setFaults(const LinkFaults &faults);
     LinkFaults faults() const;
     RelayCounters counters() const;
--- a/include/rattanrill/fakes/weightstore.h
+++ b/include/rattanrill/fakes/weightstore.h
@@ -10,15 +10,16 @@
 
 namespace rattanrill::fakes {
 
+/// Configuration of a WeightStore.
 struct WeightStoreSettings
 {
-    /// Size in bytes by name.
+    /// Sizes in bytes, by name.
     std::map<std::string, std::int64_t> weights;
     double bytesPerSecond = 50e6;
     double burstBytes = 100e6;
 };
 
-/// Limits reads of model weights by a token bucket in bytes.
+/// Simulates a store of model weights that limits the read rate by a token bucket in bytes.
 class WeightStore
 {
 public:
@@ -26,10 +27,10 @@
 
     /// Size of \a name in bytes. Fails with NotFound.
     Result<std::int64_t> size(const std::string &name) const;
-    /// Takes \a bytes from the bucket, which a read larger than the burst leaves in debt. Fails
-    /// with RateLimited while the bucket lacks them.
+    /// Takes \a bytes from the bucket. Fails with RateLimited while the bucket holds fewer. A read
+    /// that is larger than the burst needs only a full bucket and leaves its level negative.
     Result<void> take(absl::Time now, std::int64_t bytes);
-    /// Time until \a bytes can be taken.
+    /// Time until take() of \a bytes succeeds; zero when it succeeds now.
     absl::Duration waitFor(absl::Time now, std::int64_t bytes) const;
 
 private:
--- a/include/rattanrill/service/credentials.h
+++ b/include/rattanrill/service/credentials.h
@@ -5,14 +5,16 @@
 
 namespace rattanrill::service {
 
-/// Whether a query parameter of this name carries a credential by its usual meaning.
+/// Whether a query parameter with this name usually carries a credential, such as "api_key" or
+/// "token". Ignores case, "-" and "_".
 bool isCredentialParameter(std::string_view name);
 
-/// \a query without parameters that carry a credential: those of the usual names, and any whose
-/// name or value contains \a key, the key that the caller presented (plain or percent-encoded).
+/// Returns \a query (without "?") without the parameters that carry a credential: those for which
+/// isCredentialParameter() holds, and those whose name or value contains \a key, plain or
+/// percent-encoded. \a key is the API key that the caller presented.
 std::string stripCredentials(std::string_view query, std::string_view key);
 
-/// Whether \a text contains \a key, plain or percent-encoded. An empty key is contained in nothing.
+/// Whether \a text contains \a key, plain or percent-encoded. False for an empty \a key.
 bool containsApiKey(std::string_view text, std::string_view key);
 
 } // namespace rattanrill::service
--- a/include/rattanrill/service/serviceclient.h
+++ b/include/rattanrill/service/serviceclient.h
@@ -11,23 +11,26 @@
 
 namespace rattanrill::service {
 
+/// Address and limits of a plain service.
 struct ServiceOptions
 {
+    /// Name of the upstream.
     std::string name;
     std::string host;
     int port = 0;
     absl::Duration connectTimeout = absl::Seconds(1);
+    /// Timeout of load() and probe() for each request.
     absl::Duration loadTimeout = absl::Seconds(2);
     std::size_t maxResponseBytes = 16u << 20;
 };
 
-/// A caller's request as it goes to a plain service. It has no member for credentials, so none can
-/// be forwarded.
+/// A caller's request as it is forwarded to a plain service. It has no member for credentials, so
+/// that none can be forwarded.
 struct ServiceRequest
 {
     std::string method;
     std::string path;
-    /// Without "?"; already stripped of credentials.
+    /// Query without "?", from which the credentials have already been removed.
     std::string query;
     std::string body;
     std::string contentType;
@@ -36,23 +39,29 @@
     absl::Time deadline = absl::InfiniteFuture();
 };
 
+/// Answer of a plain service.
 struct ServiceResponse
 {
+    /// HTTP status code.
     int status = 0;
     std::string contentType;
     std::string body;
 };
 
+/// Load that a plain service reports.
 struct ServiceLoadReport
 {
+    /// Number of running requests.
     std::int64_t running = 0;
+    /// Maximum number of running requests.
     std::int64_t capacity = 0;
+    /// Age of the figures at the time when the service sent them.
     absl::Duration ageWhenSent;
 };
 
-/// Client of one plain service; the protocol is in docs/upstream-protocol.md. Calls block and may
-/// run at the same time. Each uses a connection of its own: a failure to connect then proves that
-/// nothing ran.
+/// Client of one plain service; docs/upstream-protocol.md describes the protocol. Calls block and
+/// may be made from several threads at the same time. Each call opens its own connection: a failure
+/// to connect then proves that nothing ran.
 class ServiceClient
 {
 public:
@@ -63,14 +72,21 @@
 
     const ServiceOptions &options() const;
 
-    /// Fails with UpstreamUnavailable, UpstreamBusy (NotRun), Timeout, ConnectionLost or
-    /// UpstreamFailed (MayHaveRun; also for the answer to another request). Any other status of
-    /// the service is an answer.
+    /// Sends \a request and returns the answer. Any HTTP status is an answer, except for a 503 that
+    /// reports that the request did not run. Failures:
+    /// - UpstreamUnavailable (NotRun): the connection could not be opened.
+    /// - UpstreamBusy (NotRun): the service reported 503 and that the request did not run.
+    /// - Timeout: the deadline passed; NotRun when it passed before the request was sent,
+    ///   MayHaveRun otherwise.
+    /// - ConnectionLost (MayHaveRun)
+    /// - UpstreamFailed (MayHaveRun): the answer exceeds maxResponseBytes or carries the id of
+    ///   another request.
     Outcome<ServiceResponse> call(const ServiceRequest &request);
     Outcome<ServiceLoadReport> load();
-    /// Whether anything listens at the service's address.
+    /// Checks that the service answers load(). Fails with UpstreamUnavailable when nothing listens
+    /// at its address.
     Outcome<Done> probe();
-    /// Answers dropped because they carried the id of another request.
+    /// Number of answers that were dropped because they carried the id of another request.
     std::uint64_t droppedAnswers() const;
 
 private:
