--- a/include/rattanrill/batch/statemachine.h
+++ b/include/rattanrill/batch/statemachine.h
@@ -9,49 +9,54 @@
 
 namespace rattanrill::batch {
 
-/// Failed tries after which an item ends as failed.
+/// Number of failed attempts after which an item ends as failed.
 constexpr int maxFailedAttempts = 3;
-/// Leases of one item that may expire before it ends as failed with lease_expired. An expired lease
-/// is mostly the fault of a lost entry and so is no failed try, but an item that stops every entry
-/// that runs it must not hold up its job.
+/// Number of leases of one item that may expire before it ends as failed with lease_expired. Most
+/// leases expire because an entry was lost, so an expired lease is not a failed attempt. The limit
+/// prevents an item that stops every entry that runs it from blocking its job.
 constexpr int maxExpiredLeases = 10;
-/// How long the status of a job outlives its results; ReadResults then fails with ResultExpired.
+/// Time for which the status of a job is kept after its results have expired. In this time,
+/// ReadResults fails with ResultExpired.
 constexpr std::int64_t expiredJobRetentionMs = 24 * 3600 * 1000;
-/// How long a file without a job is kept after its last use.
+/// Time for which a file without a job is kept after its last use.
 constexpr std::int64_t unusedFileRetentionMs = 7LL * 24 * 3600 * 1000;
-/// Claims that may be running at once; above it new claims fail with QueueFull. Claims that run for
-/// longer than their keepMs do not count, so that lost holders can't use the limit up.
+/// Maximum number of concurrently running claims, above which new claims fail with QueueFull.
+/// Claims that run for longer than their keepMs do not count, so that lost holders cannot exhaust
+/// the limit.
 constexpr std::size_t maxRunningClaims = 100000;
-/// How long a holder that abandoned a claim can't win it again; longer than a command is delayed.
+/// Time for which a holder that abandoned a claim cannot win it again. Longer than a command can be
+/// delayed.
 constexpr std::int64_t abandonedClaimRetentionMs = 10 * 60 * 1000;
-/// Item or result texts in one answer; an answer holds at least one item.
+/// Size of the item or result texts above which no more are added to a response. A response holds
+/// at least one item, and the last one may exceed this size.
 constexpr std::size_t maxResponseBytes = 4u << 20;
 
-/// File id under which the results of a job are read.
+/// Returns the id of the file under which the results of a job are read.
 std::string resultFileId(std::string_view jobId);
 
-/// State of a partition group: applies wire::BatchCommand, answered by a wire::BatchResult, and
-/// answers wire::BatchQueryMessage by a wire::BatchQueryResult.
+/// Returns the replicated state machine of a partition group. It applies wire::BatchCommand, with a
+/// wire::BatchResult as the result, and answers wire::BatchQueryMessage with a
+/// wire::BatchQueryResult.
 ///
-/// Time is the highest nowMs of all commands; each command first lets leases, delays, claims, jobs
-/// and files expire.
+/// The current time is the highest nowMs of all commands. Each command first expires leases,
+/// delays, claims, jobs and files.
 ///
-/// Items: a lease number is never used twice. A result counts only under the current lease of its
-/// item, so the first one wins. A try counts as failed only when the holder says so; an item given
-/// back after preemption may be given back any number of times.
+/// Items: a lease number is never used twice. A result is accepted only under the current lease of
+/// its item, so the first result wins. An attempt counts as failed only when the holder reports it
+/// as failed. An item may be returned after preemption any number of times.
 ///
-/// Claims: the holder must be unique for each try to run a request (not only the instance name),
-/// because a resent ClaimRequest of the holder wins again. A running claim never passes to another
-/// holder and is never forgotten by time: nothing proves that the request did not run. Only
-/// FinishClaim or AbandonClaim of its holder ends it; until then it takes about 200 bytes. A
-/// finished claim is forgotten keepMs after it was finished. AbandonClaim frees the key for other
-/// holders, also when it overtakes the ClaimRequest.
+/// Claims: the holder id must be unique for each attempt to run a request (the instance name alone
+/// is not enough), because a resent ClaimRequest of the holder wins again. A running claim never
+/// passes to another holder and never expires, because nothing proves that the request did not run.
+/// Only FinishClaim or AbandonClaim of its holder ends it; until then it takes about 200 bytes. A
+/// finished claim is removed keepMs after it was finished. AbandonClaim frees the key for other
+/// holders, even when it arrives before the ClaimRequest.
 ///
-/// An empty workspace in CancelJob, ReadJob, ReadFile, ReadResults and ListJobs means any; it is
-/// for operators only.
+/// An empty workspace in CancelJob, ReadJob, ReadFile, ReadResults and ListJobs matches any
+/// workspace; only operators may use it.
 ///
-/// Failures: InvalidRequest, InvalidItem, DuplicateItem (custom id twice in a file), NotFound,
-/// Conflict, JobFinished (cancel), ResultExpired, QueueFull and MalformedMessage.
+/// Failures: InvalidRequest, InvalidItem, DuplicateItem (a custom id occurs twice in a file),
+/// NotFound, Conflict, JobFinished (on cancel), ResultExpired, QueueFull and MalformedMessage.
 std::unique_ptr<replication::StateMachine> makeBatchStateMachine();
 
 } // namespace rattanrill::batch
--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -13,6 +13,7 @@
 
 namespace rattanrill::policy {
 
+/// What an engine command sets.
 enum class EngineCommandKind {
     LoadModel,
     LoadAdapter,
@@ -20,53 +21,62 @@
     SetRole,
 };
 
-/// The protocol's word for \a kind, such as "load_model".
+/// Name of \a kind in the engine protocol, such as "load_model".
 std::string_view name(EngineCommandKind kind);
 
-/// What an engine should have: model, adapter and version loaded, and its role.
+/// Desired state of one engine: the model, adapter and version that it should have loaded, and its
+/// role.
 struct DesiredState
 {
     std::string engine;
+    /// Whether the engine rejects commands with a fencing number older than one it has seen.
     bool checksFence = false;
+    /// Desired value of each kind. Kinds that are not listed are left as they are.
     std::map<EngineCommandKind, std::string> values;
 };
 
-/// An order to send to an engine.
+/// A command to send to an engine.
 struct EngineCommand
 {
     std::string engine;
     EngineCommandKind kind = EngineCommandKind::LoadModel;
+    /// Value to set: name of the model, adapter, version or role.
     std::string name;
+    /// Fencing number that the directory issued with the desired states.
     std::uint64_t fence = 0;
 };
 
+/// Settings of EngineReconciler.
 struct EngineReconcilerSettings
 {
-    /// Longest time for which an order that was sent can still arrive: connection and request
-    /// timeouts of the sender, after which it closes the connection.
+    /// Longest time after sending for which a command can still arrive: the sender's connection and
+    /// request timeouts, after which the sender closes the connection.
     absl::Duration commandLifetime = absl::Seconds(5);
-    /// Loads of weights that the store allows.
+    /// Rate and burst of weight loads, over all engines, that the weight store allows.
     RateContract weightLoads{0.2, 2};
 };
 
-/// Orders that bring engines to their wanted state, one at a time for each engine. An engine that
-/// checks fencing numbers rejects an older order by itself. One that ignores them could carry out
-/// an older order late and undo a newer one, so a new order waits until the older one is answered
-/// or can no longer arrive.
+/// Decides which commands to send so that engines reach their desired state. Each engine has at
+/// most one outstanding command. An engine that checks fencing numbers rejects older commands
+/// itself. An engine that ignores them could execute an older command late and undo a newer one, so
+/// a new command is withheld until the older one has been answered or can no longer arrive.
 class EngineReconciler
 {
 public:
-    /// \a now counts as the time at which a former sender may have sent its last order.
+    /// Assumes that a previous sender may have sent its last command at \a now.
     EngineReconciler(EngineReconcilerSettings settings, absl::Time now);
 
-    /// Replaces the wanted states and the fencing number that the directory issued with them.
+    /// Replaces the desired states. \a fence is the fencing number that the directory issued with
+    /// them; a number lower than an earlier one is ignored.
     void setDesired(absl::Time now, const std::vector<DesiredState> &desired, std::uint64_t fence);
-    /// Orders to send now.
+    /// Returns the commands to send now, at most one per engine.
     std::vector<EngineCommand> decide(absl::Time now);
-    /// The engine answered the order.
+    /// Reports that the engine answered \a order. Ignored unless \a order is outstanding.
     void answered(absl::Time now, const EngineCommand &order, bool accepted);
-    /// The order got no answer; it may still arrive.
+    /// Reports that \a order got no answer. The command may still arrive.
     void timedOut(absl::Time now, const EngineCommand &order);
+    /// True when the values that the engine has confirmed equal the desired ones; false for unknown
+    /// engines.
     bool isConverged(std::string_view engine) const;
 
 private:
@@ -75,7 +85,7 @@
         DesiredState desired;
         std::map<EngineCommandKind, std::string> confirmed;
         std::optional<EngineCommand> outstanding;
-        /// Until then an older order may still arrive.
+        /// Time until which an older command may still arrive.
         absl::Time quietUntil;
     };
 
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -18,25 +18,30 @@
     std::string name;
     std::string model;
     std::string failureDomain;
+    /// A leaving engine gets no new tasks.
     bool leaving = false;
 };
 
-/// A load report of an engine (`GET /engine/load`).
+/// Load report of an engine (`GET /engine/load`).
 struct EngineLoad
 {
+    /// Number of requests in the running batch.
     std::int64_t running = 0;
+    /// Number of requests that wait in the engine's queue.
     std::int64_t waiting = 0;
+    /// Tokens that the KV cache holds.
     std::int64_t kvTokens = 0;
     std::int64_t kvCapacityTokens = 0;
+    /// Largest number of requests in a batch; 0 when unknown.
     std::int64_t maxBatch = 0;
-    /// Age of the figures on receipt, travel time included.
+    /// Age of these values on receipt, including network delay.
     absl::Duration age;
 };
 
-/// One engine as one entry sees it: its last load report, the entry's own work on it and an
-/// estimate of what other entries sent since the report. Entries do not talk to each other. A
-/// random balancer spreads requests over them, so own changes since the report are a sample of
-/// 1 / entries of all changes.
+/// State of one engine from the view of one entry: the engine's last load report, the entry's own
+/// tasks on the engine and an estimate of what other entries have sent since the report. Entries do
+/// not communicate with each other. A random load balancer spreads requests over them, so an
+/// entry's own changes since the report are a sample of 1 / entries of all changes.
 class EngineState
 {
 public:
@@ -47,30 +52,36 @@
     OutlierDetector &outlier() { return m_outlier; }
     const OutlierDetector &outlier() const { return m_outlier; }
 
+    /// Ignores a report that describes an earlier time than the last one.
     void loadReported(absl::Time now, const EngineLoad &load);
+    /// \a prefillTokens are prompt tokens to compute; \a totalTokens is the KV memory, in tokens,
+    /// that the task is expected to occupy.
     void workStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                      std::int64_t totalTokens);
     void firstToken(TaskKind kind, std::int64_t prefillTokens);
     void workEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens);
 
     bool hasReport() const { return m_reports > 0; }
-    /// Number of reports so far.
+    /// Number of reports accepted so far.
     std::uint64_t reports() const { return m_reports; }
     const EngineLoad &load() const { return m_load; }
     /// Time that the last report describes.
     absl::Time reportedAt() const { return m_reportedAt; }
     std::int64_t maxBatch() const { return m_load.maxBatch; }
-    /// Own work on the engine.
+    /// Number of this entry's tasks on the engine.
     std::int64_t own(TaskKind kind) const;
-    /// Own prompt tokens that have not led to a first token yet.
+    /// Prompt tokens of this entry's tasks that have not produced a first token yet.
     std::int64_t ownPrefill(TaskKind kind) const;
-    /// Own starts minus own ends since the time that the last report describes.
+    /// This entry's started tasks minus its ended ones since the time that the last report
+    /// describes.
     std::int64_t ownChange(TaskKind kind) const;
-    /// Reported requests plus own changes since.
+    /// Requests in the last report, running and waiting, plus this entry's changes since.
     double requestsSeen() const;
-    /// Requests expected on the engine now, running and waiting, when \a entries share it.
+    /// Estimated number of requests on the engine now, running and waiting, when the number of
+    /// entries that share it is \a entries.
     double expectedRequests(std::size_t entries) const;
-    /// Share of the KV memory expected to be in use now.
+    /// Estimated share of the KV memory in use now: 0 when empty, 1 when full, and above 1 when
+    /// overcommitted.
     double expectedKvShare(std::size_t entries) const;
 
 private:
@@ -90,7 +101,7 @@
     EngineLoad m_load;
     std::uint64_t m_reports = 0;
     absl::Time m_reportedAt = absl::InfinitePast();
-    /// Indexed by TaskKind, as are the next two.
+    /// This array and the next two are indexed by TaskKind.
     std::array<std::int64_t, 2> m_own{};
     std::array<std::int64_t, 2> m_ownPrefill{};
     std::array<std::int64_t, 2> m_ownChange{};
--- a/include/rattanrill/policy/fairqueue.h
+++ b/include/rattanrill/policy/fairqueue.h
@@ -12,37 +12,41 @@
 
 namespace rattanrill::policy {
 
-/// Order of waiting work between workspaces by served tokens relative to weight (start-time fair
-/// queueing); within a workspace by due time, then work with progress, then by arrival. A workspace
-/// that had nothing waiting and nothing in service re-enters at the current virtual time, so that
-/// idle time earns no credit.
+/// Queue of waiting tasks. Workspaces are ordered by served tokens relative to their weight
+/// (start-time fair queueing). Within a workspace, tasks are ordered by deadline; of equal
+/// deadlines, resumed tasks go first, then earlier arrivals. A workspace that had no task waiting
+/// or in service re-enters at the current virtual time, so idle time earns no credit.
 class FairQueue
 {
 public:
-    /// Sets the weight of a workspace; 1 when never set. Values <= 0 count as the smallest weight.
+    /// Sets the weight of a workspace, which is 1 by default. Values <= 0 count as the smallest
+    /// weight.
     void setWeight(const std::string &workspace, double weight);
-    /// Where work of equal due time goes within its workspace.
+    /// Order of tasks with equal deadlines within a workspace.
     enum class TieBreak {
-        /// Work with progress: its delivered tokens take memory somewhere until it ends.
+        /// The task has progress and goes first, because its delivered tokens occupy memory until
+        /// it ends.
         Resumed,
         ByArrival,
     };
 
-    /// Adds waiting work. \a due orders within the workspace.
+    /// Adds a waiting task. \a due is its deadline, which orders it within its workspace.
     void push(const std::string &workspace, TaskId task, absl::Time due,
               TieBreak tieBreak = TieBreak::ByArrival);
-    /// Removes waiting work; false when it does not wait here.
+    /// Removes a waiting task. Returns false when the task is not in the queue.
     bool remove(TaskId task);
-    /// Work that is next; nothing is removed or charged.
+    /// Returns the next task without removing it or charging its workspace.
     std::optional<TaskId> front() const;
-    /// Work that would go last: the last one of the workspace with the most service.
+    /// Returns the last task in the order: the last one of the workspace with the most service
+    /// relative to its weight.
     std::optional<TaskId> back() const;
-    /// Charges \a tokens of service. Charge estimates at the start and settle the difference
-    /// (which may be negative) at the end.
+    /// Charges \a tokens of service to \a workspace. Callers charge an estimate when a task starts
+    /// and the difference, which may be negative, when it ends.
     void charge(const std::string &workspace, double tokens);
 
     bool empty() const { return m_positions.empty(); }
     std::size_t size() const { return m_positions.size(); }
+    /// Number of waiting tasks of \a workspace.
     std::size_t waiting(const std::string &workspace) const;
 
 private:
@@ -51,13 +55,13 @@
     struct Flow
     {
         double weight = 1;
-        /// Served tokens / weight, in the queue's virtual time.
+        /// Served tokens divided by weight, on the scale of the queue's virtual time.
         double virtualTime = 0;
         std::map<Position, TaskId> waiting;
     };
 
     std::map<std::string, Flow> m_flows;
-    /// Flows with waiting work by virtual time.
+    /// Flows with waiting tasks, keyed by virtual time and workspace.
     std::map<std::pair<double, std::string>, Flow *> m_active;
     std::map<TaskId, std::pair<std::string, Position>> m_positions;
     double m_virtualTime = 0;
--- a/include/rattanrill/policy/leasequeue.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -15,20 +15,21 @@
 
 namespace rattanrill::policy {
 
+/// Settings of LeaseQueue.
 struct LeaseQueueSettings
 {
-    /// Longest run time of an item, waits at the entry included.
+    /// Longest run time of an item, including its wait at the entry.
     absl::Duration runTime = absl::Seconds(15);
-    /// Slack kept in multiples of the run time, for preemptions and retries.
+    /// Slack before the deadline, in multiples of the run time, for preemptions and retries.
     double safetyFactor = 2.0;
-    /// Items per second that the fleet is sure to complete for this queue.
+    /// Items per second that the fleet completes for this queue at least.
     double itemsPerSecond = 20;
 };
 
-/// Order in which waiting batch items are leased to entries: by contract weight between
-/// workspaces and earliest due first within one. Shares give way when waiting would make items
-/// late: once the items due up to some time need all the time that is left, the earliest due goes
-/// first, whatever its workspace.
+/// Queue of batch items that wait to be leased to entries. Workspaces share the leases by contract
+/// weight; within a workspace, the earliest deadline goes first. The weights are overridden when
+/// items would miss their deadlines: once the items due by some time need all the time that is left
+/// until then, the item with the earliest deadline goes first, whichever its workspace.
 class LeaseQueue
 {
 public:
@@ -36,21 +37,22 @@
 
     void setWeight(const std::string &workspace, double weight);
     void push(const std::string &workspace, TaskId item, absl::Time due);
-    /// Removes an item that was cancelled; false when it does not wait here.
+    /// Removes a cancelled item. Returns false when the item is not in the queue.
     bool remove(TaskId item);
-    /// Takes the next item. \a tokens is the estimated service charged to its workspace.
+    /// Removes and returns the next item, or nothing when the queue is empty. Charges \a tokens,
+    /// the estimated service, to the item's workspace.
     std::optional<TaskId> pop(absl::Time now, double tokens);
     std::size_t size() const { return m_queue.size(); }
 
 private:
-    /// The items due first need all the time that is left.
+    /// True when the items due up to some time need all the time that is left until then.
     bool isUrgent(absl::Time now) const;
 
     LeaseQueueSettings m_settings;
     FairQueue m_queue;
     std::set<std::pair<absl::Time, TaskId>> m_byDue;
     std::unordered_map<TaskId, std::pair<std::string, absl::Time>> m_items;
-    /// Number of waiting items by due time.
+    /// Number of waiting items for each deadline.
     std::map<absl::Time, std::size_t> m_dueCounts;
 };
 
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -4,37 +4,42 @@
 
 namespace rattanrill::policy {
 
+/// Settings of OutlierDetector.
 struct OutlierSettings
 {
-    /// Failures in a row after which an upstream is ejected.
+    /// Number of consecutive failures after which an upstream is ejected.
     int failuresInRow = 3;
     /// An upstream whose smoothed time to first token exceeds this many times that of the fleet is
     /// treated as slow.
     double slowFactor = 3.0;
-    /// Slower than the fleet by less than this is never an outlier; guards against noise at low
-    /// load.
+    /// An upstream that is slower than the fleet by less than this is never an outlier. Avoids
+    /// ejections because of noise at low load.
     absl::Duration slowMargin = absl::Milliseconds(300);
+    /// Length of the first ejection. Each further one before the upstream has recovered takes twice
+    /// as long, up to longestEjection.
     absl::Duration firstEjection = absl::Seconds(2);
     absl::Duration longestEjection = absl::Seconds(30);
-    /// After an ejection the upstream's share grows from a tenth to the whole over this time.
+    /// Time over which the upstream's share of traffic grows from 0.1 to 1 after an ejection.
     absl::Duration rampUpTime = absl::Seconds(10);
 };
 
-/// Detection of a faulty upstream from its answers. An ejected upstream gets no work; afterwards
-/// its share grows gradually, so that a half-recovered upstream is not flooded.
+/// Detects a faulty upstream from its responses. An ejected upstream gets no tasks. After the
+/// ejection, its share of traffic grows gradually so that a partly recovered upstream is not
+/// overloaded.
 class OutlierDetector
 {
 public:
     explicit OutlierDetector(OutlierSettings settings);
 
     void succeeded(absl::Time now);
-    /// \a crashed ejects at once.
+    /// Counts a failure. The upstream is ejected at once when \a crashed is true.
     void failed(absl::Time now, bool crashed);
-    /// \a seconds is the time to first token; \a fleetSeconds the smoothed one of all upstreams.
+    /// \a time is the time to first token of one task; \a fleetTime is the smoothed time to first
+    /// token of all upstreams.
     void firstToken(absl::Time now, absl::Duration time, absl::Duration fleetTime);
 
-    /// Share of normal work that the upstream may get at \a now: 0 while ejected, then growing
-    /// to 1.
+    /// Share of its normal traffic that the upstream may get at \a now: 0 while ejected, then
+    /// growing from 0.1 to 1.
     double trafficShare(absl::Time now) const;
     bool ejected(absl::Time now) const { return now < m_ejectedUntil; }
     absl::Time ejectedUntil() const { return m_ejectedUntil; }
--- a/include/rattanrill/policy/prefixindex.h
+++ b/include/rattanrill/policy/prefixindex.h
@@ -21,22 +21,27 @@
     std::uint64_t sequence = 0;
     Kind kind = Kind::Stored;
     std::uint64_t prefixHash = 0;
+    /// Length of the prefix.
     std::int64_t tokens = 0;
 };
 
-/// What an entry believes the engines' prefix caches hold. Events come late and with gaps, so an
-/// entry is a guess that expires; after a gap, older guesses about the engine count half as long.
+/// Estimated contents of the engines' prefix caches. Cache events arrive late and with gaps, so
+/// every record is a guess that expires. After a gap, the remaining lifetime of the older guesses
+/// about the engine is halved.
 class PrefixIndex
 {
 public:
+    /// A guess expires after \a lifetime. An engine with more than \a limit guesses loses those
+    /// past half their lifetime, or all when still too many are left.
     explicit PrefixIndex(absl::Duration lifetime = absl::Minutes(5), std::size_t limit = 20000);
 
     void apply(absl::Time now, const std::string &engine, const std::vector<CacheEvent> &events);
-    /// The entry itself sent a prompt with these prefixes; known before any event.
+    /// Records that this entry sent a prompt with these prefixes to \a engine, which is known
+    /// before any cache event. \a hashes are as in Task::prefixHashes.
     void sent(absl::Time now, const std::string &engine, const std::vector<std::uint64_t> &hashes,
               std::int64_t promptTokens);
     void forgetEngine(const std::string &engine);
-    /// Tokens of the prompt that \a engine probably has cached.
+    /// Estimated number of prompt tokens that \a engine has cached.
     std::int64_t cachedTokens(absl::Time now, const std::string &engine,
                               const std::vector<std::uint64_t> &hashes) const;
 
--- a/include/rattanrill/policy/quarantine.h
+++ b/include/rattanrill/policy/quarantine.h
@@ -10,50 +10,54 @@
 
 namespace rattanrill::policy {
 
+/// Settings of Quarantine.
 struct QuarantineSettings
 {
-    /// Crashed upstreams after which a fingerprint is held.
+    /// Number of crashed upstreams after which a fingerprint is blocked.
     std::size_t crashLimit = 2;
-    /// How long a request that ran beside others on a crashed upstream stays a suspect.
+    /// Time for which a request that ran alongside others on a crashed upstream stays a suspect.
     absl::Duration suspectTime = absl::Seconds(30);
-    /// How long a fingerprint is held unless an operator releases it.
+    /// Time for which a fingerprint is blocked unless an operator releases it.
     absl::Duration blockTime = absl::Hours(24);
 };
 
-/// What may be done with a request.
+/// Whether and how a request may run.
 enum class QuarantineStatus {
-    /// Nothing known against it.
+    /// No crash is known; the request may run anywhere.
     Allowed,
-    /// It ran on an upstream that crashed: it runs only where no other suspect runs.
+    /// The request ran on an upstream that crashed. It may run only where no other suspect runs.
     Suspect,
-    /// It is refused.
+    /// The request is rejected.
     Blocked,
 };
 
-/// Requests that may have crashed an upstream. Suspects run isolated from each other, so that a
-/// second crash names the request that caused it, and the others are cleared by their success.
+/// Tracks requests that may have crashed an upstream. Suspects run isolated from each other, so
+/// that a second crash identifies the request that caused it, while the others are cleared when
+/// they succeed.
 class Quarantine
 {
 public:
     explicit Quarantine(QuarantineSettings settings);
 
-    /// \a upstream crashed while it ran requests with \a fingerprints, as far as this entry knows.
-    /// \a alone says that no other entry had work there. Returns the fingerprints whose crash
-    /// belongs in the directory's records.
+    /// Records that \a upstream crashed while it ran this entry's requests with \a fingerprints.
+    /// \a alone is true when no other entry had requests there. Returns the fingerprints whose
+    /// crash must be recorded in the directory.
     std::vector<std::string> crashed(absl::Time now, const std::string &upstream,
                                      const std::vector<std::string> &fingerprints, bool alone);
-    /// The crash of \a upstream had a cause outside the requests it ran, such as the loss of its
-    /// failure domain: it no longer counts against \a fingerprints that are not held.
+    /// Withdraws the crash of \a upstream, whose cause was not one of the requests that it ran but,
+    /// for example, the loss of its failure domain. The crash no longer counts against those
+    /// \a fingerprints that are not blocked.
     void retractCrash(const std::string &upstream, const std::vector<std::string> &fingerprints);
-    /// A request completed: clears a suspect, but never a held fingerprint.
+    /// Records that a request completed. Clears a suspect, but never a blocked fingerprint.
     void succeeded(const std::string &fingerprint);
-    /// Merges a record of the directory; an empty list of upstreams releases the fingerprint.
+    /// Merges a record of the directory. \a held is true for a blocked fingerprint. An empty list
+    /// of upstreams releases the fingerprint.
     void setRecord(absl::Time now, const std::string &fingerprint,
                    const std::vector<std::string> &crashedUpstreams, bool held);
     QuarantineStatus status(absl::Time now, const std::string &fingerprint) const;
-    /// Upstreams known to have crashed with the fingerprint.
+    /// Number of upstreams known to have crashed while they ran the fingerprint.
     std::size_t crashes(const std::string &fingerprint) const;
-    /// \a upstream is known to have crashed with the fingerprint.
+    /// True when \a upstream is known to have crashed while it ran the fingerprint.
     bool hasCrashed(const std::string &fingerprint, const std::string &upstream) const;
     /// Drops expired records.
     void expire(absl::Time now);
--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -8,33 +8,40 @@
 
 namespace rattanrill::policy {
 
+/// Settings of RetryPolicy.
 struct RetrySettings
 {
-    /// Retries allowed per first try, fleet-wide because every entry holds to it for its own.
+    /// Retries allowed per first attempt. The ratio holds fleet-wide because every entry applies it
+    /// to its own requests.
     double budgetShare = 0.1;
-    /// Retries allowed at the start, so that an entry with little traffic can retry at all.
+    /// Retry budget at the start, so that an entry with little traffic can retry at all.
     double budgetMinimum = 10;
-    /// Unused budget is kept up to this, so that the streams of a lost failure domain can be
-    /// retried at once.
+    /// Maximum of the unused budget that is kept, so that the streams of a lost failure domain can
+    /// be retried at once.
     double budgetLimit = 50;
+    /// Includes the first attempt.
     int maxAttempts = 3;
     absl::Duration firstBackoff = absl::Milliseconds(20);
     absl::Duration longestBackoff = absl::Seconds(1);
 };
 
-/// Whether and when a failed try is repeated: only when nothing ran or the request is idempotent,
-/// within the number of tries and within a budget that keeps retries from multiplying an outage.
+/// Decides whether and when a failed attempt is retried. A retry is allowed only when the request
+/// did not run or is idempotent, and within both the maximum number of attempts and a budget that
+/// prevents retries from amplifying an outage.
 class RetryPolicy
 {
 public:
     explicit RetryPolicy(RetrySettings settings);
 
-    /// A first try was sent; earns budget.
+    /// Records that a first attempt was sent, which adds to the budget.
     void firstAttempt();
-    /// True when a request may be repeated after try number \a attempt (from 1). Takes budget.
+    /// Returns true, and takes 1 from the budget, when a request may be retried after attempt
+    /// number \a attempt (from 1).
     bool mayRetry(int attempt, RunState run, bool idempotent);
-    /// Wait before the try that follows try \a attempt: exponential with full jitter.
+    /// Returns the delay before the attempt that follows attempt number \a attempt: exponential
+    /// backoff with full jitter.
     absl::Duration backoff(int attempt, std::mt19937_64 &random) const;
+    /// Number of retries that the budget allows now.
     double budget() const { return m_budget; }
 
 private:
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -19,35 +19,40 @@
 
 namespace rattanrill::policy {
 
+/// Settings of Scheduler.
 struct SchedulerSettings
 {
     /// Failure domain of this entry.
     std::string failureDomain;
-    /// 0 favours batch throughput, 1 favours online tail latency. It sets the online reserve, the
-    /// part of an engine that batch may fill and the spacing of batch prefills.
+    /// From 0, which favours batch throughput, to 1, which favours online tail latency. Determines
+    /// the online reserve, the part of an engine that batch tasks may fill and the spacing of batch
+    /// prefills.
     double onlineTailWeight = 0.5;
-    /// Longest time that online work waits for an engine before it is refused.
+    /// Longest time that an online task waits for an engine before it is rejected.
     absl::Duration onlineQueueLimit = absl::Milliseconds(400);
-    /// Waiting online works above which new ones are refused at once.
+    /// Number of waiting online tasks above which new ones are rejected at once.
     std::size_t onlineQueueSize = 512;
-    /// Round trip from the entry to an engine plus the engine's report interval.
+    /// Round-trip time from the entry to an engine plus the engine's report interval.
     absl::Duration loadLag = absl::Milliseconds(250);
-    /// Preempted batch work with at least this many tokens of context is exported, not cancelled.
+    /// Preemption exports the KV cache of batch tasks with at least this many tokens of context,
+    /// and cancels the others.
     std::int64_t kvExportTokens = 512;
-    /// Time of one decode step with a full batch, used until progress has been observed.
+    /// Duration of one decode step with a full batch, used until progress has been observed.
     absl::Duration decodeStep = absl::Milliseconds(50);
-    /// Batch work is no longer preempted when less than this many times its remaining run time is
-    /// left before it is due.
+    /// A batch task is no longer preempted when the time left before its deadline is less than its
+    /// remaining run time multiplied by this factor.
     double dueSafetyFactor = 2.0;
     /// Engine prefill speed (tokens/s) used until first tokens have been observed.
     double prefillTokensPerSecond = 8000;
-    /// Failed tries of a batch item after which it counts as impossible.
+    /// Number of failed attempts after which a batch item is rejected with ItemFailed. Attempts
+    /// that the engine refused do not count.
     int maxBatchAttempts = 4;
-    /// Cost in load of sending online work to an engine where batch prompts are being prefilled.
+    /// Cost, in units of load, of sending an online task to an engine where batch prompts are being
+    /// prefilled.
     double batchPrefillCost = 0.3;
     RouterSettings router;
     RetrySettings retry;
-    /// Longest wait of online work that must run isolated from other suspects.
+    /// Longest wait of an online task that must run isolated from other suspects.
     absl::Duration isolationLimit = absl::Seconds(30);
     QuarantineSettings quarantine;
 };
@@ -56,25 +61,27 @@
 struct WorkspaceWeights
 {
     std::string workspace;
-    /// Weight of online work, by convention the contract's rate.
+    /// Weight of online tasks, by convention the contract's rate.
     double onlineWeight = 1;
-    /// Weight of batch work; 0 grants none.
+    /// Weight of batch tasks; 0 grants none.
     double batchWeight = 1;
 };
 
-/// Start \a task on \a engine as try \a attempt. Answers that belong to an earlier try are ignored.
+/// Start \a task on \a engine as attempt number \a attempt. Responses that belong to an earlier
+/// attempt are ignored.
 struct StartTask
 {
     TaskId task = 0;
     std::string engine;
-    /// Number of the try, from 1; part of the engine's request id.
+    /// Number of the attempt, from 1. Part of the request id that the engine receives.
     int attempt = 0;
-    /// Tokens already delivered (`resume_after`).
+    /// Number of tokens already delivered (`resume_after`).
     std::int64_t resumeAfter = 0;
-    /// Exported KV cache to import; empty for none.
+    /// Handle of the exported KV cache to import; empty for none.
     std::string kvHandle;
 };
 
+/// How a batch task is preempted: cancelled, or with its KV cache exported.
 enum class PreemptMethod {
     Cancel,
     ExportKv,
@@ -82,8 +89,8 @@
 
 std::string_view name(PreemptMethod method);
 
-/// End batch \a task on \a engine and answer with Scheduler::preempted(). The scheduler keeps the
-/// work and starts it again from its progress.
+/// Stop batch task \a task on \a engine, then call Scheduler::preempted(). The scheduler keeps the
+/// task and later resumes it from its progress.
 struct PreemptTask
 {
     TaskId task = 0;
@@ -92,110 +99,116 @@
     PreemptMethod method = PreemptMethod::Cancel;
 };
 
-/// End \a task with a failure. The scheduler has forgotten it.
+/// End \a task with a failure. The scheduler has removed it.
 struct RejectTask
 {
     TaskId task = 0;
-    /// RunState::NotRun only when no try can have run.
+    /// Its run state is RunState::NotRun only when no attempt can have run.
     Failure failure;
-    /// For the Retry-After header; zero when a retry is pointless.
+    /// Value of the Retry-After header; zero when a retry cannot succeed.
     absl::Duration retryAfter;
 };
 
-/// Record at the directory that \a engine crashed while it ran a request with \a fingerprint.
+/// Record in the directory that \a engine crashed while it ran a request with \a fingerprint.
 struct RecordCrash
 {
     std::string fingerprint;
     std::string engine;
 };
 
+/// A decision that the caller of Scheduler carries out.
 using SchedulerDecision = std::variant<StartTask, PreemptTask, RejectTask, RecordCrash>;
 
-/// How a try failed.
+/// Describes how an attempt failed.
 struct AttemptFailure
 {
     enum class Kind {
-        /// The engine refused (503, no connection): nothing ran.
+        /// The engine refused the request (503 or no connection); it did not run.
         Refused,
-        /// The answer ended early, timed out or was malformed, but the engine still answers.
+        /// The response ended early, timed out or was malformed, but the engine still responds.
         Broken,
-        /// The connection was lost while the work ran and the engine no longer answers.
+        /// The connection was lost while the task ran and the engine no longer responds.
         Crashed,
-        /// The engine answered that the request itself is invalid: no retry.
+        /// The engine reported that the request itself is invalid; it is not retried.
         Invalid,
     };
 
     Kind kind = Kind::Broken;
-    /// Tokens of this work delivered so far, those of earlier tries included.
+    /// Number of tokens of this task delivered so far, including those of earlier attempts.
     std::int64_t deliveredTokens = 0;
     Failure failure;
 };
 
-/// Order, engine and time of all work of one entry. The caller feeds events, calls decide() after
-/// each and at nextDecision(), and carries out the decisions in order. Times are of the monotonic
-/// clock, due times included. Not thread-safe.
+/// Decides in which order, when and on which engine the tasks of one entry run. The caller reports
+/// events, calls decide() after each event and at nextDecision(), and carries out the decisions in
+/// order. All times, including deadlines, are those of the monotonic clock. Not thread-safe.
 class Scheduler
 {
 public:
-    /// \a seed starts the random choices; entries should differ in it.
+    /// \a seed initialises the random generator. Each entry should use a different seed.
     Scheduler(SchedulerSettings settings, std::uint64_t seed);
     ~Scheduler();
     Scheduler(const Scheduler &) = delete;
     Scheduler &operator=(const Scheduler &) = delete;
 
-    /// Replaces the list of engines. Work on an engine that left the list keeps running until the
-    /// caller reports its end; a leaving engine gets no new work.
+    /// Replaces the list of engines. Tasks on an engine that left the list keep running until the
+    /// caller reports their end. A leaving engine gets no new tasks.
     void setEngines(absl::Time now, const std::vector<EngineInfo> &engines);
-    /// Replaces weights of workspaces.
+    /// Replaces the weights of the workspaces.
     void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces);
-    /// Replaces the list of entries that share the engines. \a self is this entry's instance and
-    /// is in the list. All entries derive from it which of them tests suspects on which engine.
+    /// Replaces the list of entries that share the engines. \a self is this entry's instance, which
+    /// \a instances contains. From the list, all entries derive which of them runs suspects on
+    /// which engine.
     void setEntries(const std::string &self, const std::vector<std::string> &instances);
-    /// Wall-clock time minus the time passed as now. Entries take turns by it; call it at the start
-    /// and every few seconds.
+    /// Sets the offset of the wall clock from the clock of \a now (wall clock minus monotonic).
+    /// Entries take turns by the wall clock. Call this at the start and every few seconds.
     void setClockOffset(absl::Duration offset);
-    /// Adds to what is known of crashes, from the directory's records; \a held marks a fingerprint
-    /// that is refused. A record without crashed upstreams releases the fingerprint.
+    /// Merges a crash record of the directory. \a held is true for a fingerprint that is blocked. A
+    /// record without crashed upstreams releases the fingerprint.
     void setCrashRecord(absl::Time now, const std::string &fingerprint,
                         const std::vector<std::string> &crashedUpstreams, bool held);
 
-    /// A load report; \a load.age says how old its figures are.
+    /// Reports the load of \a engine. \a load.age is the age of the report's values.
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load);
     void cacheEvents(absl::Time now, const std::string &engine,
                      const std::vector<CacheEvent> &events);
 
-    /// New work. Its outcome is RejectTask or the caller's own finished().
+    /// Adds a new task. It ends with RejectTask, or with the caller's finished() or cancelled().
     void arrived(absl::Time now, const Task &task);
-    /// The caller or the job gave the work up; the caller of this class ends a running try itself.
+    /// Removes a task that its client or its job has cancelled. The caller of this class ends a
+    /// running attempt itself.
     void cancelled(absl::Time now, TaskId task);
-    /// The engine accepted the try.
+    /// Reports that the engine accepted the attempt.
     void started(absl::Time now, TaskId task, int attempt);
     void firstToken(absl::Time now, TaskId task, int attempt);
-    /// \a deliveredTokens counts all tokens of the answer, those of earlier tries included. Call at
-    /// least every few hundred milliseconds, not for every token.
+    /// Reports progress. \a deliveredTokens counts all tokens of the response, including those of
+    /// earlier attempts. Call this at least every few hundred milliseconds, but not for every
+    /// token.
     void progress(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens);
-    /// Complete answer; the scheduler forgets the work.
+    /// Reports that the response is complete. The scheduler removes the task.
     void finished(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens);
-    /// The try failed; the scheduler retries or refuses with the next decide().
+    /// Reports that the attempt failed. The scheduler retries or rejects the task, as returned by
+    /// later calls of decide().
     void failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure);
-    /// A PreemptTask was carried out. \a kvHandle is empty after a cancel.
+    /// Reports that a PreemptTask was carried out. \a kvHandle is empty after
+    /// PreemptMethod::Cancel.
     void preempted(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens,
                    const std::string &kvHandle);
 
-    /// Decisions due at \a now, to be carried out in order.
+    /// Returns the decisions due at \a now, to be carried out in order.
     std::vector<SchedulerDecision> decide(absl::Time now);
-    /// Latest time for the next call of decide() when no event comes before.
+    /// Latest time for the next call of decide() when no event occurs before.
     absl::Time nextDecision() const;
-    /// Batch items to lease now, so that room that opens is filled at once; 0 while engines are
-    /// busy or enough items wait.
+    /// Number of batch items to lease now, so that capacity that becomes free is used at once. 0
+    /// while the engines are busy or enough items wait.
     std::size_t batchCapacity(absl::Time now) const;
-    /// As batchCapacity(), for one model.
+    /// Same as batchCapacity(), but for one model.
     std::size_t batchCapacity(absl::Time now, std::string_view model) const;
 
-    /// Figures for metrics.
+    /// Number of waiting tasks and, below, of running ones, for metrics.
     std::size_t waiting(TaskKind kind) const;
     std::size_t running(TaskKind kind) const;
-    /// State of an engine as this entry sees it; nullptr when unknown.
+    /// State of an engine from the view of this entry; nullptr for unknown engines.
     const EngineState *engine(std::string_view name) const;
 
 private:
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -20,56 +20,60 @@
 
 namespace rattanrill::policy {
 
-/// An upstream with the number of requests that it runs at once.
+/// An upstream with its slots. A slot is the capacity to run one request.
 struct SlotUpstream
 {
     std::string id;
     std::string service;
     std::string address;
     std::string failureDomain;
+    /// Number of requests that the upstream runs concurrently.
     std::int64_t slots = 1;
+    /// A leaving upstream gets no new tasks.
     bool leaving = false;
 };
 
-/// A request that wants a place at an upstream.
+/// A request that needs a slot at an upstream.
 struct SlotTask
 {
-    /// Unique among open works.
+    /// Unique among all waiting and running tasks.
     std::string id;
     std::string service;
     std::string workspace;
-    /// Of the process that will send it.
+    /// Failure domain of the process that will send the request.
     std::string failureDomain;
     TaskKind kind = TaskKind::Online;
-    /// 0 is served first.
+    /// Priority of an online task; 0 is served first.
     int priority = 0;
-    /// Tokens that it is expected to cost, for fairness between workspaces.
+    /// Expected cost in tokens, for fairness between workspaces.
     double tokens = 1;
-    /// Online: refused without a place by then. Batch: due time, the earliest goes first.
+    /// Online: time at which the task is rejected when it has no slot. Batch: time by which the
+    /// task must be completed; the earliest deadline goes first.
     absl::Time deadline = absl::InfiniteFuture();
-    /// Batch: time for which it held places before; what it has produced is kept.
+    /// Batch: time for which the task held slots before. The output of that time is kept.
     absl::Duration priorRunTime;
-    /// Longest Retry-After that its caller can use.
+    /// Longest Retry-After that the caller can use.
     absl::Duration maxRetryAfter = absl::InfiniteDuration();
-    /// Upstreams that it was sent to before.
+    /// Ids of the upstreams that the request was sent to before, which it must not be sent to
+    /// again.
     std::vector<std::string> excluded;
 };
 
-/// How a work left its place, as far as it says something of the upstream.
+/// How a task left its slot, as far as this indicates the health of the upstream.
 enum class ReleaseReason {
     Completed,
-    /// The work was given up, which says nothing.
+    /// The task was cancelled, which indicates nothing about the upstream.
     Cancelled,
-    /// The upstream refused, broke off or was silent.
+    /// The upstream refused the request, broke off its response or did not respond.
     Failed,
-    /// Nothing, or another upstream, answers at the address.
+    /// Nothing responds at the address, or another upstream does.
     Unreachable,
 };
 
 std::string_view name(ReleaseReason end);
 std::optional<ReleaseReason> releaseReasonFromName(std::string_view name);
 
-/// The work may be sent to the upstream.
+/// The task may be sent to the upstream.
 struct GrantSlot
 {
     std::string task;
@@ -77,82 +81,99 @@
     std::string address;
 };
 
-/// No place will be free in time; the table has forgotten the work.
+/// No slot will be free in time. The scheduler has removed the task.
 struct RejectSlot
 {
     std::string task;
     absl::Duration retryAfter;
 };
 
-/// The batch work must leave its place at once; the table has forgotten it, and its owner asks
-/// again.
+/// The batch task must leave its slot at once. The scheduler has removed the task, and its owner
+/// requests a slot again.
 struct PreemptSlot
 {
     std::string task;
 };
 
+/// A decision that the caller of SlotScheduler carries out.
 using SlotDecision = std::variant<GrantSlot, RejectSlot, PreemptSlot>;
 
+/// Settings of SlotScheduler.
 struct SlotSchedulerSettings
 {
     OutlierSettings outlier;
-    /// Time that an online request holds a place, used until some have ended.
+    /// Initial estimate of the time for which an online request holds a slot, corrected as requests
+    /// complete.
     absl::Duration expectedHold = absl::Milliseconds(700);
-    /// Shortest Retry-After of a refusal for want of a place.
+    /// Shortest Retry-After of a task that is rejected because no slot is free in time.
     absl::Duration minRetryAfter = absl::Milliseconds(300);
-    /// Share of the places that are expected to be free for callers that return.
+    /// Share of the slots that become free which is expected to be available for callers that
+    /// retry.
     double retryShare = 0.5;
-    /// A report of requests at an upstream that this table did not place counts for this long.
+    /// Time for which a load report counts as evidence of requests at an upstream that did not get
+    /// their slot from this scheduler.
     absl::Duration reportLifetime = absl::Seconds(1);
-    /// Places at each upstream that batch work leaves free.
+    /// Number of slots at each upstream that batch tasks leave free.
     std::int64_t onlineReserve = 0;
-    /// For this long after begin(), requests of a process that is gone may still run somewhere.
+    /// Time after beginTakeover() for which requests of a process that no longer exists may still
+    /// run at upstreams.
     absl::Duration takeoverGracePeriod = absl::Milliseconds(1500);
-    /// Requests that an upstream runs at once in that time before its first report.
+    /// Number of concurrent requests at an upstream within takeoverGracePeriod and before the
+    /// upstream's first load report.
     int probes = 2;
 };
 
-/// Who gets which place at the upstreams, of all requests of a deployment. Upstreams admit in order
-/// of arrival and know no priorities, so work waits here and an upstream gets no more than it runs
-/// at once.
+/// Assigns the slots of all upstreams to the requests of a deployment. Upstreams admit requests in
+/// order of arrival and have no priorities, so tasks wait here and an upstream gets only as many
+/// requests as it runs concurrently.
 ///
-/// Load patterns: a pulse of online requests above all places meets places that batch work fills
-/// (batch yields at once, what has the least behind it first); pulse after pulse over a long batch
-/// queue (interrupted items go on before new ones start, so that places finish items instead of
-/// beginning them); more batch work than can be done in time (what is late anyway goes behind what
-/// is not); online load above all places (refused at once when the wait would be too long, with
-/// returns spread over the time in which places become free); one workspace's surge (order between
-/// workspaces by tokens served); requests of a sender that is gone, which their upstreams still run
-/// (places shrink by what upstreams report beyond the own work); a table that follows another one
-/// (the places that are held are adopted, and upstreams are probed until they have reported). Apart
-/// from input and output; not thread-safe.
+/// The class is designed for these load patterns:
+///
+/// - A burst of online requests exceeds all slots while batch tasks fill them: batch tasks are
+///   preempted at once, those with the least run time first.
+/// - Bursts follow each other while the batch queue is long: interrupted items resume before new
+///   ones start, so that slots complete items instead of starting them.
+/// - More batch tasks exist than can be completed in time: tasks that miss their deadline in any
+///   case go behind those that do not.
+/// - The online load exceeds all slots: tasks whose wait would be too long are rejected at once,
+///   with their retries spread over the time in which slots become free.
+/// - One workspace sends a surge: workspaces are ordered by tokens served.
+/// - Upstreams still run requests of a sender that no longer exists: the available slots are
+///   reduced by the requests that upstreams report beyond those of this scheduler.
+/// - This scheduler takes over from another one: held slots are adopted, and upstreams get only a
+///   few requests as probes until they have reported their load.
+///
+/// Performs no input or output. Not thread-safe.
 class SlotScheduler
 {
 public:
     explicit SlotScheduler(SlotSchedulerSettings settings);
 
-    /// Another table has given out places until now.
+    /// Begins the takeover from another scheduler, which may have granted slots until \a now.
     void beginTakeover(absl::Time now);
-    /// Replaces the list. Works on upstreams that left it keep their places until released.
+    /// Replaces the list of upstreams. Tasks on upstreams that left the list keep their slots until
+    /// they are released.
     void setUpstreams(const std::vector<SlotUpstream> &upstreams);
+    /// Adds a task that waits for a slot. Replaces a task with the same id, as if it were
+    /// cancelled.
     void request(absl::Time now, const SlotTask &task);
-    /// The work holds a place that another table granted. Nothing changes when the upstream is not
-    /// listed or the work is known.
+    /// Adds a task that holds a slot granted by another scheduler. Does nothing when the upstream
+    /// is not listed or the task is already known.
     void adopt(absl::Time now, const SlotTask &task, const std::string &upstream);
-    /// The work has left its place.
+    /// Reports that the task has left its slot. Cancels the task when it still waits.
     void release(absl::Time now, const std::string &task, ReleaseReason end);
-    /// The work's caller no longer wants a place; a held one is released.
+    /// Removes a task whose caller no longer needs a slot. Releases the slot that the task holds.
     void cancel(const std::string &task);
-    /// The upstream says that it has \a requests, from all senders.
+    /// Reports the number of requests at the upstream, from all senders.
     void loadReported(absl::Time now, const std::string &upstream, std::int64_t requests);
-    /// Decisions due at \a now, to be carried out in order.
+    /// Returns the decisions due at \a now, to be carried out in order.
     std::vector<SlotDecision> decide(absl::Time now);
-    /// Latest time for the next decide() when nothing else happens.
+    /// Latest time for the next call of decide() when no event occurs before.
     absl::Time nextDecision() const;
 
     std::size_t waiting(const std::string &service, TaskKind kind) const;
     std::size_t runningCount(const std::string &service, TaskKind kind) const;
-    /// Places of all upstreams of a service that take new work.
+    /// Number of slots of all upstreams of a service that accept new tasks.
     std::int64_t slotCount(const std::string &service) const;
     bool contains(const std::string &task) const { return m_items.count(task) != 0; }
 
@@ -163,9 +184,9 @@
         None,
         Online,
         Batch,
-        /// Batch work that has lost its place.
+        /// Batch tasks that were preempted.
         Interrupted,
-        /// Batch work that can't be done in time.
+        /// Batch tasks that cannot be completed before their deadline.
         Late,
     };
 
@@ -174,11 +195,11 @@
         SlotTask task;
         TaskId number = 0;
         Queue queue = Queue::None;
-        /// Counted in the probes of its upstream.
+        /// Whether the task is counted in the probes of its upstream.
         bool isProbe = false;
         /// Null while waiting.
         Upstream *upstream = nullptr;
-        /// When it came or, with a place, when it got it.
+        /// Time of arrival or, for a task with a slot, time at which the slot was granted.
         absl::Time since;
     };
 
@@ -189,16 +210,16 @@
         bool removed = false;
         std::set<Item *> online;
         std::set<Item *> batch;
-        /// Requests that are not of this table, by the last two reports. A report may still count
-        /// work that has just left, so the lower one holds.
+        /// Requests without a slot from this scheduler, as of the last two load reports. A report
+        /// may still count tasks that have just ended, so the lower of the two is used.
         struct Report
         {
             absl::Time at = absl::InfinitePast();
             std::int64_t foreign = 0;
         };
         std::array<Report, 2> reports;
-        /// Requests of this table that it got before its first report since begin(), and still
-        /// runs.
+        /// Requests from this scheduler that the upstream got before its first load report since
+        /// beginTakeover() and still runs.
         int probes = 0;
 
         std::int64_t held() const
@@ -210,19 +231,21 @@
     struct Service
     {
         std::vector<Upstream *> upstreams;
-        /// Online work by priority.
+        /// Waiting online tasks by priority.
         std::map<int, FairQueue> online;
         FairQueue batch;
         std::vector<Item *> interrupted;
         FairQueue late;
-        /// Batch works that got a place since the last one of the late queue.
+        /// Number of batch tasks that got a slot since the last task of the late queue did.
         int grantsSinceLate = 0;
         std::size_t onlineWaiting = 0;
         std::size_t batchWaiting = 0;
+        /// Mean time for which an online task holds its slot.
         absl::Duration meanHold;
-        /// Time that a batch work holds places from its start to its end; zero until one has ended.
+        /// Mean time for which a batch task holds slots from its start to its end; zero until one
+        /// has completed.
         absl::Duration meanBatchHold;
-        /// When the last refused caller was asked to return.
+        /// Time at which the last rejected caller may retry.
         absl::Time lastRetryAt = absl::InfinitePast();
     };
 
@@ -257,7 +280,7 @@
     std::map<std::string, Service> m_services;
     std::map<std::string, std::unique_ptr<Item>> m_items;
     std::map<TaskId, Item *> m_numbers;
-    /// Online works that wait, by due time.
+    /// Waiting online tasks by deadline.
     std::set<std::pair<absl::Time, TaskId>> m_onlineDue;
     absl::Time m_takeoverAt = absl::InfinitePast();
     TaskId m_nextNumber = 1;
--- a/include/rattanrill/policy/task.h
+++ b/include/rattanrill/policy/task.h
@@ -9,9 +9,10 @@
 
 namespace rattanrill::policy {
 
-/// Number of one request or batch item, unique within an entry process. All tries share it.
+/// Number of one request or batch item, unique within an entry process. All attempts share it.
 using TaskId = std::uint64_t;
 
+/// Online tasks have a waiting caller; batch tasks are items of a job.
 enum class TaskKind {
     Online,
     Batch,
@@ -19,7 +20,7 @@
 
 std::string_view name(TaskKind kind);
 
-/// One request or batch item as the scheduler needs to know it.
+/// One request or batch item, with the properties that the scheduler uses.
 struct Task
 {
     TaskId id = 0;
@@ -27,21 +28,23 @@
     TaskKind kind = TaskKind::Online;
     std::string model;
     std::int64_t promptTokens = 0;
+    /// Largest number of tokens to generate.
     std::int64_t maxTokens = 0;
-    /// Online: latest time at which the caller still wants the first token. Batch: time by which
-    /// the job must be done.
+    /// Online: latest time at which the first token is still useful to the caller. Batch: time by
+    /// which the job must be completed.
     absl::Time deadline = absl::InfiniteFuture();
     /// Stable hashes of the first 64, 128, 256, ... bytes of the prompt, shortest first.
     std::vector<std::uint64_t> prefixHashes;
     /// Stable hash of workspace, model and body; equal when a caller resends the request.
     std::string fingerprint;
-    /// May run more than once. Batch items always are.
+    /// Whether the request may run more than once. Batch items are always idempotent.
     bool idempotent = true;
-    /// The rate grant covers it. Work outside the contract is refused first under overload.
+    /// Whether a rate grant covers the task. Tasks outside the contract are rejected first under
+    /// overload.
     bool insideContract = true;
-    /// Tokens that an earlier holder of the work already delivered.
+    /// Number of tokens that an earlier holder of the task already delivered.
     std::int64_t deliveredTokens = 0;
-    /// Exported KV cache of an earlier holder; empty for none.
+    /// Handle of the KV cache that an earlier holder exported; empty for none.
     std::string kvHandle;
 };
 
--- a/include/rattanrill/policy/tokenbucket.h
+++ b/include/rattanrill/policy/tokenbucket.h
@@ -7,44 +7,47 @@
 /// Rate and burst that a workspace's contract grants.
 struct RateContract
 {
-    /// Units (requests) per second; 0 grants only what is left of the burst.
+    /// Units (requests) per second. With 0, only the rest of the burst is granted.
     double ratePerSecond = 0;
-    /// Units that may exceed the rate at once.
+    /// Units that may exceed the rate at one time.
     double burst = 0;
 };
 
-/// Answer to a request for units.
+/// Result of a request for units.
 struct RateGrant
 {
     bool granted = false;
-    /// Granted: time to wait before use. Refused: time after which a retry can succeed;
-    /// InfiniteDuration() when it never can.
+    /// Granted: time to wait before the units may be used. Refused: time after which a retry can
+    /// succeed, or InfiniteDuration() when no retry can.
     absl::Duration wait;
 };
 
-/// Rate and burst of one workspace, as counted by its owner (generic cell rate algorithm). In any
-/// window of length t, no more than rate * t + burst units come into use, where a grant with a
-/// wait comes into use when the wait is over. With a changed contract the bound is the sum of
-/// rate * t over the parts of the window, plus the largest burst in it; a lower rate counts from
-/// the end of the waits that were granted before it.
+/// Limits the rate and burst of one workspace (generic cell rate algorithm). One process, the
+/// owner, counts the units of a workspace. In any window of length t, at most rate * t + burst
+/// units come into use, where a grant with a wait comes into use at the end of the wait. When the
+/// contract changes within the window, the bound is the sum of rate * t over the parts of the
+/// window plus the largest burst in it. A lower rate applies from the end of the waits granted
+/// before it.
 ///
-/// A new owner starts with the level that the former one handed over, or empty, because the former
-/// one may just have granted the whole burst.
+/// A new owner starts with the level that the previous owner handed over. Without one it starts
+/// empty, because the previous owner may just have granted the whole burst.
 class TokenBucket
 {
 public:
-    /// Bucket that holds \a level units at \a start, cut to the burst, and fills at the contract's
-    /// rate from then on. A new owner that knows no level passes the end of the former owner's
-    /// lease plus the longest wait that it granted.
+    /// Constructs a bucket that holds \a level units, limited to the burst, at \a start and fills
+    /// at the contract's rate from then on. A new owner without a level passes as \a start the end
+    /// of the previous owner's lease plus the longest wait that the previous owner granted.
     TokenBucket(RateContract contract, absl::Time start, double level = 0);
 
     /// Takes \a units when they are available after at most \a maxWait; otherwise takes nothing.
-    /// A call with \a now before the start or an earlier call waits for that time as well.
+    /// When \a now is before the start or before an earlier call, the wait includes the time until
+    /// then.
     RateGrant take(absl::Time now, double units, absl::Duration maxWait = absl::ZeroDuration());
-    /// Changes rate and burst. Keeps the level, cut to the new burst, so that a change never
+    /// Changes rate and burst. Keeps the level, limited to the new burst, so that a change never
     /// grants a second burst.
     void setContract(absl::Time now, RateContract contract);
-    /// Units available at \a now; negative while granted units wait for theirs.
+    /// Units available at \a now. Negative while units that were granted with a wait are not yet
+    /// covered.
     double level(absl::Time now) const;
     const RateContract &contract() const { return m_contract; }
 
--- a/include/rattanrill/settings/settingsfile.h
+++ b/include/rattanrill/settings/settingsfile.h
@@ -7,16 +7,18 @@
 
 namespace rattanrill {
 
-/// Reads a JSON settings file and checks it against a JSON schema (draft 7). An unknown key, a
-/// wrong type, a missing or an out-of-range value fails with InvalidSetting; the detail names the
-/// file, the path of the key, the value and what is allowed.
+/// Reads a JSON settings file and checks it against a JSON schema (draft 7). Fails with
+/// InvalidSetting for an unknown key, a wrong type, or a missing or out-of-range value. The detail
+/// names the file, the path of the key, the value and what is allowed.
 Result<Json> loadSettings(const std::string &file, std::string_view schemaText);
 
-/// As loadSettings(), from text; \a source names where the text came from.
+/// Same as loadSettings(), but reads from \a text. \a source names the origin of the text in
+/// failures.
 Result<Json> parseSettings(std::string_view text, const std::string &source,
                            std::string_view schemaText);
 
-/// Failure for a value that the schema allows but that contradicts another one.
+/// Returns the failure for a value that the schema allows but that conflicts with another value.
+/// \a allowed describes the allowed values.
 Failure settingFailure(const std::string &source, std::string_view keyPath,
                        std::string_view allowed);
 
