--- a/include/rattanrill/base/errorcode.h
+++ b/include/rattanrill/base/errorcode.h
@@ -70,14 +70,14 @@
 };
 
 /// Whether the failed operation may have had an effect.
-enum class RunState {
+enum class EffectState {
     NotRun,
     MayHaveRun,
 };
 
 std::string_view name(ErrorCode code);
 std::optional<ErrorCode> errorCodeFromName(std::string_view name);
-std::string_view name(RunState state);
+std::string_view name(EffectState state);
 
 /// HTTP status with which \a code is reported to a caller or an operator.
 int httpStatus(ErrorCode code);
--- a/include/rattanrill/base/failure.h
+++ b/include/rattanrill/base/failure.h
@@ -11,7 +11,7 @@
 struct Failure
 {
     ErrorCode code = ErrorCode::Internal;
-    RunState run = RunState::NotRun;
+    EffectState run = EffectState::NotRun;
     std::string detail;
 };
 
--- a/include/rattanrill/controlclient/controlclient.h
+++ b/include/rattanrill/controlclient/controlclient.h
@@ -34,9 +34,9 @@
                   TimerService &timers, const Clock &clock);
     ~ControlClient();
 
-    /// Proposes an encoded command to \a group. Set \a repeatable for an idempotent command: it is
+    /// Proposes an encoded command to \a group. Set \a idempotent for an idempotent command: it is
     /// sent again when a response is lost. Otherwise the call fails with MayHaveRun in that case.
-    void propose(const std::string &group, std::string command, bool repeatable,
+    void propose(const std::string &group, std::string command, bool idempotent,
                  absl::Duration timeout, Callback<std::string> callback);
     /// Runs an encoded query on \a group as a linearizable read.
     void read(const std::string &group, std::string query, absl::Duration timeout,
--- a/include/rattanrill/directory/directorysubscriber.h
+++ b/include/rattanrill/directory/directorysubscriber.h
@@ -39,8 +39,8 @@
 public:
     using Listener = std::function<void(const std::shared_ptr<const DirectoryView> &)>;
 
-    /// \a source, \a timers and \a clock must outlive the subscriber.
-    DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &source,
+    /// \a pollClient, \a timers and \a clock must outlive the subscriber.
+    DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &pollClient,
                         TimerService &timers, const Clock &clock);
     ~DirectorySubscriber();
     DirectorySubscriber(const DirectorySubscriber &) = delete;
--- a/include/rattanrill/directory/directoryview.h
+++ b/include/rattanrill/directory/directoryview.h
@@ -63,8 +63,8 @@
     RecordList<wire::Route> m_routes;
     RecordList<wire::Upstream> m_upstreams;
     RecordList<wire::Member> m_members;
-    RecordList<wire::FencingToken> m_fences;
-    RecordList<wire::QuarantinedRequest> m_held;
+    RecordList<wire::FencingToken> m_fencingTokens;
+    RecordList<wire::QuarantinedRequest> m_quarantinedRequests;
 };
 
 } // namespace rattanrill::directory
--- a/include/rattanrill/directory/recordtable.h
+++ b/include/rattanrill/directory/recordtable.h
@@ -42,7 +42,7 @@
         /// Adds the record, or replaces the one with the same id.
         void put(const std::string &id, Record record)
         {
-            Shard &shard = owned(id);
+            Shard &shard = mutableShard(id);
             const auto place = lowerBound(shard, id);
             Row row{id, std::make_shared<const Record>(std::move(record))};
             if (place != shard.end() && place->id == id)
@@ -57,7 +57,7 @@
     private:
         /// Returns this editor's own copy of the shard of \a id, which is made on the first call
         /// for the shard.
-        Shard &owned(std::string_view id)
+        Shard &mutableShard(std::string_view id)
         {
             const std::size_t index = shardOf(id);
             if (!m_owned[index]) {
--- a/include/rattanrill/engine/abortsignal.h
+++ b/include/rattanrill/engine/abortsignal.h
@@ -19,7 +19,7 @@
     /// Sets the action with which abort() ends the running call; null when no call is running. If
     /// abort() was called before, \a action runs immediately. It runs under the lock of the signal
     /// and must not block. For use by clients such as EngineClient only.
-    void onAbort(std::function<void()> action) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void setAbortAction(std::function<void()> action) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
     mutable absl::Mutex m_mutex;
--- a/include/rattanrill/engine/engineclient.h
+++ b/include/rattanrill/engine/engineclient.h
@@ -107,9 +107,9 @@
     /// Streams a completion and passes each validated token to \a onToken, in order and without
     /// repetition. Fails with UpstreamUnavailable, UpstreamBusy, UnknownModel, InvalidRequest,
     /// UpstreamFailed, StreamBroken, Timeout (the deadline passed) or ClientDisconnected (aborted
-    /// through \a cancellation). A failure is NotRun when it occurred before the request was sent
+    /// through \a abortSignal). A failure is NotRun when it occurred before the request was sent
     /// or when the engine reported that the request did not run, and MayHaveRun otherwise.
-    Outcome<StreamSummary> stream(const StreamRequest &request, AbortSignal &cancellation,
+    Outcome<StreamSummary> stream(const StreamRequest &request, AbortSignal &abortSignal,
                                   const TokenHandler &onToken);
     /// Requests the engine to end a stream; returns false when the engine has no such stream.
     Outcome<bool> cancel(const std::string &requestId);
--- a/include/rattanrill/fakes/answer.h
+++ b/include/rattanrill/fakes/answer.h
@@ -12,9 +12,9 @@
 enum class AnswerVerdict {
     Correct,
     /// A proper prefix of the expected answer.
-    Short,
+    Truncated,
     /// Text that differs from the expected answer or continues beyond its end.
-    Foreign,
+    Mismatch,
 };
 
 std::string_view name(AnswerVerdict verdict);
--- a/include/rattanrill/fakes/balancer.h
+++ b/include/rattanrill/fakes/balancer.h
@@ -71,14 +71,14 @@
     std::optional<RelayAddress> choose();
     void checkAll();
     void check(const Instance &instance);
-    void note(const std::string &name, bool passed);
+    void recordHealthCheck(const std::string &name, bool passed);
 
     const BalancerSettings m_settings;
     Lister m_lister;
     TimerService &m_timers;
     mutable absl::Mutex m_mutex;
     std::map<std::string, Health> m_health ABSL_GUARDED_BY(m_mutex);
-    std::size_t m_turn ABSL_GUARDED_BY(m_mutex) = 0;
+    std::size_t m_nextIndex ABSL_GUARDED_BY(m_mutex) = 0;
     WorkerPool m_checkers;
     TcpRelay m_relay;
     TimerService::TimerId m_timer = 0;
--- a/include/rattanrill/fakes/cacheeventfeed.h
+++ b/include/rattanrill/fakes/cacheeventfeed.h
@@ -32,9 +32,9 @@
 class CacheEventFeed
 {
 public:
-    /// \a lossShare is the probability, from 0 to 1, that a change is lost. \a seed makes the
+    /// \a lossProbability is the probability, from 0 to 1, that a change is lost. \a seed makes the
     /// losses reproducible.
-    CacheEventFeed(absl::Duration delay, double lossShare, std::uint64_t seed);
+    CacheEventFeed(absl::Duration delay, double lossProbability, std::uint64_t seed);
 
     void publish(absl::Time now, std::vector<PrefixChange> changes);
     /// Visible events with a sequence number above \a after.
@@ -49,7 +49,7 @@
     };
 
     absl::Duration m_delay;
-    double m_lossShare;
+    double m_lossProbability;
     std::mt19937_64 m_random;
     std::int64_t m_lastSeq = 0;
     std::deque<Pending> m_pending;
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -129,7 +129,7 @@
     /// End of the current step; InfiniteFuture when the engine is idle.
     absl::Time nextEvent() const { return m_stepEnd; }
 
-    EngineLoad load(absl::Time now) const { return m_history.report(now); }
+    LoadSample load(absl::Time now) const { return m_history.report(now); }
     CacheEventPage cacheEvents(absl::Time now, std::int64_t after) const;
     OrderAnswer order(absl::Time now, const Order &order) { return m_orders.apply(now, order); }
     const EngineModelSettings &settings() const { return m_settings; }
--- a/include/rattanrill/fakes/enginehost.h
+++ b/include/rattanrill/fakes/enginerunner.h
@@ -19,14 +19,14 @@
 /// Runs an EngineModel in real time on one thread and passes its events to the event queues of the
 /// connections. Lock order: the mutex of this class, then those of Faults, RequestLog and
 /// EngineEventQueue.
-class EngineHost
+class EngineRunner
 {
 public:
-    EngineHost(EngineModelSettings settings, Faults &faults, RequestLog &records,
-               const Clock &clock = SystemClock::instance());
-    ~EngineHost();
-    EngineHost(const EngineHost &) = delete;
-    EngineHost &operator=(const EngineHost &) = delete;
+    EngineRunner(EngineModelSettings settings, Faults &faults, RequestLog &records,
+                 const Clock &clock = SystemClock::instance());
+    ~EngineRunner();
+    EngineRunner(const EngineRunner &) = delete;
+    EngineRunner &operator=(const EngineRunner &) = delete;
 
     /// Queues a request and returns the queue that receives its events. \a recordSeq is the
     /// sequence number of the request's record in the request log. Fails as EngineModel::submit().
@@ -36,7 +36,7 @@
     /// As EngineModel::exportKv().
     std::optional<KvExport> exportKv(const std::string &requestId);
     /// Load as the delayed report shows it.
-    EngineLoad load() const;
+    LoadSample load() const;
     CacheEventPage cacheEvents(std::int64_t after) const;
     OrderAnswer order(const Order &order);
     /// Needs no lock: the settings never change after construction.
@@ -58,7 +58,7 @@
     void step() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void deliver(const EngineEvent &event) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void noteEvent(const EngineEvent &event, Route &route) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void crossAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void swapAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const EngineModelSettings m_settings;
     Faults &m_faults;
--- a/include/rattanrill/fakes/faults.h
+++ b/include/rattanrill/fakes/faults.h
@@ -23,7 +23,7 @@
     /// Delay of an engine's events or a service's answer after the work for them is done.
     absl::Duration lateAnswer;
     /// Number of pairs of running requests whose answers are still to be swapped.
-    std::int64_t crossAnswers = 0;
+    std::int64_t swapAnswers = 0;
     /// An engine closes a stream after this many tokens; a service closes the connection halfway
     /// through its answer when this is not zero.
     std::int64_t cutAfterTokens = 0;
@@ -42,8 +42,8 @@
     FaultState state() const;
     /// End of the freeze; InfinitePast when none was set.
     absl::Time frozenUntil() const;
-    /// Decrements crossAnswers and returns true; returns false when it is already 0.
-    bool takeCrossing();
+    /// Decrements swapAnswers and returns true; returns false when it is already 0.
+    bool takeAnswerSwap();
     /// Blocks until the freeze ends; returns immediately when the process is not frozen.
     void waitWhileFrozen(absl::Time now) const;
 
--- a/include/rattanrill/fakes/loadhistory.h
+++ b/include/rattanrill/fakes/loadhistory.h
@@ -8,7 +8,7 @@
 namespace rattanrill::fakes {
 
 /// Load of a fake engine or service at one point in time.
-struct EngineLoad
+struct LoadSample
 {
     /// Number of running requests.
     std::int64_t running = 0;
@@ -25,15 +25,15 @@
     explicit LoadHistory(absl::Duration lag);
 
     absl::Duration lag() const { return m_lag; }
-    void record(absl::Time now, EngineLoad load);
+    void record(absl::Time now, LoadSample load);
     /// Load as it was one lag before \a now; all zero when nothing was recorded by then.
-    EngineLoad report(absl::Time now) const;
+    LoadSample report(absl::Time now) const;
 
 private:
     struct Sample
     {
         absl::Time at;
-        EngineLoad load;
+        LoadSample load;
     };
 
     absl::Duration m_lag;
--- a/include/rattanrill/fakes/requestlog.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -13,7 +13,7 @@
 namespace rattanrill::fakes {
 
 /// A request that a fake received.
-struct Record
+struct RequestRecord
 {
     std::int64_t seq = 0;
     std::string requestId;
@@ -29,7 +29,7 @@
 };
 
 /// Configuration of a RequestLog.
-struct RecordSettings
+struct RequestLogSettings
 {
     /// Maximum number of records in memory.
     std::size_t limit = 20000;
@@ -44,29 +44,29 @@
 class RequestLog
 {
 public:
-    explicit RequestLog(const RecordSettings &settings = {});
+    explicit RequestLog(const RequestLogSettings &settings = {});
     ~RequestLog();
     RequestLog(const RequestLog &) = delete;
     RequestLog &operator=(const RequestLog &) = delete;
 
     /// Returns the sequence number of the new record.
-    std::int64_t add(Record record);
+    std::int64_t add(RequestRecord record);
     void markRun(std::int64_t seq);
     void markFinished(std::int64_t seq, std::int64_t tokens);
     /// Records with a sequence number above \a after.
-    std::vector<Record> after(std::int64_t after) const;
+    std::vector<RequestRecord> after(std::int64_t after) const;
     /// Sequence number of the newest record; 0 before the first.
     std::int64_t lastSeq() const;
 
 private:
-    Record *find(std::int64_t seq) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void append(const Record &record) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    RequestRecord *find(std::int64_t seq) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void append(const RequestRecord &record) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const std::size_t m_limit;
     mutable absl::Mutex m_mutex;
     std::FILE *m_file ABSL_GUARDED_BY(m_mutex) = nullptr;
     std::int64_t m_lastSeq ABSL_GUARDED_BY(m_mutex) = 0;
-    std::deque<Record> m_records ABSL_GUARDED_BY(m_mutex);
+    std::deque<RequestRecord> m_records ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::fakes
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -50,13 +50,13 @@
     /// UpstreamBusy when too many requests are waiting.
     Result<ServiceAnswer> serve(ServiceAnswer answer, const std::function<void()> &started);
     /// Load as the delayed report shows it.
-    EngineLoad load() const;
+    LoadSample load() const;
     const ServiceSettings &settings() const { return m_settings; }
 
 private:
     Result<void> takeSlot(std::int64_t ticket) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void work() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void crossAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void swapAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void recordLoad() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const ServiceSettings m_settings;
--- a/include/rattanrill/fleet/fleetclient.h
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -39,7 +39,7 @@
     std::string configuration;
     std::vector<wire::FleetMemberStatus> members;
     /// The list of members is complete.
-    bool membersSettled = false;
+    bool membersComplete = false;
     /// Replica ids of the first voters of the store group; empty until it is founded.
     std::vector<std::string> storeFounders;
     /// The platform's list of upstreams has been received at least once.
--- a/include/rattanrill/fleet/fleetservice.h
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -32,7 +32,7 @@
     absl::Duration memberTimeout = absl::Seconds(2);
     /// Interval at which the leader reads the platform's list. Only the leader reads it, because
     /// the platform limits the calls of all processes together and charges for each one.
-    absl::Duration listPeriod = absl::Seconds(1);
+    absl::Duration discoveryPeriod = absl::Seconds(1);
 };
 
 /// Serves the polls of FleetClient on the leader of the fleet group. Maintains the FleetView, reads
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -39,7 +39,7 @@
 
     /// True when this leader has led for longer than the member timeout, in which every live
     /// process should have sent a heartbeat.
-    bool isSettled() const { return m_settled; }
+    bool hasAllMembers() const { return m_hasAllMembers; }
     /// True when the sender of \a request already holds this version of the view.
     bool isCurrent(const wire::FleetSyncRequest &request) const;
     wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
@@ -65,7 +65,7 @@
     std::uint64_t m_term = 0;
     std::uint64_t m_sequence = 0;
     absl::Time m_begunAt;
-    bool m_settled = false;
+    bool m_hasAllMembers = false;
     wire::FleetSnapshot m_records;
     bool m_upstreamsKnown = false;
     std::vector<wire::FleetUpstream> m_upstreams;
--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -18,7 +18,7 @@
     const serving::ProtocolAdapter &protocol;
     const fleet::OperatorProtocolAdapter &operatorProtocol;
     /// Reads the platform's list of upstreams; used by control processes.
-    fleet::UpstreamDiscovery &upstreamList;
+    fleet::UpstreamDiscovery &upstreamDiscovery;
     /// True for a request that checks whether the process accepts new connections.
     std::function<bool(const net::Request &)> isReadinessProbe;
 };
--- a/include/rattanrill/net/connectionpool.h
+++ b/include/rattanrill/net/connectionpool.h
@@ -25,7 +25,7 @@
     Broken,
 };
 
-std::string_view name(CallStatus end);
+std::string_view name(CallStatus status);
 
 /// Callbacks that receive the response to one call. They run on the event loop.
 struct CallHandlers
@@ -35,7 +35,7 @@
     std::function<bool(const ResponseHead &)> head;
     std::function<void(std::string_view)> body;
     /// Called exactly once unless the call is cancelled.
-    std::function<void(CallStatus)> end;
+    std::function<void(CallStatus)> onEnd;
 };
 
 /// Timeouts and limits of a ConnectionPool.
@@ -45,9 +45,9 @@
     /// Fraction (0 to 1) of the keep-alive time announced by the upstream during which an idle
     /// connection is reused. Below 1, so that no request is sent while the upstream is closing the
     /// connection.
-    double keepShare = 0.5;
+    double keepAliveFraction = 0.5;
     /// Keep-alive time assumed for upstreams that announce none.
-    absl::Duration defaultKeep = absl::Seconds(4);
+    absl::Duration defaultKeepAlive = absl::Seconds(4);
     /// Maximum number of idle connections per address.
     std::size_t maxIdle = 16;
 };
@@ -65,15 +65,15 @@
     ConnectionPool &operator=(const ConnectionPool &) = delete;
 
     /// Sends \a request, a serialized HTTP request, to \a address ("host:port"). Errors are
-    /// reported by CallHandlers::end.
+    /// reported by CallHandlers::onEnd.
     CallId call(const std::string &address, std::string request, CallHandlers handlers);
     /// Closes the connection of \a call, so that the upstream can detect that the response is no
     /// longer needed. No handler of the call runs after return.
     void cancel(CallId call);
     /// Closes the idle connections to \a address; for an address that is no longer used.
-    void drop(const std::string &address);
+    void closeIdleConnections(const std::string &address);
     /// Number of connections opened since construction, including failed attempts.
-    std::uint64_t connectionsMade() const;
+    std::uint64_t connectionsOpened() const;
     /// Closes all connections and cancels all open calls.
     void stop();
 
--- a/include/rattanrill/net/requestparser.h
+++ b/include/rattanrill/net/requestparser.h
@@ -41,9 +41,9 @@
     int status() const { return m_status; }
     /// Whether the client expects a 100 (Continue) response before it sends the body. Returns true
     /// at most once per request.
-    bool wantsContinue();
+    bool takeExpectContinue();
     /// Whether the client keeps the connection open after this request. Valid in state Complete.
-    bool keepsAlive() const { return m_keepsAlive; }
+    bool isKeepAlive() const { return m_isKeepAlive; }
     /// Returns the complete request and starts to parse the next one. Requires state Complete.
     Request take();
     /// Number of received bytes that follow the complete request.
@@ -64,7 +64,7 @@
     int m_status = 0;
     bool m_headerChecked = false;
     bool m_wantsContinue = false;
-    bool m_keepsAlive = true;
+    bool m_isKeepAlive = true;
 };
 
 } // namespace rattanrill::net
--- a/include/rattanrill/net/responseparser.h
+++ b/include/rattanrill/net/responseparser.h
@@ -22,7 +22,7 @@
         Broken,
     };
 
-    /// Callbacks that receive the parts of the response during feed() or end().
+    /// Callbacks that receive the parts of the response during feed() or handleEof().
     struct Handlers
     {
         /// Returns false when the response belongs to another request.
@@ -35,21 +35,21 @@
 
     void feed(std::string_view bytes);
     /// Handles an orderly close of the connection by the upstream.
-    void end();
+    void handleEof();
     State state() const { return m_state; }
     /// Whether bytes follow the complete response. They belong to no request.
     bool hasExtraBytes() const { return !m_pending.empty(); }
     /// Whether the connection can carry another request. Valid in state Complete.
-    bool keepsAlive() const { return m_keepsAlive; }
+    bool isKeepAlive() const { return m_isKeepAlive; }
 
 private:
     struct Parser;
 
     void startResponse();
     bool step();
-    void noteHeader();
-    void passBody();
-    void noteDone();
+    void handleHeader();
+    void forwardBody();
+    void handleComplete();
 
     Handlers m_handlers;
     std::unique_ptr<Parser> m_parser;
@@ -57,7 +57,7 @@
     State m_state = State::Reading;
     bool m_headerSeen = false;
     bool m_isOwn = true;
-    bool m_keepsAlive = false;
+    bool m_isKeepAlive = false;
 };
 
 } // namespace rattanrill::net
--- a/include/rattanrill/net/server.h
+++ b/include/rattanrill/net/server.h
@@ -50,7 +50,7 @@
     /// Closes the connection, so that the client cannot take the response for a complete one.
     virtual void abort() = 0;
     /// Whether startStream() was called.
-    virtual bool started() const = 0;
+    virtual bool streamStarted() const = 0;
     /// Number of response bytes that have not been sent to the client yet.
     virtual std::size_t unsentBytes() const = 0;
 };
--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -71,10 +71,10 @@
     void setDesired(absl::Time now, const std::vector<DesiredState> &desired, std::uint64_t fence);
     /// Returns the commands to send now, at most one per engine.
     std::vector<EngineCommand> decide(absl::Time now);
-    /// Reports that the engine answered \a order. Ignored unless \a order is outstanding.
-    void answered(absl::Time now, const EngineCommand &order, bool accepted);
-    /// Reports that \a order got no answer. The command may still arrive.
-    void timedOut(absl::Time now, const EngineCommand &order);
+    /// Reports that the engine answered \a command. Ignored unless \a command is outstanding.
+    void answered(absl::Time now, const EngineCommand &command, bool accepted);
+    /// Reports that \a command got no answer. The command may still arrive.
+    void timedOut(absl::Time now, const EngineCommand &command);
     /// True when the values that the engine has confirmed equal the desired ones; false for unknown
     /// engines.
     bool isConverged(std::string_view engine) const;
@@ -86,10 +86,10 @@
         std::map<EngineCommandKind, std::string> confirmed;
         std::optional<EngineCommand> outstanding;
         /// Time until which an older command may still arrive.
-        absl::Time quietUntil;
+        absl::Time commandMayArriveUntil;
     };
 
-    std::optional<EngineCommand> nextOrder(absl::Time now, Engine &engine);
+    std::optional<EngineCommand> nextCommand(absl::Time now, Engine &engine);
 
     EngineReconcilerSettings m_settings;
     absl::Time m_start;
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -56,10 +56,10 @@
     void loadReported(absl::Time now, const EngineLoad &load);
     /// \a prefillTokens are prompt tokens to compute; \a totalTokens is the KV memory, in tokens,
     /// that the task is expected to occupy.
-    void workStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
+    void taskStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                      std::int64_t totalTokens);
     void firstToken(TaskKind kind, std::int64_t prefillTokens);
-    void workEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens);
+    void taskEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens);
 
     bool hasReport() const { return m_reports > 0; }
     /// Number of reports accepted so far.
@@ -69,14 +69,14 @@
     absl::Time reportedAt() const { return m_reportedAt; }
     std::int64_t maxBatch() const { return m_load.maxBatch; }
     /// Number of this entry's tasks on the engine.
-    std::int64_t own(TaskKind kind) const;
+    std::int64_t localTasks(TaskKind kind) const;
     /// Prompt tokens of this entry's tasks that have not produced a first token yet.
-    std::int64_t ownPrefill(TaskKind kind) const;
+    std::int64_t localPrefillTokens(TaskKind kind) const;
     /// This entry's started tasks minus its ended ones since the time that the last report
     /// describes.
-    std::int64_t ownChange(TaskKind kind) const;
+    std::int64_t localTaskChange(TaskKind kind) const;
     /// Requests in the last report, running and waiting, plus this entry's changes since.
-    double requestsSeen() const;
+    double reportedRequests() const;
     /// Estimated number of requests on the engine now, running and waiting, when the number of
     /// entries that share it is \a entries.
     double expectedRequests(std::size_t entries) const;
--- a/include/rattanrill/policy/fairqueue.h
+++ b/include/rattanrill/policy/fairqueue.h
@@ -30,8 +30,8 @@
         ByArrival,
     };
 
-    /// Adds a waiting task. \a due is its deadline, which orders it within its workspace.
-    void push(const std::string &workspace, TaskId task, absl::Time due,
+    /// Adds a waiting task. \a deadline is its deadline, which orders it within its workspace.
+    void push(const std::string &workspace, TaskId task, absl::Time deadline,
               TieBreak tieBreak = TieBreak::ByArrival);
     /// Removes a waiting task. Returns false when the task is not in the queue.
     bool remove(TaskId task);
--- a/include/rattanrill/policy/leasequeue.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -36,7 +36,7 @@
     explicit LeaseQueue(LeaseQueueSettings settings);
 
     void setWeight(const std::string &workspace, double weight);
-    void push(const std::string &workspace, TaskId item, absl::Time due);
+    void push(const std::string &workspace, TaskId item, absl::Time deadline);
     /// Removes a cancelled item. Returns false when the item is not in the queue.
     bool remove(TaskId item);
     /// Removes and returns the next item, or nothing when the queue is empty. Charges \a tokens,
@@ -50,10 +50,10 @@
 
     LeaseQueueSettings m_settings;
     FairQueue m_queue;
-    std::set<std::pair<absl::Time, TaskId>> m_byDue;
+    std::set<std::pair<absl::Time, TaskId>> m_byDeadline;
     std::unordered_map<TaskId, std::pair<std::string, absl::Time>> m_items;
     /// Number of waiting items for each deadline.
-    std::map<absl::Time, std::size_t> m_dueCounts;
+    std::map<absl::Time, std::size_t> m_deadlineCounts;
 };
 
 } // namespace rattanrill::policy
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -16,9 +16,9 @@
     /// ejections because of noise at low load.
     absl::Duration slowMargin = absl::Milliseconds(300);
     /// Length of the first ejection. Each further one before the upstream has recovered takes twice
-    /// as long, up to longestEjection.
+    /// as long, up to maxEjection.
     absl::Duration firstEjection = absl::Seconds(2);
-    absl::Duration longestEjection = absl::Seconds(30);
+    absl::Duration maxEjection = absl::Seconds(30);
     /// Time over which the upstream's share of traffic grows from 0.1 to 1 after an ejection.
     absl::Duration rampUpTime = absl::Seconds(10);
 };
--- a/include/rattanrill/policy/prefixindex.h
+++ b/include/rattanrill/policy/prefixindex.h
@@ -38,9 +38,9 @@
     void apply(absl::Time now, const std::string &engine, const std::vector<CacheEvent> &events);
     /// Records that this entry sent a prompt with these prefixes to \a engine, which is known
     /// before any cache event. \a hashes are as in Task::prefixHashes.
-    void sent(absl::Time now, const std::string &engine, const std::vector<std::uint64_t> &hashes,
-              std::int64_t promptTokens);
-    void forgetEngine(const std::string &engine);
+    void recordPrompt(absl::Time now, const std::string &engine,
+                      const std::vector<std::uint64_t> &hashes, std::int64_t promptTokens);
+    void removeEngine(const std::string &engine);
     /// Estimated number of prompt tokens that \a engine has cached.
     std::int64_t cachedTokens(absl::Time now, const std::string &engine,
                               const std::vector<std::uint64_t> &hashes) const;
--- a/include/rattanrill/policy/quarantine.h
+++ b/include/rattanrill/policy/quarantine.h
@@ -50,13 +50,13 @@
     void retractCrash(const std::string &upstream, const std::vector<std::string> &fingerprints);
     /// Records that a request completed. Clears a suspect, but never a blocked fingerprint.
     void succeeded(const std::string &fingerprint);
-    /// Merges a record of the directory. \a held is true for a blocked fingerprint. An empty list
-    /// of upstreams releases the fingerprint.
+    /// Merges a record of the directory. \a blocked is true for a blocked fingerprint. An empty
+    /// list of upstreams releases the fingerprint.
     void setRecord(absl::Time now, const std::string &fingerprint,
-                   const std::vector<std::string> &crashedUpstreams, bool held);
+                   const std::vector<std::string> &crashedUpstreams, bool blocked);
     QuarantineStatus status(absl::Time now, const std::string &fingerprint) const;
     /// Number of upstreams known to have crashed while they ran the fingerprint.
-    std::size_t crashes(const std::string &fingerprint) const;
+    std::size_t crashCount(const std::string &fingerprint) const;
     /// True when \a upstream is known to have crashed while it ran the fingerprint.
     bool hasCrashed(const std::string &fingerprint, const std::string &upstream) const;
     /// Drops expired records.
@@ -67,7 +67,7 @@
     {
         /// Crashed upstreams on which the request ran.
         std::set<std::string> upstreams;
-        bool held = false;
+        bool blocked = false;
         absl::Time expires = absl::InfinitePast();
     };
 
--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -22,7 +22,7 @@
     /// Includes the first attempt.
     int maxAttempts = 3;
     absl::Duration firstBackoff = absl::Milliseconds(20);
-    absl::Duration longestBackoff = absl::Seconds(1);
+    absl::Duration maxBackoff = absl::Seconds(1);
 };
 
 /// Decides whether and when a failed attempt is retried. A retry is allowed only when the request
@@ -37,7 +37,7 @@
     void firstAttempt();
     /// Returns true, and takes 1 from the budget, when a request may be retried after attempt
     /// number \a attempt (from 1).
-    bool mayRetry(int attempt, RunState run, bool idempotent);
+    bool mayRetry(int attempt, EffectState run, bool idempotent);
     /// Returns the delay before the attempt that follows attempt number \a attempt: exponential
     /// backoff with full jitter.
     absl::Duration backoff(int attempt, std::mt19937_64 &random) const;
--- a/include/rattanrill/policy/router.h
+++ b/include/rattanrill/policy/router.h
@@ -25,7 +25,7 @@
     double loadLimit = 0.97;
     /// Cost of an engine in another failure domain: the delay is some milliseconds, which is small
     /// compared with a decode step.
-    double farCost = 0.002;
+    double remoteDomainCost = 0.002;
     /// Gain for a prompt that is cached completely.
     double prefixGain = 0.15;
     /// A cached prefix is ignored on an engine whose load exceeds that of the least loaded engine
@@ -38,7 +38,7 @@
     double waitingCost = 0.05;
     /// Upper limit of a random cost, so that entries with the same reports do not all choose the
     /// same engine.
-    double tieNoise = 0.04;
+    double tieBreakNoise = 0.04;
 };
 
 /// An engine that could run the task, with a cost in addition to those that Router computes.
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -41,7 +41,7 @@
     absl::Duration decodeStep = absl::Milliseconds(50);
     /// A batch task is no longer preempted when the time left before its deadline is less than its
     /// remaining run time multiplied by this factor.
-    double dueSafetyFactor = 2.0;
+    double deadlineSafetyFactor = 2.0;
     /// Engine prefill speed (tokens/s) used until first tokens have been observed.
     double prefillTokensPerSecond = 8000;
     /// Number of failed attempts after which a batch item is rejected with ItemFailed. Attempts
@@ -103,7 +103,7 @@
 struct RejectTask
 {
     TaskId task = 0;
-    /// Its run state is RunState::NotRun only when no attempt can have run.
+    /// Its run state is EffectState::NotRun only when no attempt can have run.
     Failure failure;
     /// Value of the Retry-After header; zero when a retry cannot succeed.
     absl::Duration retryAfter;
@@ -163,10 +163,10 @@
     /// Sets the offset of the wall clock from the clock of \a now (wall clock minus monotonic).
     /// Entries take turns by the wall clock. Call this at the start and every few seconds.
     void setClockOffset(absl::Duration offset);
-    /// Merges a crash record of the directory. \a held is true for a fingerprint that is blocked. A
-    /// record without crashed upstreams releases the fingerprint.
+    /// Merges a crash record of the directory. \a blocked is true for a fingerprint that is
+    /// blocked. A record without crashed upstreams releases the fingerprint.
     void setCrashRecord(absl::Time now, const std::string &fingerprint,
-                        const std::vector<std::string> &crashedUpstreams, bool held);
+                        const std::vector<std::string> &crashedUpstreams, bool blocked);
 
     /// Reports the load of \a engine. \a load.age is the age of the report's values.
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load);
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -70,7 +70,7 @@
     Unreachable,
 };
 
-std::string_view name(ReleaseReason end);
+std::string_view name(ReleaseReason reason);
 std::optional<ReleaseReason> releaseReasonFromName(std::string_view name);
 
 /// The task may be sent to the upstream.
@@ -104,7 +104,7 @@
     OutlierSettings outlier;
     /// Initial estimate of the time for which an online request holds a slot, corrected as requests
     /// complete.
-    absl::Duration expectedHold = absl::Milliseconds(700);
+    absl::Duration initialHoldTime = absl::Milliseconds(700);
     /// Shortest Retry-After of a task that is rejected because no slot is free in time.
     absl::Duration minRetryAfter = absl::Milliseconds(300);
     /// Share of the slots that become free which is expected to be available for callers that
@@ -161,7 +161,7 @@
     /// is not listed or the task is already known.
     void adopt(absl::Time now, const SlotTask &task, const std::string &upstream);
     /// Reports that the task has left its slot. Cancels the task when it still waits.
-    void release(absl::Time now, const std::string &task, ReleaseReason end);
+    void release(absl::Time now, const std::string &task, ReleaseReason reason);
     /// Removes a task whose caller no longer needs a slot. Releases the slot that the task holds.
     void cancel(const std::string &task);
     /// Reports the number of requests at the upstream, from all senders.
@@ -241,10 +241,10 @@
         std::size_t onlineWaiting = 0;
         std::size_t batchWaiting = 0;
         /// Mean time for which an online task holds its slot.
-        absl::Duration meanHold;
+        absl::Duration meanHoldTime;
         /// Mean time for which a batch task holds slots from its start to its end; zero until one
         /// has completed.
-        absl::Duration meanBatchHold;
+        absl::Duration meanBatchHoldTime;
         /// Time at which the last rejected caller may retry.
         absl::Time lastRetryAt = absl::InfinitePast();
     };
@@ -260,15 +260,15 @@
     std::int64_t unprobedSlots(absl::Time now, const Service &service) const;
     bool isLoadUnknown(absl::Time now, const Upstream &upstream) const;
     Upstream *freeUpstream(absl::Time now, const Service &service, const Item &item) const;
-    Upstream *yieldingUpstream(absl::Time now, const Service &service, const Item &item) const;
+    Upstream *preemptibleUpstream(absl::Time now, const Service &service, const Item &item) const;
     std::int64_t foreign(absl::Time now, const Upstream &upstream) const;
-    bool takes(absl::Time now, const Upstream &upstream, const Item &item) const;
+    bool accepts(absl::Time now, const Upstream &upstream, const Item &item) const;
     void decideOnline(absl::Time now, Service &service);
     void decideBatch(absl::Time now, Service &service);
-    void refuseHopeless(absl::Time now, Service &service);
-    void refuseOverdue(absl::Time now);
+    void rejectUnservable(absl::Time now, Service &service);
+    void rejectExpired(absl::Time now);
     void refuse(absl::Time now, Service &service, Item &item);
-    void yieldOne(absl::Time now, Upstream &upstream);
+    void preemptOne(absl::Time now, Upstream &upstream);
     void grant(absl::Time now, Service &service, Item &item, Upstream &upstream);
     void dequeue(Service &service, Item &item);
     void leaveSlot(Item &item);
--- a/include/rattanrill/policy/tokenbucket.h
+++ b/include/rattanrill/policy/tokenbucket.h
@@ -56,7 +56,7 @@
 
     RateContract m_contract;
     double m_level = 0;
-    absl::Time m_levelAt;
+    absl::Time m_levelTime;
 };
 
 } // namespace rattanrill::policy
--- a/include/rattanrill/serving/eventstream.h
+++ b/include/rattanrill/serving/eventstream.h
@@ -27,7 +27,7 @@
     /// Appends to \a events those that are complete with \a bytes.
     void feed(std::string_view bytes, std::vector<StreamEvent> &events);
     /// Bytes received so far of an incomplete event.
-    const std::string &rest() const { return m_pending; }
+    const std::string &incompleteEvent() const { return m_pending; }
     /// Discards an incomplete event after the connection to its upstream was lost.
     void reset() { m_pending.clear(); }
 
--- a/include/rattanrill/serving/protocoladapter.h
+++ b/include/rattanrill/serving/protocoladapter.h
@@ -78,12 +78,12 @@
 };
 
 /// A caller's request to end a batch job.
-struct EndJobCall
+struct CancelJobCall
 {
     std::string job;
 };
 
-using JobCall = std::variant<SubmitJobCall, ReadJobCall, ReadItemCall, EndJobCall>;
+using JobCall = std::variant<SubmitJobCall, ReadJobCall, ReadItemCall, CancelJobCall>;
 
 /// Translates between the HTTP protocol of a deployment's callers and upstreams and the types of
 /// this library. Defines names, formats and encodings only; makes no decisions.
--- a/include/rattanrill/serving/slotbroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -21,7 +21,7 @@
 /// Settings of a SlotBroker.
 struct SlotBrokerSettings
 {
-    policy::SlotSchedulerSettings table;
+    policy::SlotSchedulerSettings scheduler;
     /// Number of requests by which a workspace may exceed its contract in any window of length
     /// rateWindow: rateToleranceFraction of what rate and burst allow in the window, plus
     /// rateToleranceRequests. A broker that replaces another one starts its rate buckets with half
@@ -32,12 +32,12 @@
     double rateToleranceRequests = 0;
     /// Fraction of a request's latency objective for which it may wait for a slot; the rest covers
     /// the transfer to the upstream and the time to its first event.
-    double waitShare = 0.7;
+    double maxWaitFraction = 0.7;
     /// Upper bound of Retry-After, as a fraction of the time until the request's deadline.
     double maxRetryAfterFraction = 0.3;
     /// A request that has waited for a slot for this long receives the outcome Waiting; the
     /// requester then repeats it.
-    absl::Duration waitSlice = absl::Milliseconds(40);
+    absl::Duration maxResponseDelay = absl::Milliseconds(40);
     /// A slot that its holder has not released is reclaimed this long after the request's deadline.
     absl::Duration releaseSlack = absl::Seconds(2);
 };
@@ -92,10 +92,10 @@
     void setLiveInstances(const std::vector<std::string> &instances);
 
     void acquireBatch(const policy::SlotTask &task, BatchHandlers handlers);
-    void releaseBatch(const std::string &task, policy::ReleaseReason end);
+    void releaseBatch(const std::string &task, policy::ReleaseReason reason);
     void cancelBatch(const std::string &task);
 
-    const policy::SlotScheduler &table() const { return m_table; }
+    const policy::SlotScheduler &scheduler() const { return m_scheduler; }
 
 private:
     struct Online
@@ -109,19 +109,19 @@
         ResponseCallback answer;
         /// Decision that was made while no request was pending; returned to the repeated request.
         std::optional<wire::SlotResponse> decided;
-        TimerService::TimerId sliceTimer = 0;
+        TimerService::TimerId waitTimer = 0;
     };
 
     policy::TokenBucket *bucket(const std::string &workspace);
     policy::RateContract contractOf(const Workspace &workspace) const;
     void decide();
-    void carryOut(const policy::GrantSlot &decision);
-    void carryOut(const policy::RejectSlot &decision);
-    void carryOut(const policy::PreemptSlot &decision);
-    void refuseRate(const std::string &id, absl::Duration wait);
-    void give(const std::string &id, const wire::SlotResponse &response);
-    void startSlice(const std::string &id);
-    void forget(const std::string &id);
+    void applyDecision(const policy::GrantSlot &decision);
+    void applyDecision(const policy::RejectSlot &decision);
+    void applyDecision(const policy::PreemptSlot &decision);
+    void rejectOverRate(const std::string &id, absl::Duration wait);
+    void respond(const std::string &id, const wire::SlotResponse &response);
+    void startWaitTimer(const std::string &id);
+    void removeRequest(const std::string &id);
     policy::TokenBucket freshBucket(const policy::RateContract &contract) const;
     void armTimer();
     void sweep();
@@ -129,7 +129,7 @@
     TimerService &m_timers;
     const Clock &m_clock;
     const SlotBrokerSettings m_settings;
-    policy::SlotScheduler m_table;
+    policy::SlotScheduler m_scheduler;
     std::shared_ptr<const DeploymentIndex> m_deployment;
     CapacityShare m_share;
     std::map<std::string, policy::TokenBucket> m_buckets;
--- a/include/rattanrill/serving/slotclient.h
+++ b/include/rattanrill/serving/slotclient.h
@@ -16,16 +16,16 @@
 {
     /// Time for the round trip to the broker. The timeout of a call is this time plus the slice for
     /// which the broker may hold a request.
-    absl::Duration answerSlack = absl::Milliseconds(60);
+    absl::Duration roundTripAllowance = absl::Milliseconds(60);
     /// Local share of the slots, as a multiple of an equal share. It is larger than an equal share
     /// because callers are distributed unevenly over entry processes, and because batch tasks stop
     /// while there is no broker.
-    double placeFactor = 2;
+    double localSlotFactor = 2;
     /// After a call without a response, slots are granted from the local share for this long.
-    absl::Duration avoidFor = absl::Milliseconds(500);
+    absl::Duration brokerRetryDelay = absl::Milliseconds(500);
     /// Settings of the local broker. The timeout of calls to the deployment's broker uses its
-    /// waitSlice too.
-    SlotBrokerSettings own;
+    /// maxResponseDelay too.
+    SlotBrokerSettings localBroker;
 };
 
 /// Requests slots from the deployment's broker, and falls back to the local share of the entry
@@ -33,9 +33,9 @@
 class SlotClient
 {
 public:
-    /// \a fromOwnShare: the local share made the decision because the broker was unknown or did not
-    /// respond.
-    using ResponseCallback = std::function<void(const wire::SlotResponse &, bool fromOwnShare)>;
+    /// \a fromLocalShare: the local share made the decision because the broker was unknown or did
+    /// not respond.
+    using ResponseCallback = std::function<void(const wire::SlotResponse &, bool fromLocalShare)>;
 
     SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
                SlotClientSettings settings);
--- a/src/base/errorcode.cpp
+++ b/src/base/errorcode.cpp
@@ -69,9 +69,9 @@
         {ErrorCode::Internal, "internal", 500},
 };
 
-constexpr std::array<EnumName<RunState>, 2> runStateNames = {{
-        {RunState::NotRun, "not_run"},
-        {RunState::MayHaveRun, "may_have_run"},
+constexpr std::array<EnumName<EffectState>, 2> effectStateNames = {{
+        {EffectState::NotRun, "not_run"},
+        {EffectState::MayHaveRun, "may_have_run"},
 }};
 
 } // namespace
@@ -94,9 +94,9 @@
     return std::nullopt;
 }
 
-std::string_view name(RunState state)
+std::string_view name(EffectState state)
 {
-    return nameOf(runStateNames, state);
+    return nameOf(effectStateNames, state);
 }
 
 int httpStatus(ErrorCode code)
--- a/src/base/failure.cpp
+++ b/src/base/failure.cpp
@@ -14,12 +14,12 @@
 
 Failure notRun(ErrorCode code, std::string detail)
 {
-    return Failure{code, RunState::NotRun, std::move(detail)};
+    return Failure{code, EffectState::NotRun, std::move(detail)};
 }
 
 Failure mayHaveRun(ErrorCode code, std::string detail)
 {
-    return Failure{code, RunState::MayHaveRun, std::move(detail)};
+    return Failure{code, EffectState::MayHaveRun, std::move(detail)};
 }
 
 } // namespace rattanrill
--- a/src/control/followservice.cpp
+++ b/src/control/followservice.cpp
@@ -20,7 +20,7 @@
         failure.code = ErrorCode::NoQuorum;
         failure.detail = "no leader confirmed the directory revision";
     }
-    failure.run = RunState::NotRun;
+    failure.run = EffectState::NotRun;
     return failure;
 }
 
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -46,7 +46,7 @@
 /// Failure of a read: nothing can have run.
 Failure asRead(Failure failure)
 {
-    failure.run = RunState::NotRun;
+    failure.run = EffectState::NotRun;
     return failure;
 }
 
--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -118,9 +118,9 @@
 
 bool ControlCalls::shouldRetry(Call &call, const Failure &failure) const
 {
-    const bool mayHaveRun = call.plan.hasEffect && failure.run == RunState::MayHaveRun;
+    const bool mayHaveRun = call.plan.hasEffect && failure.run == EffectState::MayHaveRun;
     call.mayHaveRun = call.mayHaveRun || mayHaveRun;
-    if (mayHaveRun && !call.plan.repeatable)
+    if (mayHaveRun && !call.plan.idempotent)
         return false;
     return isTransient(failure.code) && m_clock.now() < call.plan.deadline;
 }
@@ -132,7 +132,7 @@
     const bool cutShort = failure.code == ErrorCode::Timeout && call.tries > 1;
     Failure result = cutShort ? call.lastFailure : failure;
     if (call.plan.hasEffect && call.mayHaveRun)
-        result.run = RunState::MayHaveRun;
+        result.run = EffectState::MayHaveRun;
     return result;
 }
 
@@ -204,7 +204,7 @@
             m_timers.unsubscribe(call.timer);
         // A try in flight may still run; one that only waits for its turn has not.
         const bool mayHaveRun = call.mayHaveRun || (call.plan.hasEffect && call.timer == 0);
-        const RunState run = mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
+        const EffectState run = mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
         call.callback(Failure{ErrorCode::Stopped, run, "control client is stopped"});
     }
     absl::MutexLock lock(&m_mutex);
--- a/src/controlclient/controlcalls.h
+++ b/src/controlclient/controlcalls.h
@@ -22,7 +22,7 @@
     /// its leader serves, or another text for calls that every instance serves.
     std::string target;
     /// A try that may have run may be repeated.
-    bool repeatable = true;
+    bool idempotent = true;
     /// A try that may have run makes a difference to the caller.
     bool hasEffect = true;
     /// One try fails after this, so that a silent instance does not take the whole deadline.
--- a/src/controlclient/controlclient.cpp
+++ b/src/controlclient/controlclient.cpp
@@ -60,16 +60,16 @@
     stop();
 }
 
-void ControlClient::propose(const std::string &group, std::string command, bool repeatable,
+void ControlClient::propose(const std::string &group, std::string command, bool idempotent,
                             absl::Duration timeout, Callback<std::string> callback)
 {
     CallPlan plan;
     plan.method = wire::Method::Propose;
     plan.body = wire::encode(wire::ProposeRequest{group, std::move(command)});
     plan.target = group;
-    plan.repeatable = repeatable;
+    plan.idempotent = idempotent;
     // A call that cannot be repeated gains nothing from an early end of its only try.
-    plan.tryTimeout = repeatable ? defaultTryTimeout : timeout;
+    plan.tryTimeout = idempotent ? defaultTryTimeout : timeout;
     plan.deadline = m_impl->calls->now() + timeout;
     m_impl->calls->start(std::move(plan), groupCallback(std::move(callback)));
 }
--- a/src/ctl/operatorclient.cpp
+++ b/src/ctl/operatorclient.cpp
@@ -66,8 +66,8 @@
     const Json &error = json.value().at("error");
     Failure failure;
     failure.code = errorCodeFromName(error.value("code", "")).value_or(ErrorCode::Internal);
-    failure.run = error.value("run", "") == name(RunState::NotRun) ? RunState::NotRun
-                                                                   : RunState::MayHaveRun;
+    failure.run = error.value("run", "") == name(EffectState::NotRun) ? EffectState::NotRun
+                                                                      : EffectState::MayHaveRun;
     failure.detail = error.value("message", "");
     // The message already begins with the code's name, which describe() puts in front again.
     const std::string prefix = concat(name(failure.code), ": ");
@@ -108,7 +108,7 @@
             failure = failureOf(answer.status, answer.body);
             if (!isTransient(failure))
                 return fail(failure);
-            m_repeated = m_repeated || failure.run == RunState::MayHaveRun;
+            m_repeated = m_repeated || failure.run == EffectState::MayHaveRun;
         }
         const bool reached = failure.code != ErrorCode::ConnectionLost;
         if (absl::Now() - start > (reached ? totalTimeout : unreachableTimeout))
--- a/src/directory/directorystate.h
+++ b/src/directory/directorystate.h
@@ -85,9 +85,9 @@
     std::uint64_t m_revision = 0;
     std::uint64_t m_memberRevision = 0;
     std::int64_t m_nowMs = 0;
-    ChangeHistory m_history{changeHistoryLimit};
+    ChangeHistory m_history{maxChangeHistory};
     AnswerMemory m_answers{maxCachedResponses};
-    IncarnationLog m_incarnations{rememberedIncarnations};
+    IncarnationLog m_incarnations{maxReplacedIncarnations};
 };
 
 template <typename Record>
--- a/src/directory/directorysubscriber.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -23,10 +23,10 @@
 
 struct DirectorySubscriber::Impl : std::enable_shared_from_this<Impl>
 {
-    Impl(SubscriberOptions options, DirectoryPollClient &source, TimerService &timers,
+    Impl(SubscriberOptions options, DirectoryPollClient &pollClient, TimerService &timers,
          const Clock &clock)
         : options(std::move(options))
-        , source(source)
+        , pollClient(pollClient)
         , timers(timers)
         , clock(clock)
         , random(stableHash(this->options.instance))
@@ -48,11 +48,11 @@
         request.instance = options.instance;
         request.waitMs = absl::ToInt64Milliseconds(options.pollWait);
         const std::weak_ptr<Impl> self = weak_from_this();
-        source.poll(request, options.pollTimeout,
-                    [self, sentAt](const Outcome<wire::PollChangesResponse> &outcome) {
-                        if (const std::shared_ptr<Impl> impl = self.lock())
-                            impl->handleAnswer(sentAt, outcome);
-                    });
+        pollClient.poll(request, options.pollTimeout,
+                        [self, sentAt](const Outcome<wire::PollChangesResponse> &outcome) {
+                            if (const std::shared_ptr<Impl> impl = self.lock())
+                                impl->handleAnswer(sentAt, outcome);
+                        });
         absl::MutexLock lock(&mutex);
         --sending;
         idle.SignalAll();
@@ -177,7 +177,7 @@
     }
 
     const SubscriberOptions options;
-    DirectoryPollClient &source;
+    DirectoryPollClient &pollClient;
     TimerService &timers;
     const Clock &clock;
     /// Not changed after start().
@@ -188,7 +188,7 @@
             current ABSL_GUARDED_BY(mutex) = std::make_shared<const DirectoryView>();
     absl::Time freshAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
     std::thread::id answeringThread ABSL_GUARDED_BY(mutex);
-    /// Calls of source.poll() that have not returned.
+    /// Calls of pollClient.poll() that have not returned.
     int sending ABSL_GUARDED_BY(mutex) = 0;
     TimerService::TimerId timer ABSL_GUARDED_BY(mutex) = 0;
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
@@ -197,9 +197,9 @@
     bool stopped ABSL_GUARDED_BY(mutex) = false;
 };
 
-DirectorySubscriber::DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &source,
+DirectorySubscriber::DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &pollClient,
                                          TimerService &timers, const Clock &clock)
-    : m_impl(std::make_shared<Impl>(std::move(options), source, timers, clock))
+    : m_impl(std::make_shared<Impl>(std::move(options), pollClient, timers, clock))
 {}
 
 DirectorySubscriber::~DirectorySubscriber()
--- a/src/directory/directoryview.cpp
+++ b/src/directory/directoryview.cpp
@@ -85,8 +85,8 @@
         , m_routes(view.m_routes)
         , m_upstreams(view.m_upstreams)
         , m_members(view.m_members)
-        , m_fences(view.m_fences)
-        , m_held(view.m_held)
+        , m_fencingTokens(view.m_fencingTokens)
+        , m_quarantinedRequests(view.m_quarantinedRequests)
     {}
 
     Result<void> apply(const wire::RecordChange &change)
@@ -94,10 +94,14 @@
         using Apply = Result<void> (Builder::*)(const wire::RecordChange &);
         // In order of wire::RecordKind.
         static constexpr std::array<Apply, 8> steps = {
-                &Builder::applyTo<&Builder::m_contracts>, &Builder::applyTo<&Builder::m_keys>,
-                &Builder::applyTo<&Builder::m_configs>,   &Builder::applyTo<&Builder::m_routes>,
-                &Builder::applyTo<&Builder::m_upstreams>, &Builder::applyTo<&Builder::m_members>,
-                &Builder::applyTo<&Builder::m_fences>,    &Builder::applyTo<&Builder::m_held>,
+                &Builder::applyTo<&Builder::m_contracts>,
+                &Builder::applyTo<&Builder::m_keys>,
+                &Builder::applyTo<&Builder::m_configs>,
+                &Builder::applyTo<&Builder::m_routes>,
+                &Builder::applyTo<&Builder::m_upstreams>,
+                &Builder::applyTo<&Builder::m_members>,
+                &Builder::applyTo<&Builder::m_fencingTokens>,
+                &Builder::applyTo<&Builder::m_quarantinedRequests>,
         };
         return (this->*steps.at(static_cast<std::size_t>(change.kind)))(change);
     }
@@ -110,8 +114,8 @@
         m_routes.finish();
         m_upstreams.finish();
         m_members.finish();
-        m_fences.finish();
-        m_held.finish();
+        m_fencingTokens.finish();
+        m_quarantinedRequests.finish();
     }
 
 private:
@@ -127,8 +131,8 @@
     ListOf<wire::Route> m_routes;
     ListOf<wire::Upstream> m_upstreams;
     ListOf<wire::Member> m_members;
-    ListOf<wire::FencingToken> m_fences;
-    ListOf<wire::QuarantinedRequest> m_held;
+    ListOf<wire::FencingToken> m_fencingTokens;
+    ListOf<wire::QuarantinedRequest> m_quarantinedRequests;
 };
 
 std::shared_ptr<const wire::Contract> DirectoryView::contract(std::string_view workspace) const
@@ -172,14 +176,15 @@
 std::shared_ptr<const wire::QuarantinedRequest>
 DirectoryView::quarantinedRequest(std::string_view fingerprint, std::int64_t nowMs) const
 {
-    std::shared_ptr<const wire::QuarantinedRequest> record = m_held.find(fingerprint);
+    std::shared_ptr<const wire::QuarantinedRequest> record =
+            m_quarantinedRequests.find(fingerprint);
     const bool holds = record && record->held && record->expiresAtMs > nowMs;
     return holds ? record : nullptr;
 }
 
 std::uint64_t DirectoryView::fencingToken(std::string_view upstream) const
 {
-    const std::shared_ptr<const wire::FencingToken> record = m_fences.find(upstream);
+    const std::shared_ptr<const wire::FencingToken> record = m_fencingTokens.find(upstream);
     return record ? record->number : 0;
 }
 
--- a/src/engine/abortsignal.cpp
+++ b/src/engine/abortsignal.cpp
@@ -18,7 +18,7 @@
     return m_aborted;
 }
 
-void AbortSignal::onAbort(std::function<void()> action)
+void AbortSignal::setAbortAction(std::function<void()> action)
 {
     absl::MutexLock lock(&m_mutex);
     m_action = std::move(action);
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -161,15 +161,15 @@
         , m_client(options.host, options.port)
     {}
 
-    httplib::Error run(AbortSignal &cancellation)
+    httplib::Error run(AbortSignal &abortSignal)
     {
         const absl::Duration remaining = m_request.deadline - m_clock.now();
         setTimeouts(m_client, std::min(m_options.connectTimeout, remaining),
                     std::min(m_options.idleTimeout, remaining));
-        httplib::Request http = makeRequest(cancellation);
-        cancellation.onAbort([this] { m_client.stop(); });
+        httplib::Request http = makeRequest(abortSignal);
+        abortSignal.setAbortAction([this] { m_client.stop(); });
         const httplib::Result result = m_client.send(http);
-        cancellation.onAbort(nullptr);
+        abortSignal.setAbortAction(nullptr);
         return result ? httplib::Error::Success : result.error();
     }
 
@@ -179,7 +179,7 @@
     bool late() const { return m_clock.now() + timerRounding >= m_request.deadline; }
 
 private:
-    httplib::Request makeRequest(AbortSignal &cancellation)
+    httplib::Request makeRequest(AbortSignal &abortSignal)
     {
         httplib::Request http;
         http.method = "POST";
@@ -192,9 +192,9 @@
             m_status = response.status;
             return true;
         };
-        http.content_receiver = [this, &cancellation](const char *data, std::size_t size,
-                                                      std::uint64_t, std::uint64_t) {
-            return receive(std::string_view(data, size)) && !cancellation.aborted();
+        http.content_receiver = [this, &abortSignal](const char *data, std::size_t size,
+                                                     std::uint64_t, std::uint64_t) {
+            return receive(std::string_view(data, size)) && !abortSignal.aborted();
         };
         return http;
     }
@@ -231,10 +231,10 @@
     return m_impl->options;
 }
 
-Outcome<StreamSummary> EngineClient::stream(const StreamRequest &request, AbortSignal &cancellation,
+Outcome<StreamSummary> EngineClient::stream(const StreamRequest &request, AbortSignal &abortSignal,
                                             const TokenHandler &onToken)
 {
-    if (cancellation.aborted())
+    if (abortSignal.aborted())
         return notRun(ErrorCode::ClientDisconnected, "the request was given up before it was sent");
     const Outcome<std::string> body = m_impl->streamBody(request);
     if (!body.ok())
@@ -242,7 +242,7 @@
     if (m_impl->clock.now() >= request.deadline)
         return notRun(ErrorCode::Timeout, "the deadline passed before the request was sent");
     StreamCall call(m_impl->options, request, body.value(), m_impl->clock, onToken);
-    const httplib::Error error = call.run(cancellation);
+    const httplib::Error error = call.run(abortSignal);
     m_impl->dropped += call.reader().dropped();
     if (failedBeforeSending(error) && call.late())
         return notRun(ErrorCode::Timeout, "the deadline passed before the request was sent");
@@ -252,7 +252,7 @@
         return failureOfStatus(m_impl->options.name, call.status(), call.errorBody());
     if (call.reader().complete())
         return call.reader().finish();
-    if (cancellation.aborted())
+    if (abortSignal.aborted())
         return mayHaveRun(ErrorCode::ClientDisconnected, "the request was given up while it ran");
     if (call.late())
         return mayHaveRun(ErrorCode::Timeout, "the deadline passed while the request ran");
@@ -328,7 +328,7 @@
     Outcome<Json> answer = m_impl->call("GET", "/healthz", Json());
     // A process that is just ending may still take a connection and lose it without an answer. The
     // second call then finds nothing that listens.
-    if (!answer.ok() && answer.failure().run == RunState::MayHaveRun)
+    if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
         answer = m_impl->call("GET", "/healthz", Json());
     if (!answer.ok())
         return answer.failure();
--- a/src/entry/batchitem.cpp
+++ b/src/entry/batchitem.cpp
@@ -46,7 +46,7 @@
     end.result = failedResult(m_item, failure);
     if (!isFinal(failure.code)) {
         end.kind = ItemEnd::Kind::Release;
-        end.failedTry = failure.run == RunState::MayHaveRun;
+        end.failedTry = failure.run == EffectState::MayHaveRun;
         end.reason = name(failure.code);
     }
     m_onEnd(std::move(end));
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -28,7 +28,7 @@
     if (answer.ok())
         return answer.value().claim;
     // The claim may exist, but the request that it stands for was not sent.
-    if (answer.failure().run == RunState::MayHaveRun)
+    if (answer.failure().run == EffectState::MayHaveRun)
         abandon(key);
     return notRun(answer.failure().code, answer.failure().detail);
 }
--- a/src/entry/partitions.cpp
+++ b/src/entry/partitions.cpp
@@ -27,13 +27,13 @@
 {}
 
 Outcome<wire::BatchResult> ControlPartitions::propose(int partition, wire::BatchOperation operation,
-                                                      bool repeatable)
+                                                      bool idempotent)
 {
     wire::BatchCommand command;
     command.nowMs = absl::ToUnixMillis(m_clock.wallNow());
     command.operation = std::move(operation);
     const auto answer = awaitOutcome<std::string>([&](auto callback) {
-        m_control.propose(controlclient::batchGroup(partition), wire::encode(command), repeatable,
+        m_control.propose(controlclient::batchGroup(partition), wire::encode(command), idempotent,
                           m_timeout, callback);
     });
     return decoded<wire::BatchResult>(answer);
--- a/src/entry/partitions.h
+++ b/src/entry/partitions.h
@@ -22,9 +22,9 @@
     virtual ~Partitions() = default;
 
     virtual int count() const = 0;
-    /// \a repeatable: may be sent again when the answer is lost.
+    /// \a idempotent: may be sent again when the answer is lost.
     virtual Outcome<wire::BatchResult> propose(int partition, wire::BatchOperation operation,
-                                               bool repeatable) = 0;
+                                               bool idempotent) = 0;
     virtual Outcome<wire::BatchQueryResult> query(int partition, wire::BatchQuery query) = 0;
 };
 
@@ -37,7 +37,7 @@
 
     int count() const override { return m_count; }
     Outcome<wire::BatchResult> propose(int partition, wire::BatchOperation operation,
-                                       bool repeatable) override;
+                                       bool idempotent) override;
     Outcome<wire::BatchQueryResult> query(int partition, wire::BatchQuery query) override;
 
 private:
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -159,7 +159,7 @@
             answer = std::move(next);
         if (answer.ok() || !tried)
             break;
-        mayHaveRunBefore = mayHaveRunBefore || answer.failure().run == RunState::MayHaveRun;
+        mayHaveRunBefore = mayHaveRunBefore || answer.failure().run == EffectState::MayHaveRun;
         if (mayHaveRunBefore && !route.idempotent)
             break;
     }
@@ -225,7 +225,7 @@
     if (answer.ok()) {
         (void)m_parts.claims.finish(key, answer.value().status, answer.value().contentType,
                                     answer.value().body);
-    } else if (answer.failure().run == RunState::NotRun) {
+    } else if (answer.failure().run == EffectState::NotRun) {
         m_parts.claims.abandon(key);
     }
     return answer;
--- a/src/entry/servicetable.cpp
+++ b/src/entry/servicetable.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Cost in load of leaving the near failure domain.
-constexpr double farCost = 0.1;
+constexpr double remoteDomainCost = 0.1;
 /// Assumed until a service has reported its capacity.
 constexpr double defaultCapacity = 16;
 
@@ -66,7 +66,7 @@
             entry.load.capacity > 0 ? static_cast<double>(entry.load.capacity) : defaultCapacity;
     const auto calls = static_cast<double>(std::max(entry.load.running, entry.ownCalls));
     const double load = (calls + 1) / capacity / std::max(entry.outlier.trafficShare(now), 0.01);
-    return load + (entry.upstream.failureDomain == m_failureDomain ? 0 : farCost);
+    return load + (entry.upstream.failureDomain == m_failureDomain ? 0 : remoteDomainCost);
 }
 
 ServiceTable::Client ServiceTable::begin(const std::string &service,
--- a/src/entry/workdispatcher.cpp
+++ b/src/entry/workdispatcher.cpp
@@ -214,7 +214,7 @@
     // record must be there first, and every entry must know of a held request or have a view too
     // old to serve it.
     const bool heldNow = refuse.failure.code == ErrorCode::RequestQuarantined
-                         && refuse.failure.run == RunState::MayHaveRun;
+                         && refuse.failure.run == EffectState::MayHaveRun;
     const auto answer = [this, fail, heldNow] {
         if (heldNow)
             m_parts.timers.subscribeOnce(m_parts.heldAnswerDelay, fail);
@@ -367,7 +367,7 @@
     using Kind = policy::AttemptFailure::Kind;
     if (failure.code == ErrorCode::InvalidRequest || failure.code == ErrorCode::Timeout)
         return Kind::Invalid;
-    if (failure.run == RunState::NotRun)
+    if (failure.run == EffectState::NotRun)
         return Kind::Refused;
     if (failure.code != ErrorCode::StreamBroken)
         return Kind::Broken;
--- a/src/fakes/answer.cpp
+++ b/src/fakes/answer.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::array<EnumName<AnswerVerdict>, 3> verdictNames = {{
         {AnswerVerdict::Correct, "correct"},
-        {AnswerVerdict::Short, "short"},
-        {AnswerVerdict::Foreign, "foreign"},
+        {AnswerVerdict::Truncated, "short"},
+        {AnswerVerdict::Mismatch, "foreign"},
 }};
 
 Result<std::string> joinedMessages(const Json &messages)
@@ -64,7 +64,7 @@
         return AnswerVerdict::Correct;
     const bool isBeginning =
             text.size() < expected.size() && expected.compare(0, text.size(), text) == 0;
-    return isBeginning ? AnswerVerdict::Short : AnswerVerdict::Foreign;
+    return isBeginning ? AnswerVerdict::Truncated : AnswerVerdict::Mismatch;
 }
 
 Result<std::string> promptOf(const Json &body)
--- a/src/fakes/balancer.cpp
+++ b/src/fakes/balancer.cpp
@@ -65,7 +65,7 @@
     const std::vector<Instance> live = liveInstances();
     absl::MutexLock lock(&m_mutex);
     for (std::size_t tried = 0; tried < live.size(); ++tried) {
-        const Instance &instance = live[m_turn++ % live.size()];
+        const Instance &instance = live[m_nextIndex++ % live.size()];
         Health &health = m_health[instance.name];
         if (!health.healthy)
             continue;
@@ -91,10 +91,10 @@
     client.set_connection_timeout(absl::ToChronoMilliseconds(m_settings.healthTimeout));
     client.set_read_timeout(absl::ToChronoMilliseconds(m_settings.healthTimeout));
     const httplib::Result result = client.Get(m_settings.healthPath);
-    note(instance.name, result && result->status == 200);
+    recordHealthCheck(instance.name, result && result->status == 200);
 }
 
-void Balancer::note(const std::string &name, bool passed)
+void Balancer::recordHealthCheck(const std::string &name, bool passed)
 {
     absl::MutexLock lock(&m_mutex);
     Health &health = m_health[name];
--- a/src/fakes/cacheeventfeed.cpp
+++ b/src/fakes/cacheeventfeed.cpp
@@ -17,16 +17,16 @@
 
 } // namespace
 
-CacheEventFeed::CacheEventFeed(absl::Duration delay, double lossShare, std::uint64_t seed)
+CacheEventFeed::CacheEventFeed(absl::Duration delay, double lossProbability, std::uint64_t seed)
     : m_delay(delay)
-    , m_lossShare(lossShare)
+    , m_lossProbability(lossProbability)
     , m_random(seed)
 {}
 
 void CacheEventFeed::publish(absl::Time now, std::vector<PrefixChange> changes)
 {
     for (PrefixChange &change : changes) {
-        const bool lost = unitShare(m_random) < m_lossShare;
+        const bool lost = unitShare(m_random) < m_lossProbability;
         m_pending.push_back({now + m_delay, lost, {++m_lastSeq, std::move(change)}});
     }
     while (m_pending.size() > keptEvents)
--- a/src/fakes/enginehost.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -1,12 +1,12 @@
-#include "rattanrill/fakes/enginehost.h"
+#include "rattanrill/fakes/enginerunner.h"
 
 #include <utility>
 #include <vector>
 
 namespace rattanrill::fakes {
 
-EngineHost::EngineHost(EngineModelSettings settings, Faults &faults, RequestLog &records,
-                       const Clock &clock)
+EngineRunner::EngineRunner(EngineModelSettings settings, Faults &faults, RequestLog &records,
+                           const Clock &clock)
     : m_settings(std::move(settings))
     , m_faults(faults)
     , m_records(records)
@@ -15,7 +15,7 @@
     , m_thread([this] { run(); })
 {}
 
-EngineHost::~EngineHost()
+EngineRunner::~EngineRunner()
 {
     {
         absl::MutexLock lock(&m_mutex);
@@ -25,8 +25,8 @@
     m_thread.join();
 }
 
-Result<std::shared_ptr<EngineEventQueue>> EngineHost::submit(EngineRequest request,
-                                                             std::int64_t recordSeq)
+Result<std::shared_ptr<EngineEventQueue>> EngineRunner::submit(EngineRequest request,
+                                                               std::int64_t recordSeq)
 {
     Route route;
     route.stream = std::make_shared<EngineEventQueue>();
@@ -41,7 +41,7 @@
     return stream;
 }
 
-std::optional<std::int64_t> EngineHost::cancel(const std::string &requestId)
+std::optional<std::int64_t> EngineRunner::cancel(const std::string &requestId)
 {
     absl::MutexLock lock(&m_mutex);
     const auto tokens = m_model.cancel(m_clock.now(), requestId);
@@ -49,7 +49,7 @@
     return tokens;
 }
 
-std::optional<KvExport> EngineHost::exportKv(const std::string &requestId)
+std::optional<KvExport> EngineRunner::exportKv(const std::string &requestId)
 {
     absl::MutexLock lock(&m_mutex);
     auto kvExport = m_model.exportKv(m_clock.now(), requestId);
@@ -57,25 +57,25 @@
     return kvExport;
 }
 
-EngineLoad EngineHost::load() const
+LoadSample EngineRunner::load() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_model.load(m_clock.now());
 }
 
-CacheEventPage EngineHost::cacheEvents(std::int64_t after) const
+CacheEventPage EngineRunner::cacheEvents(std::int64_t after) const
 {
     absl::MutexLock lock(&m_mutex);
     return m_model.cacheEvents(m_clock.now(), after);
 }
 
-OrderAnswer EngineHost::order(const Order &order)
+OrderAnswer EngineRunner::order(const Order &order)
 {
     absl::MutexLock lock(&m_mutex);
     return m_model.order(m_clock.now(), order);
 }
 
-void EngineHost::applyFaults()
+void EngineRunner::applyFaults()
 {
     absl::MutexLock lock(&m_mutex);
     const FaultState state = m_faults.state();
@@ -85,7 +85,7 @@
     m_changed.Signal();
 }
 
-void EngineHost::run()
+void EngineRunner::run()
 {
     absl::MutexLock lock(&m_mutex);
     while (!m_stopped) {
@@ -95,7 +95,7 @@
     }
 }
 
-void EngineHost::step()
+void EngineRunner::step()
 {
     const std::vector<EngineEvent> events = m_model.advance(m_clock.now());
     for (const EngineEvent &event : events)
@@ -103,10 +103,10 @@
     // After the delivery, so that the record file has the request that crashed the process.
     if (m_model.crashed())
         crashProcess();
-    crossAnswers();
+    swapAnswers();
 }
 
-void EngineHost::deliver(const EngineEvent &event)
+void EngineRunner::deliver(const EngineEvent &event)
 {
     const auto route = m_routes.find(event.requestId);
     if (route == m_routes.end())
@@ -118,7 +118,7 @@
         m_routes.erase(route);
 }
 
-void EngineHost::noteEvent(const EngineEvent &event, Route &route)
+void EngineRunner::noteEvent(const EngineEvent &event, Route &route)
 {
     if (event.kind == EngineEvent::Kind::Started) {
         route.running = true;
@@ -128,7 +128,7 @@
         m_records.markFinished(route.recordSeq, event.index);
 }
 
-void EngineHost::crossAnswers()
+void EngineRunner::swapAnswers()
 {
     Route *first = nullptr;
     for (auto &[id, route] : m_routes) {
@@ -138,7 +138,7 @@
             first = &route;
             continue;
         }
-        if (!m_faults.takeCrossing())
+        if (!m_faults.takeAnswerSwap())
             return;
         std::swap(first->stream, route.stream);
         first = nullptr;
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -62,10 +62,10 @@
 
 } // namespace
 
-EngineServer::EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults,
+EngineServer::EngineServer(FakeHttpServer &server, EngineRunner &runner, Faults &faults,
                            RequestLog &records, const Clock &clock)
     : m_server(server)
-    , m_host(host)
+    , m_runner(runner)
     , m_faults(faults)
     , m_records(records)
     , m_clock(clock)
@@ -137,7 +137,7 @@
     BOOST_LEAF_AUTO(engineRequest, fakes::engineRequest(body));
     BOOST_LEAF_AUTO(stream, jsonMemberOr(body, "stream", false));
     const std::string id = engineRequest.requestId;
-    BOOST_LEAF_AUTO(events, m_host.submit(std::move(engineRequest), seq));
+    BOOST_LEAF_AUTO(events, m_runner.submit(std::move(engineRequest), seq));
     auto writer = std::make_shared<AnswerWriter>(AnswerForm{chat, stream});
     response.set_chunked_content_provider(
             stream ? "text/event-stream" : "application/json",
@@ -145,7 +145,7 @@
                 return pump(*events, *writer, sink);
             },
             // Ends the work of a client that went away; after a normal end the id is unknown.
-            [this, id](bool) { m_host.cancel(id); });
+            [this, id](bool) { m_runner.cancel(id); });
     return {};
 }
 
@@ -170,7 +170,7 @@
 {
     const std::string id = requestIdOf(request);
     m_records.add(recordOf(request, id));
-    const auto tokens = m_host.cancel(id);
+    const auto tokens = m_runner.cancel(id);
     sendJson(response, {{"cancelled", tokens.has_value()}, {"tokens", tokens.value_or(0)}});
 }
 
@@ -178,7 +178,7 @@
 {
     const std::string id = requestIdOf(request);
     m_records.add(recordOf(request, id));
-    const auto kvExport = m_host.exportKv(id);
+    const auto kvExport = m_runner.exportKv(id);
     if (!kvExport) {
         http::sendFailure(response, notRun(ErrorCode::NotFound, "no such request runs"), id);
         return;
@@ -188,8 +188,8 @@
 
 void EngineServer::load(const httplib::Request & /*request*/, httplib::Response &response)
 {
-    const EngineLoad load = m_host.load();
-    const EngineModelSettings &settings = m_host.settings();
+    const LoadSample load = m_runner.load();
+    const EngineModelSettings &settings = m_runner.settings();
     sendJson(response, {{"running", load.running},
                         {"waiting", load.waiting},
                         {"kv_tokens", load.kvTokens},
@@ -200,7 +200,7 @@
 
 void EngineServer::cacheEvents(const httplib::Request &request, httplib::Response &response)
 {
-    const CacheEventPage page = m_host.cacheEvents(numberParam(request, "after"));
+    const CacheEventPage page = m_runner.cacheEvents(numberParam(request, "after"));
     Json events = Json::array();
     for (const CacheEvent &event : page.events)
         events.push_back(toJson(event));
@@ -221,7 +221,7 @@
                                       int &status)
 {
     BOOST_LEAF_AUTO(order, orderOf(request.body));
-    const OrderAnswer answer = m_host.order(order);
+    const OrderAnswer answer = m_runner.order(order);
     status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
     if (answer.accepted)
         m_records.markRun(seq);
@@ -243,7 +243,7 @@
         http::sendFailure(response, set.failure(), "");
         return;
     }
-    m_host.applyFaults();
+    m_runner.applyFaults();
     sendJson(response, {{"set", true}});
 }
 
--- a/src/fakes/engineserver.h
+++ b/src/fakes/engineserver.h
@@ -2,7 +2,7 @@
 
 #include "answerwriter.h"
 #include "fakehttpserver.h"
-#include "rattanrill/fakes/enginehost.h"
+#include "rattanrill/fakes/enginerunner.h"
 
 namespace rattanrill::fakes {
 
@@ -10,7 +10,7 @@
 class EngineServer
 {
 public:
-    EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults, RequestLog &records,
+    EngineServer(FakeHttpServer &server, EngineRunner &runner, Faults &faults, RequestLog &records,
                  const Clock &clock = SystemClock::instance());
 
 private:
@@ -39,7 +39,7 @@
     bool pump(EngineEventQueue &stream, AnswerWriter &writer, httplib::DataSink &sink);
 
     FakeHttpServer &m_server;
-    EngineHost &m_host;
+    EngineRunner &m_runner;
     Faults &m_faults;
     RequestLog &m_records;
     const Clock &m_clock;
--- a/src/fakes/fakehttpserver.cpp
+++ b/src/fakes/fakehttpserver.cpp
@@ -37,9 +37,9 @@
     return http;
 }
 
-RecordSettings recordSettings(const Json &settings)
+RequestLogSettings recordSettings(const Json &settings)
 {
-    RecordSettings records;
+    RequestLogSettings records;
     const Json member = settings.value("records", Json::object());
     records.limit = member.value("limit", records.limit);
     records.file = member.value("file", records.file);
@@ -83,9 +83,9 @@
     _exit(exitOk);
 }
 
-Record recordOf(const httplib::Request &request, std::string requestId)
+RequestRecord recordOf(const httplib::Request &request, std::string requestId)
 {
-    Record record;
+    RequestRecord record;
     record.requestId = std::move(requestId);
     record.path = request.target;
     for (const auto &[key, value] : request.headers) {
@@ -103,7 +103,7 @@
     const std::int64_t after = numberParam(request, "after");
     Json list = Json::array();
     std::int64_t next = after;
-    for (const Record &record : records.after(after)) {
+    for (const RequestRecord &record : records.after(after)) {
         list.push_back(toJson(record));
         next = record.seq;
     }
--- a/src/fakes/fakehttpserver.h
+++ b/src/fakes/fakehttpserver.h
@@ -20,7 +20,7 @@
 
 HttpSettings httpSettings(const Json &settings);
 /// From the settings member "records".
-RecordSettings recordSettings(const Json &settings);
+RequestLogSettings recordSettings(const Json &settings);
 
 /// httplib's server with what all fakes need: a free port on request, a line on standard output
 /// that names it, and the library's listen backlog of 5 made larger. With 5, a burst of
@@ -42,7 +42,7 @@
 };
 
 /// The request as a record, headers included.
-Record recordOf(const httplib::Request &request, std::string requestId);
+RequestRecord recordOf(const httplib::Request &request, std::string requestId);
 /// Answers "GET /records?after=N".
 void sendRecords(const RequestLog &records, const httplib::Request &request,
                  httplib::Response &response);
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -61,7 +61,7 @@
     BOOST_LEAF_CHECK(read<std::string>(body, "crash_on", state.crashOn, ""));
     BOOST_LEAF_CHECK(read<double>(body, "slow_factor", state.slowFactor, 1));
     BOOST_LEAF_CHECK(readMilliseconds(body, "late_answer_ms", state.lateAnswer));
-    BOOST_LEAF_CHECK(read<std::int64_t>(body, "cross_answers", state.crossAnswers, 0));
+    BOOST_LEAF_CHECK(read<std::int64_t>(body, "cross_answers", state.swapAnswers, 0));
     BOOST_LEAF_CHECK(read<std::int64_t>(body, "cut_after_tokens", state.cutAfterTokens, 0));
     BOOST_LEAF_CHECK(read<bool>(body, "refuse", state.refuse, false));
     BOOST_LEAF_CHECK(readMilliseconds(body, "freeze_ms", freeze));
@@ -84,12 +84,12 @@
     return m_frozenUntil;
 }
 
-bool Faults::takeCrossing()
+bool Faults::takeAnswerSwap()
 {
     absl::MutexLock lock(&m_mutex);
-    if (m_state.crossAnswers <= 0)
+    if (m_state.swapAnswers <= 0)
         return false;
-    --m_state.crossAnswers;
+    --m_state.swapAnswers;
     return true;
 }
 
--- a/src/fakes/loadhistory.cpp
+++ b/src/fakes/loadhistory.cpp
@@ -6,7 +6,7 @@
     : m_lag(lag)
 {}
 
-void LoadHistory::record(absl::Time now, EngineLoad load)
+void LoadHistory::record(absl::Time now, LoadSample load)
 {
     m_samples.push_back({now, load});
     // The newest sample that is at least one lag old stays: it is the current report.
@@ -14,9 +14,9 @@
         m_samples.pop_front();
 }
 
-EngineLoad LoadHistory::report(absl::Time now) const
+LoadSample LoadHistory::report(absl::Time now) const
 {
-    EngineLoad load;
+    LoadSample load;
     for (const Sample &sample : m_samples) {
         if (sample.at > now - m_lag)
             break;
--- a/src/fakes/main_engine.cpp
+++ b/src/fakes/main_engine.cpp
@@ -12,9 +12,9 @@
     ShutdownSignal signal;
     Faults faults;
     RequestLog records(recordSettings(settings));
-    EngineHost host(engineModelSettings(settings), faults, records);
+    EngineRunner runner(engineModelSettings(settings), faults, records);
     FakeHttpServer server(httpSettings(settings));
-    const EngineServer engine(server, host, faults, records);
+    const EngineServer engine(server, runner, faults, records);
     return server.serveUntil(signal);
 }
 
--- a/src/fakes/recordjson.h
+++ b/src/fakes/recordjson.h
@@ -5,6 +5,6 @@
 
 namespace rattanrill::fakes {
 
-Json toJson(const Record &record);
+Json toJson(const RequestRecord &record);
 
 } // namespace rattanrill::fakes
--- a/src/fakes/requestlog.cpp
+++ b/src/fakes/requestlog.cpp
@@ -7,7 +7,7 @@
 
 namespace rattanrill::fakes {
 
-Json toJson(const Record &record)
+Json toJson(const RequestRecord &record)
 {
     return {
             {"seq", record.seq},       {"request_id", record.requestId},
@@ -17,7 +17,7 @@
     };
 }
 
-RequestLog::RequestLog(const RecordSettings &settings)
+RequestLog::RequestLog(const RequestLogSettings &settings)
     : m_limit(settings.limit)
 {
     if (!settings.file.empty())
@@ -30,7 +30,7 @@
         std::fclose(m_file);
 }
 
-std::int64_t RequestLog::add(Record record)
+std::int64_t RequestLog::add(RequestRecord record)
 {
     absl::MutexLock lock(&m_mutex);
     record.seq = ++m_lastSeq;
@@ -44,7 +44,7 @@
 void RequestLog::markRun(std::int64_t seq)
 {
     absl::MutexLock lock(&m_mutex);
-    Record *record = find(seq);
+    RequestRecord *record = find(seq);
     if (record == nullptr)
         return;
     record->run = true;
@@ -54,7 +54,7 @@
 void RequestLog::markFinished(std::int64_t seq, std::int64_t tokens)
 {
     absl::MutexLock lock(&m_mutex);
-    Record *record = find(seq);
+    RequestRecord *record = find(seq);
     if (record == nullptr)
         return;
     record->finished = true;
@@ -62,11 +62,11 @@
     append(*record);
 }
 
-std::vector<Record> RequestLog::after(std::int64_t after) const
+std::vector<RequestRecord> RequestLog::after(std::int64_t after) const
 {
     absl::MutexLock lock(&m_mutex);
-    std::vector<Record> records;
-    for (const Record &record : m_records) {
+    std::vector<RequestRecord> records;
+    for (const RequestRecord &record : m_records) {
         if (record.seq > after)
             records.push_back(record);
     }
@@ -79,14 +79,14 @@
     return m_lastSeq;
 }
 
-Record *RequestLog::find(std::int64_t seq)
+RequestRecord *RequestLog::find(std::int64_t seq)
 {
     if (m_records.empty() || seq < m_records.front().seq)
         return nullptr;
     return &m_records[static_cast<std::size_t>(seq - m_records.front().seq)];
 }
 
-void RequestLog::append(const Record &record)
+void RequestLog::append(const RequestRecord &record)
 {
     if (m_file == nullptr)
         return;
--- a/src/fakes/servicemodel.cpp
+++ b/src/fakes/servicemodel.cpp
@@ -20,7 +20,7 @@
     m_running[ticket] = &answer;
     recordLoad();
     started();
-    crossAnswers();
+    swapAnswers();
     work();
     m_running.erase(ticket);
     recordLoad();
@@ -28,7 +28,7 @@
     return answer;
 }
 
-EngineLoad ServiceModel::load() const
+LoadSample ServiceModel::load() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_history.report(m_clock.now());
@@ -56,9 +56,9 @@
         m_changed.WaitWithTimeout(&m_mutex, left);
 }
 
-void ServiceModel::crossAnswers()
+void ServiceModel::swapAnswers()
 {
-    if (m_running.size() < 2 || !m_faults.takeCrossing())
+    if (m_running.size() < 2 || !m_faults.takeAnswerSwap())
         return;
     std::swap(*m_running.begin()->second, *m_running.rbegin()->second);
 }
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -52,7 +52,7 @@
 
 void ServiceServer::load(httplib::Response &response)
 {
-    const EngineLoad load = m_model.load();
+    const LoadSample load = m_model.load();
     sendJson(response, {{"running", load.running + load.waiting},
                         {"capacity", m_model.settings().capacity},
                         {"age_ms", absl::ToInt64Milliseconds(m_model.settings().loadReportLag)}});
--- a/src/fleet/fleetclient.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -132,7 +132,7 @@
             viewTerm = response.viewTerm;
             viewSequence = response.viewSequence;
             state.members = response.members;
-            state.membersSettled = response.membersSettled;
+            state.membersComplete = response.membersSettled;
             state.storeFounders = response.storeFounders;
             // A new leader has not read the platform's list yet; the former one's stays in use.
             if (response.upstreamsKnown) {
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -265,10 +265,11 @@
     });
     auto &timers = m_impl->loop.timers();
     m_impl->timers.push_back(timers.subscribeEvery(watchPeriod, [impl = m_impl] { impl->tick(); }));
-    m_impl->timers.push_back(timers.subscribeEvery(m_impl->settings.listPeriod, [impl = m_impl] {
-        if (impl->leads())
-            impl->readList();
-    }));
+    m_impl->timers.push_back(
+            timers.subscribeEvery(m_impl->settings.discoveryPeriod, [impl = m_impl] {
+                if (impl->leads())
+                    impl->readList();
+            }));
 }
 
 void FleetService::stop()
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -37,7 +37,7 @@
     m_term = term;
     m_sequence = 1;
     m_begunAt = now;
-    m_settled = false;
+    m_hasAllMembers = false;
     m_upstreamsKnown = false;
     m_upstreams.clear();
     m_members.clear();
@@ -114,8 +114,8 @@
 
 void FleetView::expire(absl::Time now)
 {
-    if (!m_settled && now - m_begunAt > m_memberTimeout) {
-        m_settled = true;
+    if (!m_hasAllMembers && now - m_begunAt > m_memberTimeout) {
+        m_hasAllMembers = true;
         changed();
     }
     for (auto entry = m_members.begin(); entry != m_members.end();) {
@@ -162,7 +162,7 @@
                          != m_storeReplicas.end();
         response.members.push_back(std::move(live));
     }
-    response.membersSettled = m_settled;
+    response.membersSettled = m_hasAllMembers;
     response.storeFounders = m_records.storeFounders;
     response.upstreamsKnown = m_upstreamsKnown;
     response.upstreams = m_upstreams;
@@ -174,7 +174,7 @@
     std::vector<VoterCandidate> candidates;
     for (const auto &[instance, known] : m_members) {
         const wire::FleetMember &member = known.live.member;
-        if (m_settled && member.role == role)
+        if (m_hasAllMembers && member.role == role)
             candidates.push_back({member.replica, member.failureDomain, known.live.alive,
                                   isRetiring(member.replica)});
     }
--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -58,7 +58,7 @@
         m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
                                                           m_core->clock());
         m_sync = std::make_unique<fleet::FleetService>(
-                m_parts.loop, *m_replica, m_parts.upstreamList, fleet::FleetServiceSettings(),
+                m_parts.loop, *m_replica, m_parts.upstreamDiscovery, fleet::FleetServiceSettings(),
                 m_core->clock());
         m_replica->setCandidates([this] { return m_sync->controlCandidates(); });
         m_replica->install(m_core->peerServer());
@@ -181,7 +181,7 @@
     {
         const fleet::FleetState &state = m_core->follower().state();
         const wire::FleetMemberStatus *live = store(call.instance);
-        if (!state.membersSettled || (live != nullptr && !live->retiring))
+        if (!state.membersComplete || (live != nullptr && !live->retiring))
             return refuse(exchange, notRun(ErrorCode::NoQuorum, "the members are not known yet"));
         const bool isDone = live == nullptr || !live->holdsCopy;
         exchange->respond(m_parts.operatorProtocol.retirementStatusResponse(isDone));
--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -26,7 +26,7 @@
 serving::SlotClientSettings placeSettings(const ProcessSettings &settings)
 {
     serving::SlotClientSettings result;
-    result.own = brokerSettings(settings);
+    result.localBroker = brokerSettings(settings);
     return result;
 }
 
@@ -132,7 +132,7 @@
             addresses.insert(upstream.address);
         for (const std::string &address : m_addresses) {
             if (addresses.count(address) == 0)
-                m_upstreams.drop(address);
+                m_upstreams.closeIdleConnections(address);
         }
         m_addresses = std::move(addresses);
     }
--- a/src/gateway/processcore.cpp
+++ b/src/gateway/processcore.cpp
@@ -18,7 +18,7 @@
     policy::OutlierSettings settings;
     settings.failuresInRow = 2;
     settings.firstEjection = absl::Milliseconds(500);
-    settings.longestEjection = absl::Seconds(3);
+    settings.maxEjection = absl::Seconds(3);
     settings.rampUpTime = absl::Seconds(1);
     return settings;
 }();
@@ -120,7 +120,7 @@
     result.rateWindow = settings.rateWindow;
     result.rateToleranceFraction = settings.rateToleranceFraction;
     result.rateToleranceRequests = settings.rateToleranceRequests;
-    result.table.outlier = upstreamOutlier;
+    result.scheduler.outlier = upstreamOutlier;
     return result;
 }
 
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -178,7 +178,7 @@
             m_hasUpstreams = true;
             m_broker.setUpstreams(state.upstreams, serving::CapacityShare());
         }
-        if (state.membersSettled)
+        if (state.membersComplete)
             m_broker.setLiveInstances(livingEntries(state));
     }
 
@@ -218,7 +218,7 @@
     {
         std::vector<fleet::VoterCandidate> candidates;
         const fleet::FleetState &state = m_core->follower().state();
-        if (!state.membersSettled || m_core->follower().staleness() > staleAfter)
+        if (!state.membersComplete || m_core->follower().staleness() > staleAfter)
             return candidates;
         for (const wire::FleetMemberStatus &live : state.members) {
             if (live.member.role == wire::MemberRole::Store)
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -145,7 +145,9 @@
         return self->noteHead(head);
     };
     handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
-    handlers.end = [self = shared_from_this()](net::CallStatus end) { self->callEnded(end); };
+    handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
+        self->callEnded(status);
+    };
     armSilenceTimer();
     m_call = m_context.upstreams.call(
             address, net::serialize(m_context.protocol.itemRequest(m_item, m_job->host, attempt)),
@@ -206,14 +208,14 @@
     armSilenceTimer();
 }
 
-void ItemRun::callEnded(net::CallStatus end)
+void ItemRun::callEnded(net::CallStatus status)
 {
     if (m_state != State::Running)
         return;
-    if (end == net::CallStatus::NotConnected)
-        return attemptFailed(net::name(end), ReleaseReason::Unreachable);
-    if (end == net::CallStatus::Broken)
-        return attemptFailed(net::name(end), ReleaseReason::Failed);
+    if (status == net::CallStatus::NotConnected)
+        return attemptFailed(net::name(status), ReleaseReason::Unreachable);
+    if (status == net::CallStatus::Broken)
+        return attemptFailed(net::name(status), ReleaseReason::Failed);
     if (m_facts.notRun)
         return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
                                                              ? ReleaseReason::Unreachable
@@ -235,7 +237,7 @@
 
 void ItemRun::completed()
 {
-    if (!m_splitter.rest().empty())
+    if (!m_splitter.incompleteEvent().empty())
         return attemptFailed("the answer ends inside an event", ReleaseReason::Failed);
     leaveUpstream(ReleaseReason::Completed);
     finish(wire::ItemOutcome::Completed, "");
@@ -275,12 +277,12 @@
     m_hasProgressed = false;
 }
 
-void ItemRun::leaveUpstream(ReleaseReason end)
+void ItemRun::leaveUpstream(ReleaseReason reason)
 {
     cancelTimer(m_silenceTimer);
     stopServing();
     m_state = State::BackingOff;
-    m_context.broker.releaseBatch(taskId(*m_job, m_item), end);
+    m_context.broker.releaseBatch(taskId(*m_job, m_item), reason);
 }
 
 void ItemRun::abandon()
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -49,13 +49,13 @@
     void yielded();
     bool noteHead(const net::ResponseHead &head);
     void noteBody(std::string_view bytes);
-    void callEnded(net::CallStatus end);
+    void callEnded(net::CallStatus status);
     void attemptFailed(std::string_view reason, policy::ReleaseReason end);
     void completed();
     void finish(wire::ItemOutcome outcome, std::string_view reason);
     void abandon();
     void armSilenceTimer();
-    void leaveUpstream(policy::ReleaseReason end);
+    void leaveUpstream(policy::ReleaseReason reason);
     /// Time for which the item has held places, the present one included.
     absl::Duration served() const;
     /// Ends the count of the present place. One that brought nothing does not count.
--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -109,7 +109,7 @@
         if (outcome.ok())
             return call->callback(outcome);
         const Failure &failure = outcome.failure();
-        call->mayHaveRun = call->mayHaveRun || failure.run == RunState::MayHaveRun;
+        call->mayHaveRun = call->mayHaveRun || failure.run == EffectState::MayHaveRun;
         if (!mayTryAgain(failure.code))
             return give(call, failure);
         if (leader == address)
@@ -131,7 +131,7 @@
     void give(const std::shared_ptr<Call> &call, Failure failure)
     {
         if (call->mayHaveRun)
-            failure.run = RunState::MayHaveRun;
+            failure.run = EffectState::MayHaveRun;
         call->callback(std::move(failure));
     }
 
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -99,7 +99,7 @@
              {"detail", result.ok() ? "" : result.failure().detail}});
         if (!result.ok()) {
             // The job may be committed all the same.
-            if (result.failure().run == RunState::MayHaveRun)
+            if (result.failure().run == EffectState::MayHaveRun)
                 listOpen();
             return reply(result.failure());
         }
--- a/src/load/answerjudge.cpp
+++ b/src/load/answerjudge.cpp
@@ -15,7 +15,7 @@
 {
     if (verdict == AnswerVerdict::Correct)
         return Ending::Completed;
-    return verdict == AnswerVerdict::Short ? Ending::Short : Ending::Foreign;
+    return verdict == AnswerVerdict::Truncated ? Ending::Short : Ending::Foreign;
 }
 
 std::string stringMember(const Json &json, const char *key)
@@ -72,7 +72,7 @@
     outcome.detail = reader.fault();
     const AnswerVerdict verdict =
             fakes::checkAnswer(request.prompt, reader.text(), request.maxTokens);
-    if (verdict == AnswerVerdict::Foreign || !reader.fault().empty()) {
+    if (verdict == AnswerVerdict::Mismatch || !reader.fault().empty()) {
         outcome.ending = Ending::Foreign;
         return;
     }
--- a/src/load/callerclient.cpp
+++ b/src/load/callerclient.cpp
@@ -112,7 +112,7 @@
 {
     if (outcome.ending == Ending::Completed || isWrong(outcome.ending))
         return false;
-    return outcome.run == name(RunState::NotRun) || !request.idempotencyKey.empty();
+    return outcome.run == name(EffectState::NotRun) || !request.idempotencyKey.empty();
 }
 
 } // namespace
--- a/src/net/connectionpool.cpp
+++ b/src/net/connectionpool.cpp
@@ -24,9 +24,9 @@
 
 } // namespace
 
-std::string_view name(CallStatus end)
+std::string_view name(CallStatus status)
 {
-    return nameOf(callEndNames, end);
+    return nameOf(callEndNames, status);
 }
 
 struct ConnectionPool::Impl : std::enable_shared_from_this<ConnectionPool::Impl>
@@ -101,11 +101,11 @@
     if (!connection)
         connection = m_impl->make(address);
     m_impl->calls[id] = connection;
-    handlers.end = [weak = std::weak_ptr<Impl>(m_impl), id,
-                    end = std::move(handlers.end)](CallStatus result) {
+    handlers.onEnd = [weak = std::weak_ptr<Impl>(m_impl), id,
+                      onEnd = std::move(handlers.onEnd)](CallStatus result) {
         if (const auto impl = weak.lock())
             impl->calls.erase(id);
-        end(result);
+        onEnd(result);
     };
     connection->call(std::move(request), std::move(handlers));
     return id;
@@ -121,7 +121,7 @@
     connection->close();
 }
 
-void ConnectionPool::drop(const std::string &address)
+void ConnectionPool::closeIdleConnections(const std::string &address)
 {
     const auto kept = std::exchange(m_impl->idle[address], {});
     for (const ConnectionPtr &connection : kept)
@@ -129,7 +129,7 @@
     m_impl->idle.erase(address);
 }
 
-std::uint64_t ConnectionPool::connectionsMade() const
+std::uint64_t ConnectionPool::connectionsOpened() const
 {
     return m_impl->made;
 }
--- a/src/net/requestparser.cpp
+++ b/src/net/requestparser.cpp
@@ -78,7 +78,7 @@
     if (m_state == State::Refused)
         return;
     if (parser.is_done()) {
-        m_keepsAlive = parser.keep_alive();
+        m_isKeepAlive = parser.keep_alive();
         m_state = State::Complete;
     } else if (parser.is_header_done()) {
         m_state = State::Body;
@@ -106,7 +106,7 @@
     m_wantsContinue = message.count(http::field::expect) > 0;
 }
 
-bool RequestParser::wantsContinue()
+bool RequestParser::takeExpectContinue()
 {
     const bool wants = m_wantsContinue && m_state == State::Body;
     m_wantsContinue = m_wantsContinue && !wants;
--- a/src/net/responseparser.cpp
+++ b/src/net/responseparser.cpp
@@ -66,17 +66,17 @@
         return false;
     }
     if (parser.is_header_done()) {
-        noteHeader();
-        passBody();
+        handleHeader();
+        forwardBody();
     }
     if (parser.is_done()) {
-        noteDone();
+        handleComplete();
         return true;
     }
     return used > 0 && error != http::error::need_more;
 }
 
-void ResponseParser::noteHeader()
+void ResponseParser::handleHeader()
 {
     if (m_headerSeen)
         return;
@@ -91,7 +91,7 @@
     m_isOwn = !isInterim && m_handlers.head(head);
 }
 
-void ResponseParser::passBody()
+void ResponseParser::forwardBody()
 {
     std::string piece;
     piece.swap(m_parser->parser.get().body());
@@ -99,17 +99,17 @@
         m_handlers.body(piece);
 }
 
-void ResponseParser::noteDone()
+void ResponseParser::handleComplete()
 {
     if (!m_isOwn) {
         startResponse();
         return;
     }
-    m_keepsAlive = m_parser->parser.keep_alive();
+    m_isKeepAlive = m_parser->parser.keep_alive();
     m_state = State::Complete;
 }
 
-void ResponseParser::end()
+void ResponseParser::handleEof()
 {
     if (m_state != State::Reading)
         return;
@@ -121,9 +121,9 @@
         m_state = State::Broken;
         return;
     }
-    passBody();
-    noteDone();
-    m_keepsAlive = false;
+    forwardBody();
+    handleComplete();
+    m_isKeepAlive = false;
     if (m_state == State::Reading)
         m_state = State::Broken;
 }
--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -88,7 +88,7 @@
     case RequestParser::State::Body:
         m_phase = Phase::Body;
         armTimer(m_shared->limits.idleTimeout);
-        if (m_reader.wantsContinue())
+        if (m_reader.takeExpectContinue())
             send("HTTP/1.1 100 Continue\r\n\r\n");
         return;
     case RequestParser::State::Complete:
@@ -102,7 +102,7 @@
 {
     m_phase = Phase::Serving;
     m_timer.cancel();
-    m_keepAlive = m_reader.keepsAlive();
+    m_keepAlive = m_reader.isKeepAlive();
     m_isStream = false;
     m_answered = false;
     ++m_shared->openRequests;
--- a/src/net/serverexchange.h
+++ b/src/net/serverexchange.h
@@ -65,7 +65,7 @@
             connection->abort();
     }
 
-    bool started() const override { return m_started; }
+    bool streamStarted() const override { return m_started; }
     std::size_t unsentBytes() const override
     {
         return m_connection ? m_connection->unsentBytes() : 0;
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -39,12 +39,12 @@
     , m_address(std::move(address))
     , m_options(options)
     , m_listener(std::move(listener))
-    , m_keep(options.defaultKeep)
+    , m_keep(options.defaultKeepAlive)
 {}
 
 bool UpstreamConnection::isUsable(absl::Time now) const
 {
-    return m_state == State::Idle && now - m_idleSince < m_keep * m_options.keepShare;
+    return m_state == State::Idle && now - m_idleSince < m_keep * m_options.keepAliveFraction;
 }
 
 void UpstreamConnection::call(std::string request, CallHandlers handlers)
@@ -141,7 +141,7 @@
     if (m_state == State::Idle)
         return close();
     if (error == boost::asio::error::eof)
-        m_reader->end();
+        m_reader->handleEof();
     else if (!error)
         m_reader->feed(std::string_view(m_buffer.data(), bytes));
     if (m_state != State::Calling)
@@ -156,7 +156,7 @@
 bool UpstreamConnection::noteHead(const ResponseHead &head)
 {
     const std::optional<int> seconds = keepAliveSeconds(head.headers.value("Keep-Alive"));
-    m_keep = seconds ? absl::Seconds(*seconds) : m_options.defaultKeep;
+    m_keep = seconds ? absl::Seconds(*seconds) : m_options.defaultKeepAlive;
     const auto current = m_handlers;
     return current && current->head(head);
 }
@@ -164,7 +164,7 @@
 void UpstreamConnection::finish()
 {
     // A connection whose request body is not sent in full would carry its rest into the next one.
-    const bool isClean = m_reader->keepsAlive() && !m_reader->hasExtraBytes() && m_output.empty();
+    const bool isClean = m_reader->isKeepAlive() && !m_reader->hasExtraBytes() && m_output.empty();
     const auto handlers = std::exchange(m_handlers, nullptr);
     if (isClean) {
         m_state = State::Idle;
@@ -175,17 +175,17 @@
         close();
     }
     if (handlers)
-        handlers->end(CallStatus::Complete);
+        handlers->onEnd(CallStatus::Complete);
 }
 
-void UpstreamConnection::fail(CallStatus end)
+void UpstreamConnection::fail(CallStatus status)
 {
     if (m_state == State::Closed)
         return;
     const auto handlers = std::exchange(m_handlers, nullptr);
     close();
     if (handlers)
-        handlers->end(end);
+        handlers->onEnd(status);
 }
 
 void UpstreamConnection::close()
--- a/src/net/upstreamconnection.h
+++ b/src/net/upstreamconnection.h
@@ -48,7 +48,7 @@
     void received(const boost::system::error_code &error, std::size_t bytes);
     bool noteHead(const ResponseHead &head);
     void finish();
-    void fail(CallStatus end);
+    void fail(CallStatus status);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -47,8 +47,8 @@
     const auto reported = static_cast<double>(state.load().running + state.load().waiting);
     const double share =
             (limit - reported) / static_cast<double>(std::max<std::size_t>(entries, 1));
-    const auto own = static_cast<double>(state.ownChange(TaskKind::Online)
-                                         + state.ownChange(TaskKind::Batch));
+    const auto own = static_cast<double>(state.localTaskChange(TaskKind::Online)
+                                         + state.localTaskChange(TaskKind::Batch));
     return static_cast<int>(std::floor(share - own + engine.rounding));
 }
 
--- a/src/policy/enginereconciler.cpp
+++ b/src/policy/enginereconciler.cpp
@@ -45,7 +45,7 @@
         if (!isNew)
             engine = std::move(known->second);
         else
-            engine.quietUntil = std::max(m_start, now) + m_settings.commandLifetime;
+            engine.commandMayArriveUntil = std::max(m_start, now) + m_settings.commandLifetime;
         engine.desired = state;
     }
     m_engines = std::move(engines);
@@ -53,40 +53,40 @@
 
 std::vector<EngineCommand> EngineReconciler::decide(absl::Time now)
 {
-    std::vector<EngineCommand> orders;
+    std::vector<EngineCommand> commands;
     for (auto &[engineName, engine] : m_engines) {
-        std::optional<EngineCommand> order = nextOrder(now, engine);
-        if (order)
-            orders.push_back(*std::move(order));
+        std::optional<EngineCommand> command = nextCommand(now, engine);
+        if (command)
+            commands.push_back(*std::move(command));
     }
-    return orders;
+    return commands;
 }
 
-void EngineReconciler::answered(absl::Time now, const EngineCommand &order, bool accepted)
+void EngineReconciler::answered(absl::Time now, const EngineCommand &command, bool accepted)
 {
-    const auto found = m_engines.find(order.engine);
+    const auto found = m_engines.find(command.engine);
     if (found == m_engines.end())
         return;
     Engine &engine = found->second;
-    if (!engine.outstanding || engine.outstanding->fence != order.fence
-        || engine.outstanding->kind != order.kind || engine.outstanding->name != order.name)
+    if (!engine.outstanding || engine.outstanding->fence != command.fence
+        || engine.outstanding->kind != command.kind || engine.outstanding->name != command.name)
         return;
     engine.outstanding.reset();
-    engine.quietUntil = now;
+    engine.commandMayArriveUntil = now;
     if (accepted)
-        engine.confirmed[order.kind] = order.name;
+        engine.confirmed[command.kind] = command.name;
 }
 
-void EngineReconciler::timedOut(absl::Time now, const EngineCommand &order)
+void EngineReconciler::timedOut(absl::Time now, const EngineCommand &command)
 {
-    const auto found = m_engines.find(order.engine);
+    const auto found = m_engines.find(command.engine);
     if (found == m_engines.end())
         return;
     Engine &engine = found->second;
     engine.outstanding.reset();
     // The order may have been carried out or not, so its kind is open again.
-    engine.confirmed.erase(order.kind);
-    engine.quietUntil = now + m_settings.commandLifetime;
+    engine.confirmed.erase(command.kind);
+    engine.commandMayArriveUntil = now + m_settings.commandLifetime;
 }
 
 bool EngineReconciler::isConverged(std::string_view engine) const
@@ -95,11 +95,11 @@
     return found != m_engines.end() && found->second.confirmed == found->second.desired.values;
 }
 
-std::optional<EngineCommand> EngineReconciler::nextOrder(absl::Time now, Engine &engine)
+std::optional<EngineCommand> EngineReconciler::nextCommand(absl::Time now, Engine &engine)
 {
     if (engine.outstanding)
         return std::nullopt;
-    const bool olderMayArrive = now < engine.quietUntil && !engine.desired.checksFence;
+    const bool olderMayArrive = now < engine.commandMayArriveUntil && !engine.desired.checksFence;
     if (olderMayArrive)
         return std::nullopt;
     for (const auto &[kind, value] : engine.desired.values) {
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -34,7 +34,7 @@
         dropOldestChange();
 }
 
-void EngineState::workStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
+void EngineState::taskStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                               std::int64_t totalTokens)
 {
     m_ownPrefill[index(kind)] += prefillTokens;
@@ -46,38 +46,38 @@
     m_ownPrefill[index(kind)] -= prefillTokens;
 }
 
-void EngineState::workEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens)
+void EngineState::taskEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens)
 {
     addChange({now, kind, -1, -totalTokens});
 }
 
-std::int64_t EngineState::own(TaskKind kind) const
+std::int64_t EngineState::localTasks(TaskKind kind) const
 {
     return m_own[index(kind)];
 }
 
-std::int64_t EngineState::ownPrefill(TaskKind kind) const
+std::int64_t EngineState::localPrefillTokens(TaskKind kind) const
 {
     return m_ownPrefill[index(kind)];
 }
 
-std::int64_t EngineState::ownChange(TaskKind kind) const
+std::int64_t EngineState::localTaskChange(TaskKind kind) const
 {
     return m_ownChange[index(kind)];
 }
 
-double EngineState::requestsSeen() const
+double EngineState::reportedRequests() const
 {
     const std::int64_t reported = m_load.running + m_load.waiting;
-    const std::int64_t own = ownChange(TaskKind::Online) + ownChange(TaskKind::Batch);
+    const std::int64_t own = localTaskChange(TaskKind::Online) + localTaskChange(TaskKind::Batch);
     return static_cast<double>(std::max<std::int64_t>(reported + own, 0));
 }
 
 double EngineState::expectedRequests(std::size_t entries) const
 {
     const auto others = static_cast<double>(entries == 0 ? 0 : entries - 1);
-    const auto online = static_cast<double>(ownChange(TaskKind::Online));
-    return requestsSeen() + others * std::max(online, 0.0);
+    const auto online = static_cast<double>(localTaskChange(TaskKind::Online));
+    return reportedRequests() + others * std::max(online, 0.0);
 }
 
 double EngineState::expectedKvShare(std::size_t entries) const
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -16,14 +16,15 @@
     m_flows[workspace].weight = std::max(weight, smallestWeight);
 }
 
-void FairQueue::push(const std::string &workspace, TaskId task, absl::Time due, TieBreak tieBreak)
+void FairQueue::push(const std::string &workspace, TaskId task, absl::Time deadline,
+                     TieBreak tieBreak)
 {
     Flow &flow = m_flows[workspace];
     if (flow.waiting.empty()) {
         flow.virtualTime = std::max(flow.virtualTime, m_virtualTime);
         m_active[{flow.virtualTime, workspace}] = &flow;
     }
-    const Position position{due, tieBreak, m_nextSequence++};
+    const Position position{deadline, tieBreak, m_nextSequence++};
     flow.waiting[position] = task;
     m_positions[task] = {workspace, position};
     m_virtualTime = std::max(m_virtualTime, m_active.begin()->first.first);
--- a/src/policy/leasequeue.cpp
+++ b/src/policy/leasequeue.cpp
@@ -18,13 +18,13 @@
     m_queue.setWeight(workspace, weight);
 }
 
-void LeaseQueue::push(const std::string &workspace, TaskId item, absl::Time due)
+void LeaseQueue::push(const std::string &workspace, TaskId item, absl::Time deadline)
 {
-    if (!m_items.insert({item, {workspace, due}}).second)
+    if (!m_items.insert({item, {workspace, deadline}}).second)
         return;
-    m_queue.push(workspace, item, due);
-    m_byDue.insert({due, item});
-    ++m_dueCounts[due];
+    m_queue.push(workspace, item, deadline);
+    m_byDeadline.insert({deadline, item});
+    ++m_deadlineCounts[deadline];
 }
 
 bool LeaseQueue::remove(TaskId item)
@@ -32,21 +32,21 @@
     const auto found = m_items.find(item);
     if (found == m_items.end())
         return false;
-    const absl::Time due = found->second.second;
+    const absl::Time deadline = found->second.second;
     m_queue.remove(item);
-    m_byDue.erase({due, item});
-    const auto count = m_dueCounts.find(due);
+    m_byDeadline.erase({deadline, item});
+    const auto count = m_deadlineCounts.find(deadline);
     if (--count->second == 0)
-        m_dueCounts.erase(count);
+        m_deadlineCounts.erase(count);
     m_items.erase(found);
     return true;
 }
 
 std::optional<TaskId> LeaseQueue::pop(absl::Time now, double tokens)
 {
-    if (m_byDue.empty())
+    if (m_byDeadline.empty())
         return std::nullopt;
-    const TaskId next = isUrgent(now) ? m_byDue.begin()->second : *m_queue.front();
+    const TaskId next = isUrgent(now) ? m_byDeadline.begin()->second : *m_queue.front();
     const std::string workspace = m_items.at(next).first;
     remove(next);
     m_queue.charge(workspace, tokens);
@@ -58,11 +58,11 @@
     const absl::Duration slack = m_settings.runTime * m_settings.safetyFactor;
     std::size_t before = 0;
     int checked = 0;
-    for (const auto &[due, count] : m_dueCounts) {
+    for (const auto &[deadline, count] : m_deadlineCounts) {
         before += count;
         const absl::Duration work =
                 absl::Seconds(static_cast<double>(before) / m_settings.itemsPerSecond);
-        if (due - work - slack <= now)
+        if (deadline - work - slack <= now)
             return true;
         if (++checked == dueTimesChecked)
             break;
--- a/src/policy/outlierdetector.cpp
+++ b/src/policy/outlierdetector.cpp
@@ -57,7 +57,7 @@
     if (ejected(now))
         return;
     const absl::Duration time = m_settings.firstEjection * (1 << std::min(m_ejections, 10));
-    m_ejectedUntil = now + std::min(time, m_settings.longestEjection);
+    m_ejectedUntil = now + std::min(time, m_settings.maxEjection);
     ++m_ejections;
     m_failuresInRow = 0;
     m_samples = 0;
--- a/src/policy/prefixindex.cpp
+++ b/src/policy/prefixindex.cpp
@@ -33,8 +33,8 @@
     trim(now, cache);
 }
 
-void PrefixIndex::sent(absl::Time now, const std::string &engine,
-                       const std::vector<std::uint64_t> &hashes, std::int64_t promptTokens)
+void PrefixIndex::recordPrompt(absl::Time now, const std::string &engine,
+                               const std::vector<std::uint64_t> &hashes, std::int64_t promptTokens)
 {
     Cache &cache = m_caches[engine];
     std::int64_t tokens = firstHashTokens;
@@ -45,7 +45,7 @@
     trim(now, cache);
 }
 
-void PrefixIndex::forgetEngine(const std::string &engine)
+void PrefixIndex::removeEngine(const std::string &engine)
 {
     m_caches.erase(engine);
 }
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -19,8 +19,8 @@
         Suspect &suspect = m_suspects[fingerprint];
         if (!suspect.upstreams.insert(upstream).second)
             continue;
-        suspect.held = suspect.held || suspect.upstreams.size() >= m_settings.crashLimit;
-        const bool certain = suspect.held || onlyOne;
+        suspect.blocked = suspect.blocked || suspect.upstreams.size() >= m_settings.crashLimit;
+        const bool certain = suspect.blocked || onlyOne;
         const absl::Time expires = now + (certain ? m_settings.blockTime : m_settings.suspectTime);
         suspect.expires = std::max(suspect.expires, expires);
         changed.push_back(fingerprint);
@@ -33,7 +33,7 @@
 {
     for (const std::string &fingerprint : fingerprints) {
         const auto found = m_suspects.find(fingerprint);
-        if (found == m_suspects.end() || found->second.held)
+        if (found == m_suspects.end() || found->second.blocked)
             continue;
         found->second.upstreams.erase(upstream);
         if (found->second.upstreams.empty())
@@ -44,12 +44,12 @@
 void Quarantine::succeeded(const std::string &fingerprint)
 {
     const auto found = m_suspects.find(fingerprint);
-    if (found != m_suspects.end() && !found->second.held)
+    if (found != m_suspects.end() && !found->second.blocked)
         m_suspects.erase(found);
 }
 
 void Quarantine::setRecord(absl::Time now, const std::string &fingerprint,
-                           const std::vector<std::string> &crashedUpstreams, bool held)
+                           const std::vector<std::string> &crashedUpstreams, bool blocked)
 {
     if (crashedUpstreams.empty()) {
         m_suspects.erase(fingerprint);
@@ -57,8 +57,9 @@
     }
     Suspect &suspect = m_suspects[fingerprint];
     suspect.upstreams.insert(crashedUpstreams.begin(), crashedUpstreams.end());
-    suspect.held = suspect.held || held || suspect.upstreams.size() >= m_settings.crashLimit;
-    const absl::Duration time = suspect.held ? m_settings.blockTime : m_settings.suspectTime;
+    suspect.blocked =
+            suspect.blocked || blocked || suspect.upstreams.size() >= m_settings.crashLimit;
+    const absl::Duration time = suspect.blocked ? m_settings.blockTime : m_settings.suspectTime;
     suspect.expires = std::max(suspect.expires, now + time);
 }
 
@@ -67,10 +68,10 @@
     const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || found->second.expires <= now)
         return QuarantineStatus::Allowed;
-    return found->second.held ? QuarantineStatus::Blocked : QuarantineStatus::Suspect;
+    return found->second.blocked ? QuarantineStatus::Blocked : QuarantineStatus::Suspect;
 }
 
-std::size_t Quarantine::crashes(const std::string &fingerprint) const
+std::size_t Quarantine::crashCount(const std::string &fingerprint) const
 {
     const auto found = m_suspects.find(fingerprint);
     return found == m_suspects.end() ? 0 : found->second.upstreams.size();
--- a/src/policy/retrypolicy.cpp
+++ b/src/policy/retrypolicy.cpp
@@ -14,9 +14,9 @@
     m_budget = std::min(m_budget + m_settings.budgetShare, m_settings.budgetLimit);
 }
 
-bool RetryPolicy::mayRetry(int attempt, RunState run, bool idempotent)
+bool RetryPolicy::mayRetry(int attempt, EffectState run, bool idempotent)
 {
-    if (run == RunState::MayHaveRun && !idempotent)
+    if (run == EffectState::MayHaveRun && !idempotent)
         return false;
     if (attempt >= m_settings.maxAttempts || m_budget < 1)
         return false;
@@ -28,7 +28,7 @@
 {
     const int doublings = std::clamp(attempt - 1, 0, 20);
     const absl::Duration limit =
-            std::min(m_settings.firstBackoff * (1 << doublings), m_settings.longestBackoff);
+            std::min(m_settings.firstBackoff * (1 << doublings), m_settings.maxBackoff);
     return limit * std::uniform_real_distribution<double>(0, 1)(random);
 }
 
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -54,7 +54,7 @@
         if (!isUsable(now, engine, excluded))
             continue;
         const bool returning = uniform(random) >= engine.outlier().trafficShare(now);
-        const double extra = candidates[i].extraCost + m_settings.tieNoise * uniform(random);
+        const double extra = candidates[i].extraCost + m_settings.tieBreakNoise * uniform(random);
         const double cost = this->cost(now, task, engine, leastLoad, prefixes, entries) + extra;
         const bool better = returning == bestReturning ? cost < bestCost : bestReturning;
         if (best < 0 || better) {
@@ -70,15 +70,15 @@
                     const PrefixIndex &prefixes, std::size_t entries) const
 {
     const double load = expectedLoad(engine, entries);
-    const std::int64_t prefill =
-            engine.ownPrefill(TaskKind::Online) + engine.ownPrefill(TaskKind::Batch);
+    const std::int64_t prefill = engine.localPrefillTokens(TaskKind::Online)
+                                 + engine.localPrefillTokens(TaskKind::Batch);
     const double scarcity = std::max(load - m_settings.loadLimit, 0.0) * scarcityFactor;
     double cost = load * m_settings.loadCost + scarcity;
     cost += static_cast<double>(prefill) / m_settings.prefillTokensPerLoad;
     cost += static_cast<double>(engine.load().waiting) * m_settings.waitingCost;
     const bool far = engine.info().failureDomain != m_failureDomain;
     if (far || load > m_settings.loadLimit)
-        cost += m_settings.farCost;
+        cost += m_settings.remoteDomainCost;
     const bool mayAttract = load <= leastLoad + m_settings.prefixLoadBound && load < 1;
     if (mayAttract && task.promptTokens > 0) {
         const auto cached = static_cast<double>(
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -49,9 +49,9 @@
 }
 
 void Scheduler::setCrashRecord(absl::Time now, const std::string &fingerprint,
-                               const std::vector<std::string> &crashedUpstreams, bool held)
+                               const std::vector<std::string> &crashedUpstreams, bool blocked)
 {
-    m_state->quarantine.setRecord(now, fingerprint, crashedUpstreams, held);
+    m_state->quarantine.setRecord(now, fingerprint, crashedUpstreams, blocked);
 }
 
 void Scheduler::loadReported(absl::Time now, const std::string &engine, const EngineLoad &load)
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -224,7 +224,7 @@
     if (item.prefillTokens > 0)
         record->state.firstToken(item.task.kind, item.prefillTokens);
     item.prefillTokens = 0;
-    record->state.workEnded(now, item.task.kind, item.kvTokens);
+    record->state.taskEnded(now, item.task.kind, item.kvTokens);
     record->running.erase(item.task.id);
     if (item.suspect)
         --record->suspectsRunning;
@@ -252,12 +252,12 @@
         beside.crashCounted = true;
         // A request that passed the point of its first crash is not blamed for a second one while a
         // suspect that has not passed it ran beside it.
-        const bool passed = !beside.suspect && quarantine.crashes(beside.task.fingerprint) > 0;
+        const bool passed = !beside.suspect && quarantine.crashCount(beside.task.fingerprint) > 0;
         if (!passed || record->suspectsRunning == 0)
             fingerprints.push_back(beside.task.fingerprint);
     }
     record->state.outlier().failed(now, true);
-    prefixes.forgetEngine(item.engine);
+    prefixes.removeEngine(item.engine);
     const EngineLoad &load = record->state.load();
     const bool alone = record->state.hasReport() && load.running + load.waiting <= 1;
     const std::vector<std::string> changed =
@@ -329,7 +329,7 @@
 
 void Scheduler::State::retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
 {
-    const RunState run = item.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
+    const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     ++item.failures;
     if (retry.mayRetry(item.failures, run, item.task.idempotent))
         backOff(now, item);
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -187,7 +187,7 @@
             wakeAt(record.nextBatchStart);
             return false;
         }
-        const std::int64_t prefill = record.state.ownPrefill(TaskKind::Batch);
+        const std::int64_t prefill = record.state.localPrefillTokens(TaskKind::Batch);
         if (prefill > 0 && prefill + item.contextTokens() > allowance.prefillLimit())
             return false;
         const std::int64_t tokens = item.kvHandle.empty() ? item.contextTokens() : 0;
@@ -220,7 +220,7 @@
     fresh.clear();
     for (EngineRecord *record : modelPool.engines) {
         const bool recent = now - record->state.reportedAt() < reportLifetime;
-        const std::int64_t own = record->state.own(TaskKind::Online);
+        const std::int64_t own = record->state.localTasks(TaskKind::Online);
         if (!recent && own < unreportedLimit) {
             records.push_back(record);
             fresh.push_back(candidate(now, modelPool, *record));
@@ -252,7 +252,7 @@
     const EngineState &state = record.state;
     if (state.info().leaving || state.outlier().ejected(now) || !state.hasReport())
         return false;
-    const double requests = state.requestsSeen() - record.preempting;
+    const double requests = state.reportedRequests() - record.preempting;
     if (requests + 1 <= static_cast<double>(state.maxBatch()))
         return true;
     return std::any_of(record.running.begin(), record.running.end(),
@@ -262,7 +262,7 @@
 void Scheduler::State::makeRoom(absl::Time now, ModelPool &modelPool, EngineRecord &record)
 {
     const EngineState &state = record.state;
-    const double requests = state.requestsSeen() - record.preempting + unseenOnline(modelPool);
+    const double requests = state.reportedRequests() - record.preempting + unseenOnline(modelPool);
     if (!state.hasReport() || requests + 1 <= static_cast<double>(state.maxBatch()))
         return;
     // One for each start: other entries make room for what they start themselves.
@@ -322,11 +322,11 @@
     queue.charge(item.task.workspace, item.charged);
     if (item.isOnline() && item.attempt == 1)
         retry.firstAttempt();
-    record.state.workStarted(now, item.task.kind, item.prefillTokens, item.kvTokens);
+    record.state.taskStarted(now, item.task.kind, item.prefillTokens, item.kvTokens);
     record.running.insert(item.task.id);
     record.suspectsRunning += item.suspect ? 1 : 0;
     ++runningCount[index(item.task.kind)];
-    prefixes.sent(now, item.engine, item.task.prefixHashes, item.task.promptTokens);
+    prefixes.recordPrompt(now, item.engine, item.task.prefixHashes, item.task.promptTokens);
     decisions.emplace_back(StartTask{item.task.id, item.engine, item.attempt, item.deliveredTokens,
                                      item.kvHandle});
     item.kvHandle.clear();
@@ -334,7 +334,7 @@
 
 void Scheduler::State::refuse(TaskRecord &item, ErrorCode code, std::string detail)
 {
-    const RunState run = item.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
+    const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     const bool overloaded = code == ErrorCode::Overloaded;
     if (overloaded && item.failures > 0)
         code = ErrorCode::UpstreamFailed;
@@ -364,7 +364,7 @@
 
 absl::Time Scheduler::State::latestStart(const TaskRecord &item) const
 {
-    return item.task.deadline - remainingTime(item) * settings.dueSafetyFactor;
+    return item.task.deadline - remainingTime(item) * settings.deadlineSafetyFactor;
 }
 
 absl::Time Scheduler::State::onlineDeadline(const TaskRecord &item) const
@@ -385,7 +385,7 @@
 {
     std::int64_t change = 0;
     for (const EngineRecord *record : modelPool.engines)
-        change += record->state.ownChange(TaskKind::Online);
+        change += record->state.localTaskChange(TaskKind::Online);
     const auto own = static_cast<double>(std::max<std::int64_t>(change, 0));
     const auto others = static_cast<double>(entries - 1);
     return own * others / static_cast<double>(std::max<std::size_t>(modelPool.engines.size(), 1));
@@ -411,7 +411,7 @@
     std::size_t running = 0;
     for (const EngineRecord *record : modelPool.engines) {
         room += static_cast<std::size_t>(std::max(batchCapacityOn(now, modelPool, *record), 0));
-        running += static_cast<std::size_t>(record->state.own(TaskKind::Batch));
+        running += static_cast<std::size_t>(record->state.localTasks(TaskKind::Batch));
     }
     room += static_cast<std::size_t>(std::ceil(static_cast<double>(running) * leaseAheadShare));
     const std::size_t waiting = modelPool.batch.size();
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -17,7 +17,7 @@
 /// Retry-After when no upstream of the service takes work at all.
 constexpr absl::Duration noUpstreamReturn = absl::Seconds(1);
 
-constexpr std::array<EnumName<ReleaseReason>, 4> placeEndNames = {{
+constexpr std::array<EnumName<ReleaseReason>, 4> releaseReasonNames = {{
         {ReleaseReason::Completed, "served"},
         {ReleaseReason::Cancelled, "abandoned"},
         {ReleaseReason::Failed, "failed"},
@@ -31,14 +31,14 @@
 
 } // namespace
 
-std::string_view name(ReleaseReason end)
+std::string_view name(ReleaseReason reason)
 {
-    return nameOf(placeEndNames, end);
+    return nameOf(releaseReasonNames, reason);
 }
 
 std::optional<ReleaseReason> releaseReasonFromName(std::string_view name)
 {
-    return valueOf(placeEndNames, name);
+    return valueOf(releaseReasonNames, name);
 }
 
 SlotScheduler::SlotScheduler(SlotSchedulerSettings settings)
@@ -49,7 +49,7 @@
 {
     const auto [found, isNew] = m_services.try_emplace(name);
     if (isNew)
-        found->second.meanHold = m_settings.expectedHold;
+        found->second.meanHoldTime = m_settings.initialHoldTime;
     return found->second;
 }
 
@@ -186,7 +186,7 @@
         m_upstreams.erase(std::string(upstream.info.id));
 }
 
-void SlotScheduler::release(absl::Time now, const std::string &task, ReleaseReason end)
+void SlotScheduler::release(absl::Time now, const std::string &task, ReleaseReason reason)
 {
     const auto found = m_items.find(task);
     if (found == m_items.end())
@@ -194,14 +194,14 @@
     Item &item = *found->second;
     if (item.upstream == nullptr)
         return cancel(task);
-    if (end == ReleaseReason::Completed)
+    if (reason == ReleaseReason::Completed)
         item.upstream->outlier.succeeded(now);
-    else if (end == ReleaseReason::Unreachable
-             || (end == ReleaseReason::Failed && !isOverfull(now, *item.upstream)))
-        item.upstream->outlier.failed(now, end == ReleaseReason::Unreachable);
-    if (end == ReleaseReason::Completed) {
+    else if (reason == ReleaseReason::Unreachable
+             || (reason == ReleaseReason::Failed && !isOverfull(now, *item.upstream)))
+        item.upstream->outlier.failed(now, reason == ReleaseReason::Unreachable);
+    if (reason == ReleaseReason::Completed) {
         Service &served = service(item.task.service);
-        absl::Duration &mean = isOnline(item.task) ? served.meanHold : served.meanBatchHold;
+        absl::Duration &mean = isOnline(item.task) ? served.meanHoldTime : served.meanBatchHoldTime;
         const absl::Duration hold = item.task.priorRunTime + (now - item.since);
         mean = mean == absl::ZeroDuration() ? hold : mean + (hold - mean) * smoothing;
     }
@@ -256,7 +256,7 @@
     return std::min(reports[0].foreign, reports[1].foreign);
 }
 
-bool SlotScheduler::takes(absl::Time now, const Upstream &upstream, const Item &item) const
+bool SlotScheduler::accepts(absl::Time now, const Upstream &upstream, const Item &item) const
 {
     if (upstream.info.leaving || upstream.removed)
         return false;
@@ -278,7 +278,7 @@
         const auto room = static_cast<std::int64_t>(
                 std::ceil(static_cast<double>(upstream->info.slots) * share));
         const std::int64_t load = upstream->held() + foreign(now, *upstream);
-        if (!takes(now, *upstream, item) || load >= room - onlineReserve)
+        if (!accepts(now, *upstream, item) || load >= room - onlineReserve)
             continue;
         if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.probes)
             continue;
@@ -297,12 +297,12 @@
 }
 
 /// The one with the most batch work.
-SlotScheduler::Upstream *SlotScheduler::yieldingUpstream(absl::Time now, const Service &service,
-                                                         const Item &item) const
+SlotScheduler::Upstream *SlotScheduler::preemptibleUpstream(absl::Time now, const Service &service,
+                                                            const Item &item) const
 {
     Upstream *best = nullptr;
     for (Upstream *upstream : service.upstreams) {
-        if (!takes(now, *upstream, item) || upstream->batch.empty())
+        if (!accepts(now, *upstream, item) || upstream->batch.empty())
             continue;
         if (best == nullptr || upstream->batch.size() > best->batch.size())
             best = upstream;
@@ -311,7 +311,7 @@
 }
 
 /// The one with the least behind it, which is farthest from its end.
-void SlotScheduler::yieldOne(absl::Time now, Upstream &upstream)
+void SlotScheduler::preemptOne(absl::Time now, Upstream &upstream)
 {
     const auto served = [now](const Item *item) {
         return item->task.priorRunTime + (now - item->since);
@@ -354,10 +354,10 @@
             Item &item = *itemOf(*next);
             Upstream *upstream = freeUpstream(now, service, item);
             if (upstream == nullptr) {
-                upstream = yieldingUpstream(now, service, item);
+                upstream = preemptibleUpstream(now, service, item);
                 if (upstream == nullptr)
                     return;
-                yieldOne(now, *upstream);
+                preemptOne(now, *upstream);
             }
             grant(now, service, item, *upstream);
         }
@@ -379,7 +379,7 @@
 bool SlotScheduler::isLate(absl::Time now, const Service &service, const Item &item) const
 {
     const absl::Duration left =
-            std::max(service.meanBatchHold - item.task.priorRunTime, absl::ZeroDuration());
+            std::max(service.meanBatchHoldTime - item.task.priorRunTime, absl::ZeroDuration());
     return now + left > item.task.deadline;
 }
 
@@ -424,7 +424,7 @@
     std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams)
         slots += upstream->info.leaving ? 0 : upstream->info.slots;
-    return slots == 0 ? absl::InfiniteDuration() : service.meanHold / slots;
+    return slots == 0 ? absl::InfiniteDuration() : service.meanHoldTime / slots;
 }
 
 /// Places that are held back until their upstreams have told their load. Most are free then.
@@ -440,7 +440,7 @@
 
 /// What waits in vain is refused now rather than at its due time. Those of the workspace with the
 /// most service go first.
-void SlotScheduler::refuseHopeless(absl::Time now, Service &service)
+void SlotScheduler::rejectUnservable(absl::Time now, Service &service)
 {
     for (auto entry = service.online.rbegin(); entry != service.online.rend(); ++entry) {
         FairQueue &queue = entry->second;
@@ -457,7 +457,7 @@
     }
 }
 
-void SlotScheduler::refuseOverdue(absl::Time now)
+void SlotScheduler::rejectExpired(absl::Time now)
 {
     while (!m_onlineDue.empty() && m_onlineDue.begin()->first <= now) {
         Item &item = *itemOf(m_onlineDue.begin()->second);
@@ -485,9 +485,9 @@
     for (auto &[name, service] : m_services) {
         decideOnline(now, service);
         if (service.onlineWaiting > 0)
-            refuseHopeless(now, service);
+            rejectUnservable(now, service);
     }
-    refuseOverdue(now);
+    rejectExpired(now);
     for (auto &[name, service] : m_services)
         decideBatch(now, service);
     return std::exchange(m_decisions, {});
--- a/src/policy/tokenbucket.cpp
+++ b/src/policy/tokenbucket.cpp
@@ -14,7 +14,7 @@
 TokenBucket::TokenBucket(RateContract contract, absl::Time start, double level)
     : m_contract(contract)
     , m_level(std::min(level, contract.burst))
-    , m_levelAt(start)
+    , m_levelTime(start)
 {}
 
 RateGrant TokenBucket::take(absl::Time now, double units, absl::Duration maxWait)
@@ -22,7 +22,7 @@
     advance(now);
     if (units > m_contract.burst + levelTolerance)
         return {false, absl::InfiniteDuration()};
-    const absl::Duration untilLevel = std::max(m_levelAt - now, absl::ZeroDuration());
+    const absl::Duration untilLevel = std::max(m_levelTime - now, absl::ZeroDuration());
     absl::Duration wait = untilLevel;
     if (m_level + levelTolerance < units) {
         if (m_contract.ratePerSecond <= 0)
@@ -52,11 +52,11 @@
 
 void TokenBucket::advance(absl::Time now)
 {
-    if (now <= m_levelAt)
+    if (now <= m_levelTime)
         return;
-    const double gained = absl::ToDoubleSeconds(now - m_levelAt) * m_contract.ratePerSecond;
+    const double gained = absl::ToDoubleSeconds(now - m_levelTime) * m_contract.ratePerSecond;
     m_level = std::min(m_level + gained, m_contract.burst);
-    m_levelAt = now;
+    m_levelTime = now;
 }
 
 } // namespace rattanrill::policy
--- a/src/replication/applythread.cpp
+++ b/src/replication/applythread.cpp
@@ -158,7 +158,7 @@
     }
     // A read has no effect whatever the answer says.
     Failure failure = outcome.failure();
-    failure.run = RunState::NotRun;
+    failure.run = EffectState::NotRun;
     read.callback(std::move(failure));
 }
 
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -187,7 +187,7 @@
     Outcome<ServiceLoadReport> answer = load();
     // A process that is just ending may still take a connection and lose it without an answer. The
     // second call then finds nothing that listens.
-    if (!answer.ok() && answer.failure().run == RunState::MayHaveRun)
+    if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
         answer = load();
     if (!answer.ok())
         return answer.failure();
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -105,13 +105,13 @@
     request.deadlineMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(timeLeft()), 0);
     request.excluded = m_tried;
     m_asking = true;
-    m_context.slotClient.acquire(request,
-                                 [self = shared_from_this()](const auto &response, bool own) {
-                                     self->placeAnswered(response, own);
-                                 });
+    m_context.slotClient.acquire(
+            request, [self = shared_from_this()](const auto &response, bool fromLocalShare) {
+                self->placeAnswered(response, fromLocalShare);
+            });
 }
 
-void ProxiedRequest::placeAnswered(const wire::SlotResponse &response, bool fromOwnShare)
+void ProxiedRequest::placeAnswered(const wire::SlotResponse &response, bool fromLocalShare)
 {
     m_asking = false;
     const bool isGranted = response.verdict == wire::SlotOutcome::Granted;
@@ -121,7 +121,7 @@
             release(m_askedSlot, response.upstream, ReleaseReason::Cancelled);
         return;
     }
-    m_fromOwnShare = m_fromOwnShare || fromOwnShare;
+    m_fromLocalShare = m_fromLocalShare || fromLocalShare;
     if (isGranted) {
         if (m_isCalling)
             leaveSilentUpstream();
@@ -134,7 +134,7 @@
     if (m_isCalling)
         return armSilenceTimer();
     const absl::Duration retryAfter = absl::Milliseconds(response.retryAfterMs);
-    if (m_mayHaveRun || m_exchange->started())
+    if (m_mayHaveRun || m_exchange->streamStarted())
         return fail(ErrorCode::UpstreamFailed, "no place for another try");
     if (response.verdict == wire::SlotOutcome::OverRate)
         return refuse(ErrorCode::RateLimited, "the workspace's rate is used up", retryAfter);
@@ -151,7 +151,7 @@
          {"lastEvent", m_position.lastId().value_or(-1)}});
     cancelCall();
     releaseSlot(ReleaseReason::Failed);
-    if (m_exchange->started())
+    if (m_exchange->streamStarted())
         ++m_resumes;
 }
 
@@ -179,7 +179,9 @@
         return self->noteHead(head);
     };
     handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
-    handlers.end = [self = shared_from_this()](net::CallStatus end) { self->callEnded(end); };
+    handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
+        self->callEnded(status);
+    };
     m_isCalling = true;
     armSilenceTimer();
     m_call = m_context.upstreams.call(
@@ -256,7 +258,7 @@
 /// The head of the first upstream stays, also when another one goes on with the stream.
 void ProxiedRequest::startAnswer()
 {
-    if (m_exchange->started())
+    if (m_exchange->streamStarted())
         return;
     m_firstByteAt = m_context.clock.now();
     net::ResponseHead head = m_head;
@@ -264,17 +266,17 @@
     m_exchange->startStream(std::move(head));
 }
 
-void ProxiedRequest::callEnded(net::CallStatus end)
+void ProxiedRequest::callEnded(net::CallStatus status)
 {
     m_isCalling = false;
     if (m_ended)
         return;
-    if (end == net::CallStatus::NotConnected)
+    if (status == net::CallStatus::NotConnected)
         return attemptFailed("no connection to the upstream", ReleaseReason::Unreachable);
-    const bool saysNotRun = end == net::CallStatus::Complete && m_hasHead && m_facts.notRun;
+    const bool saysNotRun = status == net::CallStatus::Complete && m_hasHead && m_facts.notRun;
     if (!saysNotRun)
         m_mayHaveRun = true;
-    if (end == net::CallStatus::Broken)
+    if (status == net::CallStatus::Broken)
         return attemptFailed("the upstream broke off", ReleaseReason::Failed);
     if (saysNotRun)
         return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
@@ -292,11 +294,11 @@
     releaseSlot(ReleaseReason::Completed);
     if (m_isStream) {
         startAnswer();
-        m_exchange->write(m_splitter.rest());
+        m_exchange->write(m_splitter.incompleteEvent());
         m_exchange->finish();
         return finish(Outcome::Answered, "");
     }
-    if (m_exchange->started()) {
+    if (m_exchange->streamStarted()) {
         m_exchange->abort();
         return finish(Outcome::CutOff, "the stream could not go on");
     }
@@ -325,7 +327,7 @@
                         && timeLeft() > minPatience;
     if (!mayTry)
         return refuseOrFail(reason);
-    if (m_exchange->started())
+    if (m_exchange->streamStarted())
         ++m_resumes;
     // A silent upstream's successor may have been asked for already.
     if (!m_asking)
@@ -334,7 +336,7 @@
 
 void ProxiedRequest::refuseOrFail(std::string_view reason)
 {
-    if (m_mayHaveRun || m_exchange->started())
+    if (m_mayHaveRun || m_exchange->streamStarted())
         return fail(ErrorCode::UpstreamFailed, std::string(reason));
     refuse(ErrorCode::UpstreamUnavailable, std::string(reason), shortReturn);
 }
@@ -347,7 +349,7 @@
 
 void ProxiedRequest::fail(ErrorCode code, const std::string &detail)
 {
-    if (m_exchange->started()) {
+    if (m_exchange->streamStarted()) {
         m_exchange->abort();
         return finish(Outcome::CutOff, detail);
     }
@@ -363,7 +365,7 @@
         m_mayHaveRun = true;
     cancelCall();
     releaseSlot(ReleaseReason::Cancelled);
-    if (m_mayHaveRun || m_exchange->started())
+    if (m_mayHaveRun || m_exchange->streamStarted())
         return fail(ErrorCode::Timeout, "the deadline has passed");
     refuse(ErrorCode::Overloaded, "the deadline has passed", absl::ZeroDuration());
 }
@@ -405,20 +407,20 @@
     askForPlace();
 }
 
-void ProxiedRequest::releaseSlot(ReleaseReason end)
+void ProxiedRequest::releaseSlot(ReleaseReason reason)
 {
     if (!m_heldSlot.empty())
-        release(std::exchange(m_heldSlot, std::string()), m_upstream, end);
+        release(std::exchange(m_heldSlot, std::string()), m_upstream, reason);
 }
 
 void ProxiedRequest::release(const std::string &slot, const std::string &upstream,
-                             ReleaseReason end)
+                             ReleaseReason reason)
 {
     wire::SlotRelease release;
     release.instance = m_context.identity.instance;
     release.requestId = slot;
     release.upstream = upstream;
-    release.end = std::string(policy::name(end));
+    release.end = std::string(policy::name(reason));
     m_context.slotClient.release(release);
 }
 
@@ -454,7 +456,7 @@
          {"upstream", m_upstream},
          {"attempts", m_attempts},
          {"resumes", m_resumes},
-         {"ownShare", m_fromOwnShare},
+         {"ownShare", m_fromLocalShare},
          {"placedMs", millisecondsOr(m_receivedAt, m_placedAt)},
          {"firstByteMs", millisecondsOr(m_receivedAt, m_firstByteAt)},
          {"totalMs", millisecondsOr(m_receivedAt, now)},
--- a/src/serving/proxiedrequest.h
+++ b/src/serving/proxiedrequest.h
@@ -35,14 +35,14 @@
     bool mayRunAgain() const;
     absl::Duration timeLeft() const;
     void askForPlace();
-    void placeAnswered(const wire::SlotResponse &response, bool fromOwnShare);
+    void placeAnswered(const wire::SlotResponse &response, bool fromLocalShare);
     void send(const std::string &upstream, const std::string &address);
     bool noteHead(const net::ResponseHead &head);
     void noteBody(std::string_view bytes);
     void noteEvents(std::string_view bytes);
     bool deliver(const StreamEvent &event);
     void startAnswer();
-    void callEnded(net::CallStatus end);
+    void callEnded(net::CallStatus status);
     void answerComplete();
     void attemptFailed(std::string_view reason, policy::ReleaseReason end);
     void refuseOrFail(std::string_view reason);
@@ -53,8 +53,9 @@
     void armSilenceTimer();
     void silenceExpired();
     void leaveSilentUpstream();
-    void releaseSlot(policy::ReleaseReason end);
-    void release(const std::string &slot, const std::string &upstream, policy::ReleaseReason end);
+    void releaseSlot(policy::ReleaseReason reason);
+    void release(const std::string &slot, const std::string &upstream,
+                 policy::ReleaseReason reason);
     void cancelCall();
     void finish(Outcome outcome, std::string_view reason);
 
@@ -89,7 +90,7 @@
     int m_attempts = 0;
     bool m_mayHaveRun = false;
     bool m_chargedRate = false;
-    bool m_fromOwnShare = false;
+    bool m_fromLocalShare = false;
     std::vector<std::string> m_tried;
     StreamPosition m_position;
     int m_resumes = 0;
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -25,7 +25,7 @@
     : m_timers(timers)
     , m_clock(clock)
     , m_settings(settings)
-    , m_table(settings.table)
+    , m_scheduler(settings.scheduler)
 {
     m_sweepTimer = m_timers.subscribeEvery(sweepPeriod, [this] { sweep(); });
 }
@@ -42,13 +42,13 @@
     const absl::Time now = m_clock.now();
     while (!m_online.empty()) {
         const std::string id = m_online.begin()->first;
-        m_table.cancel(id);
-        forget(id);
+        m_scheduler.cancel(id);
+        removeRequest(id);
     }
     const auto batch = std::exchange(m_batch, {});
     for (const auto &[id, handlers] : batch)
-        m_table.cancel(id);
-    m_table.beginTakeover(now);
+        m_scheduler.cancel(id);
+    m_scheduler.beginTakeover(now);
     m_buckets.clear();
     if (m_deployment)
         setDeployment(m_deployment);
@@ -99,7 +99,7 @@
                         static_cast<std::int64_t>(std::ceil(slots * share.slotFraction)),
                         upstream.draining});
     }
-    m_table.setUpstreams(list);
+    m_scheduler.setUpstreams(list);
     decide();
 }
 
@@ -120,10 +120,10 @@
     if (request.again && known != m_online.end()) {
         known->second.answer = std::move(answer);
         if (const auto decided = std::exchange(known->second.decided, std::nullopt))
-            return give(id, *decided);
-        return startSlice(id);
+            return respond(id, *decided);
+        return startWaitTimer(id);
     }
-    forget(id);
+    removeRequest(id);
     Online &online = m_online[id];
     online.instance = request.instance;
     online.workspace = request.workspace;
@@ -132,8 +132,8 @@
     online.answer = std::move(answer);
     policy::TokenBucket *rate = request.chargesRate ? bucket(request.workspace) : nullptr;
     if (rate != nullptr && rate->level(now) < 1)
-        return refuseRate(id,
-                          absl::Seconds((1 - rate->level(now)) / rate->contract().ratePerSecond));
+        return rejectOverRate(
+                id, absl::Seconds((1 - rate->level(now)) / rate->contract().ratePerSecond));
     policy::SlotTask task;
     task.id = id;
     task.service = request.service;
@@ -143,26 +143,26 @@
     task.tokens = 1 + static_cast<double>(request.outputTokens)
                   + static_cast<double>(request.promptTokens) / promptTokensPerOutputToken;
     task.deadline = now
-                    + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.waitShare,
+                    + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.maxWaitFraction,
                                absl::Milliseconds(request.deadlineMs));
     task.maxRetryAfter = absl::Milliseconds(request.deadlineMs) * m_settings.maxRetryAfterFraction;
     task.excluded = request.excluded;
-    m_table.request(now, task);
+    m_scheduler.request(now, task);
     decide();
-    startSlice(id);
+    startWaitTimer(id);
 }
 
 /// Bounds the time without a word to the asker of a request that waits.
-void SlotBroker::startSlice(const std::string &id)
+void SlotBroker::startWaitTimer(const std::string &id)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end() || !found->second.answer)
         return;
-    found->second.sliceTimer = m_timers.subscribeOnce(m_settings.waitSlice, [this, id] {
+    found->second.waitTimer = m_timers.subscribeOnce(m_settings.maxResponseDelay, [this, id] {
         const auto waiting = m_online.find(id);
         if (waiting == m_online.end())
             return;
-        waiting->second.sliceTimer = 0;
+        waiting->second.waitTimer = 0;
         wire::SlotResponse response;
         response.verdict = wire::SlotOutcome::Waiting;
         if (const ResponseCallback answer = std::exchange(waiting->second.answer, nullptr))
@@ -172,15 +172,15 @@
 
 /// Gives the verdict to the asker, or keeps it until the asker asks again. A refusal ends the
 /// request.
-void SlotBroker::give(const std::string &id, const wire::SlotResponse &response)
+void SlotBroker::respond(const std::string &id, const wire::SlotResponse &response)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end())
         return;
     Online &online = found->second;
     online.isGranted = response.verdict == wire::SlotOutcome::Granted;
-    if (online.sliceTimer != 0)
-        m_timers.unsubscribe(std::exchange(online.sliceTimer, 0));
+    if (online.waitTimer != 0)
+        m_timers.unsubscribe(std::exchange(online.waitTimer, 0));
     const ResponseCallback answer = std::exchange(online.answer, nullptr);
     if (!answer) {
         online.decided = response;
@@ -192,13 +192,13 @@
 }
 
 /// Forgets a request; an asker that still waits for a word is refused.
-void SlotBroker::forget(const std::string &id)
+void SlotBroker::removeRequest(const std::string &id)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end())
         return;
-    if (found->second.sliceTimer != 0)
-        m_timers.unsubscribe(found->second.sliceTimer);
+    if (found->second.waitTimer != 0)
+        m_timers.unsubscribe(found->second.waitTimer);
     const ResponseCallback waiting = std::exchange(found->second.answer, nullptr);
     m_online.erase(found);
     if (waiting)
@@ -208,9 +208,9 @@
 void SlotBroker::release(const wire::SlotRelease &release)
 {
     const std::string id = taskId(release.instance, release.requestId);
-    forget(id);
-    const auto end = policy::releaseReasonFromName(release.end);
-    m_table.release(m_clock.now(), id, end.value_or(policy::ReleaseReason::Cancelled));
+    removeRequest(id);
+    const auto reason = policy::releaseReasonFromName(release.end);
+    m_scheduler.release(m_clock.now(), id, reason.value_or(policy::ReleaseReason::Cancelled));
     decide();
 }
 
@@ -225,8 +225,8 @@
         task.id = id;
         task.service = slot.service;
         task.workspace = slot.workspace;
-        m_table.adopt(now, task, slot.upstream);
-        if (!m_table.contains(id))
+        m_scheduler.adopt(now, task, slot.upstream);
+        if (!m_scheduler.contains(id))
             continue;
         Online &online = m_online[id];
         online.instance = held.instance;
@@ -238,7 +238,7 @@
 
 void SlotBroker::updateLoad(const wire::UpstreamLoad &load)
 {
-    m_table.loadReported(m_clock.now(), load.upstream, load.requests);
+    m_scheduler.loadReported(m_clock.now(), load.upstream, load.requests);
 }
 
 void SlotBroker::setLiveInstances(const std::vector<std::string> &instances)
@@ -249,8 +249,8 @@
             gone.push_back(id);
     }
     for (const std::string &id : gone) {
-        forget(id);
-        m_table.cancel(id);
+        removeRequest(id);
+        m_scheduler.cancel(id);
     }
     if (!gone.empty())
         decide();
@@ -259,21 +259,21 @@
 void SlotBroker::acquireBatch(const policy::SlotTask &task, BatchHandlers handlers)
 {
     m_batch[task.id] = std::move(handlers);
-    m_table.request(m_clock.now(), task);
+    m_scheduler.request(m_clock.now(), task);
     decide();
 }
 
-void SlotBroker::releaseBatch(const std::string &task, policy::ReleaseReason end)
+void SlotBroker::releaseBatch(const std::string &task, policy::ReleaseReason reason)
 {
     m_batch.erase(task);
-    m_table.release(m_clock.now(), task, end);
+    m_scheduler.release(m_clock.now(), task, reason);
     decide();
 }
 
 void SlotBroker::cancelBatch(const std::string &task)
 {
     m_batch.erase(task);
-    m_table.cancel(task);
+    m_scheduler.cancel(task);
     decide();
 }
 
@@ -284,16 +284,16 @@
     if (m_deciding)
         return;
     m_deciding = true;
-    for (auto decisions = m_table.decide(m_clock.now()); !decisions.empty();
-         decisions = m_table.decide(m_clock.now())) {
+    for (auto decisions = m_scheduler.decide(m_clock.now()); !decisions.empty();
+         decisions = m_scheduler.decide(m_clock.now())) {
         for (const policy::SlotDecision &decision : decisions)
-            std::visit([this](const auto &kind) { carryOut(kind); }, decision);
+            std::visit([this](const auto &kind) { applyDecision(kind); }, decision);
     }
     m_deciding = false;
     armTimer();
 }
 
-void SlotBroker::carryOut(const policy::GrantSlot &decision)
+void SlotBroker::applyDecision(const policy::GrantSlot &decision)
 {
     const auto batch = m_batch.find(decision.task);
     if (batch != m_batch.end()) {
@@ -302,32 +302,32 @@
     }
     const auto found = m_online.find(decision.task);
     if (found == m_online.end())
-        return m_table.cancel(decision.task);
+        return m_scheduler.cancel(decision.task);
     Online &online = found->second;
     policy::TokenBucket *rate = online.chargesRate ? bucket(online.workspace) : nullptr;
     if (rate != nullptr) {
         const policy::RateGrant grant = rate->take(m_clock.now(), 1);
         if (!grant.granted) {
-            m_table.cancel(decision.task);
-            return refuseRate(decision.task, grant.wait);
+            m_scheduler.cancel(decision.task);
+            return rejectOverRate(decision.task, grant.wait);
         }
     }
     wire::SlotResponse response;
     response.verdict = wire::SlotOutcome::Granted;
     response.upstream = decision.upstream;
     response.address = decision.address;
-    give(decision.task, response);
+    respond(decision.task, response);
 }
 
-void SlotBroker::carryOut(const policy::RejectSlot &decision)
+void SlotBroker::applyDecision(const policy::RejectSlot &decision)
 {
     wire::SlotResponse response;
     response.verdict = wire::SlotOutcome::NoSlot;
     response.retryAfterMs = absl::ToInt64Milliseconds(decision.retryAfter);
-    give(decision.task, response);
+    respond(decision.task, response);
 }
 
-void SlotBroker::carryOut(const policy::PreemptSlot &decision)
+void SlotBroker::applyDecision(const policy::PreemptSlot &decision)
 {
     const auto found = m_batch.find(decision.task);
     if (found == m_batch.end())
@@ -337,19 +337,19 @@
     preempted();
 }
 
-void SlotBroker::refuseRate(const std::string &id, absl::Duration wait)
+void SlotBroker::rejectOverRate(const std::string &id, absl::Duration wait)
 {
     wire::SlotResponse response;
     response.verdict = wire::SlotOutcome::OverRate;
     response.retryAfterMs = absl::ToInt64Milliseconds(std::min(wait, absl::Seconds(60)));
-    give(id, response);
+    respond(id, response);
 }
 
 void SlotBroker::armTimer()
 {
     if (m_decisionTimer != 0)
         m_timers.unsubscribe(std::exchange(m_decisionTimer, 0));
-    const absl::Time next = m_table.nextDecision();
+    const absl::Time next = m_scheduler.nextDecision();
     if (next == absl::InfiniteFuture())
         return;
     const absl::Duration delay = std::max(next - m_clock.now(), absl::ZeroDuration());
@@ -370,8 +370,8 @@
     for (const std::string &id : expired) {
         log(LogLevel::Warning, "place-expired",
             {{"work", id}, {"instance", m_online.at(id).instance}});
-        forget(id);
-        m_table.cancel(id);
+        removeRequest(id);
+        m_scheduler.cancel(id);
     }
     // Also returns upstreams whose ejection has ended.
     decide();
--- a/src/serving/slotclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -18,7 +18,7 @@
         , channels(channels)
         , clock(clock)
         , settings(settings)
-        , own(loop.timers(), clock, settings.own)
+        , localBroker(loop.timers(), clock, settings.localBroker)
     {}
 
     void acquire(const wire::SlotRequest &request, ResponseCallback answer)
@@ -27,7 +27,7 @@
             return acquireFromOwn(request, std::move(answer));
         channels.channel(broker)->call(
                 wire::Method::RequestSlot, wire::encode(request),
-                settings.own.waitSlice + settings.answerSlack,
+                settings.localBroker.maxResponseDelay + settings.roundTripAllowance,
                 [self = shared_from_this(), address = broker, request,
                  answer = std::move(answer)](Outcome<std::string> outcome) {
                     self->loop.post([self, address, request, answer, outcome = std::move(outcome)] {
@@ -62,7 +62,7 @@
     void noteBroker(const std::string &address, bool isReachable, const Failure &failure)
     {
         if (!isReachable)
-            avoidUntil = clock.now() + settings.avoidFor;
+            avoidUntil = clock.now() + settings.brokerRetryDelay;
         if (isReachable == reachable)
             return;
         reachable = isReachable;
@@ -84,16 +84,17 @@
     void acquireFromOwn(const wire::SlotRequest &request, ResponseCallback answer)
     {
         ownRequests.insert(request.requestId);
-        own.acquire(request, [self = shared_from_this(), request,
-                              answer = std::move(answer)](const wire::SlotResponse &response) {
-            const bool isReleased = self->ownRequests.count(request.requestId) == 0;
-            if (response.verdict == wire::SlotOutcome::Waiting && !isReleased)
-                return self->acquireFromOwn(askingAgain(request), answer);
-            if (response.verdict != wire::SlotOutcome::Granted)
-                self->ownRequests.erase(request.requestId);
-            self->noteHeld(request, response);
-            answer(response, true);
-        });
+        localBroker.acquire(
+                request, [self = shared_from_this(), request,
+                          answer = std::move(answer)](const wire::SlotResponse &response) {
+                    const bool isReleased = self->ownRequests.count(request.requestId) == 0;
+                    if (response.verdict == wire::SlotOutcome::Waiting && !isReleased)
+                        return self->acquireFromOwn(askingAgain(request), answer);
+                    if (response.verdict != wire::SlotOutcome::Granted)
+                        self->ownRequests.erase(request.requestId);
+                    self->noteHeld(request, response);
+                    answer(response, true);
+                });
     }
 
     void noteHeld(const wire::SlotRequest &request, const wire::SlotResponse &response)
@@ -126,7 +127,7 @@
         held.erase(release.requestId);
         // The broker may have adopted a place of the own share.
         if (ownRequests.erase(release.requestId) > 0)
-            own.release(release);
+            localBroker.release(release);
         if (!broker.empty())
             channels.channel(broker)->sendOneWay(wire::Method::ReleaseSlot, wire::encode(release));
     }
@@ -135,7 +136,7 @@
     peer::ChannelPool &channels;
     const Clock &clock;
     const SlotClientSettings settings;
-    SlotBroker own;
+    SlotBroker localBroker;
     std::string broker;
     absl::Time avoidUntil = absl::InfinitePast();
     std::set<std::string> ownRequests;
@@ -174,15 +175,15 @@
 
 void SlotClient::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
 {
-    m_impl->own.setDeployment(std::move(deployment));
+    m_impl->localBroker.setDeployment(std::move(deployment));
 }
 
 void SlotClient::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
                               std::size_t entries)
 {
     const double sharers = static_cast<double>(std::max<std::size_t>(entries, 1));
-    m_impl->own.setUpstreams(upstreams,
-                             {1 / sharers, std::min(1.0, m_impl->settings.placeFactor / sharers)});
+    m_impl->localBroker.setUpstreams(
+            upstreams, {1 / sharers, std::min(1.0, m_impl->settings.localSlotFactor / sharers)});
 }
 
 void SlotClient::acquire(const wire::SlotRequest &request, ResponseCallback answer)
@@ -197,7 +198,7 @@
 
 void SlotClient::reportLoad(const wire::UpstreamLoad &load)
 {
-    m_impl->own.updateLoad(load);
+    m_impl->localBroker.updateLoad(load);
     if (!m_impl->broker.empty())
         m_impl->channels.channel(m_impl->broker)
                 ->sendOneWay(wire::Method::Load, wire::encode(load));
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -81,8 +81,8 @@
     Failure failure;
     failure.code = errorCodeFromName(message.code).value_or(ErrorCode::Internal);
     // An unknown word must not become a false "not run".
-    const bool notRunWord = message.run == name(RunState::NotRun);
-    failure.run = notRunWord ? RunState::NotRun : RunState::MayHaveRun;
+    const bool notRunWord = message.run == name(EffectState::NotRun);
+    failure.run = notRunWord ? EffectState::NotRun : EffectState::MayHaveRun;
     failure.detail = message.detail;
     return failure;
 }
--- a/tests/base/result_test.cpp
+++ b/tests/base/result_test.cpp
@@ -15,7 +15,7 @@
     });
     BOOST_TEST(!outcome.ok());
     BOOST_TEST((outcome.failure().code == ErrorCode::Timeout));
-    BOOST_TEST((outcome.failure().run == RunState::MayHaveRun));
+    BOOST_TEST((outcome.failure().run == EffectState::MayHaveRun));
 }
 
 // Guards against exceptions of the JSON library that leave the parser on bad input.
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -72,11 +72,11 @@
         : control(channels, std::move(addresses), timers, SystemClock::instance())
     {}
 
-    Outcome<std::string> propose(bool repeatable, absl::Duration timeout = absl::Seconds(10))
+    Outcome<std::string> propose(bool idempotent, absl::Duration timeout = absl::Seconds(10))
     {
         absl::Notification done;
         std::optional<Outcome<std::string>> result;
-        control.propose("batch-0", "command", repeatable, timeout,
+        control.propose("batch-0", "command", idempotent, timeout,
                         [&](const Outcome<std::string> &outcome) {
                             result = outcome;
                             done.Notify();
@@ -90,7 +90,7 @@
     ControlClient control;
 };
 
-void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, RunState run)
+void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, EffectState run)
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
@@ -125,7 +125,7 @@
     BOOST_TEST(client.propose(false).ok());
     Client stranger({gone});
     checkFailure(stranger.propose(true, absl::Milliseconds(300)), ErrorCode::ConnectionLost,
-                 RunState::NotRun);
+                 EffectState::NotRun);
 }
 
 // Guards against a second run of a command that must run at most once.
@@ -133,10 +133,10 @@
 {
     FakeControl loses(failing(mayHaveRun(ErrorCode::ProposalLost, "leader changed")));
     Client once({loses.address()});
-    checkFailure(once.propose(false), ErrorCode::ProposalLost, RunState::MayHaveRun);
+    checkFailure(once.propose(false), ErrorCode::ProposalLost, EffectState::MayHaveRun);
     BOOST_TEST(loses.calls == 1);
     checkFailure(once.propose(true, absl::Milliseconds(400)), ErrorCode::ProposalLost,
-                 RunState::MayHaveRun);
+                 EffectState::MayHaveRun);
     BOOST_TEST(loses.calls > 2);
 }
 
@@ -151,7 +151,7 @@
             reply(notRun(ErrorCode::Conflict, ""));
     });
     Client client({control.address()});
-    checkFailure(client.propose(true), ErrorCode::Conflict, RunState::MayHaveRun);
+    checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::MayHaveRun);
 }
 
 BOOST_AUTO_TEST_CASE(refusalIsReturnedWithoutAnotherTry)
@@ -159,7 +159,7 @@
     FakeControl refuses(failing(notRun(ErrorCode::Conflict, "revision 3")));
     FakeControl other(answerDone);
     Client client({refuses.address()});
-    checkFailure(client.propose(true), ErrorCode::Conflict, RunState::NotRun);
+    checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::NotRun);
     BOOST_TEST(refuses.calls == 1);
 }
 
@@ -193,7 +193,7 @@
                            });
     client.control.stop();
     BOOST_TEST(replies == 1);
-    checkFailure(client.propose(true), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(client.propose(true), ErrorCode::Stopped, EffectState::NotRun);
     client.channels.close();
     BOOST_TEST(replies == 1);
 }
--- a/tests/directory/controlpollclient_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -51,17 +51,17 @@
     peer::ChannelPool channels(transport());
     controlclient::ControlClient client(channels, {concat("127.0.0.1:", server.port())}, timers,
                                         SystemClock::instance());
-    ControlPollClient source(client);
+    ControlPollClient pollClient(client);
     for (int round = 0; round < 20; ++round) {
         absl::Notification third;
-        DirectorySubscriber follower({"entry-1"}, source, timers, SystemClock::instance());
-        follower.onChange([&third](const std::shared_ptr<const DirectoryView> &view) {
+        DirectorySubscriber subscriber({"entry-1"}, pollClient, timers, SystemClock::instance());
+        subscriber.onChange([&third](const std::shared_ptr<const DirectoryView> &view) {
             if (view->revision() == 3)
                 third.Notify();
         });
-        follower.start();
+        subscriber.start();
         BOOST_REQUIRE(third.WaitForNotificationWithTimeout(patience));
-        BOOST_TEST((follower.age() < patience));
+        BOOST_TEST((subscriber.age() < patience));
     }
     client.stop();
     server.stop();
--- a/tests/directory/directorysubscriber_test.cpp
+++ b/tests/directory/directorysubscriber_test.cpp
@@ -40,14 +40,14 @@
 {
     Fixture()
     {
-        follower.onChange([this](const auto &view) { seen.push_back(view->revision()); });
+        subscriber.onChange([this](const auto &view) { seen.push_back(view->revision()); });
     }
 
     ManualClock clock;
     ManualTimerService timers{clock};
     ManualPolls polls;
     std::vector<std::uint64_t> seen;
-    DirectorySubscriber follower{{"entry-1"}, polls, timers, clock};
+    DirectorySubscriber subscriber{{"entry-1"}, polls, timers, clock};
 };
 
 wire::PollChangesResponse contractAt(std::uint64_t revision, double rate)
@@ -75,66 +75,66 @@
 // not when the answer came.
 BOOST_AUTO_TEST_CASE(ageCountsFromTheTimeThePollWasSent)
 {
-    BOOST_TEST((follower.age() == absl::InfiniteDuration()));
-    follower.start();
+    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
+    subscriber.start();
     timers.advance(absl::Milliseconds(700));
-    BOOST_TEST((follower.age() == absl::InfiniteDuration()));
+    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
     polls.answer(contractAt(1, 1));
-    BOOST_TEST((follower.age() == absl::Milliseconds(700)));
+    BOOST_TEST((subscriber.age() == absl::Milliseconds(700)));
     timers.advance(absl::Milliseconds(300));
     polls.answer(unchanged(1));
-    BOOST_TEST((follower.age() == absl::Milliseconds(300)));
+    BOOST_TEST((subscriber.age() == absl::Milliseconds(300)));
 }
 
 // Guards against freshness from a failed poll.
 BOOST_AUTO_TEST_CASE(failedPollProvesNothing)
 {
-    follower.start();
+    subscriber.start();
     polls.answer(contractAt(1, 1));
     timers.advance(absl::Milliseconds(100));
     polls.answer(notRun(ErrorCode::Timeout, ""));
-    BOOST_TEST((follower.age() == absl::Milliseconds(100)));
-    BOOST_TEST(follower.view()->revision() == 1u);
+    BOOST_TEST((subscriber.age() == absl::Milliseconds(100)));
+    BOOST_TEST(subscriber.view()->revision() == 1u);
 }
 
 // Guards against configuration that goes back (R13), and against freshness from a replica that is
 // behind.
 BOOST_AUTO_TEST_CASE(olderRevisionChangesNothingAndProvesNothing)
 {
-    follower.start();
+    subscriber.start();
     polls.answer(contractAt(5, 5));
     timers.advance(absl::Milliseconds(100));
     polls.answer(contractAt(4, 4));
-    BOOST_TEST(follower.view()->contract("w")->ratePerSecond == 5);
-    BOOST_TEST((follower.age() == absl::Milliseconds(100)));
+    BOOST_TEST(subscriber.view()->contract("w")->ratePerSecond == 5);
+    BOOST_TEST((subscriber.age() == absl::Milliseconds(100)));
     timers.advance(absl::Seconds(1));
     wire::PollChangesResponse snapshot = contractAt(3, 3);
     snapshot.snapshot = true;
     polls.answer(snapshot);
-    BOOST_TEST(follower.view()->revision() == 5u);
+    BOOST_TEST(subscriber.view()->revision() == 5u);
     BOOST_TEST((seen == std::vector<std::uint64_t>{5}));
 }
 
 // Guards against a view that skips a change it can't read: it could withdraw a key.
 BOOST_AUTO_TEST_CASE(unreadableChangeIsNotSkipped)
 {
-    follower.start();
+    subscriber.start();
     wire::PollChangesResponse damaged = contractAt(1, 1);
     damaged.changes[0].body = "damaged";
     polls.answer(damaged);
-    BOOST_TEST(follower.view()->revision() == 0u);
-    BOOST_TEST((follower.age() == absl::InfiniteDuration()));
+    BOOST_TEST(subscriber.view()->revision() == 0u);
+    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
 }
 
 // Guards against polls that start over from the beginning, or that never end a changed record.
 BOOST_AUTO_TEST_CASE(pollsResumeFromTheViewsRevision)
 {
-    follower.start();
+    subscriber.start();
     BOOST_TEST(polls.open.front().request.afterRevision == 0u);
     polls.answer(contractAt(7, 1));
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.front().request.afterRevision == 7u);
-    const std::shared_ptr<const DirectoryView> before = follower.view();
+    const std::shared_ptr<const DirectoryView> before = subscriber.view();
     wire::PollChangesResponse removal = unchanged(8);
     removal.changes.push_back({8, wire::RecordKind::Route, "r", true, ""});
     polls.answer(removal);
@@ -147,7 +147,7 @@
 // Guards against a storm of polls while control is away, and against a wait that grows without end.
 BOOST_AUTO_TEST_CASE(failuresBackOffWithinBounds)
 {
-    follower.start();
+    subscriber.start();
     for (int failures = 0; failures < 40; ++failures) {
         polls.answer(notRun(ErrorCode::ConnectionLost, ""));
         BOOST_REQUIRE(polls.open.empty());
@@ -161,7 +161,7 @@
 // Guards against a busy loop when answers come at once.
 BOOST_AUTO_TEST_CASE(pollsKeepAMinimumInterval)
 {
-    follower.start();
+    subscriber.start();
     polls.answer(unchanged(0));
     BOOST_TEST(polls.open.empty());
     timers.advance(absl::Milliseconds(20));
@@ -171,8 +171,8 @@
 // Guards against calls into a program that is shutting down.
 BOOST_AUTO_TEST_CASE(nothingHappensAfterStop)
 {
-    follower.start();
-    follower.stop();
+    subscriber.start();
+    subscriber.stop();
     polls.answer(contractAt(1, 1));
     timers.advance(absl::Seconds(5));
     BOOST_TEST(seen.empty());
--- a/tests/directory/statemachine_test.cpp
+++ b/tests/directory/statemachine_test.cpp
@@ -40,7 +40,7 @@
 bool refused(const Outcome<wire::DirectoryResult> &outcome, ErrorCode code)
 {
     return !outcome.ok() && outcome.failure().code == code
-           && outcome.failure().run == RunState::NotRun;
+           && outcome.failure().run == EffectState::NotRun;
 }
 
 } // namespace
@@ -227,7 +227,7 @@
     driver.writeAnyway(wire::PutContract{contractOf("w", 1)});
     const DirectoryView before = driver.view();
     driver.writeAnyway(wire::RemoveRoute{"r"});
-    for (std::size_t change = 0; change <= changeHistoryLimit; ++change)
+    for (std::size_t change = 0; change <= maxChangeHistory; ++change)
         driver.writeAnyway(wire::PutContract{contractOf("w", 2)});
     driver.restart();
     BOOST_TEST(driver.query(before.revision()).snapshot);
--- a/tests/engine/engineclient_test.cpp
+++ b/tests/engine/engineclient_test.cpp
@@ -52,7 +52,7 @@
     int m_port = 0;
 };
 
-Outcome<StreamSummary> run(EngineClient &client, AbortSignal &cancellation,
+Outcome<StreamSummary> run(EngineClient &client, AbortSignal &abortSignal,
                            absl::Time deadline = absl::InfiniteFuture())
 {
     StreamRequest request;
@@ -60,7 +60,7 @@
     request.body = R"({"model":"m","prompt":"p"})";
     request.requestId = "r";
     request.deadline = deadline;
-    return client.stream(request, cancellation, [](const Token &) {});
+    return client.stream(request, abortSignal, [](const Token &) {});
 }
 
 /// Answers with the start of a stream that never goes on.
@@ -91,18 +91,18 @@
         response.set_content(body, "application/json");
     });
     EngineClient client(server.options());
-    AbortSignal cancellation;
-    const auto busy = run(client, cancellation);
+    AbortSignal abortSignal;
+    const auto busy = run(client, abortSignal);
     BOOST_TEST((busy.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((busy.failure().run == RunState::NotRun));
+    BOOST_TEST((busy.failure().run == EffectState::NotRun));
     body = "overloaded";
-    BOOST_TEST((run(client, cancellation).failure().run == RunState::MayHaveRun));
+    BOOST_TEST((run(client, abortSignal).failure().run == EffectState::MayHaveRun));
     status = 500;
-    BOOST_TEST((run(client, cancellation).failure().run == RunState::MayHaveRun));
+    BOOST_TEST((run(client, abortSignal).failure().run == EffectState::MayHaveRun));
     server.stop();
-    const auto refused = run(client, cancellation);
+    const auto refused = run(client, abortSignal);
     BOOST_TEST((refused.failure().code == ErrorCode::UpstreamUnavailable));
-    BOOST_TEST((refused.failure().run == RunState::NotRun));
+    BOOST_TEST((refused.failure().run == EffectState::NotRun));
 }
 
 // Guards against a call that a frozen engine holds for ever.
@@ -110,12 +110,12 @@
 {
     Server server(answerAndHang);
     EngineClient client(server.options());
-    AbortSignal cancellation;
-    const auto broken = run(client, cancellation);
+    AbortSignal abortSignal;
+    const auto broken = run(client, abortSignal);
     BOOST_TEST((broken.failure().code == ErrorCode::StreamBroken));
-    BOOST_TEST((broken.failure().run == RunState::MayHaveRun));
+    BOOST_TEST((broken.failure().run == EffectState::MayHaveRun));
     const absl::Time deadline = SystemClock::instance().now() + absl::Milliseconds(50);
-    BOOST_TEST((run(client, cancellation, deadline).failure().code == ErrorCode::Timeout));
+    BOOST_TEST((run(client, abortSignal, deadline).failure().code == ErrorCode::Timeout));
 }
 
 // Guards against a reader that cannot be stopped from another thread.
@@ -129,12 +129,12 @@
     EngineOptions options = server.options();
     options.idleTimeout = absl::Minutes(5);
     EngineClient client(options);
-    AbortSignal cancellation;
+    AbortSignal abortSignal;
     std::thread other([&] {
         answering.WaitForNotification();
-        cancellation.abort();
+        abortSignal.abort();
     });
-    const auto ended = run(client, cancellation);
+    const auto ended = run(client, abortSignal);
     other.join();
     BOOST_TEST((ended.failure().code == ErrorCode::ClientDisconnected));
 }
--- a/tests/engine/streamreader_test.cpp
+++ b/tests/engine/streamreader_test.cpp
@@ -79,7 +79,7 @@
     BOOST_TEST((noDone.reader.finish().failure().code == ErrorCode::StreamBroken));
     Reading noReason;
     BOOST_TEST(noReason.reader.feed(event("r", 0, "a") + done));
-    BOOST_TEST((noReason.reader.finish().failure().run == RunState::MayHaveRun));
+    BOOST_TEST((noReason.reader.finish().failure().run == EffectState::MayHaveRun));
 }
 
 // Guards against waiting for the whole answer of another request.
--- a/tests/fakes/answer_test.cpp
+++ b/tests/fakes/answer_test.cpp
@@ -39,10 +39,10 @@
 {
     const std::string whole = expectedText("p", 0, 4);
     BOOST_TEST((checkAnswer("p", whole, 4) == AnswerVerdict::Correct));
-    BOOST_TEST((checkAnswer("p", expectedText("p", 0, 3), 4) == AnswerVerdict::Short));
-    BOOST_TEST((checkAnswer("p", expectedText("p", 0, 5), 4) == AnswerVerdict::Foreign));
-    BOOST_TEST((checkAnswer("q", whole, 4) == AnswerVerdict::Foreign));
-    BOOST_TEST((checkAnswer("p", expectedText("p", 1, 4), 4) == AnswerVerdict::Foreign));
+    BOOST_TEST((checkAnswer("p", expectedText("p", 0, 3), 4) == AnswerVerdict::Truncated));
+    BOOST_TEST((checkAnswer("p", expectedText("p", 0, 5), 4) == AnswerVerdict::Mismatch));
+    BOOST_TEST((checkAnswer("q", whole, 4) == AnswerVerdict::Mismatch));
+    BOOST_TEST((checkAnswer("p", expectedText("p", 1, 4), 4) == AnswerVerdict::Mismatch));
 }
 
 BOOST_AUTO_TEST_CASE(chatPromptJoinsContents)
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -28,9 +28,9 @@
 struct Fixture
 {
     Fixture()
-        : host(settings(), faults, records)
+        : runner(settings(), faults, records)
         , server(HttpSettings{loopback, 0, 16})
-        , engine(server, host, faults, records)
+        , engine(server, runner, faults, records)
         , port(outcomeOf([this] { return server.bind(); }).value())
         , listener([this] { server.listen_after_bind(); })
         , client(loopback, port)
@@ -67,7 +67,7 @@
     {
         const absl::Time end = SystemClock::instance().now() + absl::Seconds(10);
         while (SystemClock::instance().now() < end) {
-            const std::vector<Record> seen = records.after(0);
+            const std::vector<RequestRecord> seen = records.after(0);
             if (seen.size() == 2 && seen[0].run && seen[1].run)
                 return true;
             std::this_thread::yield();
@@ -107,7 +107,7 @@
 
     Faults faults;
     RequestLog records;
-    EngineHost host;
+    EngineRunner runner;
     FakeHttpServer server;
     EngineServer engine;
     int port;
@@ -158,7 +158,7 @@
     client.Post("/v1/completions", headers, body("r3", "p", 1, false).dump(), json);
     post("/faults", {{"refuse", true}});
     post("/v1/completions", body("r4", "p", 1, false));
-    const std::vector<Record> seen = records.after(0);
+    const std::vector<RequestRecord> seen = records.after(0);
     BOOST_TEST_REQUIRE(seen.size() == 2u);
     BOOST_TEST(seen[0].headers.at("Authorization") == "Bearer secret");
     BOOST_TEST((seen[0].run && seen[0].finished && seen[0].tokens == 1));
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -43,7 +43,7 @@
     });
     BOOST_TEST_REQUIRE(!answer.ok());
     BOOST_TEST((answer.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((answer.failure().run == RunState::NotRun));
+    BOOST_TEST((answer.failure().run == EffectState::NotRun));
     BOOST_TEST(!started);
 }
 
@@ -68,8 +68,8 @@
 {
     const std::string file = "recordbook_test.jsonl";
     std::remove(file.c_str());
-    RequestLog records(RecordSettings{2, file});
-    Record record;
+    RequestLog records(RequestLogSettings{2, file});
+    RequestRecord record;
     record.requestId = "r";
     const std::int64_t seq = records.add(record);
     records.markRun(seq);
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -2,7 +2,7 @@
 
 #include "loopthread.h"
 #include "rawcall.h"
-#include "testdialect.h"
+#include "testprotocoladapter.h"
 
 #include "absl/time/clock.h"
 
@@ -51,14 +51,14 @@
     net::LoopThread thread;
     net::EventLoop &loop = thread.loop();
     Metrics metrics;
-    serving::TestDialect dialect;
+    serving::TestProtocolAdapter adapter;
     net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
     serving::SlotClient slotClient{loop, channels, SystemClock::instance(),
                                    serving::SlotClientSettings()};
     jobs::JobClient jobs{loop, channels, SystemClock::instance()};
     const serving::ServingContext context{
-            loop, SystemClock::instance(), metrics, dialect, upstreams, slotClient, {"e", "d"}};
+            loop, SystemClock::instance(), metrics, adapter, upstreams, slotClient, {"e", "d"}};
     std::unique_ptr<Gateway> gateway;
     std::unique_ptr<net::Server> server;
 };
--- a/tests/jobs/executor_test.cpp
+++ b/tests/jobs/executor_test.cpp
@@ -1,6 +1,6 @@
 #include "rattanrill/jobs/jobexecutor.h"
 
-#include "testdialect.h"
+#include "testprotocoladapter.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,14 +13,14 @@
 {
     net::EventLoop loop;
     Metrics metrics;
-    serving::TestDialect dialect;
+    serving::TestProtocolAdapter adapter;
     net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
     fleet::GroupReplica replica{loop, channels, fleet::GroupReplicaSettings(),
                                 SystemClock::instance()};
     serving::SlotBroker broker{loop.timers(), SystemClock::instance(),
                                serving::SlotBrokerSettings()};
-    JobExecutor executor{JobExecutorContext{loop, SystemClock::instance(), metrics, dialect,
+    JobExecutor executor{JobExecutorContext{loop, SystemClock::instance(), metrics, adapter,
                                             upstreams, broker, replica, "d"}};
 
     static wire::OpenJob open(const std::string &id)
--- a/tests/load/loadrunner_test.cpp
+++ b/tests/load/loadrunner_test.cpp
@@ -26,9 +26,9 @@
 struct Fixture
 {
     Fixture()
-        : host(engineSettings(), faults, records)
+        : runner(engineSettings(), faults, records)
         , server(fakes::HttpSettings{loopback, 0, 32})
-        , engine(server, host, faults, records)
+        , engine(server, runner, faults, records)
         , port(outcomeOf([this] { return server.bind(); }).value())
         , listener([this] { server.listen_after_bind(); })
     {
@@ -46,7 +46,7 @@
     {
         BOOST_TEST_REQUIRE(
                 outcomeOf([&] { return faults.set(fault, SystemClock::instance().now()); }).ok());
-        host.applyFaults();
+        runner.applyFaults();
     }
 
     Json runLoad(std::int64_t &wrong)
@@ -70,7 +70,7 @@
 
     fakes::Faults faults;
     fakes::RequestLog records;
-    fakes::EngineHost host;
+    fakes::EngineRunner runner;
     fakes::FakeHttpServer server;
     fakes::EngineServer engine;
     int port;
--- a/tests/net/connectionpool_test.cpp
+++ b/tests/net/connectionpool_test.cpp
@@ -77,9 +77,9 @@
             return true;
         };
         handlers.body = [this](std::string_view bytes) { result.body.append(bytes); };
-        handlers.end = [this](CallStatus end) {
+        handlers.onEnd = [this](CallStatus status) {
             absl::MutexLock lock(&mutex);
-            result.end = end;
+            result.end = status;
         };
         ConnectionPool::CallId id = 0;
         thread.run([&] {
@@ -120,7 +120,7 @@
         BOOST_TEST((result.end == CallStatus::Complete));
         BOOST_TEST(result.body == "whole");
     }
-    fixture.thread.run([&] { BOOST_TEST(fixture.pool->connectionsMade() == 1u); });
+    fixture.thread.run([&] { BOOST_TEST(fixture.pool->connectionsOpened() == 1u); });
 }
 
 BOOST_AUTO_TEST_CASE(cutAnswerIsBroken)
--- a/tests/net/requestparser_test.cpp
+++ b/tests/net/requestparser_test.cpp
@@ -91,8 +91,8 @@
 {
     RequestParser reader(RequestLimits{});
     reader.feed("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-    BOOST_TEST(reader.wantsContinue());
-    BOOST_TEST(!reader.wantsContinue());
+    BOOST_TEST(reader.takeExpectContinue());
+    BOOST_TEST(!reader.takeExpectContinue());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/net/responseparser_test.cpp
+++ b/tests/net/responseparser_test.cpp
@@ -41,7 +41,7 @@
     BOOST_TEST((collector.reader.state() == State::Complete));
     BOOST_TEST(collector.head.status == 200);
     BOOST_TEST(collector.body == "hello");
-    BOOST_TEST(collector.reader.keepsAlive());
+    BOOST_TEST(collector.reader.isKeepAlive());
     BOOST_TEST(!collector.reader.hasExtraBytes());
 }
 
@@ -76,15 +76,15 @@
 {
     Collector sized;
     sized.reader.feed("HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 9\r\n\r\nhalf");
-    sized.reader.end();
+    sized.reader.handleEof();
     BOOST_TEST((sized.reader.state() == State::Broken));
     Collector chunked;
     chunked.reader.feed(
             "HTTP/1.1 200 OK\r\nId: own\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
-    chunked.reader.end();
+    chunked.reader.handleEof();
     BOOST_TEST((chunked.reader.state() == State::Broken));
     Collector empty;
-    empty.reader.end();
+    empty.reader.handleEof();
     BOOST_TEST((empty.reader.state() == State::Broken));
 }
 
@@ -93,10 +93,10 @@
     Collector collector;
     collector.reader.feed("HTTP/1.1 200 OK\r\nId: own\r\n\r\nall of it");
     BOOST_TEST((collector.reader.state() == State::Reading));
-    collector.reader.end();
+    collector.reader.handleEof();
     BOOST_TEST((collector.reader.state() == State::Complete));
     BOOST_TEST(collector.body == "all of it");
-    BOOST_TEST(!collector.reader.keepsAlive());
+    BOOST_TEST(!collector.reader.isKeepAlive());
 }
 
 BOOST_AUTO_TEST_CASE(noiseIsBroken)
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -84,7 +84,7 @@
     Server server;
 };
 
-void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, RunState run)
+void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, EffectState run)
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
@@ -102,17 +102,18 @@
     BOOST_TEST(callAndWait(channel, "body").value() == "client=body");
     BOOST_TEST(channel.connected());
     const auto failed = callAndWait(channel, "", absl::Seconds(10), wire::Method::Heartbeat);
-    checkFailure(failed, ErrorCode::NotLeader, RunState::NotRun);
+    checkFailure(failed, ErrorCode::NotLeader, EffectState::NotRun);
     BOOST_TEST(failed.failure().detail == "127.0.0.9:1");
     checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::Hello),
-                 ErrorCode::UnknownMethod, RunState::NotRun);
+                 ErrorCode::UnknownMethod, EffectState::NotRun);
 }
 
 BOOST_AUTO_TEST_CASE(wrongSecretFailsTypedAndRunsNothing)
 {
     EchoServer echo;
     Channel channel(optionsOf("client", "guess"), addressOf(echo.server.port()));
-    checkFailure(callAndWait(channel, "body"), ErrorCode::AuthenticationFailed, RunState::NotRun);
+    checkFailure(callAndWait(channel, "body"), ErrorCode::AuthenticationFailed,
+                 EffectState::NotRun);
     BOOST_TEST(!channel.connected());
     BOOST_TEST(echo.calls == 0);
 }
@@ -124,17 +125,17 @@
     EchoServer echo(small);
     Channel limited(small, addressOf(echo.server.port()));
     checkFailure(callAndWait(limited, std::string(70000, 'x')), ErrorCode::MessageTooLarge,
-                 RunState::NotRun);
+                 EffectState::NotRun);
     BOOST_TEST(echo.calls == 0);
     // The request fits, its answer of twice the size does not: it has run.
     checkFailure(
             callAndWait(limited, std::string(40000, 'x'), absl::Seconds(10), wire::Method::Raft),
-            ErrorCode::MessageTooLarge, RunState::MayHaveRun);
+            ErrorCode::MessageTooLarge, EffectState::MayHaveRun);
     BOOST_TEST(callAndWait(limited, "next").ok());
     // A client with a larger limit loses the connection instead of exhausting the server.
     Channel unlimited(optionsOf("client"), addressOf(echo.server.port()));
     checkFailure(callAndWait(unlimited, std::string(70000, 'x')), ErrorCode::ConnectionLost,
-                 RunState::MayHaveRun);
+                 EffectState::MayHaveRun);
 }
 
 // Guards against a call that waits for ever on a process that accepts and says nothing.
@@ -145,7 +146,7 @@
                                             {boost::asio::ip::make_address("127.0.0.1"), 0});
     Channel channel(optionsOf("client"), addressOf(listener.local_endpoint().port()));
     checkFailure(callAndWait(channel, "", absl::Seconds(60)), ErrorCode::ConnectionLost,
-                 RunState::NotRun);
+                 EffectState::NotRun);
 }
 
 BOOST_AUTO_TEST_CASE(unansweredCallTimesOutAsMayHaveRun)
@@ -154,9 +155,9 @@
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     BOOST_REQUIRE(callAndWait(channel, "").ok());
     checkFailure(callAndWait(channel, "", absl::Milliseconds(50), wire::Method::Propose),
-                 ErrorCode::Timeout, RunState::MayHaveRun);
+                 ErrorCode::Timeout, EffectState::MayHaveRun);
     checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::PollChanges),
-                 ErrorCode::Internal, RunState::MayHaveRun);
+                 ErrorCode::Internal, EffectState::MayHaveRun);
 }
 
 // Guards against a call with a long timeout that waits on a process that has frozen.
@@ -165,7 +166,7 @@
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     checkFailure(callAndWait(channel, "", absl::Minutes(5), wire::Method::Grant),
-                 ErrorCode::ConnectionLost, RunState::MayHaveRun);
+                 ErrorCode::ConnectionLost, EffectState::MayHaveRun);
 }
 
 BOOST_AUTO_TEST_CASE(lostConnectionFailsTheCallInFlightOnce)
@@ -176,11 +177,11 @@
     channel.call(wire::Method::Propose, "", absl::Seconds(20), result.reply());
     echo.awaitKept();
     echo.server.stop();
-    checkFailure(result.wait(), ErrorCode::ConnectionLost, RunState::MayHaveRun);
+    checkFailure(result.wait(), ErrorCode::ConnectionLost, EffectState::MayHaveRun);
     // A late answer of the handler reaches nobody and does no harm.
     echo.kept.front()(std::string("late"));
     echo.kept.clear();
-    checkFailure(callAndWait(channel, ""), ErrorCode::ConnectionLost, RunState::NotRun);
+    checkFailure(callAndWait(channel, ""), ErrorCode::ConnectionLost, EffectState::NotRun);
     BOOST_TEST(result.count() == 1);
 }
 
@@ -211,8 +212,8 @@
     echo.awaitKept();
     channel.close();
     BOOST_TEST(result.count() == 1);
-    checkFailure(result.wait(), ErrorCode::Stopped, RunState::MayHaveRun);
-    checkFailure(callAndWait(channel, ""), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(result.wait(), ErrorCode::Stopped, EffectState::MayHaveRun);
+    checkFailure(callAndWait(channel, ""), ErrorCode::Stopped, EffectState::NotRun);
 }
 
 // Guards against memory that grows without bound while a peer takes nothing.
@@ -232,7 +233,7 @@
                 callAndWait(channel, std::string(512 << 10, 'x'), absl::Milliseconds(20));
         BOOST_REQUIRE(!outcome.ok());
         if (outcome.failure().code == ErrorCode::QueueFull) {
-            BOOST_TEST(name(outcome.failure().run) == name(RunState::NotRun));
+            BOOST_TEST(name(outcome.failure().run) == name(EffectState::NotRun));
             ++full;
         }
     }
@@ -260,10 +261,10 @@
     BOOST_TEST(channel == pool.channel(address));
     BOOST_TEST(callAndWait(*channel, "").ok());
     pool.remove(address);
-    checkFailure(callAndWait(*channel, ""), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(callAndWait(*channel, ""), ErrorCode::Stopped, EffectState::NotRun);
     BOOST_TEST(callAndWait(*pool.channel(address), "").ok());
     pool.close();
-    checkFailure(callAndWait(*pool.channel(address), ""), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(callAndWait(*pool.channel(address), ""), ErrorCode::Stopped, EffectState::NotRun);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/operator_test.cpp
+++ b/tests/platform/operator_test.cpp
@@ -24,7 +24,7 @@
  "tenants":[{"name":"w","api-keys":["k1","k2"],"priority":1,"rate-per-s":45,"burst":50}],
  "unknown":{"x":1}})";
 
-const PlatformOperatorAdapter dialect;
+const PlatformOperatorAdapter adapter;
 
 Outcome<fleet::OperatorCall> put(const std::string &body)
 {
@@ -32,7 +32,7 @@
     request.method = "POST";
     request.target = "/Config.Replace";
     request.body = body;
-    return outcomeOf([&] { return dialect.parseCall(request); });
+    return outcomeOf([&] { return adapter.parseCall(request); });
 }
 
 } // namespace
@@ -83,7 +83,7 @@
         net::Request request;
         request.method = method;
         request.target = target;
-        return outcomeOf([&] { return dialect.parseCall(request); });
+        return outcomeOf([&] { return adapter.parseCall(request); });
     };
     BOOST_TEST(std::holds_alternative<fleet::ReadConfigurationCall>(
             read("GET", "/Config.Get").value()));
--- a/tests/platform/platformprotocoladapter_test.cpp
+++ b/tests/platform/platformprotocoladapter_test.cpp
@@ -31,7 +31,7 @@
     return request;
 }
 
-const PlatformProtocolAdapter dialect;
+const PlatformProtocolAdapter adapter;
 
 } // namespace
 
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_CASE(callerRequestIsRead)
 {
-    const auto caller = outcomeOf([&] { return dialect.parseRequest(callerRequest()); });
+    const auto caller = outcomeOf([&] { return adapter.parseRequest(callerRequest()); });
     BOOST_REQUIRE(caller.ok());
     BOOST_TEST(caller.value().id == "ab12");
     BOOST_TEST(caller.value().apiKey == "secret-key");
@@ -54,7 +54,7 @@
     for (const char *value : {"soon", "-5", "", "5s"}) {
         net::Request request = callerRequest();
         request.headers.set("Deadline-Ms", value);
-        BOOST_TEST(!outcomeOf([&] { return dialect.parseRequest(request); }).ok(), value);
+        BOOST_TEST(!outcomeOf([&] { return adapter.parseRequest(request); }).ok(), value);
     }
 }
 
@@ -67,7 +67,7 @@
     attempt.workspace = "huka";
     attempt.remainingTime = absl::Milliseconds(1234);
     attempt.resumeAfter = 12;
-    const net::Request sent = dialect.upstreamRequest(callerRequest(), attempt);
+    const net::Request sent = adapter.upstreamRequest(callerRequest(), attempt);
     BOOST_TEST(sent.method == "POST");
     BOOST_TEST(sent.target == "/lamps/7?x=1");
     BOOST_TEST(sent.body == "the body");
@@ -82,7 +82,7 @@
     BOOST_TEST(sent.headers.count("X-Hop") == 0u);
     BOOST_TEST(sent.headers.value("X-Kept") == "2");
     attempt.workspace.clear();
-    BOOST_TEST(dialect.upstreamRequest(callerRequest(), attempt).headers.count("Tenant-Id") == 0u);
+    BOOST_TEST(adapter.upstreamRequest(callerRequest(), attempt).headers.count("Tenant-Id") == 0u);
 }
 
 // Guards against a status that promises "not run" for a request that may have run.
@@ -119,16 +119,16 @@
     head.headers.add("Request-Id", "ab12");
     head.headers.add("Not-Executed", "1");
     head.headers.add("Server-Load", "7,2,8");
-    const serving::ResponseInfo facts = dialect.parseResponse(head);
+    const serving::ResponseInfo facts = adapter.parseResponse(head);
     BOOST_TEST(facts.notRun);
     BOOST_TEST(!facts.isInstanceMismatch);
     BOOST_TEST(*facts.outstandingRequests == 9);
     head.headers.remove("Not-Executed");
     head.headers.set("Server-Load", "7,x");
-    BOOST_TEST(!dialect.parseResponse(head).notRun);
-    BOOST_TEST(!dialect.parseResponse(head).outstandingRequests.has_value());
+    BOOST_TEST(!adapter.parseResponse(head).notRun);
+    BOOST_TEST(!adapter.parseResponse(head).outstandingRequests.has_value());
     head.status = 421;
-    BOOST_TEST(dialect.parseResponse(head).isInstanceMismatch);
+    BOOST_TEST(adapter.parseResponse(head).isInstanceMismatch);
 }
 
 BOOST_AUTO_TEST_CASE(itemIsARequestOfItsOwn)
@@ -138,7 +138,7 @@
     serving::UpstreamAttempt attempt;
     attempt.expectedInstance = "i-7";
     attempt.workspace = "huka";
-    const net::Request request = dialect.itemRequest(item, "booth.example", attempt);
+    const net::Request request = adapter.itemRequest(item, "booth.example", attempt);
     BOOST_TEST(request.method == "POST");
     BOOST_TEST(request.target == "/lamps/3");
     BOOST_TEST(request.headers.value("Request-Id") == "it1");
@@ -212,7 +212,7 @@
     end.target = "/lots/job1";
     BOOST_TEST(isJobRequest(end));
     const auto endCall = outcomeOf([&] { return decodeJobCall(end, ""); });
-    BOOST_TEST(std::get<serving::EndJobCall>(endCall.value()).job == "job1");
+    BOOST_TEST(std::get<serving::CancelJobCall>(endCall.value()).job == "job1");
 }
 
 BOOST_AUTO_TEST_CASE(resultsAreWritten)
