--- a/tests/policy/retrypolicy_test.cpp
+++ b/tests/policy/retrypolicy_test.cpp
@@ -11,9 +11,9 @@
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNotRetriedAfterItMayHaveRun)
 {
     RetryPolicy policy{RetrySettings{}};
-    BOOST_TEST(!policy.mayRetry(1, RunState::MayHaveRun, false));
-    BOOST_TEST(policy.mayRetry(1, RunState::NotRun, false));
-    BOOST_TEST(policy.mayRetry(1, RunState::MayHaveRun, true));
+    BOOST_TEST(!policy.mayRetry(1, EffectState::MayHaveRun, false));
+    BOOST_TEST(policy.mayRetry(1, EffectState::NotRun, false));
+    BOOST_TEST(policy.mayRetry(1, EffectState::MayHaveRun, true));
 }
 
 // Guards against retries that multiply an outage: at most the share plus the initial budget.
@@ -25,7 +25,7 @@
     constexpr int requests = 2000;
     for (int i = 0; i < requests; ++i) {
         policy.firstAttempt();
-        for (int attempt = 1; policy.mayRetry(attempt, RunState::NotRun, true); ++attempt)
+        for (int attempt = 1; policy.mayRetry(attempt, EffectState::NotRun, true); ++attempt)
             ++retries;
     }
     BOOST_TEST(retries <= requests * settings.budgetShare + settings.budgetMinimum);
@@ -42,7 +42,7 @@
     const absl::Duration first = policy.backoff(3, random);
     for (int attempt = 1; attempt < 40; ++attempt) {
         const absl::Duration wait = policy.backoff(attempt, random);
-        BOOST_TEST((wait >= absl::ZeroDuration() && wait <= settings.longestBackoff));
+        BOOST_TEST((wait >= absl::ZeroDuration() && wait <= settings.maxBackoff));
         differs = differs || wait != first;
     }
     BOOST_TEST(differs);
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -59,7 +59,7 @@
     Task task;
     task.promptTokens = 16;
     task.prefixHashes = {42};
-    prefixes.sent(start, "cached", task.prefixHashes, 16);
+    prefixes.recordPrompt(start, "cached", task.prefixHashes, 16);
     add("cached", 30);
     add("other", 20);
     for (int i = 0; i < 50; ++i)
@@ -77,9 +77,9 @@
     add("a", 20);
     add("b", 20);
     for (int i = 0; i < 40; ++i)
-        engines[choose() == "a" ? 0 : 1]->workStarted(start, TaskKind::Online, 200, 300);
-    BOOST_TEST(engines[0]->own(TaskKind::Online) > 12);
-    BOOST_TEST(engines[1]->own(TaskKind::Online) > 12);
+        engines[choose() == "a" ? 0 : 1]->taskStarted(start, TaskKind::Online, 200, 300);
+    BOOST_TEST(engines[0]->localTasks(TaskKind::Online) > 12);
+    BOOST_TEST(engines[1]->localTasks(TaskKind::Online) > 12);
 }
 
 // Guards against counting own work twice once a report includes it.
@@ -87,15 +87,15 @@
 {
     add("a", 20);
     EngineState &engine = *engines[0];
-    engine.workStarted(start + absl::Milliseconds(10), TaskKind::Online, 100, 100);
-    BOOST_TEST(engine.requestsSeen() == 21);
+    engine.taskStarted(start + absl::Milliseconds(10), TaskKind::Online, 100, 100);
+    BOOST_TEST(engine.reportedRequests() == 21);
     EngineLoad load;
     load.running = 21;
     load.maxBatch = 100;
     load.age = absl::Milliseconds(50);
     engine.loadReported(start + absl::Milliseconds(100), load);
-    BOOST_TEST(engine.requestsSeen() == 21);
-    BOOST_TEST(engine.own(TaskKind::Online) == 1);
+    BOOST_TEST(engine.reportedRequests() == 21);
+    BOOST_TEST(engine.localTasks(TaskKind::Online) == 1);
 }
 
 // Guards against a flood on an upstream that has just come back, and against one that is never
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -188,7 +188,7 @@
     BOOST_TEST(only<RejectTask>(made).size() == 4U);
     for (const RejectTask &refuse : only<RejectTask>(made)) {
         BOOST_TEST(outside.count(refuse.task) == 1U);
-        BOOST_TEST((refuse.failure.run == RunState::NotRun));
+        BOOST_TEST((refuse.failure.run == EffectState::NotRun));
     }
 }
 
@@ -204,7 +204,7 @@
     BOOST_REQUIRE(refused.size() == 1U);
     BOOST_TEST(refused[0].task == waiting);
     BOOST_TEST((refused[0].failure.code == ErrorCode::Overloaded));
-    BOOST_TEST((refused[0].failure.run == RunState::NotRun));
+    BOOST_TEST((refused[0].failure.run == EffectState::NotRun));
 }
 
 // Guards against a second run of a request that is not idempotent and may have run.
@@ -222,7 +222,7 @@
         BOOST_TEST(only<StartTask>(after).empty());
         const auto refused = only<RejectTask>(after);
         BOOST_REQUIRE(refused.size() == 1U);
-        BOOST_TEST((refused[0].failure.run == RunState::MayHaveRun));
+        BOOST_TEST((refused[0].failure.run == EffectState::MayHaveRun));
     }
     Task once = task(TaskKind::Online);
     once.idempotent = false;
@@ -336,8 +336,8 @@
         scheduler.cancelled(now, id);
     BOOST_TEST(scheduler.running(TaskKind::Batch) == 0U);
     BOOST_TEST(scheduler.waiting(TaskKind::Batch) == 0U);
-    BOOST_TEST(scheduler.engine("engine-0")->own(TaskKind::Batch) == 0);
-    BOOST_TEST(scheduler.engine("engine-0")->ownPrefill(TaskKind::Batch) == 0);
+    BOOST_TEST(scheduler.engine("engine-0")->localTasks(TaskKind::Batch) == 0);
+    BOOST_TEST(scheduler.engine("engine-0")->localPrefillTokens(TaskKind::Batch) == 0);
 }
 
 // Guards against an item that fails without end.
@@ -379,7 +379,7 @@
             for (const StartTask &start : only<StartTask>(other.decide()))
                 other.firstToken(start.task);
         }
-        started += other.scheduler.engine("engine-0")->own(TaskKind::Batch);
+        started += other.scheduler.engine("engine-0")->localTasks(TaskKind::Batch);
     }
     BOOST_TEST(started <= 64);
     BOOST_TEST(started >= 48);
--- a/tests/policy/slotscheduler_test.cpp
+++ b/tests/policy/slotscheduler_test.cpp
@@ -57,9 +57,9 @@
 
 struct Fixture
 {
-    Decided decide(absl::Time now = start) { return Decided(table.decide(now)); }
+    Decided decide(absl::Time now = start) { return Decided(scheduler.decide(now)); }
 
-    SlotScheduler table{SlotSchedulerSettings()};
+    SlotScheduler scheduler{SlotSchedulerSettings()};
 };
 
 } // namespace
@@ -68,10 +68,10 @@
 
 BOOST_AUTO_TEST_CASE(leastLoadedUpstreamIsChosen)
 {
-    table.setUpstreams({upstream("a", 2), upstream("b", 2)});
+    scheduler.setUpstreams({upstream("a", 2), upstream("b", 2)});
     std::multiset<std::string> used;
     for (int i = 0; i < 4; ++i) {
-        table.request(start, online(std::to_string(i), start + absl::Seconds(1)));
+        scheduler.request(start, online(std::to_string(i), start + absl::Seconds(1)));
         for (const auto &[task, chosen] : decide().granted)
             used.insert(chosen);
     }
@@ -84,13 +84,13 @@
 // before its end.
 BOOST_AUTO_TEST_CASE(batchYieldsToAPulseLeastServedFirst)
 {
-    table.setUpstreams({upstream("a", 2)});
-    table.request(start, batch("old"));
+    scheduler.setUpstreams({upstream("a", 2)});
+    scheduler.request(start, batch("old"));
     decide();
-    table.request(start + absl::Seconds(1), batch("young"));
+    scheduler.request(start + absl::Seconds(1), batch("young"));
     decide(start + absl::Seconds(1));
     const absl::Time pulse = start + absl::Seconds(2);
-    table.request(pulse, online("o", pulse + absl::Milliseconds(200)));
+    scheduler.request(pulse, online("o", pulse + absl::Milliseconds(200)));
     const Decided decided = decide(pulse);
     BOOST_TEST(decided.granted.at("o") == "a");
     BOOST_TEST(decided.yielded == std::vector<std::string>{"young"},
@@ -100,15 +100,15 @@
 // Guards against an interrupted item that counts as new when it goes on, and yields once more.
 BOOST_AUTO_TEST_CASE(timeInFormerPlacesCountsWhenBatchYields)
 {
-    table.setUpstreams({upstream("a", 2)});
-    table.request(start, batch("fresh"));
+    scheduler.setUpstreams({upstream("a", 2)});
+    scheduler.request(start, batch("fresh"));
     decide();
     const absl::Time later = start + absl::Seconds(1);
     SlotTask resumed = batch("resumed");
     resumed.priorRunTime = absl::Seconds(3);
-    table.request(later, resumed);
+    scheduler.request(later, resumed);
     decide(later);
-    table.request(later, online("o", later + absl::Seconds(1)));
+    scheduler.request(later, online("o", later + absl::Seconds(1)));
     BOOST_TEST(decide(later).yielded == std::vector<std::string>{"fresh"},
                boost::test_tools::per_element());
 }
@@ -121,7 +121,7 @@
     constexpr int items = 12;
     constexpr absl::Duration need = absl::Seconds(4);
     constexpr absl::Duration gap = absl::Seconds(3);
-    table.setUpstreams({upstream("a", 2)});
+    scheduler.setUpstreams({upstream("a", 2)});
     std::map<std::string, absl::Duration> served;
     std::set<std::string> running;
     int ended = 0;
@@ -129,7 +129,7 @@
         SlotTask task = batch(id);
         task.deadline = start + absl::Minutes(10);
         task.priorRunTime = served[id];
-        table.request(now, task);
+        scheduler.request(now, task);
     };
     for (int i = 0; i < items; ++i)
         request(start, std::to_string(i));
@@ -150,7 +150,7 @@
             const absl::Time end = since[next] + (need - served[next]);
             if (end > gapEnd)
                 break;
-            table.release(end, next, ReleaseReason::Completed);
+            scheduler.release(end, next, ReleaseReason::Completed);
             running.erase(next);
             ++ended;
             for (const auto &[id, place] : decide(end).granted) {
@@ -160,7 +160,7 @@
         }
         now = gapEnd;
         for (const char *id : {"o1", "o2"})
-            table.request(now, online(id, now + absl::Seconds(1)));
+            scheduler.request(now, online(id, now + absl::Seconds(1)));
         for (const std::string &id : decide(now).yielded) {
             running.erase(id);
             served[id] += now - since[id];
@@ -168,7 +168,7 @@
         }
         now += absl::Seconds(2);
         for (const char *id : {"o1", "o2"})
-            table.release(now, id, ReleaseReason::Completed);
+            scheduler.release(now, id, ReleaseReason::Completed);
     }
     // Two places for 24 s are 48 s, enough for all items of 4 s each.
     BOOST_TEST(ended == items);
@@ -178,39 +178,39 @@
 // item late because it always serves the one that is late already.
 BOOST_AUTO_TEST_CASE(lateItemsGoBehindThoseInTime)
 {
-    table.setUpstreams({upstream("a", 1)});
+    scheduler.setUpstreams({upstream("a", 1)});
     const auto due = [](const std::string &id, absl::Duration after) {
         SlotTask task = batch(id);
         task.deadline = start + after;
         return task;
     };
-    table.request(start, due("first", absl::Seconds(10)));
+    scheduler.request(start, due("first", absl::Seconds(10)));
     decide();
     absl::Time now = start + absl::Seconds(4);
-    table.release(now, "first", ReleaseReason::Completed);
+    scheduler.release(now, "first", ReleaseReason::Completed);
     // An item takes 4 s, so this one can't be done in time any more.
-    table.request(now, due("late", absl::Seconds(6)));
-    table.request(now, due("inTime", absl::Seconds(20)));
+    scheduler.request(now, due("late", absl::Seconds(6)));
+    scheduler.request(now, due("inTime", absl::Seconds(20)));
     BOOST_TEST(decide(now).granted.count("inTime") == 1u);
     now += absl::Seconds(4);
-    table.release(now, "inTime", ReleaseReason::Completed);
+    scheduler.release(now, "inTime", ReleaseReason::Completed);
     BOOST_TEST(decide(now).granted.count("late") == 1u);
 }
 
 // Guards against late items that never run while others keep coming.
 BOOST_AUTO_TEST_CASE(lateItemsGetSomePlaces)
 {
-    table.setUpstreams({upstream("a", 1)});
+    scheduler.setUpstreams({upstream("a", 1)});
     SlotTask late = batch("late");
     late.deadline = start - absl::Seconds(1);
-    table.request(start, late);
+    scheduler.request(start, late);
     bool isServed = false;
     for (int i = 0; i < 20 && !isServed; ++i) {
-        table.request(start, batch(std::to_string(i)));
-        table.request(start, batch(std::to_string(i) + "b"));
+        scheduler.request(start, batch(std::to_string(i)));
+        scheduler.request(start, batch(std::to_string(i) + "b"));
         for (const auto &[id, place] : decide().granted) {
             isServed = isServed || id == "late";
-            table.release(start, id, ReleaseReason::Cancelled);
+            scheduler.release(start, id, ReleaseReason::Cancelled);
         }
     }
     BOOST_TEST(isServed);
@@ -218,13 +218,13 @@
 
 BOOST_AUTO_TEST_CASE(batchWaitsWhileOnlineWorkWaits)
 {
-    table.setUpstreams({upstream("a", 1)});
-    table.request(start, online("first", start + absl::Seconds(5)));
+    scheduler.setUpstreams({upstream("a", 1)});
+    scheduler.request(start, online("first", start + absl::Seconds(5)));
     decide();
-    table.request(start, batch("b"));
-    table.request(start, online("second", start + absl::Seconds(5)));
+    scheduler.request(start, batch("b"));
+    scheduler.request(start, online("second", start + absl::Seconds(5)));
     BOOST_TEST(decide().granted.empty());
-    table.release(start, "first", ReleaseReason::Completed);
+    scheduler.release(start, "first", ReleaseReason::Completed);
     const Decided decided = decide();
     BOOST_TEST(decided.granted.count("second") == 1u);
     BOOST_TEST(decided.granted.count("b") == 0u);
@@ -234,11 +234,11 @@
 // deadline although it is known that they can't be served.
 BOOST_AUTO_TEST_CASE(hopelessRequestIsRefusedAtOnce)
 {
-    table.setUpstreams({upstream("a", 1)});
-    table.request(start, online("runs", start + absl::Milliseconds(200)));
+    scheduler.setUpstreams({upstream("a", 1)});
+    scheduler.request(start, online("runs", start + absl::Milliseconds(200)));
     decide();
     // One place, held for 700 ms each: the second in line waits longer than 200 ms.
-    table.request(start, online("waits", start + absl::Milliseconds(200)));
+    scheduler.request(start, online("waits", start + absl::Milliseconds(200)));
     const Decided decided = decide();
     BOOST_TEST(decided.refused.count("waits") == 1u);
 }
@@ -246,12 +246,14 @@
 // Guards against refused callers that come back all at once into the same full places.
 BOOST_AUTO_TEST_CASE(returnsAreSpread)
 {
-    table.setUpstreams({upstream("a", 4)});
+    scheduler.setUpstreams({upstream("a", 4)});
     for (int i = 0; i < 4; ++i)
-        table.request(start, online("runs" + std::to_string(i), start + absl::Milliseconds(50)));
+        scheduler.request(start,
+                          online("runs" + std::to_string(i), start + absl::Milliseconds(50)));
     decide();
     for (int i = 0; i < 6; ++i)
-        table.request(start, online("late" + std::to_string(i), start + absl::Milliseconds(50)));
+        scheduler.request(start,
+                          online("late" + std::to_string(i), start + absl::Milliseconds(50)));
     std::set<absl::Duration> returns;
     for (const auto &[task, wait] : decide().refused)
         returns.insert(wait);
@@ -261,13 +263,13 @@
 
 BOOST_AUTO_TEST_CASE(returnStaysInsideTheCallersPatience)
 {
-    table.setUpstreams({upstream("a", 1)});
-    table.request(start, online("runs", start));
+    scheduler.setUpstreams({upstream("a", 1)});
+    scheduler.request(start, online("runs", start));
     decide();
     for (int i = 0; i < 20; ++i) {
         SlotTask task = online(std::to_string(i), start);
         task.maxRetryAfter = absl::Seconds(1);
-        table.request(start, task);
+        scheduler.request(start, task);
     }
     for (const auto &[task, wait] : decide().refused)
         BOOST_TEST((wait <= absl::Seconds(1)));
@@ -275,31 +277,31 @@
 
 BOOST_AUTO_TEST_CASE(waitingRequestIsRefusedWhenItsTimeIsOver)
 {
-    table.setUpstreams({upstream("a", 8)});
+    scheduler.setUpstreams({upstream("a", 8)});
     for (int i = 0; i < 8; ++i)
-        table.request(start, online(std::to_string(i), start + absl::Seconds(1)));
+        scheduler.request(start, online(std::to_string(i), start + absl::Seconds(1)));
     decide();
     const absl::Time due = start + absl::Milliseconds(150);
-    table.request(start, online("w", due));
+    scheduler.request(start, online("w", due));
     BOOST_TEST(decide().refused.empty());
-    BOOST_TEST((table.nextDecision() == due));
+    BOOST_TEST((scheduler.nextDecision() == due));
     BOOST_TEST(decide(due).refused.count("w") == 1u);
 }
 
 // Load pattern: one workspace's surge. Guards against a small workspace that waits behind it.
 BOOST_AUTO_TEST_CASE(workspaceWithLittleServiceGoesFirst)
 {
-    table.setUpstreams({upstream("a", 1)});
+    scheduler.setUpstreams({upstream("a", 1)});
     const absl::Time due = start + absl::Seconds(60);
-    table.request(start, online("runs", due, "large"));
+    scheduler.request(start, online("runs", due, "large"));
     decide();
     for (int i = 0; i < 5; ++i)
-        table.request(start, online("large" + std::to_string(i), due, "large"));
-    table.request(start, online("small", due, "small"));
+        scheduler.request(start, online("large" + std::to_string(i), due, "large"));
+    scheduler.request(start, online("small", due, "small"));
     decide();
-    table.release(start, "runs", ReleaseReason::Completed);
+    scheduler.release(start, "runs", ReleaseReason::Completed);
     const std::string next = decide().granted.begin()->first;
-    table.release(start, next, ReleaseReason::Completed);
+    scheduler.release(start, next, ReleaseReason::Completed);
     BOOST_TEST((next == "small" || decide().granted.count("small") == 1u));
 }
 
@@ -307,13 +309,13 @@
 // would be the first choice of every request.
 BOOST_AUTO_TEST_CASE(goneUpstreamIsLeftAloneAtOnce)
 {
-    table.setUpstreams({upstream("gone", 4), upstream("here", 4)});
-    table.request(start, online("1", start + absl::Seconds(1)));
+    scheduler.setUpstreams({upstream("gone", 4), upstream("here", 4)});
+    scheduler.request(start, online("1", start + absl::Seconds(1)));
     const std::string first = decide().granted.at("1");
-    table.release(start, "1", ReleaseReason::Unreachable);
+    scheduler.release(start, "1", ReleaseReason::Unreachable);
     for (int i = 2; i < 6; ++i) {
         const std::string id = std::to_string(i);
-        table.request(start, online(id, start + absl::Seconds(1)));
+        scheduler.request(start, online(id, start + absl::Seconds(1)));
         BOOST_TEST(decide().granted.at(id) != first);
     }
 }
@@ -321,17 +323,17 @@
 // Load pattern: a sender that is gone leaves requests behind which their upstreams still run.
 BOOST_AUTO_TEST_CASE(placesShrinkByReportedForeignRequests)
 {
-    table.setUpstreams({upstream("a", 4), upstream("b", 4)});
-    table.loadReported(start, "a", 4);
-    table.loadReported(start, "a", 3);
+    scheduler.setUpstreams({upstream("a", 4), upstream("b", 4)});
+    scheduler.loadReported(start, "a", 4);
+    scheduler.loadReported(start, "a", 3);
     for (int i = 0; i < 5; ++i)
-        table.request(start, online(std::to_string(i), start + absl::Seconds(60)));
+        scheduler.request(start, online(std::to_string(i), start + absl::Seconds(60)));
     int onA = 0;
     for (const auto &[task, chosen] : decide().granted)
         onA += chosen == "a" ? 1 : 0;
     BOOST_TEST(onA == 1);
     // A report says nothing for long.
-    table.request(start, online("later", start + absl::Seconds(60)));
+    scheduler.request(start, online("later", start + absl::Seconds(60)));
     BOOST_TEST(decide(start + absl::Seconds(2)).granted.at("later") == "a");
 }
 
@@ -339,14 +341,14 @@
 // against upstreams that are filled a second time before they have told their load.
 BOOST_AUTO_TEST_CASE(upstreamsAreProbedAfterATakeover)
 {
-    table.setUpstreams({upstream("a", 8)});
-    table.beginTakeover(start);
+    scheduler.setUpstreams({upstream("a", 8)});
+    scheduler.beginTakeover(start);
     for (int i = 0; i < 10; ++i)
-        table.request(start, online(std::to_string(i), start + absl::Seconds(60)));
+        scheduler.request(start, online(std::to_string(i), start + absl::Seconds(60)));
     BOOST_TEST(decide().granted.size() == 2u);
     // Both probes and four others.
     const absl::Time reported = start + absl::Milliseconds(50);
-    table.loadReported(reported, "a", 6);
+    scheduler.loadReported(reported, "a", 6);
     BOOST_TEST(decide(reported).granted.size() == 2u);
     // What was left behind has ended by then.
     BOOST_TEST(decide(start + absl::Seconds(2)).granted.size() == 4u);
@@ -356,15 +358,15 @@
 // together. Guards against refusals for want of places that are free and only not probed yet.
 BOOST_AUTO_TEST_CASE(requestsWaitForProbes)
 {
-    table.setUpstreams({upstream("a", 8)});
-    table.beginTakeover(start);
+    scheduler.setUpstreams({upstream("a", 8)});
+    scheduler.beginTakeover(start);
     for (int i = 0; i < 8; ++i)
-        table.request(start, online(std::to_string(i), start + absl::Milliseconds(200)));
+        scheduler.request(start, online(std::to_string(i), start + absl::Milliseconds(200)));
     const Decided first = decide();
     BOOST_TEST(first.granted.size() == 2u);
     BOOST_TEST(first.refused.empty());
     const absl::Time reported = start + absl::Milliseconds(50);
-    table.loadReported(reported, "a", 2);
+    scheduler.loadReported(reported, "a", 2);
     BOOST_TEST(decide(reported).granted.size() == 6u);
 }
 
@@ -372,30 +374,30 @@
 // there behind those of a lost process, which leaves fewer places for the same load.
 BOOST_AUTO_TEST_CASE(silenceBehindForeignRequestsIsNoFault)
 {
-    table.setUpstreams({upstream("a", 4)});
-    table.loadReported(start, "a", 5);
-    table.loadReported(start, "a", 5);
+    scheduler.setUpstreams({upstream("a", 4)});
+    scheduler.loadReported(start, "a", 5);
+    scheduler.loadReported(start, "a", 5);
     for (int i = 0; i < 4; ++i) {
         const std::string id = std::to_string(i);
-        table.adopt(start, online(id, start), "a");
-        table.release(start, id, ReleaseReason::Failed);
+        scheduler.adopt(start, online(id, start), "a");
+        scheduler.release(start, id, ReleaseReason::Failed);
     }
     const absl::Time later = start + absl::Milliseconds(1100);
-    table.request(later, online("next", later + absl::Seconds(1)));
+    scheduler.request(later, online("next", later + absl::Seconds(1)));
     BOOST_TEST(decide(later).granted.count("next") == 1u);
 }
 
 // Load pattern: a table that follows another one. Guards against places that are given out twice.
 BOOST_AUTO_TEST_CASE(adoptedPlacesAreTaken)
 {
-    table.setUpstreams({upstream("a", 1), upstream("b", 1)});
-    table.adopt(start, online("held", start), "a");
-    table.adopt(start, online("held", start), "b");
-    table.adopt(start, online("elsewhere", start), "unknown");
-    table.request(start, online("1", start + absl::Seconds(1)));
+    scheduler.setUpstreams({upstream("a", 1), upstream("b", 1)});
+    scheduler.adopt(start, online("held", start), "a");
+    scheduler.adopt(start, online("held", start), "b");
+    scheduler.adopt(start, online("elsewhere", start), "unknown");
+    scheduler.request(start, online("1", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.at("1") == "b");
-    table.release(start, "held", ReleaseReason::Completed);
-    table.request(start, online("2", start + absl::Seconds(1)));
+    scheduler.release(start, "held", ReleaseReason::Completed);
+    scheduler.request(start, online("2", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.at("2") == "a");
 }
 
@@ -403,9 +405,9 @@
 {
     SlotUpstream leaving = upstream("a", 4);
     leaving.leaving = true;
-    table.setUpstreams({leaving});
-    table.request(start, online("1", start + absl::Seconds(1)));
-    table.request(start, batch("b"));
+    scheduler.setUpstreams({leaving});
+    scheduler.request(start, online("1", start + absl::Seconds(1)));
+    scheduler.request(start, batch("b"));
     const Decided decided = decide();
     BOOST_TEST(decided.granted.empty());
     BOOST_TEST(decided.refused.count("1") == 1u);
@@ -413,24 +415,24 @@
 
 BOOST_AUTO_TEST_CASE(excludedUpstreamIsNotTriedAgain)
 {
-    table.setUpstreams({upstream("a", 4), upstream("b", 1)});
+    scheduler.setUpstreams({upstream("a", 4), upstream("b", 1)});
     SlotTask task = online("1", start + absl::Seconds(1));
     task.excluded = {"a"};
-    table.request(start, task);
+    scheduler.request(start, task);
     BOOST_TEST(decide().granted.at("1") == "b");
 }
 
 BOOST_AUTO_TEST_CASE(withdrawnWorkLeavesNoTrace)
 {
-    table.setUpstreams({upstream("a", 1)});
-    table.request(start, online("1", start + absl::Seconds(1)));
+    scheduler.setUpstreams({upstream("a", 1)});
+    scheduler.request(start, online("1", start + absl::Seconds(1)));
     decide();
-    table.request(start, batch("b"));
-    table.cancel("b");
-    table.cancel("1");
-    BOOST_TEST(table.runningCount("llm", TaskKind::Online) == 0u);
-    BOOST_TEST(table.waiting("llm", TaskKind::Batch) == 0u);
-    table.request(start, online("2", start + absl::Seconds(1)));
+    scheduler.request(start, batch("b"));
+    scheduler.cancel("b");
+    scheduler.cancel("1");
+    BOOST_TEST(scheduler.runningCount("llm", TaskKind::Online) == 0u);
+    BOOST_TEST(scheduler.waiting("llm", TaskKind::Batch) == 0u);
+    scheduler.request(start, online("2", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.count("2") == 1u);
 }
 
--- a/tests/serving/eventstream_test.cpp
+++ b/tests/serving/eventstream_test.cpp
@@ -16,7 +16,7 @@
     for (const std::string &piece : pieces)
         splitter.feed(piece, events);
     if (rest != nullptr)
-        *rest = splitter.rest();
+        *rest = splitter.incompleteEvent();
     return events;
 }
 
--- a/tests/serving/proxyrequest_test.cpp
+++ b/tests/serving/proxyrequest_test.cpp
@@ -2,7 +2,7 @@
 
 #include "loopthread.h"
 #include "rawcall.h"
-#include "testdialect.h"
+#include "testprotocoladapter.h"
 
 #include "absl/synchronization/mutex.h"
 
@@ -176,7 +176,7 @@
                 request.deployment = index;
                 request.route = &index->deployment().routes.front();
                 request.caller = outcomeOf([&] {
-                                     return dialect.parseRequest(exchange->request());
+                                     return adapter.parseRequest(exchange->request());
                                  }).value();
                 proxyRequest(context, std::move(request), std::move(exchange));
             });
@@ -202,12 +202,12 @@
     net::LoopThread thread;
     net::EventLoop &loop = thread.loop();
     Metrics metrics;
-    TestDialect dialect;
+    TestProtocolAdapter adapter;
     net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
     SlotClient slotClient{loop, channels, SystemClock::instance(), SlotClientSettings()};
     const ServingContext context{
-            loop, SystemClock::instance(), metrics, dialect, upstreams, slotClient, {"e", "d"}};
+            loop, SystemClock::instance(), metrics, adapter, upstreams, slotClient, {"e", "d"}};
     std::shared_ptr<const DeploymentIndex> index;
     std::unique_ptr<net::Server> server;
 };
--- a/tests/serving/slotbroker_test.cpp
+++ b/tests/serving/slotbroker_test.cpp
@@ -131,7 +131,7 @@
     patient.objectiveMs = 5000;
     BOOST_TEST(isGranted("runs"));
     BOOST_TEST(!acquire(patient).has_value());
-    timers.advance(settings().waitSlice);
+    timers.advance(settings().maxResponseDelay);
     BOOST_TEST_REQUIRE(last.has_value());
     BOOST_TEST((last->verdict == SlotOutcome::Waiting));
     // The place becomes free between two questions.
--- a/tests/serving/testdialect.h
+++ b/tests/serving/testprotocoladapter.h
@@ -7,7 +7,7 @@
 namespace rattanrill::serving {
 
 /// Headers with short names, so that the tests stand apart from any deployment's.
-class TestDialect : public ProtocolAdapter
+class TestProtocolAdapter : public ProtocolAdapter
 {
 public:
     Result<CallerRequest> parseRequest(const net::Request &request) const override
@@ -50,7 +50,8 @@
     net::Response jobResultsResponse(const wire::ReadJobResponse &) const override { return {}; }
     net::Response errorResponse(const Failure &failure, absl::Duration) const override
     {
-        return net::textResponse(failure.run == RunState::NotRun ? 503 : 502, failure.detail, "t");
+        return net::textResponse(failure.run == EffectState::NotRun ? 503 : 502, failure.detail,
+                                 "t");
     }
 };
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -56,7 +56,7 @@
 BOOST_AUTO_TEST_CASE(unknownRunStateCountsAsMayHaveRun)
 {
     FailureMessage message{true, "timeout", "perhaps", ""};
-    BOOST_TEST((fromMessage(message).run == RunState::MayHaveRun));
+    BOOST_TEST((fromMessage(message).run == EffectState::MayHaveRun));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
