--- a/src/serving/deployment.cpp
+++ b/src/serving/deployment.cpp
@@ -20,7 +20,7 @@
         {RouteKind::Batch, "batch"},
 }};
 
-/// Host names compare without case; a port does not select a route.
+/// Converts a host name to lower case and removes its port: neither affects which route matches.
 std::string normalizedHost(std::string_view host)
 {
     std::string text(host.substr(0, host.find(':')));
@@ -40,7 +40,7 @@
     double weight = 0;
     for (const RouteTarget &target : route.targets) {
         if (services.count(target.service) == 0)
-            return invalid(concat("route \"", route.name, "\" names the unknown service \"",
+            return invalid(concat("route \"", route.name, "\" refers to the unknown service \"",
                                   target.service, "\""));
         if (target.weight < 0)
             return invalid(concat("route \"", route.name, "\" has a negative weight"));
@@ -49,7 +49,7 @@
     if (weight <= 0)
         return invalid(concat("the weights of route \"", route.name, "\" add up to 0"));
     if (route.timeout <= absl::ZeroDuration())
-        return invalid(concat("the timeout of route \"", route.name, "\" is 0"));
+        return invalid(concat("the timeout of route \"", route.name, "\" is not positive"));
     const std::string &prefix = route.pathPrefix;
     if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
         return invalid(concat("the prefix of route \"", route.name,
@@ -59,10 +59,10 @@
 
 Result<void> checkKeys(const std::vector<Workspace> &workspaces)
 {
-    std::map<std::string, std::string> holders;
+    std::map<std::string, std::string> workspaceOfKey;
     for (const Workspace &workspace : workspaces) {
         for (const std::string &key : workspace.keys) {
-            const auto [found, isNew] = holders.emplace(key, workspace.name);
+            const auto [found, isNew] = workspaceOfKey.emplace(key, workspace.name);
             if (!isNew && found->second != workspace.name)
                 return invalid(concat("workspaces \"", found->second, "\" and \"", workspace.name,
                                       "\" share a key"));
@@ -83,10 +83,10 @@
     std::set<std::string> services;
     for (const Service &service : deployment.services)
         services.insert(service.name);
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> hostsAndPrefixes;
     for (const Route &route : deployment.routes) {
         BOOST_LEAF_CHECK(checkRoute(route, services));
-        if (!places.emplace(normalizedHost(route.host), route.pathPrefix).second)
+        if (!hostsAndPrefixes.emplace(normalizedHost(route.host), route.pathPrefix).second)
             return invalid(concat("two routes have host \"", route.host, "\" and prefix \"",
                                   route.pathPrefix, "\""));
     }
@@ -95,15 +95,15 @@
 
 const std::string &selectService(const Route &route, std::string_view key)
 {
-    constexpr std::uint64_t steps = 1000003;
+    constexpr std::uint64_t resolution = 1000003;
     double total = 0;
     for (const RouteTarget &target : route.targets)
         total += target.weight;
-    double point = total * static_cast<double>(stableHash(key) % steps) / steps;
+    double position = total * static_cast<double>(stableHash(key) % resolution) / resolution;
     for (const RouteTarget &target : route.targets) {
-        if (point < target.weight)
+        if (position < target.weight)
             return target.service;
-        point -= target.weight;
+        position -= target.weight;
     }
     return route.targets.back().service;
 }
@@ -127,7 +127,8 @@
     const auto routes = m_routes.find(normalizedHost(host));
     if (routes == m_routes.end())
         return nullptr;
-    // Prefixes end with a slash, so only the path's own slashes can end one.
+    // Each prefix ends with a slash, so only the parts of the path up to one of its slashes can
+    // match; the longest one is looked up first.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;) {
         const auto found = routes->second.find(path.substr(0, slash + 1));
         if (found != routes->second.end())
--- a/src/serving/eventstream.cpp
+++ b/src/serving/eventstream.cpp
@@ -6,7 +6,8 @@
 namespace rattanrill::serving {
 namespace {
 
-/// Length up to and with the empty line that ends the first event; 0 when there is none yet.
+/// Returns the length of the first event in \a text including the empty line that ends it, or 0
+/// when the event is incomplete. The search for the empty line starts at \a from.
 std::size_t eventLength(std::string_view text, std::size_t from)
 {
     for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
@@ -33,7 +34,7 @@
            && line[name.size()] == ':';
 }
 
-void readLine(std::string_view line, StreamEvent &event, bool &hasData)
+void parseLine(std::string_view line, StreamEvent &event, bool &hasData)
 {
     if (isField(line, "id")) {
         const std::string_view value = fieldValue(line, 2);
@@ -49,7 +50,7 @@
     }
 }
 
-StreamEvent readEvent(std::string_view text)
+StreamEvent parseEvent(std::string_view text)
 {
     StreamEvent event;
     event.bytes = std::string(text);
@@ -59,7 +60,7 @@
         std::string_view line = text.substr(0, end);
         if (!line.empty() && line.back() == '\r')
             line.remove_suffix(1);
-        readLine(line, event, hasData);
+        parseLine(line, event, hasData);
         text.remove_prefix(std::min(end + 1, text.size()));
     }
     return event;
@@ -69,7 +70,8 @@
 
 void EventSplitter::feed(std::string_view bytes, std::vector<StreamEvent> &events)
 {
-    // The end of an event may lie across the old and the new bytes.
+    // The empty line that ends an event may be split between the pending and the new bytes, so the
+    // search starts before the end of the pending ones.
     std::size_t from = m_pending.size() < 3 ? 0 : m_pending.size() - 3;
     m_pending.append(bytes);
     std::size_t begin = 0;
@@ -78,7 +80,7 @@
         const std::size_t length = eventLength(text, from);
         if (length == 0)
             break;
-        events.push_back(readEvent(text.substr(0, length)));
+        events.push_back(parseEvent(text.substr(0, length)));
         begin += length;
         from = 0;
     }
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -13,23 +13,27 @@
 
 namespace {
 
-/// Silence of an upstream after which a request that may run again is tried elsewhere: part of the
-/// latency objective before the first event, part of the gap objective after it. The rest of the
-/// objective is left for the next try.
-constexpr double firstEventSilence = 0.6;
-constexpr double gapSilence = 0.6;
-/// The same for whole answers; work of several times the mean is usual there.
-constexpr double wholeAnswerSilence = 2.5;
-/// A caller that takes nothing while this much waits for it does not read.
+/// Time without a response after which a request that may run again is sent to another upstream, as
+/// a fraction of the latency objective before the first event and of the inter-event objective
+/// after it. The rest of the objective is left for the next attempt.
+constexpr double firstEventTimeoutFraction = 0.6;
+constexpr double interEventTimeoutFraction = 0.6;
+/// The same for responses that are not streams, where processing times of several times the mean
+/// are common.
+constexpr double completeResponseTimeoutFactor = 2.5;
+/// A caller with more unsent response bytes than this does not read its response and is treated as
+/// disconnected.
 constexpr std::size_t maxUnsentBytes = std::size_t(4) << 20;
-/// Retry-After of a refusal whose cause may pass soon.
-constexpr absl::Duration shortReturn = absl::Milliseconds(300);
-/// Less than this is no use to an upstream.
-constexpr absl::Duration minPatience = absl::Milliseconds(20);
-/// An answer whose length no objective needs to wait for is refused beyond this.
-constexpr std::size_t maxWholeAnswer = std::size_t(16) << 20;
-
-std::int64_t millisecondsOr(absl::Time from, absl::Time to)
+/// Retry-After when no upstream has accepted the request; the cause may soon pass.
+constexpr absl::Duration unavailableRetryAfter = absl::Milliseconds(300);
+/// With less time than this until the deadline, an attempt is not worth starting.
+constexpr absl::Duration minRemainingTime = absl::Milliseconds(20);
+/// Maximum size of a response that is not a stream: its body is buffered until it is complete, so a
+/// longer one fails the attempt.
+constexpr std::size_t maxBufferedBodyBytes = std::size_t(16) << 20;
+
+/// Returns -1 when \a to is infinite, which means that the event has not occurred.
+std::int64_t elapsedMilliseconds(absl::Time from, absl::Time to)
 {
     return to == absl::InfiniteFuture() ? -1 : absl::ToInt64Milliseconds(to - from);
 }
@@ -57,22 +61,22 @@
 std::string_view ProxiedRequest::name(Outcome outcome)
 {
     static constexpr std::array<EnumName<Outcome>, 5> names = {{
-            {Outcome::Answered, "answered"},
+            {Outcome::Completed, "answered"},
             {Outcome::Refused, "refused"},
             {Outcome::Failed, "failed"},
-            {Outcome::CutOff, "cut_off"},
-            {Outcome::CallerLeft, "caller_left"},
+            {Outcome::Aborted, "cut_off"},
+            {Outcome::CallerDisconnected, "caller_left"},
     }};
     return nameOf(names, outcome);
 }
 
 void ProxiedRequest::start()
 {
-    m_exchange->onClientDisconnected([self = shared_from_this()] { self->callerLeft(); });
+    m_exchange->onClientDisconnected([self = shared_from_this()] { self->callerDisconnected(); });
     m_deadlineTimer = m_context.loop.timers().subscribeOnce(
-            std::max(timeLeft(), absl::ZeroDuration()),
+            std::max(remainingTime(), absl::ZeroDuration()),
             [self = shared_from_this()] { self->deadlinePassed(); });
-    askForPlace();
+    requestSlot();
 }
 
 bool ProxiedRequest::mayRunAgain() const
@@ -81,16 +85,18 @@
            || (m_route.kind == RouteKind::Streaming && m_route.resumable);
 }
 
-absl::Duration ProxiedRequest::timeLeft() const
+absl::Duration ProxiedRequest::remainingTime() const
 {
     return m_deadline - m_context.clock.now();
 }
 
-void ProxiedRequest::askForPlace()
+void ProxiedRequest::requestSlot()
 {
     wire::SlotRequest request;
-    m_askedSlot = m_asked++ == 0 ? m_request.caller.id : concat(m_request.caller.id, "~", m_asked);
-    request.requestId = m_askedSlot;
+    m_requestedSlotId = m_slotRequestCount++ == 0
+                                ? m_request.caller.id
+                                : concat(m_request.caller.id, "~", m_slotRequestCount);
+    request.requestId = m_requestedSlotId;
     request.instance = m_context.identity.instance;
     request.failureDomain = m_context.identity.failureDomain;
     request.service = m_service;
@@ -99,55 +105,57 @@
     request.chargesRate = !m_chargedRate;
     request.promptTokens = m_request.caller.promptTokens;
     request.outputTokens = m_request.caller.outputTokens;
-    // A request that has run before is of use until its deadline; only a new one is refused early.
-    const absl::Duration objective = m_mayHaveRun ? timeLeft() : m_route.latencyObjective;
+    // The response to a request that may have run is useful until the deadline; only a request that
+    // has not run is refused early.
+    const absl::Duration objective = m_mayHaveRun ? remainingTime() : m_route.latencyObjective;
     request.objectiveMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(objective), 0);
-    request.deadlineMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(timeLeft()), 0);
-    request.excluded = m_tried;
-    m_asking = true;
+    request.deadlineMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(remainingTime()), 0);
+    request.excluded = m_attemptedUpstreams;
+    m_isSlotRequested = true;
     m_context.slotClient.acquire(
             request, [self = shared_from_this()](const auto &response, bool fromLocalShare) {
-                self->placeAnswered(response, fromLocalShare);
+                self->slotResponseReceived(response, fromLocalShare);
             });
 }
 
-void ProxiedRequest::placeAnswered(const wire::SlotResponse &response, bool fromLocalShare)
+void ProxiedRequest::slotResponseReceived(const wire::SlotResponse &response, bool fromLocalShare)
 {
-    m_asking = false;
+    m_isSlotRequested = false;
     const bool isGranted = response.verdict == wire::SlotOutcome::Granted;
-    const bool isObsolete = m_ended || (m_isCalling && !m_isSilent);
+    const bool isObsolete = m_ended || (m_isCalling && !m_isUnresponsive);
     if (isObsolete) {
         if (isGranted)
-            release(m_askedSlot, response.upstream, ReleaseReason::Cancelled);
+            release(m_requestedSlotId, response.upstream, ReleaseReason::Cancelled);
         return;
     }
     m_fromLocalShare = m_fromLocalShare || fromLocalShare;
     if (isGranted) {
         if (m_isCalling)
-            leaveSilentUpstream();
+            abandonUnresponsiveUpstream();
         m_chargedRate = true;
-        m_heldSlot = m_askedSlot;
-        m_placedAt = m_context.clock.now();
+        m_heldSlotId = m_requestedSlotId;
+        m_slotGrantedAt = m_context.clock.now();
         return send(response.upstream, response.address);
     }
-    // Nothing better is free, so the silent upstream may still answer.
+    // No other upstream has a free slot, so the unresponsive upstream gets more time.
     if (m_isCalling)
-        return armSilenceTimer();
+        return armResponseTimer();
     const absl::Duration retryAfter = absl::Milliseconds(response.retryAfterMs);
     if (m_mayHaveRun || m_exchange->streamStarted())
-        return fail(ErrorCode::UpstreamFailed, "no place for another try");
+        return fail(ErrorCode::UpstreamFailed, "no slot is available for another attempt");
     if (response.verdict == wire::SlotOutcome::OverRate)
-        return refuse(ErrorCode::RateLimited, "the workspace's rate is used up", retryAfter);
-    refuse(ErrorCode::Overloaded, "no place will be free in time", retryAfter);
+        return refuse(ErrorCode::RateLimited, "the workspace has used up its request rate",
+                      retryAfter);
+    refuse(ErrorCode::Overloaded, "no upstream slot will be free in time", retryAfter);
 }
 
-void ProxiedRequest::leaveSilentUpstream()
+void ProxiedRequest::abandonUnresponsiveUpstream()
 {
     log(LogLevel::Info, "try-failed",
         {{"requestId", m_request.caller.id},
          {"upstream", m_upstream},
          {"attempt", m_attempts},
-         {"reason", "the upstream is silent"},
+         {"reason", "the upstream did not respond in time"},
          {"lastEvent", m_position.lastId().value_or(-1)}});
     cancelCall();
     releaseSlot(ReleaseReason::Failed);
@@ -158,71 +166,73 @@
 void ProxiedRequest::send(const std::string &upstream, const std::string &address)
 {
     m_upstream = upstream;
-    if (timeLeft() < minPatience) {
+    if (remainingTime() < minRemainingTime) {
         releaseSlot(ReleaseReason::Cancelled);
-        return refuseOrFail("no time left for an upstream");
+        return refuseOrFail("too little time is left for an attempt before the deadline");
     }
     ++m_attempts;
-    m_tried.push_back(upstream);
+    m_attemptedUpstreams.push_back(upstream);
     m_hasHead = false;
     m_isStream = false;
-    m_isSilent = false;
+    m_isUnresponsive = false;
     m_body.clear();
     m_splitter.reset();
     UpstreamAttempt attempt;
     attempt.expectedInstance = upstream;
     attempt.workspace = m_request.workspace;
-    attempt.remainingTime = timeLeft();
+    attempt.remainingTime = remainingTime();
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
     handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
-        return self->noteHead(head);
+        return self->headReceived(head);
+    };
+    handlers.body = [self = shared_from_this()](std::string_view bytes) {
+        self->bodyReceived(bytes);
     };
-    handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
     handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
         self->callEnded(status);
     };
     m_isCalling = true;
-    armSilenceTimer();
+    armResponseTimer();
     m_call = m_context.upstreams.call(
             address,
             net::serialize(m_context.protocol.upstreamRequest(m_exchange->request(), attempt)),
             std::move(handlers));
 }
 
-bool ProxiedRequest::noteHead(const net::ResponseHead &head)
+bool ProxiedRequest::headReceived(const net::ResponseHead &head)
 {
-    const ResponseInfo facts = m_context.protocol.parseResponse(head);
-    if (!facts.requestId.empty() && facts.requestId != m_request.caller.id) {
+    const ResponseInfo info = m_context.protocol.parseResponse(head);
+    if (!info.requestId.empty() && info.requestId != m_request.caller.id) {
         log(LogLevel::Warning, "foreign-answer-dropped",
             {{"requestId", m_request.caller.id},
-             {"foreignRequestId", facts.requestId},
+             {"foreignRequestId", info.requestId},
              {"upstream", m_upstream}});
         return false;
     }
     m_head = head;
-    m_facts = facts;
+    m_responseInfo = info;
     m_hasHead = true;
-    if (facts.outstandingRequests)
-        m_context.slotClient.reportLoad({m_upstream, *facts.outstandingRequests});
-    m_isStream = !facts.notRun && head.status >= 200 && head.status < 300
+    if (info.outstandingRequests)
+        m_context.slotClient.reportLoad({m_upstream, *info.outstandingRequests});
+    m_isStream = !info.notRun && head.status >= 200 && head.status < 300
                  && m_route.kind == RouteKind::Streaming && m_context.protocol.isEventStream(head);
     return true;
 }
 
-void ProxiedRequest::noteBody(std::string_view bytes)
+void ProxiedRequest::bodyReceived(std::string_view bytes)
 {
     if (m_ended)
         return;
-    m_isSilent = false;
+    m_isUnresponsive = false;
     if (m_isStream)
-        return noteEvents(bytes);
+        return forwardEvents(bytes);
     m_body.append(bytes);
-    if (m_body.size() > maxWholeAnswer)
-        attemptFailed("the answer is too long", ReleaseReason::Failed);
+    if (m_body.size() > maxBufferedBodyBytes)
+        attemptFailed("the response body exceeds the size limit", ReleaseReason::Failed);
 }
 
-void ProxiedRequest::noteEvents(std::string_view bytes)
+void ProxiedRequest::forwardEvents(std::string_view bytes)
 {
     std::vector<StreamEvent> events;
     m_splitter.feed(bytes, events);
@@ -231,32 +241,33 @@
             return;
     }
     if (!events.empty())
-        armSilenceTimer();
+        armResponseTimer();
 }
 
-/// Returns false when the try has ended.
+/// Returns false when the attempt or the request has ended.
 bool ProxiedRequest::deliver(const StreamEvent &event)
 {
     switch (m_position.advance(event)) {
     case SequenceCheck::Repeated:
         return true;
     case SequenceCheck::Gap:
-        attemptFailed("an event is missing", ReleaseReason::Failed);
+        attemptFailed("an event is missing from the stream", ReleaseReason::Failed);
         return false;
     case SequenceCheck::InOrder:
         break;
     }
-    startAnswer();
+    startResponse();
     m_exchange->write(event.bytes);
     if (m_exchange->unsentBytes() > maxUnsentBytes) {
-        callerLeft();
+        callerDisconnected();
         return false;
     }
     return true;
 }
 
-/// The head of the first upstream stays, also when another one goes on with the stream.
-void ProxiedRequest::startAnswer()
+/// Sends the response head once: the first upstream's head remains in effect when another upstream
+/// resumes the stream.
+void ProxiedRequest::startResponse()
 {
     if (m_exchange->streamStarted())
         return;
@@ -272,35 +283,40 @@
     if (m_ended)
         return;
     if (status == net::CallStatus::NotConnected)
-        return attemptFailed("no connection to the upstream", ReleaseReason::Unreachable);
-    const bool saysNotRun = status == net::CallStatus::Complete && m_hasHead && m_facts.notRun;
-    if (!saysNotRun)
+        return attemptFailed("the connection to the upstream could not be established",
+                             ReleaseReason::Unreachable);
+    const bool isReportedNotRun =
+            status == net::CallStatus::Complete && m_hasHead && m_responseInfo.notRun;
+    if (!isReportedNotRun)
         m_mayHaveRun = true;
     if (status == net::CallStatus::Broken)
-        return attemptFailed("the upstream broke off", ReleaseReason::Failed);
-    if (saysNotRun)
-        return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
-                                                             ? ReleaseReason::Unreachable
-                                                             : ReleaseReason::Failed);
-    answerComplete();
+        return attemptFailed(
+                "the connection to the upstream broke before the response was complete",
+                ReleaseReason::Failed);
+    if (isReportedNotRun)
+        return attemptFailed("the upstream refused the request",
+                             m_responseInfo.isInstanceMismatch ? ReleaseReason::Unreachable
+                                                               : ReleaseReason::Failed);
+    responseCompleted();
 }
 
-void ProxiedRequest::answerComplete()
+void ProxiedRequest::responseCompleted()
 {
     const bool isServerError = m_head.status >= 500;
     if (isServerError && mayRunAgain() && m_attempts < m_route.maxAttempts
-        && timeLeft() > minPatience)
-        return attemptFailed("the upstream failed", ReleaseReason::Completed);
+        && remainingTime() > minRemainingTime)
+        return attemptFailed("the upstream responded with a server error",
+                             ReleaseReason::Completed);
     releaseSlot(ReleaseReason::Completed);
     if (m_isStream) {
-        startAnswer();
+        startResponse();
         m_exchange->write(m_splitter.incompleteEvent());
         m_exchange->finish();
-        return finish(Outcome::Answered, "");
+        return finish(Outcome::Completed, "");
     }
     if (m_exchange->streamStarted()) {
         m_exchange->abort();
-        return finish(Outcome::CutOff, "the stream could not go on");
+        return finish(Outcome::Aborted, "the stream could not be resumed");
     }
     m_firstByteAt = m_context.clock.now();
     net::Response response;
@@ -308,14 +324,14 @@
     net::removeConnectionHeaders(response.head.headers);
     response.body = std::move(m_body);
     m_exchange->respond(std::move(response));
-    finish(Outcome::Answered, "");
+    finish(Outcome::Completed, "");
 }
 
-/// Goes on at another upstream when the request may still run there.
-void ProxiedRequest::attemptFailed(std::string_view reason, ReleaseReason end)
+/// Ends the current attempt. Sends the request to another upstream if it may run there.
+void ProxiedRequest::attemptFailed(std::string_view reason, ReleaseReason releaseReason)
 {
     cancelCall();
-    releaseSlot(end);
+    releaseSlot(releaseReason);
     log(LogLevel::Info, "try-failed",
         {{"requestId", m_request.caller.id},
          {"upstream", m_upstream},
@@ -323,22 +339,22 @@
          {"reason", reason},
          {"mayHaveRun", m_mayHaveRun},
          {"lastEvent", m_position.lastId().value_or(-1)}});
-    const bool mayTry = (!m_mayHaveRun || mayRunAgain()) && m_attempts < m_route.maxAttempts
-                        && timeLeft() > minPatience;
-    if (!mayTry)
+    const bool canRetry = (!m_mayHaveRun || mayRunAgain()) && m_attempts < m_route.maxAttempts
+                          && remainingTime() > minRemainingTime;
+    if (!canRetry)
         return refuseOrFail(reason);
     if (m_exchange->streamStarted())
         ++m_resumes;
-    // A silent upstream's successor may have been asked for already.
-    if (!m_asking)
-        askForPlace();
+    // If the upstream was unresponsive, a slot at another one may already have been requested.
+    if (!m_isSlotRequested)
+        requestSlot();
 }
 
 void ProxiedRequest::refuseOrFail(std::string_view reason)
 {
     if (m_mayHaveRun || m_exchange->streamStarted())
         return fail(ErrorCode::UpstreamFailed, std::string(reason));
-    refuse(ErrorCode::UpstreamUnavailable, std::string(reason), shortReturn);
+    refuse(ErrorCode::UpstreamUnavailable, std::string(reason), unavailableRetryAfter);
 }
 
 void ProxiedRequest::refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter)
@@ -351,7 +367,7 @@
 {
     if (m_exchange->streamStarted()) {
         m_exchange->abort();
-        return finish(Outcome::CutOff, detail);
+        return finish(Outcome::Aborted, detail);
     }
     m_exchange->respond(
             m_context.protocol.errorResponse(mayHaveRun(code, detail), absl::ZeroDuration()));
@@ -370,55 +386,56 @@
     refuse(ErrorCode::Overloaded, "the deadline has passed", absl::ZeroDuration());
 }
 
-void ProxiedRequest::callerLeft()
+void ProxiedRequest::callerDisconnected()
 {
     if (m_ended)
         return;
     cancelCall();
     releaseSlot(ReleaseReason::Cancelled);
     m_exchange->abort();
-    finish(Outcome::CallerLeft, "the caller left");
+    finish(Outcome::CallerDisconnected, "the caller disconnected or stopped reading");
 }
 
-void ProxiedRequest::armSilenceTimer()
+void ProxiedRequest::armResponseTimer()
 {
     auto &timers = m_context.loop.timers();
-    if (m_silenceTimer != 0)
-        timers.unsubscribe(std::exchange(m_silenceTimer, 0));
+    if (m_responseTimer != 0)
+        timers.unsubscribe(std::exchange(m_responseTimer, 0));
     if (!mayRunAgain() || m_attempts >= m_route.maxAttempts)
         return;
     const bool isStreaming = m_route.kind == RouteKind::Streaming;
-    absl::Duration limit =
-            m_route.latencyObjective * (isStreaming ? firstEventSilence : wholeAnswerSilence);
+    absl::Duration responseTimeout =
+            m_route.latencyObjective
+            * (isStreaming ? firstEventTimeoutFraction : completeResponseTimeoutFactor);
     if (m_isStream && m_position.lastId() && m_route.interEventObjective > absl::ZeroDuration())
-        limit = m_route.interEventObjective * gapSilence;
-    m_silenceTimer = timers.subscribeOnce(limit, [self = shared_from_this()] {
-        self->m_silenceTimer = 0;
-        self->silenceExpired();
+        responseTimeout = m_route.interEventObjective * interEventTimeoutFraction;
+    m_responseTimer = timers.subscribeOnce(responseTimeout, [self = shared_from_this()] {
+        self->m_responseTimer = 0;
+        self->responseTimedOut();
     });
 }
 
-void ProxiedRequest::silenceExpired()
+void ProxiedRequest::responseTimedOut()
 {
-    if (m_ended || !m_isCalling || m_asking)
+    if (m_ended || !m_isCalling || m_isSlotRequested)
         return;
     m_mayHaveRun = true;
-    m_isSilent = true;
-    askForPlace();
+    m_isUnresponsive = true;
+    requestSlot();
 }
 
 void ProxiedRequest::releaseSlot(ReleaseReason reason)
 {
-    if (!m_heldSlot.empty())
-        release(std::exchange(m_heldSlot, std::string()), m_upstream, reason);
+    if (!m_heldSlotId.empty())
+        release(std::exchange(m_heldSlotId, std::string()), m_upstream, reason);
 }
 
-void ProxiedRequest::release(const std::string &slot, const std::string &upstream,
+void ProxiedRequest::release(const std::string &slotId, const std::string &upstream,
                              ReleaseReason reason)
 {
     wire::SlotRelease release;
     release.instance = m_context.identity.instance;
-    release.requestId = slot;
+    release.requestId = slotId;
     release.upstream = upstream;
     release.end = std::string(policy::name(reason));
     m_context.slotClient.release(release);
@@ -434,12 +451,12 @@
 {
     m_ended = true;
     auto &timers = m_context.loop.timers();
-    for (TimerService::TimerId *timer : {&m_deadlineTimer, &m_silenceTimer}) {
+    for (TimerService::TimerId *timer : {&m_deadlineTimer, &m_responseTimer}) {
         if (*timer != 0)
             timers.unsubscribe(std::exchange(*timer, 0));
     }
-    if (m_asking)
-        release(m_askedSlot, "", ReleaseReason::Cancelled);
+    if (m_isSlotRequested)
+        release(m_requestedSlotId, "", ReleaseReason::Cancelled);
     const absl::Time now = m_context.clock.now();
     const std::string kind(serving::name(m_route.kind));
     m_context.metrics.count("rattanrill_requests_total",
@@ -457,9 +474,9 @@
          {"attempts", m_attempts},
          {"resumes", m_resumes},
          {"ownShare", m_fromLocalShare},
-         {"placedMs", millisecondsOr(m_receivedAt, m_placedAt)},
-         {"firstByteMs", millisecondsOr(m_receivedAt, m_firstByteAt)},
-         {"totalMs", millisecondsOr(m_receivedAt, now)},
+         {"placedMs", elapsedMilliseconds(m_receivedAt, m_slotGrantedAt)},
+         {"firstByteMs", elapsedMilliseconds(m_receivedAt, m_firstByteAt)},
+         {"totalMs", elapsedMilliseconds(m_receivedAt, now)},
          {"patienceMs", absl::ToInt64Milliseconds(m_deadline - m_receivedAt)},
          {"configurationVersion", m_request.deployment->version()}});
 }
--- a/src/serving/proxiedrequest.h
+++ b/src/serving/proxiedrequest.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::serving {
 
-/// One request on its way through this entry.
+/// A caller's request that this entry process forwards to upstreams, one attempt after another.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest>
 {
 public:
@@ -21,40 +21,45 @@
     void start();
 
 private:
-    /// How the request ended, for the log line and the metrics.
+    /// How the request ended, as reported in the log and the metrics.
     enum class Outcome {
-        Answered,
+        /// A complete response was sent.
+        Completed,
+        /// An error response states that the request did not run.
         Refused,
+        /// An error response states that the request may have run.
         Failed,
-        CutOff,
-        CallerLeft,
+        /// The response was aborted after a part of the stream had been sent.
+        Aborted,
+        /// The caller disconnected or stopped reading.
+        CallerDisconnected,
     };
 
     static std::string_view name(Outcome outcome);
 
     bool mayRunAgain() const;
-    absl::Duration timeLeft() const;
-    void askForPlace();
-    void placeAnswered(const wire::SlotResponse &response, bool fromLocalShare);
+    absl::Duration remainingTime() const;
+    void requestSlot();
+    void slotResponseReceived(const wire::SlotResponse &response, bool fromLocalShare);
     void send(const std::string &upstream, const std::string &address);
-    bool noteHead(const net::ResponseHead &head);
-    void noteBody(std::string_view bytes);
-    void noteEvents(std::string_view bytes);
+    bool headReceived(const net::ResponseHead &head);
+    void bodyReceived(std::string_view bytes);
+    void forwardEvents(std::string_view bytes);
     bool deliver(const StreamEvent &event);
-    void startAnswer();
+    void startResponse();
     void callEnded(net::CallStatus status);
-    void answerComplete();
-    void attemptFailed(std::string_view reason, policy::ReleaseReason end);
+    void responseCompleted();
+    void attemptFailed(std::string_view reason, policy::ReleaseReason releaseReason);
     void refuseOrFail(std::string_view reason);
     void refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter);
     void fail(ErrorCode code, const std::string &detail);
     void deadlinePassed();
-    void callerLeft();
-    void armSilenceTimer();
-    void silenceExpired();
-    void leaveSilentUpstream();
+    void callerDisconnected();
+    void armResponseTimer();
+    void responseTimedOut();
+    void abandonUnresponsiveUpstream();
     void releaseSlot(policy::ReleaseReason reason);
-    void release(const std::string &slot, const std::string &upstream,
+    void release(const std::string &slotId, const std::string &upstream,
                  policy::ReleaseReason reason);
     void cancelCall();
     void finish(Outcome outcome, std::string_view reason);
@@ -68,36 +73,39 @@
     std::string m_service;
     bool m_ended = false;
 
-    // The current try.
-    bool m_asking = false;
-    /// Broker's name of the place that this request holds, and of the one that it asks for.
-    std::string m_heldSlot;
-    std::string m_askedSlot;
-    int m_asked = 0;
-    /// Nothing came for long; another upstream is looked for while this one may still answer.
-    bool m_isSilent = false;
+    // The current attempt.
+    /// True while a slot request has no decision yet.
+    bool m_isSlotRequested = false;
+    /// Request ids of the slot that is held (empty when none is) and of the last slot request. Each
+    /// slot request has an id of its own.
+    std::string m_heldSlotId;
+    std::string m_requestedSlotId;
+    int m_slotRequestCount = 0;
+    /// The upstream has not responded in time. A slot at another upstream is requested while this
+    /// one may still respond.
+    bool m_isUnresponsive = false;
     bool m_isCalling = false;
     net::ConnectionPool::CallId m_call = 0;
     std::string m_upstream;
     net::ResponseHead m_head;
-    ResponseInfo m_facts;
+    ResponseInfo m_responseInfo;
     bool m_hasHead = false;
     bool m_isStream = false;
     std::string m_body;
     EventSplitter m_splitter;
 
-    // Over all tries.
+    // All attempts.
     int m_attempts = 0;
     bool m_mayHaveRun = false;
     bool m_chargedRate = false;
     bool m_fromLocalShare = false;
-    std::vector<std::string> m_tried;
+    std::vector<std::string> m_attemptedUpstreams;
     StreamPosition m_position;
     int m_resumes = 0;
-    absl::Time m_placedAt = absl::InfiniteFuture();
+    absl::Time m_slotGrantedAt = absl::InfiniteFuture();
     absl::Time m_firstByteAt = absl::InfiniteFuture();
     TimerService::TimerId m_deadlineTimer = 0;
-    TimerService::TimerId m_silenceTimer = 0;
+    TimerService::TimerId m_responseTimer = 0;
 };
 
 } // namespace rattanrill::serving
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr absl::Duration sweepPeriod = absl::Seconds(1);
-/// Prompt tokens that cost an upstream as much as one token of output.
+/// Number of prompt tokens that cost an upstream as much as one output token.
 constexpr double promptTokensPerOutputToken = 100;
 
 std::string taskId(const std::string &instance, const std::string &request)
@@ -71,18 +71,19 @@
     }
 }
 
-/// Bucket of a broker whose predecessor may just have granted the whole burst.
+/// Returns the rate bucket with which a broker starts. It holds less than the burst, because the
+/// previous broker may just have granted the whole burst.
 policy::TokenBucket SlotBroker::freshBucket(const policy::RateContract &contract) const
 {
     const double window = absl::ToDoubleSeconds(m_settings.rateWindow);
-    const double allowed =
+    const double tolerance =
             m_settings.rateToleranceFraction * (contract.ratePerSecond * window + contract.burst)
             + m_settings.rateToleranceRequests * m_share.rateFraction;
-    const double level = std::min(contract.burst, allowed / 2);
-    const absl::Duration earned = contract.ratePerSecond > 0
-                                          ? absl::Seconds(level / contract.ratePerSecond)
-                                          : absl::ZeroDuration();
-    return policy::TokenBucket(contract, m_clock.now() - earned);
+    const double level = std::min(contract.burst, tolerance / 2);
+    const absl::Duration fillTime = contract.ratePerSecond > 0
+                                            ? absl::Seconds(level / contract.ratePerSecond)
+                                            : absl::ZeroDuration();
+    return policy::TokenBucket(contract, m_clock.now() - fillTime);
 }
 
 void SlotBroker::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
@@ -103,11 +104,11 @@
     decide();
 }
 
-/// Null when the workspace has no limit.
+/// Returns null when the workspace has no rate limit.
 policy::TokenBucket *SlotBroker::bucket(const std::string &workspace)
 {
-    const Workspace *known = m_deployment ? m_deployment->workspace(workspace) : nullptr;
-    if (known == nullptr || known->ratePerSecond <= 0)
+    const Workspace *configured = m_deployment ? m_deployment->workspace(workspace) : nullptr;
+    if (configured == nullptr || configured->ratePerSecond <= 0)
         return nullptr;
     return &m_buckets.at(workspace);
 }
@@ -116,10 +117,10 @@
 {
     const absl::Time now = m_clock.now();
     const std::string id = taskId(request.instance, request.requestId);
-    const auto known = m_online.find(id);
-    if (request.again && known != m_online.end()) {
-        known->second.answer = std::move(answer);
-        if (const auto decided = std::exchange(known->second.decided, std::nullopt))
+    const auto existing = m_online.find(id);
+    if (request.again && existing != m_online.end()) {
+        existing->second.answer = std::move(answer);
+        if (const auto decided = std::exchange(existing->second.decided, std::nullopt))
             return respond(id, *decided);
         return startWaitTimer(id);
     }
@@ -130,10 +131,10 @@
     online.chargesRate = request.chargesRate;
     online.expires = now + absl::Milliseconds(request.deadlineMs) + m_settings.releaseSlack;
     online.answer = std::move(answer);
-    policy::TokenBucket *rate = request.chargesRate ? bucket(request.workspace) : nullptr;
-    if (rate != nullptr && rate->level(now) < 1)
-        return rejectOverRate(
-                id, absl::Seconds((1 - rate->level(now)) / rate->contract().ratePerSecond));
+    policy::TokenBucket *rateBucket = request.chargesRate ? bucket(request.workspace) : nullptr;
+    if (rateBucket != nullptr && rateBucket->level(now) < 1)
+        return rejectOverRate(id, absl::Seconds((1 - rateBucket->level(now))
+                                                / rateBucket->contract().ratePerSecond));
     policy::SlotTask task;
     task.id = id;
     task.service = request.service;
@@ -152,26 +153,26 @@
     startWaitTimer(id);
 }
 
-/// Bounds the time without a word to the asker of a request that waits.
+/// Responds with the outcome Waiting when no decision has been made after maxResponseDelay.
 void SlotBroker::startWaitTimer(const std::string &id)
 {
     const auto found = m_online.find(id);
     if (found == m_online.end() || !found->second.answer)
         return;
     found->second.waitTimer = m_timers.subscribeOnce(m_settings.maxResponseDelay, [this, id] {
-        const auto waiting = m_online.find(id);
-        if (waiting == m_online.end())
+        const auto pending = m_online.find(id);
+        if (pending == m_online.end())
             return;
-        waiting->second.waitTimer = 0;
+        pending->second.waitTimer = 0;
         wire::SlotResponse response;
         response.verdict = wire::SlotOutcome::Waiting;
-        if (const ResponseCallback answer = std::exchange(waiting->second.answer, nullptr))
+        if (const ResponseCallback answer = std::exchange(pending->second.answer, nullptr))
             answer(response);
     });
 }
 
-/// Gives the verdict to the asker, or keeps it until the asker asks again. A refusal ends the
-/// request.
+/// Sends the outcome to the requester, or stores it until the requester repeats the request. A
+/// request that was not granted is removed once its outcome has been sent.
 void SlotBroker::respond(const std::string &id, const wire::SlotResponse &response)
 {
     const auto found = m_online.find(id);
@@ -191,7 +192,7 @@
     answer(response);
 }
 
-/// Forgets a request; an asker that still waits for a word is refused.
+/// Removes a request. If a response is pending, the requester receives the outcome NoSlot.
 void SlotBroker::removeRequest(const std::string &id)
 {
     const auto found = m_online.find(id);
@@ -199,10 +200,10 @@
         return;
     if (found->second.waitTimer != 0)
         m_timers.unsubscribe(found->second.waitTimer);
-    const ResponseCallback waiting = std::exchange(found->second.answer, nullptr);
+    const ResponseCallback pending = std::exchange(found->second.answer, nullptr);
     m_online.erase(found);
-    if (waiting)
-        waiting(wire::SlotResponse());
+    if (pending)
+        pending(wire::SlotResponse());
 }
 
 void SlotBroker::release(const wire::SlotRelease &release)
@@ -243,16 +244,16 @@
 
 void SlotBroker::setLiveInstances(const std::vector<std::string> &instances)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> orphaned;
     for (const auto &[id, online] : m_online) {
         if (std::find(instances.begin(), instances.end(), online.instance) == instances.end())
-            gone.push_back(id);
+            orphaned.push_back(id);
     }
-    for (const std::string &id : gone) {
+    for (const std::string &id : orphaned) {
         removeRequest(id);
         m_scheduler.cancel(id);
     }
-    if (!gone.empty())
+    if (!orphaned.empty())
         decide();
 }
 
@@ -277,8 +278,8 @@
     decide();
 }
 
-/// A handler may ask for or release a place while decisions are carried out; the outer call goes on
-/// until none is left.
+/// A handler may request or release a slot while decisions are carried out. The nested call returns
+/// at once; the outer call repeats until there are no more decisions.
 void SlotBroker::decide()
 {
     if (m_deciding)
@@ -287,7 +288,8 @@
     for (auto decisions = m_scheduler.decide(m_clock.now()); !decisions.empty();
          decisions = m_scheduler.decide(m_clock.now())) {
         for (const policy::SlotDecision &decision : decisions)
-            std::visit([this](const auto &kind) { applyDecision(kind); }, decision);
+            std::visit([this](const auto &typedDecision) { applyDecision(typedDecision); },
+                       decision);
     }
     m_deciding = false;
     armTimer();
@@ -304,9 +306,9 @@
     if (found == m_online.end())
         return m_scheduler.cancel(decision.task);
     Online &online = found->second;
-    policy::TokenBucket *rate = online.chargesRate ? bucket(online.workspace) : nullptr;
-    if (rate != nullptr) {
-        const policy::RateGrant grant = rate->take(m_clock.now(), 1);
+    policy::TokenBucket *rateBucket = online.chargesRate ? bucket(online.workspace) : nullptr;
+    if (rateBucket != nullptr) {
+        const policy::RateGrant grant = rateBucket->take(m_clock.now(), 1);
         if (!grant.granted) {
             m_scheduler.cancel(decision.task);
             return rejectOverRate(decision.task, grant.wait);
@@ -373,7 +375,7 @@
         removeRequest(id);
         m_scheduler.cancel(id);
     }
-    // Also returns upstreams whose ejection has ended.
+    // Also makes upstreams available again whose ejection has ended.
     decide();
 }
 
--- a/src/serving/slotclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -21,23 +21,24 @@
         , localBroker(loop.timers(), clock, settings.localBroker)
     {}
 
-    void acquire(const wire::SlotRequest &request, ResponseCallback answer)
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback)
     {
-        if (broker.empty() || clock.now() < avoidUntil)
-            return acquireFromOwn(request, std::move(answer));
-        channels.channel(broker)->call(
-                wire::Method::RequestSlot, wire::encode(request),
-                settings.localBroker.maxResponseDelay + settings.roundTripAllowance,
-                [self = shared_from_this(), address = broker, request,
-                 answer = std::move(answer)](Outcome<std::string> outcome) {
-                    self->loop.post([self, address, request, answer, outcome = std::move(outcome)] {
-                        self->answered(address, request, answer, outcome);
-                    });
-                });
+        if (brokerAddress.empty() || clock.now() < brokerRetryAt)
+            return acquireLocally(request, std::move(callback));
+        channels.channel(brokerAddress)
+                ->call(wire::Method::RequestSlot, wire::encode(request),
+                       settings.localBroker.maxResponseDelay + settings.roundTripAllowance,
+                       [self = shared_from_this(), address = brokerAddress, request,
+                        callback = std::move(callback)](Outcome<std::string> outcome) {
+                           self->loop.post([self, address, request, callback,
+                                            outcome = std::move(outcome)] {
+                               self->responseReceived(address, request, callback, outcome);
+                           });
+                       });
     }
 
-    void answered(const std::string &address, const wire::SlotRequest &request,
-                  const ResponseCallback &answer, const Outcome<std::string> &outcome)
+    void responseReceived(const std::string &address, const wire::SlotRequest &request,
+                          const ResponseCallback &callback, const Outcome<std::string> &outcome)
     {
         if (stopped)
             return;
@@ -45,29 +46,29 @@
                                 [&] { return wire::decode<wire::SlotResponse>(outcome.value()); })
                                      : Outcome<wire::SlotResponse>(outcome.failure());
         if (response.ok()) {
-            noteBroker(address, true, Failure());
+            updateBrokerStatus(address, true, Failure());
             if (response.value().verdict == wire::SlotOutcome::Waiting)
-                return acquire(askingAgain(request), answer);
-            noteHeld(request, response.value());
-            return answer(response.value(), false);
+                return acquire(repeatOf(request), callback);
+            recordHeldSlot(request, response.value());
+            return callback(response.value(), false);
         }
-        noteBroker(address, false, response.failure());
-        // The broker may have granted a place whose answer was lost.
+        updateBrokerStatus(address, false, response.failure());
+        // The broker may have granted a slot although its response did not arrive.
         channels.channel(address)->sendOneWay(
                 wire::Method::ReleaseSlot,
                 wire::encode(wire::SlotRelease{request.instance, request.requestId, "", ""}));
-        acquireFromOwn(request, answer);
+        acquireLocally(request, callback);
     }
 
-    void noteBroker(const std::string &address, bool isReachable, const Failure &failure)
+    void updateBrokerStatus(const std::string &address, bool isReachable, const Failure &failure)
     {
         if (!isReachable)
-            avoidUntil = clock.now() + settings.brokerRetryDelay;
-        if (isReachable == reachable)
+            brokerRetryAt = clock.now() + settings.brokerRetryDelay;
+        if (isReachable == brokerReachable)
             return;
-        reachable = isReachable;
+        brokerReachable = isReachable;
         if (isReachable)
-            announceHeld();
+            reportHeldSlots();
         log(isReachable ? LogLevel::Info : LogLevel::Warning,
             isReachable ? "place-broker-regained" : "place-broker-lost",
             {{"peerAddress", address},
@@ -75,61 +76,66 @@
              {"detail", failure.detail}});
     }
 
-    static wire::SlotRequest askingAgain(wire::SlotRequest request)
+    /// Returns the request to send again after the outcome Waiting.
+    static wire::SlotRequest repeatOf(wire::SlotRequest request)
     {
         request.again = true;
         return request;
     }
 
-    void acquireFromOwn(const wire::SlotRequest &request, ResponseCallback answer)
+    void acquireLocally(const wire::SlotRequest &request, ResponseCallback callback)
     {
-        ownRequests.insert(request.requestId);
+        localRequests.insert(request.requestId);
         localBroker.acquire(
                 request, [self = shared_from_this(), request,
-                          answer = std::move(answer)](const wire::SlotResponse &response) {
-                    const bool isReleased = self->ownRequests.count(request.requestId) == 0;
+                          callback = std::move(callback)](const wire::SlotResponse &response) {
+                    const bool isReleased = self->localRequests.count(request.requestId) == 0;
                     if (response.verdict == wire::SlotOutcome::Waiting && !isReleased)
-                        return self->acquireFromOwn(askingAgain(request), answer);
+                        return self->acquireLocally(repeatOf(request), callback);
                     if (response.verdict != wire::SlotOutcome::Granted)
-                        self->ownRequests.erase(request.requestId);
-                    self->noteHeld(request, response);
-                    answer(response, true);
+                        self->localRequests.erase(request.requestId);
+                    self->recordHeldSlot(request, response);
+                    callback(response, true);
                 });
     }
 
-    void noteHeld(const wire::SlotRequest &request, const wire::SlotResponse &response)
+    void recordHeldSlot(const wire::SlotRequest &request, const wire::SlotResponse &response)
     {
         if (response.verdict != wire::SlotOutcome::Granted)
             return;
-        Held &slot = held[request.requestId];
-        slot.slot = {request.requestId, request.service, request.workspace, response.upstream, 0};
-        slot.deadline = clock.now() + absl::Milliseconds(request.deadlineMs);
+        GrantedSlot &granted = heldSlots[request.requestId];
+        granted.slot = {request.requestId, request.service, request.workspace, response.upstream,
+                        0};
+        granted.deadline = clock.now() + absl::Milliseconds(request.deadlineMs);
         instance = request.instance;
     }
 
-    /// A broker that has just begun, or that was out of reach, does not know all places.
-    void announceHeld()
+    /// Reports the held slots to the broker, which may have no record of them when it has just
+    /// started or was unreachable.
+    void reportHeldSlots()
     {
-        if (held.empty() || broker.empty())
+        if (heldSlots.empty() || brokerAddress.empty())
             return;
         wire::HeldSlots message;
         message.instance = instance;
-        for (const auto &[id, slot] : held) {
-            message.places.push_back(slot.slot);
+        for (const auto &[id, granted] : heldSlots) {
+            message.places.push_back(granted.slot);
             message.places.back().deadlineMs =
-                    absl::ToInt64Milliseconds(slot.deadline - clock.now());
+                    absl::ToInt64Milliseconds(granted.deadline - clock.now());
         }
-        channels.channel(broker)->sendOneWay(wire::Method::ReportHeldSlots, wire::encode(message));
+        channels.channel(brokerAddress)
+                ->sendOneWay(wire::Method::ReportHeldSlots, wire::encode(message));
     }
 
     void release(const wire::SlotRelease &release)
     {
-        held.erase(release.requestId);
-        // The broker may have adopted a place of the own share.
-        if (ownRequests.erase(release.requestId) > 0)
+        heldSlots.erase(release.requestId);
+        // The broker may have adopted a slot that was granted from the local share.
+        if (localRequests.erase(release.requestId) > 0)
             localBroker.release(release);
-        if (!broker.empty())
-            channels.channel(broker)->sendOneWay(wire::Method::ReleaseSlot, wire::encode(release));
+        if (!brokerAddress.empty())
+            channels.channel(brokerAddress)
+                    ->sendOneWay(wire::Method::ReleaseSlot, wire::encode(release));
     }
 
     net::EventLoop &loop;
@@ -137,18 +143,19 @@
     const Clock &clock;
     const SlotClientSettings settings;
     SlotBroker localBroker;
-    std::string broker;
-    absl::Time avoidUntil = absl::InfinitePast();
-    std::set<std::string> ownRequests;
-    struct Held
+    std::string brokerAddress;
+    absl::Time brokerRetryAt = absl::InfinitePast();
+    /// Ids of the requests that wait for a slot or hold one of the local share.
+    std::set<std::string> localRequests;
+    struct GrantedSlot
     {
         wire::HeldSlot slot;
         absl::Time deadline;
     };
-    /// By request; of the broker and of the own share.
-    std::map<std::string, Held> held;
+    /// Slots granted by the broker and from the local share, by request id.
+    std::map<std::string, GrantedSlot> heldSlots;
     std::string instance;
-    bool reachable = true;
+    bool brokerReachable = true;
     bool stopped = false;
 };
 
@@ -164,13 +171,14 @@
 
 void SlotClient::setBroker(const std::string &address)
 {
-    if (m_impl->broker == address)
+    if (m_impl->brokerAddress == address)
         return;
-    m_impl->broker = address;
-    m_impl->avoidUntil = absl::InfinitePast();
+    m_impl->brokerAddress = address;
+    m_impl->brokerRetryAt = absl::InfinitePast();
     log(LogLevel::Info, "place-broker-changed",
-        {{"peerAddress", address}, {"heldPlaces", static_cast<std::int64_t>(m_impl->held.size())}});
-    m_impl->announceHeld();
+        {{"peerAddress", address},
+         {"heldPlaces", static_cast<std::int64_t>(m_impl->heldSlots.size())}});
+    m_impl->reportHeldSlots();
 }
 
 void SlotClient::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
@@ -181,14 +189,15 @@
 void SlotClient::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
                               std::size_t entries)
 {
-    const double sharers = static_cast<double>(std::max<std::size_t>(entries, 1));
+    const double entryCount = static_cast<double>(std::max<std::size_t>(entries, 1));
     m_impl->localBroker.setUpstreams(
-            upstreams, {1 / sharers, std::min(1.0, m_impl->settings.localSlotFactor / sharers)});
+            upstreams,
+            {1 / entryCount, std::min(1.0, m_impl->settings.localSlotFactor / entryCount)});
 }
 
-void SlotClient::acquire(const wire::SlotRequest &request, ResponseCallback answer)
+void SlotClient::acquire(const wire::SlotRequest &request, ResponseCallback callback)
 {
-    m_impl->acquire(request, std::move(answer));
+    m_impl->acquire(request, std::move(callback));
 }
 
 void SlotClient::release(const wire::SlotRelease &release)
@@ -199,8 +208,8 @@
 void SlotClient::reportLoad(const wire::UpstreamLoad &load)
 {
     m_impl->localBroker.updateLoad(load);
-    if (!m_impl->broker.empty())
-        m_impl->channels.channel(m_impl->broker)
+    if (!m_impl->brokerAddress.empty())
+        m_impl->channels.channel(m_impl->brokerAddress)
                 ->sendOneWay(wire::Method::Load, wire::encode(load));
 }
 
