--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -13,12 +13,13 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// Time for another replica to take the lead at a graceful stop.
-constexpr absl::Duration handOver = absl::Milliseconds(500);
+/// Time for another replica to become leader during a graceful stop.
+constexpr absl::Duration leadershipTransferTime = absl::Milliseconds(500);
 
-/// Identity of a replica whose disk is new. The seeds of a first start found the group; their marks
-/// are known to all of them without an exchange.
-fleet::ReplicaIdentity freshIdentity(const ProcessSettings &settings)
+/// Returns the identity of a replica whose data folder is new. At the first start of a deployment
+/// the seeds are the founders of the group. Their incarnation is fixed, so that each can derive the
+/// ids of the others without an exchange of messages.
+fleet::ReplicaIdentity newIdentity(const ProcessSettings &settings)
 {
     fleet::ReplicaIdentity identity;
     const std::vector<std::string> seeds = settings.seedPeers();
@@ -37,55 +38,56 @@
 class ControlProcess : public Process
 {
 public:
-    ControlProcess(const ProcessSettings &settings, const ProcessContext &parts)
+    ControlProcess(const ProcessSettings &settings, const ProcessContext &processContext)
         : m_settings(settings)
-        , m_parts(parts)
-        , m_operators(parts.loop, [this](const auto &exchange) { serve(exchange); })
+        , m_processContext(processContext)
+        , m_operatorServer(processContext.loop, [this](const auto &exchange) { serve(exchange); })
     {}
 
     Result<void> start() override
     {
         BOOST_LEAF_AUTO(identity, fleet::loadOrCreateIdentity(m_settings.dataFolder,
-                                                              freshIdentity(m_settings)));
+                                                              newIdentity(m_settings)));
         log(LogLevel::Info, "replica-identity",
             {{"replica", identity.replica},
              {"founders", static_cast<std::int64_t>(identity.founders.size())}});
-        m_core = std::make_unique<ProcessCore>(m_settings, m_parts, wire::MemberRole::Control,
-                                               identity.replica);
-        fleet::GroupReplicaSettings group;
-        group.group = fleet::fleetGroup;
-        group.dataFolder = m_settings.dataFolder;
-        m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
-                                                          m_core->clock());
-        m_sync = std::make_unique<fleet::FleetService>(
-                m_parts.loop, *m_replica, m_parts.upstreamDiscovery, fleet::FleetServiceSettings(),
-                m_core->clock());
-        m_replica->setCandidates([this] { return m_sync->controlCandidates(); });
+        m_core = std::make_unique<ProcessCore>(m_settings, m_processContext,
+                                               wire::MemberRole::Control, identity.replica);
+        fleet::GroupReplicaSettings groupSettings;
+        groupSettings.group = fleet::fleetGroup;
+        groupSettings.dataFolder = m_settings.dataFolder;
+        m_replica = std::make_unique<fleet::GroupReplica>(m_processContext.loop, m_core->channels(),
+                                                          groupSettings, m_core->clock());
+        m_fleetService = std::make_unique<fleet::FleetService>(
+                m_processContext.loop, *m_replica, m_processContext.upstreamDiscovery,
+                fleet::FleetServiceSettings(), m_core->clock());
+        m_replica->setCandidates([this] { return m_fleetService->controlCandidates(); });
         m_replica->install(m_core->peerServer());
-        m_sync->install(m_core->peerServer());
-        m_sync->start();
+        m_fleetService->install(m_core->peerServer());
+        m_fleetService->start();
         BOOST_LEAF_CHECK(m_replica->open(identity, fleet::makeFleetStateMachine()));
-        BOOST_LEAF_CHECK(m_operators.start(m_settings.operatorAddress));
+        BOOST_LEAF_CHECK(m_operatorServer.start(m_settings.operatorAddress));
         return m_core->start();
     }
 
     void setSeeds(const std::vector<std::string> &seedPeers) override
     {
-        m_core->follower().setSeeds(seedPeers);
+        m_core->fleetClient().setSeeds(seedPeers);
     }
 
     void drain(std::function<void()> stopped) override
     {
         m_replica->transferLeadership();
-        m_operators.drain();
-        m_parts.loop.timers().subscribeOnce(handOver, [this, stopped = std::move(stopped)] {
-            m_core->follower().leave();
-            m_sync->stop();
-            m_operators.stop();
-            m_replica->stop();
-            m_core->stop();
-            stopped();
-        });
+        m_operatorServer.drain();
+        m_processContext.loop.timers().subscribeOnce(leadershipTransferTime,
+                                                     [this, stopped = std::move(stopped)] {
+                                                         m_core->fleetClient().leave();
+                                                         m_fleetService->stop();
+                                                         m_operatorServer.stop();
+                                                         m_replica->stop();
+                                                         m_core->stop();
+                                                         stopped();
+                                                     });
     }
 
 private:
@@ -93,11 +95,11 @@
 
     void serve(const ExchangePtr &exchange)
     {
-        auto call =
-                outcomeOf([&] { return m_parts.operatorProtocol.parseCall(exchange->request()); });
+        auto call = outcomeOf(
+                [&] { return m_processContext.operatorProtocol.parseCall(exchange->request()); });
         if (!call.ok())
             return refuse(exchange, call.failure());
-        std::visit([&](const auto &kind) { perform(exchange, kind); }, call.value());
+        std::visit([&](const auto &typedCall) { perform(exchange, typedCall); }, call.value());
     }
 
     void perform(const ExchangePtr &exchange, const fleet::PutConfigurationCall &call)
@@ -117,7 +119,7 @@
             log(LogLevel::Info, "configuration-accepted",
                 {{"configurationVersion", version},
                  {"highestVersion", result.value().configurationVersion}});
-            exchange->respond(m_parts.operatorProtocol.acceptedResponse());
+            exchange->respond(m_processContext.operatorProtocol.acceptedResponse());
         });
     }
 
@@ -125,66 +127,71 @@
     {
         m_replica->linearizableRead(wire::encode(wire::FleetQuery{}), [this, exchange](
                                                                               const auto &outcome) {
-            const auto records = outcome.ok() ? outcomeOf([&] {
+            const auto snapshot = outcome.ok() ? outcomeOf([&] {
                 return wire::decode<wire::FleetSnapshot>(outcome.value());
             })
-                                              : Outcome<wire::FleetSnapshot>(outcome.failure());
-            if (!records.ok())
-                return refuse(exchange, records.failure());
-            if (records.value().configuration.empty())
-                return refuse(exchange,
-                              notRun(ErrorCode::NoQuorum, "no configuration was accepted yet"));
-            exchange->respond(
-                    m_parts.operatorProtocol.configurationResponse(records.value().configuration));
+                                               : Outcome<wire::FleetSnapshot>(outcome.failure());
+            if (!snapshot.ok())
+                return refuse(exchange, snapshot.failure());
+            if (snapshot.value().configuration.empty())
+                return refuse(exchange, notRun(ErrorCode::NoQuorum,
+                                               "no configuration has been accepted yet"));
+            exchange->respond(m_processContext.operatorProtocol.configurationResponse(
+                    snapshot.value().configuration));
         });
     }
 
-    const wire::FleetMemberStatus *store(const std::string &instance) const
+    const wire::FleetMemberStatus *findStore(const std::string &instance) const
     {
-        for (const wire::FleetMemberStatus &live : m_core->follower().state().members) {
-            if (live.member.role == wire::MemberRole::Store && live.member.instance == instance)
-                return &live;
+        for (const wire::FleetMemberStatus &status : m_core->fleetClient().state().members) {
+            if (status.member.role == wire::MemberRole::Store && status.member.instance == instance)
+                return &status;
         }
         return nullptr;
     }
 
-    /// Stores that keep the group's tolerance when \a instance leaves.
+    /// Returns the number of stores that provide the group's failure tolerance when \a instance
+    /// leaves: the live ones that are not retiring.
     int remainingStores(const std::string &instance) const
     {
         int count = 0;
-        for (const wire::FleetMemberStatus &live : m_core->follower().state().members) {
-            const bool remains = live.member.role == wire::MemberRole::Store && live.alive
-                                 && !live.retiring && live.member.instance != instance;
-            count += remains ? 1 : 0;
+        for (const wire::FleetMemberStatus &status : m_core->fleetClient().state().members) {
+            const bool isRemaining = status.member.role == wire::MemberRole::Store && status.alive
+                                     && !status.retiring && status.member.instance != instance;
+            count += isRemaining ? 1 : 0;
         }
         return count;
     }
 
     void perform(const ExchangePtr &exchange, const fleet::StartRetirementCall &call)
     {
-        const wire::FleetMemberStatus *live = store(call.instance);
-        if (live == nullptr)
-            return refuse(exchange, notRun(ErrorCode::NotFound,
-                                           concat("no store on instance \"", call.instance, "\"")));
+        const wire::FleetMemberStatus *status = findStore(call.instance);
+        if (status == nullptr)
+            return refuse(exchange,
+                          notRun(ErrorCode::NotFound,
+                                 concat("there is no store on instance \"", call.instance, "\"")));
         if (remainingStores(call.instance) < 2 * m_settings.toleratedFailures + 1)
-            return refuse(exchange, notRun(ErrorCode::Conflict, "too few stores would remain"));
-        const wire::FleetCommand command{wire::RetireStore{live->member.replica}};
+            return refuse(exchange, notRun(ErrorCode::Conflict,
+                                           "the remaining stores would tolerate too few failures"));
+        const wire::FleetCommand command{wire::RetireStore{status->member.replica}};
         m_replica->propose(wire::encode(command), [this, exchange](const auto &outcome) {
             if (!outcome.ok())
                 return refuse(exchange, outcome.failure());
-            exchange->respond(m_parts.operatorProtocol.acceptedResponse());
+            exchange->respond(m_processContext.operatorProtocol.acceptedResponse());
         });
     }
 
-    /// Without a complete list of members nothing is known of an instance.
+    /// Fails while the list of members is incomplete: a store that is missing from it may still
+    /// exist.
     void perform(const ExchangePtr &exchange, const fleet::ReadRetirementCall &call)
     {
-        const fleet::FleetState &state = m_core->follower().state();
-        const wire::FleetMemberStatus *live = store(call.instance);
-        if (!state.membersComplete || (live != nullptr && !live->retiring))
-            return refuse(exchange, notRun(ErrorCode::NoQuorum, "the members are not known yet"));
-        const bool isDone = live == nullptr || !live->holdsCopy;
-        exchange->respond(m_parts.operatorProtocol.retirementStatusResponse(isDone));
+        const fleet::FleetState &state = m_core->fleetClient().state();
+        const wire::FleetMemberStatus *status = findStore(call.instance);
+        if (!state.membersComplete || (status != nullptr && !status->retiring))
+            return refuse(exchange, notRun(ErrorCode::NoQuorum,
+                                           "the retirement status of the store is not known yet"));
+        const bool isRetired = status == nullptr || !status->holdsCopy;
+        exchange->respond(m_processContext.operatorProtocol.retirementStatusResponse(isRetired));
     }
 
     void refuse(const ExchangePtr &exchange, Failure failure)
@@ -194,23 +201,23 @@
              {"code", name(failure.code)},
              {"run", name(failure.run)},
              {"detail", failure.detail}});
-        exchange->respond(m_parts.operatorProtocol.errorResponse(failure));
+        exchange->respond(m_processContext.operatorProtocol.errorResponse(failure));
     }
 
     const ProcessSettings &m_settings;
-    const ProcessContext &m_parts;
+    const ProcessContext &m_processContext;
     std::unique_ptr<ProcessCore> m_core;
     std::unique_ptr<fleet::GroupReplica> m_replica;
-    std::unique_ptr<fleet::FleetService> m_sync;
-    net::Server m_operators;
+    std::unique_ptr<fleet::FleetService> m_fleetService;
+    net::Server m_operatorServer;
 };
 
 } // namespace
 
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
-                                            const ProcessContext &parts)
+                                            const ProcessContext &processContext)
 {
-    return std::make_unique<ControlProcess>(settings, parts);
+    return std::make_unique<ControlProcess>(settings, processContext);
 }
 
 } // namespace rattanrill::gateway
--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -11,19 +11,21 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// The platform asks every second whether this entry wants connections and gives up after two
-/// refusals; until then new connections still come.
+/// The platform probes the readiness of this entry every second and stops sending connections after
+/// two negative responses. New connections arrive until then.
 constexpr absl::Duration drainDelay = absl::Milliseconds(2500);
-constexpr absl::Duration drainCheck = absl::Milliseconds(100);
-/// A new leader of the fleet reads the platform's list within this time. Without it requests can be
-/// refused for what the configuration says.
-constexpr absl::Duration upstreamListWait = absl::Milliseconds(500);
-/// Part of the grace after which what still runs is given up, so that the process ends by itself.
-constexpr double graceShare = 0.94;
-/// Idle memory of a caller's connection is small, descriptors bind.
+constexpr absl::Duration drainCheckPeriod = absl::Milliseconds(100);
+/// A new leader of the fleet group reads the platform's list of upstreams within this time. After
+/// it, requests are served without the list, so that those which the configuration does not allow
+/// can be refused.
+constexpr absl::Duration upstreamListTimeout = absl::Milliseconds(500);
+/// Fraction of the shutdown timeout after which open requests are abandoned, so that the process
+/// ends by itself.
+constexpr double drainTimeFraction = 0.94;
+/// The limit follows from the number of file descriptors; an idle connection needs little memory.
 constexpr std::size_t maxCallerConnections = 3000;
 
-serving::SlotClientSettings placeSettings(const ProcessSettings &settings)
+serving::SlotClientSettings slotClientSettings(const ProcessSettings &settings)
 {
     serving::SlotClientSettings result;
     result.localBroker = brokerSettings(settings);
@@ -33,87 +35,92 @@
 class EntryProcess : public Process
 {
 public:
-    EntryProcess(const ProcessSettings &settings, const ProcessContext &parts)
+    EntryProcess(const ProcessSettings &settings, const ProcessContext &processContext)
         : m_settings(settings)
-        , m_parts(parts)
-        , m_core(settings, parts, wire::MemberRole::Entry,
+        , m_processContext(processContext)
+        , m_core(settings, processContext, wire::MemberRole::Entry,
                  fleet::makeReplicaId(settings.peerAddress(), randomHex(6)))
-        , m_upstreams(parts.loop, net::ConnectionPoolOptions())
-        , m_places(parts.loop, m_core.channels(), m_core.clock(), placeSettings(settings))
-        , m_jobs(parts.loop, m_core.channels(), m_core.clock())
-        , m_context{parts.loop,
+        , m_upstreams(processContext.loop, net::ConnectionPoolOptions())
+        , m_slotClient(processContext.loop, m_core.channels(), m_core.clock(),
+                       slotClientSettings(settings))
+        , m_jobs(processContext.loop, m_core.channels(), m_core.clock())
+        , m_context{processContext.loop,
                     m_core.clock(),
                     m_core.metrics(),
-                    parts.protocol,
+                    processContext.protocol,
                     m_upstreams,
-                    m_places,
+                    m_slotClient,
                     {settings.instance, settings.failureDomain}}
         , m_gateway(m_context, m_jobs)
-        , m_callers(parts.loop, [this](auto exchange) { m_gateway.serve(std::move(exchange)); })
-        , m_readiness(parts.loop, [this](const auto &exchange) { answerReadiness(exchange); })
+        , m_callerServer(processContext.loop,
+                         [this](auto exchange) { m_gateway.serve(std::move(exchange)); })
+        , m_readinessServer(processContext.loop,
+                            [this](const auto &exchange) { serveReadinessProbe(exchange); })
     {}
 
     Result<void> start() override
     {
-        m_core.follower().onChange([this](const fleet::FleetState &state) { take(state); });
-        BOOST_LEAF_CHECK(m_callers.start(m_settings.callerAddress));
-        BOOST_LEAF_CHECK(m_readiness.start(m_settings.readinessAddress));
+        m_core.fleetClient().onChange(
+                [this](const fleet::FleetState &state) { applyState(state); });
+        BOOST_LEAF_CHECK(m_callerServer.start(m_settings.callerAddress));
+        BOOST_LEAF_CHECK(m_readinessServer.start(m_settings.readinessAddress));
         return m_core.start();
     }
 
     void setSeeds(const std::vector<std::string> &seedPeers) override
     {
-        m_core.follower().setSeeds(seedPeers);
+        m_core.fleetClient().setSeeds(seedPeers);
     }
 
     void drain(std::function<void()> stopped) override
     {
         m_draining = true;
-        m_stopped = std::move(stopped);
-        m_drainSince = m_core.clock().now();
-        m_callers.drain();
-        m_parts.loop.timers().subscribeEvery(drainCheck, [this] { checkDrain(); });
+        m_onStopped = std::move(stopped);
+        m_drainStartedAt = m_core.clock().now();
+        m_callerServer.drain();
+        m_processContext.loop.timers().subscribeEvery(drainCheckPeriod, [this] { checkDrain(); });
     }
 
 private:
     bool isReady() const { return !m_draining && m_gateway.deployment() && m_hasUpstreams; }
 
-    void answerReadiness(const std::shared_ptr<net::Exchange> &exchange)
+    void serveReadinessProbe(const std::shared_ptr<net::Exchange> &exchange)
     {
-        if (!m_parts.isReadinessProbe(exchange->request()))
+        if (!m_processContext.isReadinessProbe(exchange->request()))
             return exchange->respond(net::textResponse(404, "", "text/plain"));
         exchange->respond(net::textResponse(isReady() ? 200 : 503, "", "text/plain"));
     }
 
-    void take(const fleet::FleetState &state)
+    void applyState(const fleet::FleetState &state)
     {
         if (state.upstreamsKnown) {
             m_hasUpstreams = true;
-            m_places.setUpstreams(state.upstreams, livingEntries(state).size());
-            dropGone(state.upstreams);
+            m_slotClient.setUpstreams(state.upstreams, liveEntries(state).size());
+            closeRemovedUpstreams(state.upstreams);
         }
         const StoreAddresses stores = storeAddresses(state);
-        m_places.setBroker(stores.leader);
+        m_slotClient.setBroker(stores.leader);
         m_jobs.setStores(stores.all, stores.leader);
         if (const auto newer = m_core.newerDeployment(state, m_deployment))
-            takeDeployment(newer);
-        // Held requests go on at once, so the places are known before.
+            applyDeployment(newer);
+        // The gateway serves held requests at once, so the slot client needs its upstreams, broker
+        // and configuration before.
         if (m_deployment && m_hasUpstreams)
             m_gateway.setDeployment(m_deployment);
     }
 
-    void takeDeployment(const std::shared_ptr<const serving::DeploymentIndex> &deployment)
+    void applyDeployment(const std::shared_ptr<const serving::DeploymentIndex> &deployment)
     {
         const bool isFirst = m_deployment == nullptr;
         m_deployment = deployment;
-        m_places.setDeployment(deployment);
-        setLimits(deployment->deployment().limits);
+        m_slotClient.setDeployment(deployment);
+        setCallerLimits(deployment->deployment().limits);
         if (isFirst)
-            m_parts.loop.timers().subscribeOnce(upstreamListWait,
-                                                [this] { m_gateway.setDeployment(m_deployment); });
+            m_processContext.loop.timers().subscribeOnce(
+                    upstreamListTimeout, [this] { m_gateway.setDeployment(m_deployment); });
     }
 
-    void setLimits(const serving::CallerLimits &limits)
+    void setCallerLimits(const serving::CallerLimits &limits)
     {
         net::ServerLimits result;
         result.maxHeaderBytes = limits.maxHeaderBytes;
@@ -121,64 +128,66 @@
         result.headerTimeout = limits.headerTimeout;
         result.idleTimeout = limits.idleTimeout;
         result.maxConnections = maxCallerConnections;
-        m_callers.setLimits(result);
+        m_callerServer.setLimits(result);
     }
 
-    /// An address may belong to an upstream of another service next.
-    void dropGone(const std::vector<wire::FleetUpstream> &upstreams)
+    /// Closes idle connections to addresses that are no longer listed, because such an address may
+    /// next belong to an upstream of another service.
+    void closeRemovedUpstreams(const std::vector<wire::FleetUpstream> &upstreams)
     {
         std::set<std::string> addresses;
         for (const wire::FleetUpstream &upstream : upstreams)
             addresses.insert(upstream.address);
-        for (const std::string &address : m_addresses) {
+        for (const std::string &address : m_upstreamAddresses) {
             if (addresses.count(address) == 0)
                 m_upstreams.closeIdleConnections(address);
         }
-        m_addresses = std::move(addresses);
+        m_upstreamAddresses = std::move(addresses);
     }
 
     void checkDrain()
     {
-        const absl::Duration drained = m_core.clock().now() - m_drainSince;
-        if (drained < drainDelay)
+        const absl::Duration drainTime = m_core.clock().now() - m_drainStartedAt;
+        if (drainTime < drainDelay)
             return;
-        m_callers.closeIdle();
-        const bool isOver = drained > m_settings.shutdownTimeout * graceShare;
-        if (m_callers.openRequests() > 0 && !isOver)
+        m_callerServer.closeIdle();
+        const bool isTimedOut = drainTime > m_settings.shutdownTimeout * drainTimeFraction;
+        if (m_callerServer.openRequests() > 0 && !isTimedOut)
             return;
-        if (const auto stopped = std::exchange(m_stopped, nullptr)) {
+        if (const auto stopped = std::exchange(m_onStopped, nullptr)) {
             log(LogLevel::Info, "drained",
-                {{"openRequests", static_cast<std::int64_t>(m_callers.openRequests())}});
-            m_core.follower().leave();
+                {{"openRequests", static_cast<std::int64_t>(m_callerServer.openRequests())}});
+            m_core.fleetClient().leave();
             stopped();
         }
     }
 
     const ProcessSettings &m_settings;
-    const ProcessContext &m_parts;
+    const ProcessContext &m_processContext;
     ProcessCore m_core;
     net::ConnectionPool m_upstreams;
-    serving::SlotClient m_places;
+    serving::SlotClient m_slotClient;
     jobs::JobClient m_jobs;
     const serving::ServingContext m_context;
     Gateway m_gateway;
-    net::Server m_callers;
-    net::Server m_readiness;
-    std::set<std::string> m_addresses;
-    /// The newest one; the gateway has it as soon as there are upstreams.
+    net::Server m_callerServer;
+    net::Server m_readinessServer;
+    std::set<std::string> m_upstreamAddresses;
+    /// Newest configuration. The gateway gets it once the list of upstreams has been received; it
+    /// gets the first configuration after upstreamListTimeout even without the list.
     std::shared_ptr<const serving::DeploymentIndex> m_deployment;
     bool m_hasUpstreams = false;
     bool m_draining = false;
-    absl::Time m_drainSince;
-    std::function<void()> m_stopped;
+    absl::Time m_drainStartedAt;
+    std::function<void()> m_onStopped;
 };
 
 } // namespace
 
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
-                                          const ProcessContext &parts)
+                                          const ProcessContext &processContext)
 {
-    return std::make_unique<EntryProcess>(settings, parts);
+    return std::make_unique<EntryProcess>(settings, processContext);
 }
 
 } // namespace rattanrill::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -9,17 +9,19 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// A process that has just started expects its configuration; requests wait for it this long.
-constexpr absl::Duration configurationWait = absl::Milliseconds(1500);
-/// Without a configuration for longer than this, none is expected soon.
-constexpr absl::Duration startTime = absl::Seconds(5);
+/// Longest time for which a request is held until the first configuration arrives.
+constexpr absl::Duration configurationTimeout = absl::Milliseconds(1500);
+/// Requests are held only within this time after the start of the process. If no configuration has
+/// arrived by then, none is expected soon.
+constexpr absl::Duration startupTime = absl::Seconds(5);
 constexpr std::size_t maxEarlyRequests = 512;
-/// Retry-After while this entry has no configuration yet, and while no store can answer.
+/// Retry-After while this entry process has no configuration yet, and while no store can respond.
 constexpr absl::Duration startRetryAfter = absl::Seconds(1);
 constexpr absl::Duration storeRetryAfter = absl::Milliseconds(500);
-/// Retry-After of a job that does not fit; items of several seconds must end before it does.
+/// Retry-After of a job that exceeds a limit on waiting work. Items that run for several seconds
+/// must end before it can be accepted.
 constexpr absl::Duration jobRetryAfter = absl::Seconds(1);
-/// Longest time for a call to the stores, beside the time that the caller lets it wait.
+/// Timeout of a call to the stores, in addition to the time for which the caller lets it wait.
 constexpr absl::Duration storeTimeout = absl::Milliseconds(2500);
 
 } // namespace
@@ -52,7 +54,7 @@
         return refuse(exchange, "", caller.failure(), absl::ZeroDuration());
     if (m_deployment)
         return route(exchange, std::move(caller.value()));
-    const bool isExpected = m_context.clock.now() - m_startedAt < startTime;
+    const bool isExpected = m_context.clock.now() - m_startedAt < startupTime;
     if (isExpected && m_early.size() < maxEarlyRequests)
         return hold(exchange, std::move(caller.value()));
     refuseEarly(exchange, caller.value());
@@ -61,11 +63,11 @@
 void Gateway::hold(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const auto early = m_early.insert(m_early.end(), {exchange, std::move(caller), 0});
-    const absl::Duration wait = std::min(configurationWait, early->caller.timeout / 2);
+    const absl::Duration wait = std::min(configurationTimeout, early->caller.timeout / 2);
     early->timer = m_context.loop.timers().subscribeOnce(wait, [this, early] {
-        const EarlyRequest late = std::move(*early);
+        const EarlyRequest expired = std::move(*early);
         m_early.erase(early);
-        refuseEarly(late.exchange, late.caller);
+        refuseEarly(expired.exchange, expired.caller);
     });
 }
 
@@ -73,7 +75,7 @@
                           const serving::CallerRequest &caller)
 {
     refuse(exchange, caller.id,
-           notRun(ErrorCode::UpstreamUnavailable, "no configuration is known yet"),
+           notRun(ErrorCode::UpstreamUnavailable, "no configuration has been received yet"),
            startRetryAfter);
 }
 
@@ -93,11 +95,11 @@
     if (needsKey && workspace == nullptr)
         return refuse(exchange, caller.id,
                       notRun(caller.apiKey.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
-                             "no workspace holds the key"),
+                             "the request has no API key of a workspace"),
                       absl::ZeroDuration());
     if (isJobCall || route->kind == serving::RouteKind::Batch) {
-        static const serving::Workspace nobody;
-        return serveJobCall(exchange, caller, workspace == nullptr ? nobody : *workspace, route);
+        static const serving::Workspace anonymous;
+        return serveJobCall(exchange, caller, workspace == nullptr ? anonymous : *workspace, route);
     }
     serving::RoutedRequest routed;
     routed.deployment = m_deployment;
@@ -119,7 +121,8 @@
         return refuse(exchange, caller.id, call.failure(), absl::ZeroDuration());
     if (auto *submission = std::get_if<serving::SubmitJobCall>(&call.value())) {
         if (route == nullptr)
-            return refuse(exchange, caller.id, notRun(ErrorCode::UnknownRoute, "no batch route"),
+            return refuse(exchange, caller.id,
+                          notRun(ErrorCode::UnknownRoute, "the request matches no batch route"),
                           absl::ZeroDuration());
         submission->job.workspace = workspace.name;
         submission->job.route = route->name;
--- a/src/gateway/processcore.cpp
+++ b/src/gateway/processcore.cpp
@@ -7,13 +7,13 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// A lost opening packet is sent again after a second; a new attempt is sooner.
+/// The kernel resends a lost SYN packet after one second; a new connection attempt is faster.
 constexpr absl::Duration peerConnectTimeout = absl::Milliseconds(300);
 constexpr absl::Duration peerMaxBackoff = absl::Milliseconds(200);
 constexpr absl::Duration peerKeepAlive = absl::Milliseconds(500);
 
-/// Upstreams come back within seconds, and a try at one that has not costs a part of the latency
-/// objective.
+/// Ejections are limited to a few seconds because upstreams recover within seconds. An attempt at
+/// an upstream that has not recovered costs a part of the latency objective.
 const policy::OutlierSettings upstreamOutlier = [] {
     policy::OutlierSettings settings;
     settings.failuresInRow = 2;
@@ -23,8 +23,8 @@
     return settings;
 }();
 
-peer::TransportOptions transport(const ProcessSettings &settings, wire::MemberRole role,
-                                 const std::string &replica)
+peer::TransportOptions transportOptions(const ProcessSettings &settings, wire::MemberRole role,
+                                        const std::string &replica)
 {
     peer::TransportOptions options;
     options.self = peer::PeerIdentity{replica, settings.failureDomain, std::string(name(role))};
@@ -35,8 +35,8 @@
     return options;
 }
 
-fleet::FleetClientSettings followerSettings(const ProcessSettings &settings, wire::MemberRole role,
-                                            const std::string &replica)
+fleet::FleetClientSettings fleetClientSettings(const ProcessSettings &settings,
+                                               wire::MemberRole role, const std::string &replica)
 {
     fleet::FleetClientSettings result;
     result.self.instance = settings.instance;
@@ -50,14 +50,15 @@
 
 } // namespace
 
-ProcessCore::ProcessCore(const ProcessSettings &settings, const ProcessContext &parts,
+ProcessCore::ProcessCore(const ProcessSettings &settings, const ProcessContext &processContext,
                          wire::MemberRole role, const std::string &replica)
     : m_settings(settings)
-    , m_parts(parts)
-    , m_channels(std::make_unique<peer::ChannelPool>(transport(settings, role, replica)))
-    , m_peerServer(std::make_unique<peer::Server>(transport(settings, role, replica)))
-    , m_follower(std::make_unique<fleet::FleetClient>(
-              parts.loop, *m_channels, followerSettings(settings, role, replica), clock()))
+    , m_processContext(processContext)
+    , m_channels(std::make_unique<peer::ChannelPool>(transportOptions(settings, role, replica)))
+    , m_peerServer(std::make_unique<peer::Server>(transportOptions(settings, role, replica)))
+    , m_fleetClient(std::make_unique<fleet::FleetClient>(
+              processContext.loop, *m_channels, fleetClientSettings(settings, role, replica),
+              clock()))
 {}
 
 ProcessCore::~ProcessCore()
@@ -70,17 +71,17 @@
     BOOST_LEAF_CHECK(m_peerServer->start(m_settings.peerHost, m_settings.peerPort));
     if (!m_settings.metricsAddress.empty()) {
         m_metricsServer = std::make_unique<net::Server>(
-                m_parts.loop,
+                m_processContext.loop,
                 [this](const std::shared_ptr<net::Exchange> &exchange) { serveMetrics(exchange); });
         BOOST_LEAF_CHECK(m_metricsServer->start(m_settings.metricsAddress));
     }
-    m_follower->start();
+    m_fleetClient->start();
     return {};
 }
 
 void ProcessCore::stop()
 {
-    m_follower->stop();
+    m_fleetClient->stop();
     m_metricsServer.reset();
     m_peerServer->stop();
     m_channels->close();
@@ -98,8 +99,9 @@
     if (state.configuration.empty()
         || (current && current->version() >= state.configurationVersion))
         return nullptr;
-    auto deployment = outcomeOf(
-            [&] { return m_parts.operatorProtocol.parseConfiguration(state.configuration); });
+    auto deployment = outcomeOf([&] {
+        return m_processContext.operatorProtocol.parseConfiguration(state.configuration);
+    });
     if (!deployment.ok()) {
         log(LogLevel::Error, "configuration-unreadable",
             {{"configurationVersion", state.configurationVersion},
@@ -110,7 +112,7 @@
         {{"configurationVersion", state.configurationVersion},
          {"formerVersion", current ? current->version() : 0},
          {"routes", static_cast<std::int64_t>(deployment.value().routes.size())},
-         {"ageMs", absl::ToInt64Milliseconds(m_follower->staleness())}});
+         {"ageMs", absl::ToInt64Milliseconds(m_fleetClient->staleness())}});
     return std::make_shared<const serving::DeploymentIndex>(std::move(deployment.value()));
 }
 
@@ -127,22 +129,22 @@
 StoreAddresses storeAddresses(const fleet::FleetState &state)
 {
     StoreAddresses stores;
-    for (const wire::FleetMemberStatus &live : state.members) {
-        if (live.member.role != wire::MemberRole::Store || !live.alive)
+    for (const wire::FleetMemberStatus &status : state.members) {
+        if (status.member.role != wire::MemberRole::Store || !status.alive)
             continue;
-        stores.all.push_back(live.member.peerAddress);
-        if (live.leadsStores)
-            stores.leader = live.member.peerAddress;
+        stores.all.push_back(status.member.peerAddress);
+        if (status.leadsStores)
+            stores.leader = status.member.peerAddress;
     }
     return stores;
 }
 
-std::vector<std::string> livingEntries(const fleet::FleetState &state)
+std::vector<std::string> liveEntries(const fleet::FleetState &state)
 {
     std::vector<std::string> entries;
-    for (const wire::FleetMemberStatus &live : state.members) {
-        if (live.member.role == wire::MemberRole::Entry && live.alive)
-            entries.push_back(live.member.instance);
+    for (const wire::FleetMemberStatus &status : state.members) {
+        if (status.member.role == wire::MemberRole::Entry && status.alive)
+            entries.push_back(status.member.instance);
     }
     return entries;
 }
--- a/src/gateway/processcore.h
+++ b/src/gateway/processcore.h
@@ -14,28 +14,29 @@
 
 namespace rattanrill::gateway {
 
-/// What every process of a deployment has: channels to the others, its place in the fleet and the
-/// metrics page.
+/// Components that each process of a deployment has: channels to the other processes, the
+/// membership in the fleet and the metrics endpoint.
 class ProcessCore
 {
 public:
-    /// \a replica: replica id of this process, or of this start of an entry.
-    ProcessCore(const ProcessSettings &settings, const ProcessContext &parts, wire::MemberRole role,
-                const std::string &replica);
+    /// \a replica: replica id of this process. An entry process generates a new one at each start.
+    ProcessCore(const ProcessSettings &settings, const ProcessContext &processContext,
+                wire::MemberRole role, const std::string &replica);
     ~ProcessCore();
 
-    /// Starts the peer server, after its methods were installed, and the metrics page.
+    /// Starts the peer server, the metrics endpoint and the fleet client. Call after the handlers
+    /// of the peer server have been installed.
     Result<void> start();
     void stop();
-    /// Decodes a new configuration for this process; null when \a state brings no newer one than
-    /// \a current, or one that can't be read.
+    /// Parses the configuration in \a state. Returns null when it is not newer than \a current or
+    /// can't be parsed.
     std::shared_ptr<const serving::DeploymentIndex>
     newerDeployment(const fleet::FleetState &state,
                     const std::shared_ptr<const serving::DeploymentIndex> &current) const;
 
     peer::ChannelPool &channels() { return *m_channels; }
     peer::Server &peerServer() { return *m_peerServer; }
-    fleet::FleetClient &follower() { return *m_follower; }
+    fleet::FleetClient &fleetClient() { return *m_fleetClient; }
     Metrics &metrics() { return m_metrics; }
     const Clock &clock() const { return SystemClock::instance(); }
 
@@ -43,18 +44,18 @@
     void serveMetrics(const std::shared_ptr<net::Exchange> &exchange);
 
     const ProcessSettings &m_settings;
-    const ProcessContext &m_parts;
+    const ProcessContext &m_processContext;
     Metrics m_metrics;
     std::unique_ptr<peer::ChannelPool> m_channels;
     std::unique_ptr<peer::Server> m_peerServer;
-    std::unique_ptr<fleet::FleetClient> m_follower;
+    std::unique_ptr<fleet::FleetClient> m_fleetClient;
     std::unique_ptr<net::Server> m_metricsServer;
 };
 
-/// Settings of a broker on this deployment.
+/// Returns the settings of a slot broker in this deployment.
 serving::SlotBrokerSettings brokerSettings(const ProcessSettings &settings);
 
-/// Peer addresses of the living stores, and of the one that leads the store group.
+/// Peer addresses of the live store processes, and of the one that leads the store group.
 struct StoreAddresses
 {
     std::vector<std::string> all;
@@ -62,7 +63,7 @@
 };
 
 StoreAddresses storeAddresses(const fleet::FleetState &state);
-/// Instances of the living entries.
-std::vector<std::string> livingEntries(const fleet::FleetState &state);
+/// Returns the instances of the live entry processes.
+std::vector<std::string> liveEntries(const fleet::FleetState &state);
 
 } // namespace rattanrill::gateway
--- a/src/gateway/runprocess.cpp
+++ b/src/gateway/runprocess.cpp
@@ -9,22 +9,22 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// The settings may change without a signal.
-constexpr absl::Duration seedsPeriod = absl::Seconds(5);
+/// Seeds are reloaded periodically because the settings may change without a signal.
+constexpr absl::Duration seedReloadPeriod = absl::Seconds(5);
 
 } // namespace
 
-int runProcess(const ProcessSettings &settings, const ProcessContext &parts, ProcessFactory make,
-               std::function<std::vector<std::string>()> readSeeds)
+int runProcess(const ProcessSettings &settings, const ProcessContext &processContext,
+               ProcessFactory make, std::function<std::vector<std::string>()> readSeeds)
 {
-    const std::unique_ptr<Process> process = make(settings, parts);
+    const std::unique_ptr<Process> process = make(settings, processContext);
     bool isStopping = false;
     const auto reload = [&, readSeeds = std::move(readSeeds)] {
         const std::vector<std::string> seeds = readSeeds();
         if (!seeds.empty() && !isStopping)
             process->setSeeds(seeds);
     };
-    parts.loop.onSignal([&](int signal) {
+    processContext.loop.onSignal([&](int signal) {
         if (signal == SIGHUP) {
             log(LogLevel::Info, "settings-reloaded");
             return reload();
@@ -32,7 +32,7 @@
         if (std::exchange(isStopping, true))
             return;
         log(LogLevel::Info, "stopping", {{"signal", signal}});
-        process->drain([&] { parts.loop.stop(); });
+        process->drain([&] { processContext.loop.stop(); });
     });
     const auto started = outcomeOf([&] { return process->start(); });
     if (!started.ok()) {
@@ -40,10 +40,10 @@
             {{"code", name(started.failure().code)}, {"detail", started.failure().detail}});
         return exitFailure;
     }
-    parts.loop.timers().subscribeEvery(seedsPeriod, reload);
+    processContext.loop.timers().subscribeEvery(seedReloadPeriod, reload);
     log(LogLevel::Info, "started",
         {{"peerAddress", settings.peerAddress()}, {"founding", settings.bootstrap}});
-    parts.loop.run();
+    processContext.loop.run();
     log(LogLevel::Info, "stopped");
     return exitOk;
 }
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -17,76 +17,84 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// Time for another replica to take the lead at a graceful stop.
-constexpr absl::Duration handOver = absl::Milliseconds(500);
-/// A list of members that is older than this says nothing about who lives.
-constexpr absl::Duration staleAfter = absl::Seconds(2);
+/// Time for another replica to become leader during a graceful stop.
+constexpr absl::Duration leadershipTransferTime = absl::Milliseconds(500);
+/// A list of members that is older than this does not show which processes are alive.
+constexpr absl::Duration maxMemberListAge = absl::Seconds(2);
 
 class StoreProcess : public Process
 {
 public:
-    StoreProcess(const ProcessSettings &settings, const ProcessContext &parts)
+    StoreProcess(const ProcessSettings &settings, const ProcessContext &processContext)
         : m_settings(settings)
-        , m_parts(parts)
-        , m_upstreams(parts.loop, net::ConnectionPoolOptions())
-        , m_broker(parts.loop.timers(), SystemClock::instance(), brokerSettings(settings))
+        , m_processContext(processContext)
+        , m_upstreams(processContext.loop, net::ConnectionPoolOptions())
+        , m_broker(processContext.loop.timers(), SystemClock::instance(), brokerSettings(settings))
     {}
 
     Result<void> start() override
     {
-        const fleet::ReplicaIdentity fresh{
+        const fleet::ReplicaIdentity newIdentity{
                 fleet::makeReplicaId(m_settings.peerAddress(), randomHex(6)), {}};
-        BOOST_LEAF_ASSIGN(m_identity, fleet::loadOrCreateIdentity(m_settings.dataFolder, fresh));
+        BOOST_LEAF_ASSIGN(m_identity,
+                          fleet::loadOrCreateIdentity(m_settings.dataFolder, newIdentity));
         log(LogLevel::Info, "replica-identity", {{"replica", m_identity.replica}});
-        m_core = std::make_unique<ProcessCore>(m_settings, m_parts, wire::MemberRole::Store,
-                                               m_identity.replica);
-        makeServices();
-        if (hasData())
+        m_core = std::make_unique<ProcessCore>(m_settings, m_processContext,
+                                               wire::MemberRole::Store, m_identity.replica);
+        createServices();
+        if (hasReplicaData())
             openReplica();
-        m_core->follower().onChange([this](const fleet::FleetState &state) { take(state); });
-        m_core->follower().setStoreReport(
-                [this](wire::FleetSyncRequest &request) { report(request); });
+        m_core->fleetClient().onChange(
+                [this](const fleet::FleetState &state) { applyState(state); });
+        m_core->fleetClient().setStoreReport(
+                [this](wire::FleetSyncRequest &request) { fillStoreReport(request); });
         return m_core->start();
     }
 
     void setSeeds(const std::vector<std::string> &seedPeers) override
     {
-        m_core->follower().setSeeds(seedPeers);
+        m_core->fleetClient().setSeeds(seedPeers);
     }
 
     void drain(std::function<void()> stopped) override
     {
         m_replica->transferLeadership();
-        m_parts.loop.timers().subscribeOnce(handOver, [this, stopped = std::move(stopped)] {
-            m_core->follower().leave();
-            m_service->leadershipChanged(false);
-            m_replica->stop();
-            m_core->stop();
-            stopped();
-        });
+        m_processContext.loop.timers().subscribeOnce(leadershipTransferTime,
+                                                     [this, stopped = std::move(stopped)] {
+                                                         m_core->fleetClient().leave();
+                                                         m_jobService->leadershipChanged(false);
+                                                         m_replica->stop();
+                                                         m_core->stop();
+                                                         stopped();
+                                                     });
     }
 
 private:
-    void makeServices()
-    {
-        fleet::GroupReplicaSettings group;
-        group.group = fleet::storeGroup;
-        group.dataFolder = m_settings.dataFolder;
-        m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
-                                                          m_core->clock());
-        const jobs::JobExecutorContext context{
-                m_parts.loop, m_core->clock(), m_core->metrics(), m_parts.protocol,
-                m_upstreams,  m_broker,        *m_replica,        m_settings.failureDomain};
-        m_executor = std::make_unique<jobs::JobExecutor>(context);
-        m_service = std::make_unique<jobs::JobService>(context, *m_executor);
+    void createServices()
+    {
+        fleet::GroupReplicaSettings groupSettings;
+        groupSettings.group = fleet::storeGroup;
+        groupSettings.dataFolder = m_settings.dataFolder;
+        m_replica = std::make_unique<fleet::GroupReplica>(m_processContext.loop, m_core->channels(),
+                                                          groupSettings, m_core->clock());
+        const jobs::JobExecutorContext context{m_processContext.loop,
+                                               m_core->clock(),
+                                               m_core->metrics(),
+                                               m_processContext.protocol,
+                                               m_upstreams,
+                                               m_broker,
+                                               *m_replica,
+                                               m_settings.failureDomain};
+        m_jobExecutor = std::make_unique<jobs::JobExecutor>(context);
+        m_jobService = std::make_unique<jobs::JobService>(context, *m_jobExecutor);
         m_replica->setCandidates([this] { return candidates(); });
         m_replica->onLeadershipChange([this](bool leads) {
             m_broker.reset();
-            m_service->leadershipChanged(leads);
-            m_core->follower().sendHeartbeat();
+            m_jobService->leadershipChanged(leads);
+            m_core->fleetClient().sendHeartbeat();
         });
         m_replica->install(m_core->peerServer());
-        m_service->install(m_core->peerServer());
+        m_jobService->install(m_core->peerServer());
         installBroker();
     }
 
@@ -95,26 +103,29 @@
         m_core->peerServer().handle(
                 wire::Method::RequestSlot,
                 [this](const peer::PeerIdentity &, std::string body, peer::ResponseCallback reply) {
-                    m_parts.loop.post([this, body = std::move(body), reply = std::move(reply)] {
-                        acquire(body, reply);
-                    });
+                    m_processContext.loop.post(
+                            [this, body = std::move(body), reply = std::move(reply)] {
+                                acquire(body, reply);
+                            });
                 });
-        installPush(wire::Method::ReleaseSlot, &StoreProcess::release);
-        installPush(wire::Method::Load, &StoreProcess::noteLoad);
-        installPush(wire::Method::ReportHeldSlots, &StoreProcess::adopt);
+        installOneWayHandler(wire::Method::ReleaseSlot, &StoreProcess::release);
+        installOneWayHandler(wire::Method::Load, &StoreProcess::updateLoad);
+        installOneWayHandler(wire::Method::ReportHeldSlots, &StoreProcess::restoreHeldSlots);
     }
 
-    void installPush(wire::Method method, void (StoreProcess::*handler)(const std::string &))
+    void installOneWayHandler(wire::Method method,
+                              void (StoreProcess::*handler)(const std::string &))
     {
         m_core->peerServer().handle(method, [this, handler](const peer::PeerIdentity &,
                                                             std::string body,
                                                             const peer::ResponseCallback &reply) {
-            m_parts.loop.post([this, handler, body = std::move(body)] { (this->*handler)(body); });
+            m_processContext.loop.post(
+                    [this, handler, body = std::move(body)] { (this->*handler)(body); });
             reply(std::string());
         });
     }
 
-    void adopt(const std::string &body)
+    void restoreHeldSlots(const std::string &body)
     {
         const auto held = outcomeOf([&] { return wire::decode<wire::HeldSlots>(body); });
         if (held.ok())
@@ -123,7 +134,7 @@
             log(LogLevel::Warning, "held-places-unreadable", {{"code", name(held.failure().code)}});
     }
 
-    void noteLoad(const std::string &body)
+    void updateLoad(const std::string &body)
     {
         const auto load = outcomeOf([&] { return wire::decode<wire::UpstreamLoad>(body); });
         if (load.ok())
@@ -153,7 +164,7 @@
             log(LogLevel::Warning, "release-unreadable", {{"code", name(request.failure().code)}});
     }
 
-    void report(wire::FleetSyncRequest &request) const
+    void fillStoreReport(wire::FleetSyncRequest &request) const
     {
         request.leadsStores = m_replica->isLeader();
         if (!request.leadsStores)
@@ -165,32 +176,34 @@
                                      status.learners.end());
     }
 
-    void take(const fleet::FleetState &state)
+    void applyState(const fleet::FleetState &state)
     {
-        join(state.storeFounders);
+        openBootstrappedReplica(state.storeFounders);
         if (const auto newer = m_core->newerDeployment(state, m_deployment)) {
             m_deployment = newer;
             m_broker.setDeployment(newer);
-            m_service->setDeployment(newer);
-            m_executor->setDeployment(newer);
+            m_jobService->setDeployment(newer);
+            m_jobExecutor->setDeployment(newer);
         }
         if (state.upstreamsKnown) {
             m_hasUpstreams = true;
             m_broker.setUpstreams(state.upstreams, serving::CapacityShare());
         }
         if (state.membersComplete)
-            m_broker.setLiveInstances(livingEntries(state));
+            m_broker.setLiveInstances(liveEntries(state));
     }
 
-    /// The replica took part before, so that it needs nobody to tell it how the group began.
-    bool hasData() const
+    /// True when the replica has stored data of the group. It then opens without the list of
+    /// founders.
+    bool hasReplicaData() const
     {
         const std::string folder = concat(m_settings.dataFolder, "/", fleet::storeGroup);
         return access(folder.c_str(), F_OK) == 0;
     }
 
-    /// A founder that loses its disk has another replica id, and joins like any other.
-    void join(const std::vector<std::string> &founders)
+    /// Opens the replica once the founders of the group are known. A founder that has lost its disk
+    /// has another replica id, and joins as any other replica does.
+    void openBootstrappedReplica(const std::vector<std::string> &founders)
     {
         if (m_replica->isOpen() || founders.empty())
             return;
@@ -217,26 +230,26 @@
     std::vector<fleet::VoterCandidate> candidates() const
     {
         std::vector<fleet::VoterCandidate> candidates;
-        const fleet::FleetState &state = m_core->follower().state();
-        if (!state.membersComplete || m_core->follower().staleness() > staleAfter)
+        const fleet::FleetState &state = m_core->fleetClient().state();
+        if (!state.membersComplete || m_core->fleetClient().staleness() > maxMemberListAge)
             return candidates;
-        for (const wire::FleetMemberStatus &live : state.members) {
-            if (live.member.role == wire::MemberRole::Store)
-                candidates.push_back({live.member.replica, live.member.failureDomain, live.alive,
-                                      live.retiring});
+        for (const wire::FleetMemberStatus &status : state.members) {
+            if (status.member.role == wire::MemberRole::Store)
+                candidates.push_back({status.member.replica, status.member.failureDomain,
+                                      status.alive, status.retiring});
         }
         return candidates;
     }
 
     const ProcessSettings &m_settings;
-    const ProcessContext &m_parts;
+    const ProcessContext &m_processContext;
     fleet::ReplicaIdentity m_identity;
     std::unique_ptr<ProcessCore> m_core;
     net::ConnectionPool m_upstreams;
     serving::SlotBroker m_broker;
     std::unique_ptr<fleet::GroupReplica> m_replica;
-    std::unique_ptr<jobs::JobExecutor> m_executor;
-    std::unique_ptr<jobs::JobService> m_service;
+    std::unique_ptr<jobs::JobExecutor> m_jobExecutor;
+    std::unique_ptr<jobs::JobService> m_jobService;
     std::shared_ptr<const serving::DeploymentIndex> m_deployment;
     bool m_hasUpstreams = false;
 };
@@ -244,9 +257,9 @@
 } // namespace
 
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessContext &parts)
+                                          const ProcessContext &processContext)
 {
-    return std::make_unique<StoreProcess>(settings, parts);
+    return std::make_unique<StoreProcess>(settings, processContext);
 }
 
 } // namespace rattanrill::gateway
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -20,7 +20,7 @@
 constexpr const char *entryAddress = "127.0.0.1:38491";
 constexpr unsigned short entryPort = 38491;
 
-/// An entry that has just started.
+/// An entry process that has just started and has no configuration yet.
 struct Fixture
 {
     Fixture()
@@ -41,8 +41,8 @@
         });
     }
 
-    /// The answer to one request.
-    static std::string ask()
+    /// Sends one request and returns the response.
+    static std::string sendRequest()
     {
         return net::rawCall(entryPort,
                             "GET /x HTTP/1.1\r\nHost: h\r\nId: 1\r\nConnection: close\r\n\r\n");
@@ -67,11 +67,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(GatewayTest, Fixture)
 
-// Guards against requests that are sent away while the configuration of an entry that has just
-// started is on its way: after a loss of power all callers would have to come back.
+// Guards against requests that are refused although the first configuration of an entry process
+// that has just started is about to arrive: after a power failure all callers would have to retry.
 BOOST_AUTO_TEST_CASE(requestWaitsForTheFirstConfiguration)
 {
-    std::thread later([this] {
+    std::thread configurationThread([this] {
         absl::SleepFor(absl::Milliseconds(150));
         thread.run([this] {
             serving::Deployment deployment;
@@ -80,17 +80,17 @@
                     std::make_shared<const serving::DeploymentIndex>(std::move(deployment)));
         });
     });
-    BOOST_TEST(ask().find("no route for host") != std::string::npos);
-    later.join();
+    BOOST_TEST(sendRequest().find("no route for host") != std::string::npos);
+    configurationThread.join();
 }
 
-// Guards against requests that are kept although no configuration comes.
+// Guards against requests that are held without end because no configuration arrives.
 BOOST_AUTO_TEST_CASE(requestWithoutAConfigurationIsRefused)
 {
     const absl::Time start = absl::Now();
-    const std::string answer = ask();
-    BOOST_TEST(answer.find("503") != std::string::npos);
-    BOOST_TEST(answer.find("no configuration is known yet") != std::string::npos);
+    const std::string response = sendRequest();
+    BOOST_TEST(response.find("503") != std::string::npos);
+    BOOST_TEST(response.find("no configuration has been received yet") != std::string::npos);
     BOOST_TEST((absl::Now() - start < absl::Seconds(3)));
 }
 
