--- a/tests/serving/deployment_test.cpp
+++ b/tests/serving/deployment_test.cpp
@@ -20,7 +20,7 @@
     return result;
 }
 
-Deployment valid()
+Deployment validDeployment()
 {
     Deployment deployment;
     deployment.version = 3;
@@ -39,12 +39,12 @@
 
 BOOST_AUTO_TEST_SUITE(DeploymentTest)
 
-BOOST_AUTO_TEST_CASE(validOneIsAccepted)
+BOOST_AUTO_TEST_CASE(validDeploymentIsAccepted)
 {
-    BOOST_TEST(isValid(valid()));
+    BOOST_TEST(isValid(validDeployment()));
 }
 
-// Guards against each kind of invalid configuration that could take effect.
+// Guards against an invalid configuration that takes effect because a check is missing.
 BOOST_AUTO_TEST_CASE(eachInvalidKindIsRefused)
 {
     const std::map<std::string, void (*)(Deployment &)> faults = {
@@ -52,8 +52,8 @@
              [](Deployment &d) {
                  d.routes[0].targets = {{"nobody", 1}};
              }},
-            {"same place", [](Deployment &d) { d.routes[1].pathPrefix = "/a/"; }},
-            {"same place but for case",
+            {"same host and prefix", [](Deployment &d) { d.routes[1].pathPrefix = "/a/"; }},
+            {"same prefix, same host in other case",
              [](Deployment &d) {
                  d.routes[1].pathPrefix = "/a/";
                  d.routes[1].host = "H.example";
@@ -70,16 +70,16 @@
             {"no slash", [](Deployment &d) { d.routes[0].pathPrefix = "/a"; }},
             {"shared key", [](Deployment &d) { d.workspaces[1].keys = {"k1"}; }},
     };
-    for (const auto &[name, spoil] : faults) {
-        Deployment deployment = valid();
-        spoil(deployment);
+    for (const auto &[name, invalidate] : faults) {
+        Deployment deployment = validDeployment();
+        invalidate(deployment);
         BOOST_TEST(!isValid(deployment), name);
     }
 }
 
-BOOST_AUTO_TEST_CASE(longestPrefixWins)
+BOOST_AUTO_TEST_CASE(routeWithLongestMatchingPrefixIsSelected)
 {
-    const DeploymentIndex index(valid());
+    const DeploymentIndex index(validDeployment());
     const auto nameAt = [&](const char *path) {
         const Route *found = index.route("h.example", path);
         return found == nullptr ? std::string() : found->name;
@@ -94,16 +94,17 @@
     BOOST_TEST((index.route("H.EXAMPLE:8080", "/a/x") != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(keysNameTheirWorkspace)
+BOOST_AUTO_TEST_CASE(keySelectsItsWorkspace)
 {
-    const DeploymentIndex index(valid());
+    const DeploymentIndex index(validDeployment());
     BOOST_TEST(index.workspaceOfKey("k2")->name == "w");
     BOOST_TEST((index.workspaceOfKey("") == nullptr));
     BOOST_TEST((index.workspaceOfKey("nobody's") == nullptr));
 }
 
-// Guards against tries of one request that reach upstreams of two services.
-BOOST_AUTO_TEST_CASE(weightsDivideRequestsAndEachStaysWithItsService)
+// Guards against attempts of one request that are sent to upstreams of different services, which
+// happens when the choice does not depend on the key alone.
+BOOST_AUTO_TEST_CASE(requestsAreDividedByWeightAndEachKeyKeepsItsService)
 {
     Route split = route("r", "/a/");
     split.targets = {{"s", 90}, {"t", 10}, {"never", 0}};
--- a/tests/serving/eventstream_test.cpp
+++ b/tests/serving/eventstream_test.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-std::vector<StreamEvent> split(const std::vector<std::string> &pieces, std::string *rest = nullptr)
+std::vector<StreamEvent> split(const std::vector<std::string> &pieces,
+                               std::string *incompleteEvent = nullptr)
 {
     EventSplitter splitter;
     std::vector<StreamEvent> events;
     for (const std::string &piece : pieces)
         splitter.feed(piece, events);
-    if (rest != nullptr)
-        *rest = splitter.incompleteEvent();
+    if (incompleteEvent != nullptr)
+        *incompleteEvent = splitter.incompleteEvent();
     return events;
 }
 
@@ -31,8 +32,9 @@
 
 BOOST_AUTO_TEST_SUITE(EventStreamTest)
 
-// Guards against an event that is cut or joined at the border of two reads.
-BOOST_AUTO_TEST_CASE(eventsAreTheSameForEverySplitOfTheirBytes)
+// Guards against an event that is truncated, or merged with the next one, where one read ends and
+// the next one begins.
+BOOST_AUTO_TEST_CASE(eventsDoNotDependOnHowTheirBytesAreSplit)
 {
     const std::string text = "id: 1\ndata: one\n\nweights-version: 2\nid: 2\ndata: a\ndata: b\n\n";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -46,7 +48,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(carriageReturnsEndLinesToo)
+BOOST_AUTO_TEST_CASE(linesMayEndWithCarriageReturnAndLineFeed)
 {
     const auto events = split({"id: 4\r\ndata: x\r\n\r\n"});
     BOOST_TEST_REQUIRE(events.size() == 1u);
@@ -54,15 +56,15 @@
     BOOST_TEST(events[0].data == "x");
 }
 
-BOOST_AUTO_TEST_CASE(incompleteEventIsKeptBack)
+BOOST_AUTO_TEST_CASE(incompleteEventIsNotDelivered)
 {
-    std::string rest;
-    BOOST_TEST(split({"id: 1\ndata: half"}, &rest).empty());
-    BOOST_TEST(rest == "id: 1\ndata: half");
+    std::string incompleteEvent;
+    BOOST_TEST(split({"id: 1\ndata: half"}, &incompleteEvent).empty());
+    BOOST_TEST(incompleteEvent == "id: 1\ndata: half");
 }
 
-// Guards against streams in which an event is missing or doubled after a resume.
-BOOST_AUTO_TEST_CASE(positionTellsRepeatsAndGaps)
+// Guards against streams in which an event is missing or repeated after a resume.
+BOOST_AUTO_TEST_CASE(repeatedAndMissingEventsAreDetected)
 {
     StreamPosition position{std::nullopt};
     BOOST_TEST((position.advance(event(1)) == SequenceCheck::InOrder));
--- a/tests/serving/proxyrequest_test.cpp
+++ b/tests/serving/proxyrequest_test.cpp
@@ -25,21 +25,22 @@
 constexpr unsigned short entryPort = 38481;
 constexpr int firstUpstreamPort = 38482;
 
-/// An upstream that follows a script: the n-th request to any upstream gets the n-th answer.
+/// A scripted response.
 struct Step
 {
-    /// Bytes that are sent, with {id} for the id of the request.
+    /// Bytes that are sent, unchanged.
     std::string bytes;
+    /// Closes the connection after the bytes.
     bool closes = false;
-    /// Milliseconds before the bytes.
+    /// Delay in milliseconds before the bytes are sent.
     int delay = 0;
 };
 
-std::string whole(const std::string &id, const std::string &body, int status = 200,
-                  const std::string &more = "")
+std::string completeResponse(const std::string &id, const std::string &body, int status = 200,
+                             const std::string &extraHeaders = "")
 {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\nId: " + id + "\r\nSigned: s-" + id + "\r\n"
-           + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+           + extraHeaders + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 std::string chunk(const std::string &text)
@@ -60,6 +61,7 @@
            + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
+/// Two upstreams that respond by a script: the n-th request, to either of them, gets the n-th step.
 class ScriptedUpstreams
 {
 public:
@@ -87,7 +89,7 @@
 private:
     using Tcp = boost::asio::ip::tcp;
 
-    /// Each connection is served on a thread of its own until it or the test ends.
+    /// Accepts connections and serves each on its own thread until the connection or the test ends.
     void serve(int port)
     {
         boost::asio::io_context context;
@@ -104,13 +106,13 @@
                 std::this_thread::sleep_for(std::chrono::milliseconds(2));
                 continue;
             }
-            connections.emplace_back([this, socket] { talk(*socket); });
+            connections.emplace_back([this, socket] { serveConnection(*socket); });
         }
         for (std::thread &connection : connections)
             connection.join();
     }
 
-    void talk(Tcp::socket &socket)
+    void serveConnection(Tcp::socket &socket)
     {
         std::string text;
         socket.non_blocking(true);
@@ -140,7 +142,8 @@
         absl::MutexLock lock(&m_mutex);
         const std::size_t number = m_requests.size();
         m_requests.push_back(std::move(request));
-        return number < m_steps.size() ? m_steps[number] : Step{whole("x", "unexpected")};
+        return number < m_steps.size() ? m_steps[number]
+                                       : Step{completeResponse("x", "unexpected")};
     }
 
     boost::asio::io_context m_context;
@@ -151,7 +154,7 @@
     std::vector<std::string> m_requests;
 };
 
-/// An entry with one route, whose places come from its own share.
+/// An entry process with one route. It has no broker, so its slots come from the local share.
 struct Entry
 {
     explicit Entry(Route route)
@@ -191,8 +194,8 @@
         });
     }
 
-    /// The answer to one request.
-    static std::string ask(const std::string &id)
+    /// Sends one request and returns the response.
+    static std::string sendRequest(const std::string &id)
     {
         return net::rawCall(entryPort,
                             "POST /x HTTP/1.1\r\nHost: h\r\nId: " + id
@@ -230,101 +233,104 @@
 
 BOOST_AUTO_TEST_SUITE(ProxyRequestTest)
 
-BOOST_AUTO_TEST_CASE(answerIsPassedOnUnchanged)
+BOOST_AUTO_TEST_CASE(responseIsForwardedUnchanged)
 {
-    ScriptedUpstreams upstreams({{whole("a", "body")}});
+    ScriptedUpstreams upstreams({{completeResponse("a", "body")}});
     Entry entry(routeOf(RouteKind::NonIdempotent, 1));
-    const std::string answer = entry.ask("a");
-    BOOST_TEST(contains(answer, "HTTP/1.1 200"));
-    BOOST_TEST(contains(answer, "Signed: s-a"));
-    BOOST_TEST(contains(answer, "\r\n\r\nbody"));
+    const std::string response = entry.sendRequest("a");
+    BOOST_TEST(contains(response, "HTTP/1.1 200"));
+    BOOST_TEST(contains(response, "Signed: s-a"));
+    BOOST_TEST(contains(response, "\r\n\r\nbody"));
     BOOST_TEST(contains(upstreams.requests().at(0), "\r\n\r\nhi"));
 }
 
-// Guards against a request that may run once only and is sent again after it may have run.
+// Guards against a request that runs twice although its route allows one run only: it is sent again
+// after a connection broke while it may have run.
 BOOST_AUTO_TEST_CASE(nonIdempotentRequestIsNotRepeated)
 {
     ScriptedUpstreams upstreams({{"", true}});
     Entry entry(routeOf(RouteKind::NonIdempotent, 3));
-    BOOST_TEST(contains(entry.ask("a"), "HTTP/1.1 502"));
+    BOOST_TEST(contains(entry.sendRequest("a"), "HTTP/1.1 502"));
     BOOST_TEST(upstreams.requests().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(refusedRequestRunsElsewhere)
+BOOST_AUTO_TEST_CASE(requestRefusedByAnUpstreamRunsAtAnother)
 {
-    ScriptedUpstreams upstreams(
-            {{whole("a", "full", 503, "Not-Run: 1\r\n")}, {whole("a", "done")}});
+    ScriptedUpstreams upstreams({{completeResponse("a", "full", 503, "Not-Run: 1\r\n")},
+                                 {completeResponse("a", "done")}});
     Entry entry(routeOf(RouteKind::NonIdempotent, 3));
-    BOOST_TEST(contains(entry.ask("a"), "done"));
+    BOOST_TEST(contains(entry.sendRequest("a"), "done"));
     BOOST_TEST(upstreams.requests().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(idempotentRequestRunsAgainAfterACutAnswer)
+BOOST_AUTO_TEST_CASE(idempotentRequestIsRetriedAfterATruncatedResponse)
 {
     ScriptedUpstreams upstreams({{"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\nha", true},
-                                 {whole("a", "whole")}});
+                                 {completeResponse("a", "whole")}});
     Entry entry(routeOf(RouteKind::Idempotent, 2));
-    const std::string answer = entry.ask("a");
-    BOOST_TEST(contains(answer, "\r\n\r\nwhole"));
-    BOOST_TEST(!contains(answer, "\r\n\r\nha"));
+    const std::string response = entry.sendRequest("a");
+    BOOST_TEST(contains(response, "\r\n\r\nwhole"));
+    BOOST_TEST(!contains(response, "\r\n\r\nha"));
 }
 
-// Guards against an answer of another request that reaches the caller.
+// Guards against the response to another request that reaches the caller.
 BOOST_AUTO_TEST_CASE(foreignAnswerIsNotDelivered)
 {
-    ScriptedUpstreams upstreams({{whole("other", "foreign") + whole("a", "mine")}});
+    ScriptedUpstreams upstreams(
+            {{completeResponse("other", "foreign") + completeResponse("a", "mine")}});
     Entry entry(routeOf(RouteKind::NonIdempotent, 1));
-    const std::string answer = entry.ask("a");
-    BOOST_TEST(contains(answer, "mine"));
-    BOOST_TEST(!contains(answer, "foreign"));
+    const std::string response = entry.sendRequest("a");
+    BOOST_TEST(contains(response, "mine"));
+    BOOST_TEST(!contains(response, "foreign"));
 }
 
-// Guards against a stream in which an event is missing, doubled or cut after its upstream broke
-// off in the middle of one.
+// Guards against a stream in which an event is missing, repeated or truncated after the connection
+// to its upstream broke in the middle of an event.
 BOOST_AUTO_TEST_CASE(resumableStreamGoesOnAtAnotherUpstream)
 {
     ScriptedUpstreams upstreams(
             {{streamHead("a") + chunk(event(1)) + chunk(event(2) + "id: 3\nda"), true},
              {streamHead("a") + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n"}});
     Entry entry(routeOf(RouteKind::Streaming, 2, true));
-    const std::string answer = entry.ask("a");
+    const std::string response = entry.sendRequest("a");
     std::string joined;
     for (int id = 1; id <= 4; ++id) {
-        const std::size_t first = answer.find(event(id));
+        const std::size_t first = response.find(event(id));
         BOOST_TEST((first != std::string::npos));
-        BOOST_TEST((answer.find(event(id), first + 1) == std::string::npos));
+        BOOST_TEST((response.find(event(id), first + 1) == std::string::npos));
     }
-    BOOST_TEST(contains(answer, "\r\n0\r\n\r\n"));
+    BOOST_TEST(contains(response, "\r\n0\r\n\r\n"));
     BOOST_TEST(contains(upstreams.requests().at(1), "After: 2"));
 }
 
-// Guards against a broken stream that looks complete.
+// Guards against a truncated stream that looks complete to the caller.
 BOOST_AUTO_TEST_CASE(streamThatMayNotGoOnIsCutOff)
 {
     ScriptedUpstreams upstreams({{streamHead("a") + chunk(event(1)), true}});
     Entry entry(routeOf(RouteKind::Streaming, 2, false));
-    const std::string answer = entry.ask("a");
-    BOOST_TEST(contains(answer, event(1)));
-    BOOST_TEST(!contains(answer, "\r\n0\r\n\r\n"));
+    const std::string response = entry.sendRequest("a");
+    BOOST_TEST(contains(response, event(1)));
+    BOOST_TEST(!contains(response, "\r\n0\r\n\r\n"));
     BOOST_TEST(upstreams.requests().size() == 1u);
 }
 
-// Guards against a silent upstream for which a caller waits until the deadline.
-BOOST_AUTO_TEST_CASE(silentUpstreamIsLeftForAFreeOne)
+// Guards against a caller that waits until the deadline for an upstream that does not respond.
+BOOST_AUTO_TEST_CASE(unresponsiveUpstreamIsReplacedByAFreeOne)
 {
-    ScriptedUpstreams upstreams({{whole("a", "late"), false, 2000}, {whole("a", "soon")}});
+    ScriptedUpstreams upstreams(
+            {{completeResponse("a", "late"), false, 2000}, {completeResponse("a", "soon")}});
     Entry entry(routeOf(RouteKind::Idempotent, 2));
-    BOOST_TEST(contains(entry.ask("a"), "soon"));
+    BOOST_TEST(contains(entry.sendRequest("a"), "soon"));
 }
 
-// Guards against a failure of the upstream that is replaced by one of our own.
-BOOST_AUTO_TEST_CASE(failureOfTheUpstreamIsPassedOn)
+// Guards against an upstream's error response that is replaced by one of the serving system.
+BOOST_AUTO_TEST_CASE(errorResponseOfAnUpstreamIsForwarded)
 {
-    ScriptedUpstreams upstreams({{whole("a", "it failed", 500)}});
+    ScriptedUpstreams upstreams({{completeResponse("a", "it failed", 500)}});
     Entry entry(routeOf(RouteKind::NonIdempotent, 3));
-    const std::string answer = entry.ask("a");
-    BOOST_TEST(contains(answer, "HTTP/1.1 500"));
-    BOOST_TEST(contains(answer, "Signed: s-a"));
+    const std::string response = entry.sendRequest("a");
+    BOOST_TEST(contains(response, "HTTP/1.1 500"));
+    BOOST_TEST(contains(response, "Signed: s-a"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/serving/slotbroker_test.cpp
+++ b/tests/serving/slotbroker_test.cpp
@@ -48,17 +48,18 @@
         return result;
     }
 
-    std::optional<wire::SlotResponse> acquire(const wire::SlotRequest &question)
+    std::optional<wire::SlotResponse> acquire(const wire::SlotRequest &slotRequest)
     {
         last.reset();
-        broker.acquire(question, [this](const wire::SlotResponse &response) { last = response; });
+        broker.acquire(slotRequest,
+                       [this](const wire::SlotResponse &response) { last = response; });
         return last;
     }
 
-    bool isGranted(const std::string &id)
+    bool tryAcquire(const std::string &id)
     {
-        const auto answer = acquire(request(id));
-        return answer && answer->verdict == SlotOutcome::Granted;
+        const auto response = acquire(request(id));
+        return response && response->verdict == SlotOutcome::Granted;
     }
 
     void release(const std::string &id) { broker.release({"e", id, "u", "served"}); }
@@ -73,19 +74,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(SlotBrokerTest, Fixture)
 
-// Guards against a workspace that gets more than its rate and burst, with what the deployment
-// allows on top, in any window, also over changes of the broker.
+// Guards against a workspace that gets more requests in some window than its rate, its burst and
+// the tolerance allow. A new broker does not know what the previous one granted.
 BOOST_AUTO_TEST_CASE(rateHoldsInEveryWindowOverChangesOfTheBroker)
 {
     std::vector<absl::Time> grants;
     for (int step = 0; step < 3000; ++step) {
         timers.advance(absl::Milliseconds(10));
-        // Two changes within one window are the most that is borne.
+        // The tolerance covers at most two replacements of the broker within one window.
         if (step == 1000 || step == 1200)
             broker.reset();
         for (int i = 0; i < 2; ++i) {
             const std::string id = std::to_string(step) + "." + std::to_string(i);
-            if (isGranted(id)) {
+            if (tryAcquire(id)) {
                 grants.push_back(clock.now());
                 release(id);
             }
@@ -100,94 +101,96 @@
     BOOST_TEST(grants.size() > 290u);
 }
 
-BOOST_AUTO_TEST_CASE(overRateSaysWhenToReturn)
+BOOST_AUTO_TEST_CASE(overRateResponseContainsRetryAfter)
 {
     timers.advance(absl::Seconds(10));
     int granted = 0;
     for (int i = 0; i < 30; ++i)
-        granted += isGranted(std::to_string(i)) ? 1 : 0;
+        granted += tryAcquire(std::to_string(i)) ? 1 : 0;
     BOOST_TEST(granted == 10);
     BOOST_TEST((last->verdict == SlotOutcome::OverRate));
     BOOST_TEST(last->retryAfterMs > 0);
     BOOST_TEST(last->retryAfterMs <= 100);
 }
 
-// Guards against tries of one request that are charged several times.
+// Guards against further attempts of a request that are charged to the rate again.
 BOOST_AUTO_TEST_CASE(furtherTryIsNotCharged)
 {
     timers.advance(absl::Seconds(10));
     for (int i = 0; i < 10; ++i)
-        BOOST_TEST(isGranted(std::to_string(i)));
-    wire::SlotRequest again = request("0~2");
-    again.chargesRate = false;
-    BOOST_TEST((acquire(again)->verdict == SlotOutcome::Granted));
+        BOOST_TEST(tryAcquire(std::to_string(i)));
+    wire::SlotRequest furtherAttempt = request("0~2");
+    furtherAttempt.chargesRate = false;
+    BOOST_TEST((acquire(furtherAttempt)->verdict == SlotOutcome::Granted));
 }
 
-// Guards against a lost broker that is noticed only after the whole wait for a place.
-BOOST_AUTO_TEST_CASE(waitingRequestIsToldSoAndKeepsItsTurn)
+// Guards against the loss of a broker that is detected only after the whole wait for a slot,
+// because a broker does not respond before its decision.
+BOOST_AUTO_TEST_CASE(waitingRequestGetsOutcomeWaitingAndItsSlotWhenRepeated)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
-    wire::SlotRequest patient = request("waits");
-    patient.objectiveMs = 5000;
-    BOOST_TEST(isGranted("runs"));
-    BOOST_TEST(!acquire(patient).has_value());
+    wire::SlotRequest waitingRequest = request("waits");
+    waitingRequest.objectiveMs = 5000;
+    BOOST_TEST(tryAcquire("runs"));
+    BOOST_TEST(!acquire(waitingRequest).has_value());
     timers.advance(settings().maxResponseDelay);
     BOOST_TEST_REQUIRE(last.has_value());
     BOOST_TEST((last->verdict == SlotOutcome::Waiting));
-    // The place becomes free between two questions.
+    // The slot becomes free while no request is pending.
     release("runs");
-    patient.again = true;
-    BOOST_TEST((acquire(patient)->verdict == SlotOutcome::Granted));
+    waitingRequest.again = true;
+    BOOST_TEST((acquire(waitingRequest)->verdict == SlotOutcome::Granted));
 }
 
-// Guards against a caller that leaves while it waits, whose asker then takes the broker for lost.
-BOOST_AUTO_TEST_CASE(releasedWhileWaitingIsAnswered)
+// Guards against a requester that takes the broker for unreachable: its caller disconnects while
+// the request waits, and the pending call gets no response.
+BOOST_AUTO_TEST_CASE(requestReleasedWhileWaitingGetsAResponse)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
-    wire::SlotRequest patient = request("waits");
-    patient.objectiveMs = 5000;
-    isGranted("runs");
-    acquire(patient);
+    wire::SlotRequest waitingRequest = request("waits");
+    waitingRequest.objectiveMs = 5000;
+    tryAcquire("runs");
+    acquire(waitingRequest);
     release("waits");
     BOOST_TEST(last.has_value());
 }
 
-// Guards against places that stay taken after the process that held them is gone.
-BOOST_AUTO_TEST_CASE(placesOfAGoneProcessAreTakenBack)
+// Guards against slots that stay occupied after the process that held them was lost.
+BOOST_AUTO_TEST_CASE(slotsOfALostProcessAreReclaimed)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
-    BOOST_TEST(isGranted("lost"));
+    BOOST_TEST(tryAcquire("lost"));
     broker.setLiveInstances({"other"});
-    BOOST_TEST(isGranted("next"));
+    BOOST_TEST(tryAcquire("next"));
 }
 
-BOOST_AUTO_TEST_CASE(silentHolderLosesItsPlaceAfterItsDeadline)
+BOOST_AUTO_TEST_CASE(unreleasedSlotIsReclaimedAfterItsDeadline)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
-    BOOST_TEST(isGranted("lost"));
+    BOOST_TEST(tryAcquire("lost"));
     timers.advance(absl::Seconds(9));
-    BOOST_TEST(isGranted("next"));
+    BOOST_TEST(tryAcquire("next"));
 }
 
-// Guards against a new broker that gives out places which entries hold.
-BOOST_AUTO_TEST_CASE(placesOfAFormerBrokerAreAdopted)
+// Guards against a new broker that grants slots which entry processes already hold.
+BOOST_AUTO_TEST_CASE(slotsGrantedByAPreviousBrokerAreAdopted)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 2, false}}, CapacityShare());
     broker.restoreHeldSlots({"e", {{"old", "llm", "w", "u", 3000}}});
-    BOOST_TEST(isGranted("new"));
-    BOOST_TEST(!isGranted("third"));
+    BOOST_TEST(tryAcquire("new"));
+    BOOST_TEST(!tryAcquire("third"));
     release("old");
-    BOOST_TEST(isGranted("fourth"));
-    // A holder that says nothing any more loses an adopted place like any other.
+    BOOST_TEST(tryAcquire("fourth"));
+    // An adopted slot that is not released is reclaimed after its deadline, as any other slot is.
     broker.restoreHeldSlots({"f", {{"lost", "llm", "w", "u", 100}}});
     timers.advance(absl::Seconds(4));
     release("new");
     release("fourth");
-    BOOST_TEST(isGranted("fifth"));
-    BOOST_TEST(isGranted("sixth"));
+    BOOST_TEST(tryAcquire("fifth"));
+    BOOST_TEST(tryAcquire("sixth"));
 }
 
-BOOST_AUTO_TEST_CASE(batchWorkIsToldToLeave)
+BOOST_AUTO_TEST_CASE(batchTaskIsPreemptedByAnOnlineRequest)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
     policy::SlotTask task;
@@ -201,7 +204,7 @@
     handlers.preempted = [&] { events += "yield"; };
     broker.acquireBatch(task, handlers);
     BOOST_TEST(events == "granted ");
-    BOOST_TEST(isGranted("online"));
+    BOOST_TEST(tryAcquire("online"));
     BOOST_TEST(events == "granted yield");
 }
 
--- a/tests/serving/testprotocoladapter.h
+++ b/tests/serving/testprotocoladapter.h
@@ -6,7 +6,8 @@
 
 namespace rattanrill::serving {
 
-/// Headers with short names, so that the tests stand apart from any deployment's.
+/// Protocol adapter with short header names, so that the tests do not depend on the protocol of a
+/// deployment.
 class TestProtocolAdapter : public ProtocolAdapter
 {
 public:
@@ -33,10 +34,10 @@
     }
     ResponseInfo parseResponse(const net::ResponseHead &head) const override
     {
-        ResponseInfo facts;
-        facts.requestId = std::string(head.headers.value("Id"));
-        facts.notRun = head.headers.find("Not-Run") != nullptr;
-        return facts;
+        ResponseInfo info;
+        info.requestId = std::string(head.headers.value("Id"));
+        info.notRun = head.headers.find("Not-Run") != nullptr;
+        return info;
     }
     bool isEventStream(const net::ResponseHead &head) const override
     {
