--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -12,16 +12,17 @@
 namespace rattanrill::engine {
 namespace {
 
+/// Longer bodies of error answers are cut off at about this size.
 constexpr std::size_t maxErrorBytes = 64u << 10;
 constexpr int statusOk = 200;
-constexpr absl::Duration shortestTimeout = absl::Milliseconds(1);
-/// Socket timeouts that stand for the deadline may fire this much before it.
-constexpr absl::Duration timerRounding = absl::Milliseconds(2);
+constexpr absl::Duration minTimeout = absl::Milliseconds(1);
+/// A socket timeout that was set to the time until the deadline may fire this long before it.
+constexpr absl::Duration timerTolerance = absl::Milliseconds(2);
 
 void setTimeouts(httplib::Client &client, absl::Duration connect, absl::Duration read)
 {
     const auto micros = [](absl::Duration duration) {
-        return static_cast<time_t>(absl::ToInt64Microseconds(std::max(duration, shortestTimeout)));
+        return static_cast<time_t>(absl::ToInt64Microseconds(std::max(duration, minTimeout)));
     };
     constexpr time_t second = 1000000;
     client.set_connection_timeout(micros(connect) / second, micros(connect) % second);
@@ -37,7 +38,7 @@
            || error == httplib::Error::BindIPAddress;
 }
 
-/// "error" object of a typed answer; null otherwise.
+/// Returns the "error" object of an error answer; null when \a body contains none.
 Json errorOf(const std::string &body)
 {
     const Json answer = Json::parse(body, nullptr, false);
@@ -72,17 +73,19 @@
     const auto parsed =
             std::from_chars(hash.data(), hash.data() + hash.size(), event.prefixHash, hexadecimal);
     if (parsed.ec != std::errc())
-        return fail(notRun(ErrorCode::UpstreamFailed, "a cache event has no prefix hash"));
+        return fail(notRun(ErrorCode::UpstreamFailed,
+                           "the \"prefix_hash\" of a cache event is not a hexadecimal number"));
     return event;
 }
 
-/// Only the engine can say that nothing ran once the request was sent.
+/// Returns the failure for an answer with the HTTP status \a status. The request was sent, so the
+/// failure is NotRun only when the engine reports that the request did not run.
 Failure failureOfStatus(const std::string &engine, int status, const std::string &body)
 {
     const Json error = errorOf(body);
-    const bool notRunStated = error.is_object() && error.value("run", Json()) == Json("not_run");
+    const bool reportsNotRun = error.is_object() && error.value("run", Json()) == Json("not_run");
     const std::string detail = concat("engine \"", engine, "\" answered with status ", status);
-    if (notRunStated)
+    if (reportsNotRun)
         return notRun(codeOfStatus(status), detail);
     return mayHaveRun(codeOfStatus(status), detail);
 }
@@ -119,7 +122,8 @@
         return mayHaveRun(ErrorCode::StreamBroken, detail);
     }
 
-    /// A short call whose answer is a JSON object.
+    /// Makes a short call and returns the JSON value of the answer, which is not checked further;
+    /// it is a discarded value when the body is not JSON.
     Outcome<Json> call(const std::string &method, const std::string &path, const Json &body) const
     {
         httplib::Client client(options.host, options.port);
@@ -147,7 +151,7 @@
 
 namespace {
 
-/// State of one running stream call.
+/// State of one stream() call while it runs.
 class StreamCall
 {
 public:
@@ -166,43 +170,45 @@
         const absl::Duration remaining = m_request.deadline - m_clock.now();
         setTimeouts(m_client, std::min(m_options.connectTimeout, remaining),
                     std::min(m_options.idleTimeout, remaining));
-        httplib::Request http = makeRequest(abortSignal);
+        httplib::Request httpRequest = makeRequest(abortSignal);
         abortSignal.setAbortAction([this] { m_client.stop(); });
-        const httplib::Result result = m_client.send(http);
+        const httplib::Result result = m_client.send(httpRequest);
         abortSignal.setAbortAction(nullptr);
         return result ? httplib::Error::Success : result.error();
     }
 
+    /// HTTP status of the answer; 0 when none arrived.
     int status() const { return m_status; }
     const std::string &errorBody() const { return m_errorBody; }
     const StreamReader &reader() const { return m_reader; }
-    bool late() const { return m_clock.now() + timerRounding >= m_request.deadline; }
+    bool deadlineReached() const { return m_clock.now() + timerTolerance >= m_request.deadline; }
 
 private:
     httplib::Request makeRequest(AbortSignal &abortSignal)
     {
-        httplib::Request http;
-        http.method = "POST";
-        http.path = m_request.path;
-        http.body = m_body;
-        http.set_header("Content-Type", "application/json");
-        http.set_header("Accept", "text/event-stream");
-        http.set_header("X-Request-Id", m_request.requestId);
-        http.response_handler = [this](const httplib::Response &response) {
+        httplib::Request httpRequest;
+        httpRequest.method = "POST";
+        httpRequest.path = m_request.path;
+        httpRequest.body = m_body;
+        httpRequest.set_header("Content-Type", "application/json");
+        httpRequest.set_header("Accept", "text/event-stream");
+        httpRequest.set_header("X-Request-Id", m_request.requestId);
+        httpRequest.response_handler = [this](const httplib::Response &response) {
             m_status = response.status;
             return true;
         };
-        http.content_receiver = [this, &abortSignal](const char *data, std::size_t size,
-                                                     std::uint64_t, std::uint64_t) {
-            return receive(std::string_view(data, size)) && !abortSignal.aborted();
+        httpRequest.content_receiver = [this, &abortSignal](const char *data, std::size_t size,
+                                                            std::uint64_t, std::uint64_t) {
+            return handleBodyBytes(std::string_view(data, size)) && !abortSignal.aborted();
         };
-        return http;
+        return httpRequest;
     }
 
-    bool receive(std::string_view bytes)
+    /// Returns false when the rest of the answer is not needed.
+    bool handleBodyBytes(std::string_view bytes)
     {
         if (m_status == statusOk)
-            return m_reader.feed(bytes) && !m_reader.complete() && !late();
+            return m_reader.feed(bytes) && !m_reader.complete() && !deadlineReached();
         if (m_errorBody.size() < maxErrorBytes)
             m_errorBody += bytes;
         return true;
@@ -235,7 +241,7 @@
                                             const TokenHandler &onToken)
 {
     if (abortSignal.aborted())
-        return notRun(ErrorCode::ClientDisconnected, "the request was given up before it was sent");
+        return notRun(ErrorCode::ClientDisconnected, "the request was aborted before it was sent");
     const Outcome<std::string> body = m_impl->streamBody(request);
     if (!body.ok())
         return body.failure();
@@ -244,7 +250,7 @@
     StreamCall call(m_impl->options, request, body.value(), m_impl->clock, onToken);
     const httplib::Error error = call.run(abortSignal);
     m_impl->dropped += call.reader().dropped();
-    if (failedBeforeSending(error) && call.late())
+    if (failedBeforeSending(error) && call.deadlineReached())
         return notRun(ErrorCode::Timeout, "the deadline passed before the request was sent");
     if (failedBeforeSending(error))
         return m_impl->transportFailure(error);
@@ -253,8 +259,8 @@
     if (call.reader().complete())
         return call.reader().finish();
     if (abortSignal.aborted())
-        return mayHaveRun(ErrorCode::ClientDisconnected, "the request was given up while it ran");
-    if (call.late())
+        return mayHaveRun(ErrorCode::ClientDisconnected, "the request was aborted while it ran");
+    if (call.deadlineReached())
         return mayHaveRun(ErrorCode::Timeout, "the deadline passed while the request ran");
     if (error == httplib::Error::Success || error == httplib::Error::Canceled)
         return call.reader().finish();
@@ -326,8 +332,8 @@
 Outcome<Done> EngineClient::probe()
 {
     Outcome<Json> answer = m_impl->call("GET", "/healthz", Json());
-    // A process that is just ending may still take a connection and lose it without an answer. The
-    // second call then finds nothing that listens.
+    // A process that is stopping may still accept a connection and then close it without an
+    // answer. When the call is repeated, nothing listens any more and the connection is refused.
     if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
         answer = m_impl->call("GET", "/healthz", Json());
     if (!answer.ok())
--- a/src/engine/streamreader.cpp
+++ b/src/engine/streamreader.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 constexpr std::string_view dataPrefix = "data:";
-constexpr std::string_view doneMark = "[DONE]";
-/// A longer line is no event of the protocol; the bound keeps a faulty engine from filling memory.
+constexpr std::string_view doneMarker = "[DONE]";
+/// Events of the protocol are shorter. The limit prevents a faulty engine from exhausting memory.
 constexpr std::size_t maxLineBytes = 4u << 20;
-/// After this many foreign events in a row the stream belongs to another request; waiting for its
-/// end would only delay the next try.
+/// After this many consecutive dropped events, the stream is taken to belong to another request.
+/// Reading it to its end would only delay the next attempt.
 constexpr std::uint64_t maxDroppedInRow = 16;
 
 std::string_view trimmed(std::string_view text)
@@ -29,7 +29,7 @@
                                                          : std::string();
 }
 
-/// Text of a choice of either endpoint.
+/// Returns the text of a choice, either of the chat or of the completions endpoint.
 std::string textOf(const Json &choice)
 {
     const auto delta = choice.find("delta");
@@ -50,13 +50,13 @@
 
 StreamReader::StreamReader(std::string requestId, std::uint64_t resumeAfter, TokenHandler onToken)
     : m_requestId(std::move(requestId))
-    , m_next(resumeAfter)
+    , m_nextIndex(resumeAfter)
     , m_onToken(std::move(onToken))
 {}
 
 bool StreamReader::feed(std::string_view bytes)
 {
-    if (!m_broken.empty())
+    if (!m_breakReason.empty())
         return false;
     m_buffer += bytes;
     std::size_t start = 0;
@@ -74,13 +74,13 @@
 
 Outcome<StreamSummary> StreamReader::finish() const
 {
-    if (!m_broken.empty())
-        return mayHaveRun(ErrorCode::StreamBroken, m_broken);
+    if (!m_breakReason.empty())
+        return mayHaveRun(ErrorCode::StreamBroken, m_breakReason);
     if (!m_done)
         return mayHaveRun(ErrorCode::StreamBroken, "the stream ended without [DONE]");
-    if (!m_end)
+    if (!m_summary)
         return mayHaveRun(ErrorCode::StreamBroken, "the stream ended without a finish reason");
-    return *m_end;
+    return *m_summary;
 }
 
 bool StreamReader::handleLine(std::string_view line)
@@ -88,7 +88,7 @@
     if (m_done || line.substr(0, dataPrefix.size()) != dataPrefix)
         return true;
     const std::string_view data = trimmed(line.substr(dataPrefix.size()));
-    if (data == doneMark) {
+    if (data == doneMarker) {
         m_done = true;
         return true;
     }
@@ -101,20 +101,20 @@
 bool StreamReader::handleEvent(const Json &event)
 {
     if (stringAt(event, "request_id") != m_requestId)
-        return drop();
-    if (m_end)
-        return drop();
+        return dropEvent();
+    if (m_summary)
+        return dropEvent();
     const Json *choice = firstChoice(event);
     if (choice == nullptr)
         return breakStream("an event has no choice");
     const std::string text = textOf(*choice);
     const std::string reason = stringAt(*choice, "finish_reason");
-    // The last event may carry no token; it still must not skip one.
+    // The last event may carry no token. handleEnd() checks that no token is missing before it.
     if ((reason.empty() || !text.empty()) && !handleToken(event, text))
         return false;
-    if (!reason.empty() && m_broken.empty())
+    if (!reason.empty() && m_breakReason.empty())
         handleEnd(event, reason);
-    return m_broken.empty();
+    return m_breakReason.empty();
 }
 
 bool StreamReader::handleToken(const Json &event, const std::string &text)
@@ -123,12 +123,13 @@
     if (index == event.end() || !index->is_number_integer())
         return breakStream("an event has no token index");
     const auto position = index->get<std::uint64_t>();
-    if (position < m_next)
-        return drop();
-    if (position > m_next)
-        return breakStream(concat("token ", m_next, " is missing, token ", position, " arrived"));
+    if (position < m_nextIndex)
+        return dropEvent();
+    if (position > m_nextIndex)
+        return breakStream(
+                concat("token ", m_nextIndex, " is missing, token ", position, " arrived"));
     m_droppedInRow = 0;
-    ++m_next;
+    ++m_nextIndex;
     m_onToken(Token{position, text});
     return true;
 }
@@ -137,20 +138,20 @@
 {
     const auto index = event.find("index");
     if (index != event.end() && index->is_number_integer()
-        && index->get<std::uint64_t>() > m_next) {
-        breakStream(concat("token ", m_next, " is missing at the end"));
+        && index->get<std::uint64_t>() > m_nextIndex) {
+        breakStream(concat("token ", m_nextIndex, " is missing at the end"));
         return;
     }
     StreamSummary end;
     end.finishReason = reason;
-    end.tokens = m_next;
+    end.tokens = m_nextIndex;
     const auto usage = event.find("usage");
     if (usage != event.end() && usage->is_object())
         end.usage = dumpJson(*usage);
-    m_end = std::move(end);
+    m_summary = std::move(end);
 }
 
-bool StreamReader::drop()
+bool StreamReader::dropEvent()
 {
     ++m_dropped;
     if (++m_droppedInRow >= maxDroppedInRow)
@@ -160,7 +161,7 @@
 
 bool StreamReader::breakStream(std::string reason)
 {
-    m_broken = std::move(reason);
+    m_breakReason = std::move(reason);
     return false;
 }
 
--- a/src/engine/streamreader.h
+++ b/src/engine/streamreader.h
@@ -12,8 +12,8 @@
 namespace rattanrill::engine {
 
 /// Reads the server-sent events of one completion stream and checks that each belongs to the
-/// request and continues it. An event of another request and a repeated token are dropped and
-/// counted; a gap or an end without "[DONE]" is a broken stream.
+/// request and continues it. Events of other requests and repeated tokens are dropped and
+/// counted. A gap between tokens and an end without "[DONE]" break the stream.
 class StreamReader
 {
 public:
@@ -21,29 +21,37 @@
 
     StreamReader(std::string requestId, std::uint64_t resumeAfter, TokenHandler onToken);
 
-    /// Takes the next bytes of the body; false when the stream is broken.
+    /// Processes the next bytes of the body. Returns false when the stream is broken.
     bool feed(std::string_view bytes);
-    /// How the stream ended. Fails with StreamBroken when it is not complete.
+    /// Returns how the stream ended. Fails with StreamBroken when it is broken or not complete.
     Outcome<StreamSummary> finish() const;
+    /// Number of dropped events.
     std::uint64_t dropped() const { return m_dropped; }
-    /// "[DONE]" has arrived.
+    /// Whether "[DONE]" has arrived.
     bool complete() const { return m_done; }
 
 private:
+    // The handle functions and dropEvent() return false when the stream is broken.
     bool handleLine(std::string_view line);
     bool handleEvent(const Json &event);
     bool handleToken(const Json &event, const std::string &text);
     void handleEnd(const Json &event, const std::string &reason);
-    bool drop();
+    bool dropEvent();
+    /// Marks the stream as broken. Always returns false.
     bool breakStream(std::string reason);
 
     std::string m_requestId;
-    std::uint64_t m_next;
+    /// Index of the next token.
+    std::uint64_t m_nextIndex;
     TokenHandler m_onToken;
+    /// Bytes of a line that is not complete yet.
     std::string m_buffer;
-    std::optional<StreamSummary> m_end;
-    std::string m_broken;
+    /// Set by the event with a finish reason.
+    std::optional<StreamSummary> m_summary;
+    /// Why the stream is broken; empty while it is not.
+    std::string m_breakReason;
     std::uint64_t m_dropped = 0;
+    /// Dropped events since the last token that was passed on.
     std::uint64_t m_droppedInRow = 0;
     bool m_done = false;
 };
