--- a/src/service/credentials.cpp
+++ b/src/service/credentials.cpp
@@ -24,9 +24,9 @@
 {
     std::string decoded;
     for (std::size_t i = 0; i < text.size(); ++i) {
-        const bool escape = text[i] == '%' && i + 2 < text.size() && hexValue(text[i + 1]) >= 0
-                            && hexValue(text[i + 2]) >= 0;
-        if (!escape) {
+        const bool isEscape = text[i] == '%' && i + 2 < text.size() && hexValue(text[i + 1]) >= 0
+                              && hexValue(text[i + 2]) >= 0;
+        if (!isEscape) {
             decoded += text[i] == '+' ? ' ' : text[i];
             continue;
         }
@@ -36,7 +36,8 @@
     return decoded;
 }
 
-/// Lower case without "-" and "_", so that one name covers its spellings.
+/// Decodes \a name, converts it to lower case and removes "-" and "_", so that one entry of
+/// credentialNames covers all spellings.
 std::string normalized(std::string_view name)
 {
     std::string result;
@@ -51,8 +52,8 @@
 
 bool isCredentialParameter(std::string_view name)
 {
-    const std::string plain = normalized(name);
-    return std::find(credentialNames.begin(), credentialNames.end(), plain)
+    const std::string normalizedName = normalized(name);
+    return std::find(credentialNames.begin(), credentialNames.end(), normalizedName)
            != credentialNames.end();
 }
 
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -12,15 +12,16 @@
 
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
-constexpr absl::Duration shortestTimeout = absl::Milliseconds(1);
-/// Bound for a request without a deadline; a connection must not hold a thread for ever.
-constexpr absl::Duration longestCall = absl::Minutes(10);
+constexpr absl::Duration minTimeout = absl::Milliseconds(1);
+/// Socket timeout of a request without a deadline, so that a silent connection can't block its
+/// thread for ever.
+constexpr absl::Duration maxTimeout = absl::Minutes(10);
 
 void setTimeouts(httplib::Client &client, absl::Duration connect, absl::Duration read)
 {
     const auto micros = [](absl::Duration duration) {
         return static_cast<time_t>(
-                absl::ToInt64Microseconds(std::clamp(duration, shortestTimeout, longestCall)));
+                absl::ToInt64Microseconds(std::clamp(duration, minTimeout, maxTimeout)));
     };
     constexpr time_t second = 1000000;
     client.set_connection_timeout(micros(connect) / second, micros(connect) % second);
@@ -37,7 +38,7 @@
            || error == httplib::Error::BindIPAddress;
 }
 
-bool saysNotRun(const std::string &body)
+bool reportsNotRun(const std::string &body)
 {
     const Json answer = Json::parse(body, nullptr, false);
     if (!answer.is_object() || !answer.contains("error") || !answer.at("error").is_object())
@@ -45,8 +46,8 @@
     return answer.at("error").value("run", Json()) == Json("not_run");
 }
 
-/// Request id that the answer names; empty when it names none.
-std::string answeredId(const httplib::Response &response)
+/// Returns the request id that the answer carries; empty when it carries none.
+std::string responseRequestId(const httplib::Response &response)
 {
     if (response.has_header("X-Request-Id"))
         return response.get_header_value("X-Request-Id");
@@ -68,14 +69,14 @@
         , clock(clock)
     {}
 
-    std::string described() const
+    std::string description() const
     {
         return concat("service \"", options.name, "\" at ", options.host, ":", options.port);
     }
 
     Failure transportFailure(httplib::Error error, absl::Time deadline) const
     {
-        const std::string detail = concat(described(), ": ", httplib::to_string(error));
+        const std::string detail = concat(description(), ": ", httplib::to_string(error));
         if (failedBeforeSending(error))
             return notRun(ErrorCode::UpstreamUnavailable, detail);
         if (clock.now() >= deadline)
@@ -83,16 +84,16 @@
         return mayHaveRun(ErrorCode::ConnectionLost, detail);
     }
 
-    Outcome<ServiceResponse> checkedAnswer(const ServiceRequest &request,
+    Outcome<ServiceResponse> checkResponse(const ServiceRequest &request,
                                            const httplib::Response &response)
     {
-        if (response.status == statusUnavailable && saysNotRun(response.body))
-            return notRun(ErrorCode::UpstreamBusy, concat(described(), " is busy"));
-        const std::string id = answeredId(response);
+        if (response.status == statusUnavailable && reportsNotRun(response.body))
+            return notRun(ErrorCode::UpstreamBusy, concat(description(), " is busy"));
+        const std::string id = responseRequestId(response);
         if (!id.empty() && id != request.requestId) {
             ++dropped;
             return mayHaveRun(ErrorCode::UpstreamFailed,
-                              concat(described(), " gave the answer to another request"));
+                              concat(description(), " sent the answer to another request"));
         }
         return ServiceResponse{response.status, response.get_header_value("Content-Type"),
                                response.body};
@@ -107,16 +108,17 @@
 
 httplib::Request makeRequest(const ServiceRequest &request)
 {
-    httplib::Request http;
-    http.method = request.method;
-    http.path = request.query.empty() ? request.path : concat(request.path, "?", request.query);
-    http.body = request.body;
+    httplib::Request httpRequest;
+    httpRequest.method = request.method;
+    httpRequest.path =
+            request.query.empty() ? request.path : concat(request.path, "?", request.query);
+    httpRequest.body = request.body;
     if (!request.contentType.empty())
-        http.set_header("Content-Type", request.contentType);
-    http.set_header("X-Request-Id", request.requestId);
+        httpRequest.set_header("Content-Type", request.contentType);
+    httpRequest.set_header("X-Request-Id", request.requestId);
     if (!request.workspace.empty())
-        http.set_header("X-Workspace", request.workspace);
-    return http;
+        httpRequest.set_header("X-Workspace", request.workspace);
+    return httpRequest;
 }
 
 } // namespace
@@ -139,10 +141,11 @@
         return notRun(ErrorCode::Timeout, "the deadline passed before the request was sent");
     httplib::Client client(m_impl->options.host, m_impl->options.port);
     setTimeouts(client, std::min(m_impl->options.connectTimeout, remaining), remaining);
-    httplib::Request http = makeRequest(request);
+    httplib::Request httpRequest = makeRequest(request);
     std::string body;
     bool tooLong = false;
-    http.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
+    httpRequest.content_receiver = [&](const char *data, std::size_t size, std::uint64_t,
+                                       std::uint64_t) {
         tooLong = body.size() + size > m_impl->options.maxResponseBytes;
         if (tooLong || m_impl->clock.now() >= request.deadline)
             return false;
@@ -151,14 +154,15 @@
     };
     httplib::Response response;
     httplib::Error error = httplib::Error::Success;
-    if (!client.send(http, response, error)) {
+    if (!client.send(httpRequest, response, error)) {
         if (tooLong)
-            return mayHaveRun(ErrorCode::UpstreamFailed,
-                              concat(m_impl->described(), " sent too long an answer"));
+            return mayHaveRun(
+                    ErrorCode::UpstreamFailed,
+                    concat(m_impl->description(), " sent an answer that exceeds the maximum size"));
         return m_impl->transportFailure(error, request.deadline);
     }
     response.body = std::move(body);
-    return m_impl->checkedAnswer(request, response);
+    return m_impl->checkResponse(request, response);
 }
 
 Outcome<ServiceLoadReport> ServiceClient::load()
@@ -170,7 +174,8 @@
         return m_impl->transportFailure(result.error(), absl::InfiniteFuture());
     if (result->status != statusOk)
         return notRun(ErrorCode::UpstreamFailed,
-                      concat(m_impl->described(), " answered its load with ", result->status));
+                      concat(m_impl->description(), " answered the load request with status ",
+                             result->status));
     return outcomeOf([&]() -> Result<ServiceLoadReport> {
         BOOST_LEAF_AUTO(answer, parseJson(result->body, "load report"));
         ServiceLoadReport load;
@@ -185,8 +190,8 @@
 Outcome<Done> ServiceClient::probe()
 {
     Outcome<ServiceLoadReport> answer = load();
-    // A process that is just ending may still take a connection and lose it without an answer. The
-    // second call then finds nothing that listens.
+    // A process that is stopping may still accept a connection and then close it without an
+    // answer. When the call is repeated, nothing listens any more and the connection is refused.
     if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
         answer = load();
     if (!answer.ok())
