--- a/tests/platform/operator_test.cpp
+++ b/tests/platform/operator_test.cpp
@@ -26,7 +26,7 @@
 
 const PlatformOperatorAdapter adapter;
 
-Outcome<fleet::OperatorCall> put(const std::string &body)
+Outcome<fleet::OperatorCall> parsePutConfiguration(const std::string &body)
 {
     net::Request request;
     request.method = "POST";
@@ -39,75 +39,80 @@
 
 BOOST_AUTO_TEST_SUITE(PlatformOperatorAdapterTest)
 
-BOOST_AUTO_TEST_CASE(configurationIsRead)
+BOOST_AUTO_TEST_CASE(configurationIsParsed)
 {
-    const auto call = put(document);
+    const auto call = parsePutConfiguration(document);
     BOOST_REQUIRE(call.ok());
     const auto &parsed = std::get<fleet::PutConfigurationCall>(call.value());
     BOOST_TEST(parsed.document == document);
     const serving::Deployment &deployment = parsed.deployment;
     BOOST_TEST(deployment.version == 7u);
     BOOST_TEST_REQUIRE(deployment.routes.size() == 2u);
-    const serving::Route &stream = deployment.routes[0];
-    BOOST_TEST((stream.kind == serving::RouteKind::Streaming));
-    BOOST_TEST(stream.targets.size() == 2u);
-    BOOST_TEST((stream.interEventObjective == absl::Milliseconds(250)));
-    BOOST_TEST(stream.maxAttempts == 2);
-    BOOST_TEST(stream.resumable);
-    const serving::Route &batch = deployment.routes[1];
-    BOOST_TEST((batch.kind == serving::RouteKind::Batch));
-    BOOST_TEST(batch.maxWaitingTokens == 740000);
-    BOOST_TEST((batch.completionObjective == absl::Seconds(18)));
-    BOOST_TEST((batch.abandonAfter == absl::Seconds(40)));
+    const serving::Route &streamingRoute = deployment.routes[0];
+    BOOST_TEST((streamingRoute.kind == serving::RouteKind::Streaming));
+    BOOST_TEST(streamingRoute.targets.size() == 2u);
+    BOOST_TEST((streamingRoute.interEventObjective == absl::Milliseconds(250)));
+    BOOST_TEST(streamingRoute.maxAttempts == 2);
+    BOOST_TEST(streamingRoute.resumable);
+    const serving::Route &batchRoute = deployment.routes[1];
+    BOOST_TEST((batchRoute.kind == serving::RouteKind::Batch));
+    BOOST_TEST(batchRoute.maxWaitingTokens == 740000);
+    BOOST_TEST((batchRoute.completionObjective == absl::Seconds(18)));
+    BOOST_TEST((batchRoute.abandonAfter == absl::Seconds(40)));
     BOOST_TEST(deployment.services[0].engineSlots == 8);
     BOOST_TEST(deployment.workspaces[0].keys.size() == 2u);
     BOOST_TEST(deployment.workspaces[0].ratePerSecond == 45);
     BOOST_TEST(deployment.limits.maxBodyBytes == 2000u);
 }
 
-// Guards against a configuration that is cut short or misread and taken all the same.
-BOOST_AUTO_TEST_CASE(unreadableConfigurationsAreRefusedWhole)
+// Guards against a configuration that is accepted although it is truncated or a part of it has the
+// wrong type.
+BOOST_AUTO_TEST_CASE(invalidConfigurationsAreRefusedAsAWhole)
 {
     for (std::size_t size = 0; size < document.size() - 1; size += 17)
-        BOOST_TEST(!put(document.substr(0, size)).ok());
-    BOOST_TEST(!put(R"({"routes":[]})").ok());
-    BOOST_TEST(!put(R"({"version":"7"})").ok());
-    BOOST_TEST(!put(R"({"version":7,"routes":{}})").ok());
-    BOOST_TEST(!put(R"({"version":7,"routes":[{"name":"r"}]})").ok());
-    BOOST_TEST(!put(R"({"version":7,"tenants":[{"name":"w","api-keys":[1]}]})").ok());
+        BOOST_TEST(!parsePutConfiguration(document.substr(0, size)).ok());
+    BOOST_TEST(!parsePutConfiguration(R"({"routes":[]})").ok());
+    BOOST_TEST(!parsePutConfiguration(R"({"version":"7"})").ok());
+    BOOST_TEST(!parsePutConfiguration(R"({"version":7,"routes":{}})").ok());
+    BOOST_TEST(!parsePutConfiguration(R"({"version":7,"routes":[{"name":"r"}]})").ok());
+    BOOST_TEST(!parsePutConfiguration(R"({"version":7,"tenants":[{"name":"w","api-keys":[1]}]})")
+                        .ok());
 }
 
-BOOST_AUTO_TEST_CASE(otherCallsAreRead)
+BOOST_AUTO_TEST_CASE(otherCallsAreParsed)
 {
-    const auto read = [](const std::string &method, const std::string &target) {
+    const auto parse = [](const std::string &method, const std::string &target) {
         net::Request request;
         request.method = method;
         request.target = target;
         return outcomeOf([&] { return adapter.parseCall(request); });
     };
     BOOST_TEST(std::holds_alternative<fleet::ReadConfigurationCall>(
-            read("GET", "/Config.Get").value()));
-    BOOST_TEST(std::get<fleet::StartRetirementCall>(read("POST", "/Retire.Start/store-1").value())
+            parse("GET", "/Config.Get").value()));
+    BOOST_TEST(std::get<fleet::StartRetirementCall>(parse("POST", "/Retire.Start/store-1").value())
                        .instance
                == "store-1");
-    BOOST_TEST(
-            std::get<fleet::ReadRetirementCall>(read("GET", "/Retire.Get/store-1").value()).instance
-            == "store-1");
-    BOOST_TEST(!read("GET", "/Retire.Get/").ok());
-    BOOST_TEST(!read("GET", "/elsewhere").ok());
+    BOOST_TEST(std::get<fleet::ReadRetirementCall>(parse("GET", "/Retire.Get/store-1").value())
+                       .instance
+               == "store-1");
+    BOOST_TEST(!parse("GET", "/Retire.Get/").ok());
+    BOOST_TEST(!parse("GET", "/elsewhere").ok());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(InstanceListClientTest)
 
-// Guards against an entry of another writer that is used, or that hides the others.
-BOOST_AUTO_TEST_CASE(entriesOfAnotherWriterAreSkipped)
+// Guards against an invalid entry of the instance list that is used as an upstream or that makes
+// the rest of the page unreadable. Other programs write such entries to the list, even invalid
+// UTF-8.
+BOOST_AUTO_TEST_CASE(unusableEntriesAreSkipped)
 {
-    const std::string good = R"({"id":"i-1","service":"s","address":"10.0.0.1:80","zone":"a",)"
-                             R"("slots":8,"state":"ready"})";
+    const std::string readyEntry =
+            R"({"id":"i-1","service":"s","address":"10.0.0.1:80","zone":"a",)"
+            R"("slots":8,"state":"ready"})";
     const std::string page =
-            R"({"instances":[)" + good
+            R"({"instances":[)" + readyEntry
             + R"(,{"id":"i-2","service":"s","address":"10.0.0.2:80","zone":"a","slots":6,)"
               R"("state":"draining"},{"id":7},null,"text",{"id":"i-3","service":"s",)"
               R"("address":"10.0.0.3:80","zone":"a","slots":"8","state":"ready"},)"
@@ -124,7 +129,7 @@
     BOOST_TEST(decoded.value().nextPage == "p-50");
 }
 
-BOOST_AUTO_TEST_CASE(lastPageHasNoNext)
+BOOST_AUTO_TEST_CASE(lastPageHasNoNextPage)
 {
     const auto page =
             outcomeOf([&] { return decodeInstancePage(R"({"instances":[],"next":null})"); });
--- a/tests/platform/platform_test.py
+++ b/tests/platform/platform_test.py
@@ -1,4 +1,4 @@
-"""The platform's programs as real processes on loopback, from messages in the published format."""
+"""Tests the platform's programs as real processes on loopback, in the published message format."""
 
 import base64
 import http.client
@@ -26,10 +26,10 @@
 
 
 class Upstream(http.server.BaseHTTPRequestHandler):
-    """Streams 20 events and keeps what it saw."""
+    """Streams 20 events and records the requests it receives."""
 
     protocol_version = "HTTP/1.1"
-    seen = []
+    received = []
     lock = threading.Lock()
 
     def log_message(self, *_):
@@ -38,7 +38,7 @@
     def do_POST(self):
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         with self.lock:
-            self.seen.append((self.path, dict(self.headers), body))
+            self.received.append((self.path, dict(self.headers), body))
         begin = int(self.headers.get("Last-Event-Id", 0)) + 1
         self.send_response(200)
         self.send_header("Request-Id", self.headers["Request-Id"])
@@ -59,6 +59,8 @@
 
 
 class InstanceList(http.server.BaseHTTPRequestHandler):
+    """Lists two ready upstreams and one invalid entry."""
+
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *_):
@@ -102,7 +104,7 @@
         connection.close()
 
 
-def until(condition, seconds=20):
+def wait_until(condition, seconds=20):
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -115,11 +117,11 @@
 
 
 class PlatformTest(unittest.TestCase):
-    """Three control, three store and two entry processes, each on an address of its own."""
+    """Runs three control, three store and two entry processes, each on its own address."""
 
     @classmethod
     def setUpClass(cls):
-        cls.folder = tempfile.TemporaryDirectory()
+        cls.directory = tempfile.TemporaryDirectory()
         cls.servers = []
         for address in ((("127.0.8.1", UPSTREAM_PORT), Upstream),
                         (("127.0.8.2", UPSTREAM_PORT), Upstream), (LIST_ADDRESS, InstanceList)):
@@ -131,8 +133,8 @@
         for role, count in (("control", 3), ("store", 3), ("entry", 2)):
             for number in range(1, count + 1):
                 cls.start(role, number, founding=True)
-        cls.ready = until(lambda: cls.put(configuration(1)) == 200) and \
-            until(lambda: all(cls.is_ready(n) for n in (1, 2)))
+        cls.ready = wait_until(lambda: cls.put_configuration(configuration(1)) == 200) and \
+            wait_until(lambda: all(cls.is_ready(n) for n in (1, 2)))
 
     @classmethod
     def tearDownClass(cls):
@@ -142,7 +144,7 @@
         for server in cls.servers:
             server.shutdown()
             server.server_close()
-        cls.folder.cleanup()
+        cls.directory.cleanup()
 
     @staticmethod
     def address(role, number):
@@ -161,12 +163,12 @@
             settings["callerAddress"] = f"{host}:{CALLER_PORT}"
             settings["readinessAddress"] = f"{host}:{READY_PORT}"
         else:
-            settings["dataFolder"] = f"{cls.folder.name}/{name}"
+            settings["dataFolder"] = f"{cls.directory.name}/{name}"
         if role == "control":
             settings["operatorAddress"] = f"{host}:{OPERATOR_PORT}"
-        path = Path(cls.folder.name) / f"{name}.json"
+        path = Path(cls.directory.name) / f"{name}.json"
         path.write_text(json.dumps(settings))
-        with open(Path(cls.folder.name) / f"{name}.log", "ab") as log:
+        with open(Path(cls.directory.name) / f"{name}.log", "ab") as log:
             cls.processes[name] = subprocess.Popen(
                 [BUILD / "bin" / f"rattanrill-platform-{role}"], stdout=log, stderr=log,
                 env={**os.environ, "RATTANRILL_NODE_FILE": str(path)})
@@ -179,54 +181,56 @@
         return call(cls.address("entry", entry), READY_PORT, "GET", "/readiness")[0] == 200
 
     @classmethod
-    def put(cls, document, control=1):
+    def put_configuration(cls, document, control=1):
         body = document if isinstance(document, str) else json.dumps(document)
         return call(cls.address("control", control), OPERATOR_PORT, "POST", "/Config.Replace",
                     body)[0]
 
     @classmethod
-    def version(cls, control=1):
+    def configuration_version(cls, control=1):
         status, body, _ = call(cls.address("control", control), OPERATOR_PORT, "GET",
                                "/Config.Get")
         return json.loads(body)["version"] if status == 200 else status
 
-    def ask(self, request_id, entry=1, key=KEY, path="/ask/1"):
+    def send_request(self, request_id, entry=1, key=KEY, path="/ask/1"):
         return call(self.address("entry", entry), CALLER_PORT, "POST", path, b"question",
                     {"Request-Id": request_id, "Deadline-Ms": "5000",
                      "Authorization": f"Bearer {key}"})
 
-    def test_stream_is_whole_and_the_key_stays_here(self):
-        """Guards against a changed request or answer, and a key that an upstream sees."""
-        status, body, headers = self.ask("r-1")
+    def test_stream_is_complete_and_the_key_is_not_forwarded(self):
+        """Guards against a changed request or answer and against a key that is forwarded."""
+        status, body, headers = self.send_request("r-1")
         self.assertEqual(status, 200)
         self.assertEqual(body.decode(),
                          "".join(f"id: {n}\ndata: d{n}\n\n" for n in range(1, 21)))
         self.assertEqual(headers["Response-Signature"], "signed")
-        path, seen, sent = next(s for s in Upstream.seen if s[1]["Request-Id"] == "r-1")
-        self.assertEqual((path, sent), ("/ask/1", b"question"))
-        self.assertNotIn("Authorization", seen)
-        self.assertEqual(seen["Tenant-Id"], "vendors")
-        self.assertLessEqual(int(seen["Deadline-Ms"]), 5000)
+        path, headers_received, body_received = next(
+            r for r in Upstream.received if r[1]["Request-Id"] == "r-1")
+        self.assertEqual((path, body_received), ("/ask/1", b"question"))
+        self.assertNotIn("Authorization", headers_received)
+        self.assertEqual(headers_received["Tenant-Id"], "vendors")
+        self.assertLessEqual(int(headers_received["Deadline-Ms"]), 5000)
 
     def test_wrong_keys_and_routes_are_refused(self):
-        """Guards against requests that run without a workspace or a route."""
-        self.assertEqual(self.ask("r-2", key="nobody's")[0], 401)
-        self.assertEqual(self.ask("r-3", path="/nowhere/1")[0], 404)
-        self.assertFalse([s for s in Upstream.seen if s[1]["Request-Id"] in ("r-2", "r-3")])
-
-    def test_configuration_goes_forward_only(self):
-        """Guards against a change that reverts, or an invalid one that takes effect."""
-        base = self.version()
-        self.assertEqual(self.put(configuration(base + 5, (KEY, "second-key")), 2), 200)
-        self.assertTrue(until(lambda: self.ask("r-4", 2, "second-key")[0] == 200, 4))
-        self.assertEqual(self.put(configuration(base + 2, ("third-key",)), 3), 200)
-        spoiled = configuration(base + 9)
-        spoiled["routes"][0]["service"] = "nobody"
-        self.assertEqual(self.put(spoiled), 400)
-        self.assertEqual(self.put(json.dumps(configuration(base + 9))[:-9]), 400)
+        """Guards against requests that run although their key or route is unknown."""
+        self.assertEqual(self.send_request("r-2", key="nobody's")[0], 401)
+        self.assertEqual(self.send_request("r-3", path="/nowhere/1")[0], 404)
+        self.assertFalse([r for r in Upstream.received if r[1]["Request-Id"] in ("r-2", "r-3")])
+
+    def test_configuration_is_replaced_only_by_a_newer_valid_one(self):
+        """Guards against a configuration that an older or an invalid one replaces."""
+        base = self.configuration_version()
+        self.assertEqual(
+            self.put_configuration(configuration(base + 5, (KEY, "second-key")), 2), 200)
+        self.assertTrue(wait_until(lambda: self.send_request("r-4", 2, "second-key")[0] == 200, 4))
+        self.assertEqual(self.put_configuration(configuration(base + 2, ("third-key",)), 3), 200)
+        invalid = configuration(base + 9)
+        invalid["routes"][0]["service"] = "nobody"
+        self.assertEqual(self.put_configuration(invalid), 400)
+        self.assertEqual(self.put_configuration(json.dumps(configuration(base + 9))[:-9]), 400)
         for control in (1, 2, 3):
-            self.assertEqual(self.version(control), base + 5)
-        self.assertEqual(self.ask("r-5", key="third-key")[0], 401)
+            self.assertEqual(self.configuration_version(control), base + 5)
+        self.assertEqual(self.send_request("r-5", key="third-key")[0], 401)
 
     def submit(self, job, entry=1, items=3, tokens=100):
         requests = [{"id": f"{job}-{n}", "path": "/list/x", "headers": {}, "tokens": tokens,
@@ -236,53 +240,57 @@
                     json.dumps({"requests": requests}),
                     {"Request-Id": job, "Authorization": f"Bearer {KEY}"})[0]
 
-    def results(self, job, entry=1, after=0):
+    def read_results(self, job, entry=1, after=0):
         status, body, _ = call(self.address("entry", entry), CALLER_PORT, "GET",
                                f"/lots/{job}?after={after}", None,
                                {"Authorization": f"Bearer {KEY}", "Wait-Ms": "500"})
         return json.loads(body) if status == 200 else status
 
-    def finished(self, job, entry=1):
-        read = self.results(job, entry)
-        return read if isinstance(read, dict) and len(read["results"]) == read["total"] else None
+    def finished_results(self, job, entry=1):
+        """Returns the results of the job; None until all of them are there."""
+        answer = self.read_results(job, entry)
+        if isinstance(answer, dict) and len(answer["results"]) == answer["total"]:
+            return answer
+        return None
 
-    def test_batch_job_is_done_once_and_stays_readable(self):
-        """Guards against lost, doubled or changed results and against jobs above the limit."""
+    def test_batch_job_runs_once_and_stays_readable(self):
+        """Guards against lost, repeated or changed results and jobs above the token limit."""
         self.assertEqual(self.submit("job-1"), 202)
         self.assertEqual(self.submit("job-1", 2), 202)
         self.assertEqual(self.submit("job-big", 1, 20, 100), 429)
-        self.assertTrue(until(lambda: self.finished("job-1"), 20))
-        first = self.finished("job-1")
+        self.assertTrue(wait_until(lambda: self.finished_results("job-1"), 20))
+        first = self.finished_results("job-1")
         self.assertEqual({r["state"] for r in first["results"]}, {"completed"})
         self.assertEqual(first["results"][0]["output"],
                          "\n".join(f"d{n}" for n in range(1, 21)))
-        self.assertEqual(self.finished("job-1", 2), first)
-        self.assertEqual(self.results("job-1", 2, 2)["results"], first["results"][2:])
-        self.assertEqual(self.results("job-unknown"), 404)
+        self.assertEqual(self.finished_results("job-1", 2), first)
+        self.assertEqual(self.read_results("job-1", 2, 2)["results"], first["results"][2:])
+        self.assertEqual(self.read_results("job-unknown"), 404)
 
-    def test_job_survives_the_loss_of_the_store_that_runs_it(self):
-        """Guards against accepted work that is lost with the leader of the stores."""
+    def test_job_survives_the_loss_of_the_store_leader(self):
+        """Guards against an accepted job that is lost when the leader of the stores is killed."""
         self.assertEqual(self.submit("job-2", 1, 8, 50), 202)
         victim = next(n for n in (1, 2, 3) if '"leadership-gained"' in
-                      (Path(self.folder.name) / f"store-{n}.log").read_text())
+                      (Path(self.directory.name) / f"store-{n}.log").read_text())
         self.processes[f"store-{victim}"].kill()
         self.processes[f"store-{victim}"].wait()
         try:
-            self.assertTrue(until(lambda: self.finished("job-2", 2), 30))
-            self.assertEqual(len({r["id"] for r in self.finished("job-2", 2)["results"]}), 8)
+            self.assertTrue(wait_until(lambda: self.finished_results("job-2", 2), 30))
+            results = self.finished_results("job-2", 2)["results"]
+            self.assertEqual(len({r["id"] for r in results}), 8)
         finally:
             self.start("store", victim)
 
-    def test_entry_drains_without_cutting_a_stream(self):
-        """Guards against a graceful stop that ends an answer or stays ready."""
+    def test_draining_entry_completes_its_streams(self):
+        """Guards against an entry that cuts off a stream or stays ready while it drains."""
         answer = []
-        reader = threading.Thread(target=lambda: answer.append(self.ask("r-6", 2)))
+        reader = threading.Thread(target=lambda: answer.append(self.send_request("r-6", 2)))
         reader.start()
         time.sleep(0.2)
         process = self.processes["entry-2"]
         process.send_signal(signal.SIGTERM)
         try:
-            self.assertTrue(until(lambda: not self.is_ready(2), 2))
+            self.assertTrue(wait_until(lambda: not self.is_ready(2), 2))
             reader.join(5)
             self.assertEqual(answer[0][0], 200)
             self.assertTrue(answer[0][1].endswith(b"id: 20\ndata: d20\n\n"))
@@ -291,10 +299,10 @@
             if process.poll() is None:
                 process.kill()
             self.start("entry", 2)
-            until(lambda: self.is_ready(2))
+            wait_until(lambda: self.is_ready(2))
 
-    def test_slow_or_malformed_callers_get_their_status(self):
-        """Guards against bad input that holds the entry or reaches an upstream."""
+    def test_request_with_ambiguous_length_is_refused(self):
+        """Guards against accepting a request whose two headers state different body lengths."""
         with socket.create_connection((self.address("entry", 1), CALLER_PORT), 5) as raw:
             raw.sendall(b"POST /ask/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n"
                         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
--- a/tests/platform/platformprotocoladapter_test.cpp
+++ b/tests/platform/platformprotocoladapter_test.cpp
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlatformProtocolAdapterTest)
 
-BOOST_AUTO_TEST_CASE(callerRequestIsRead)
+BOOST_AUTO_TEST_CASE(callerRequestIsParsed)
 {
     const auto caller = outcomeOf([&] { return adapter.parseRequest(callerRequest()); });
     BOOST_REQUIRE(caller.ok());
@@ -49,7 +49,7 @@
     BOOST_TEST(!caller.value().resumeAfter.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(brokenDeadlineIsRefused)
+BOOST_AUTO_TEST_CASE(invalidDeadlineIsRefused)
 {
     for (const char *value : {"soon", "-5", "", "5s"}) {
         net::Request request = callerRequest();
@@ -58,35 +58,36 @@
     }
 }
 
-// Guards against a key that reaches an upstream, a workspace that the caller chose, and a deadline
-// that is longer than what is left.
-BOOST_AUTO_TEST_CASE(upstreamRequestCarriesOnlyWhatItShould)
+// Guards against headers of the caller that are forwarded unchanged: the API key, a forged
+// workspace, or a deadline that is longer than the remaining time.
+BOOST_AUTO_TEST_CASE(upstreamRequestReplacesAttemptHeadersAndDropsTheKey)
 {
     serving::UpstreamAttempt attempt;
     attempt.expectedInstance = "i-7";
     attempt.workspace = "huka";
     attempt.remainingTime = absl::Milliseconds(1234);
     attempt.resumeAfter = 12;
-    const net::Request sent = adapter.upstreamRequest(callerRequest(), attempt);
-    BOOST_TEST(sent.method == "POST");
-    BOOST_TEST(sent.target == "/lamps/7?x=1");
-    BOOST_TEST(sent.body == "the body");
-    BOOST_TEST(sent.headers.count("Authorization") == 0u);
-    BOOST_TEST(sent.headers.count("Tenant-Id") == 1u);
-    BOOST_TEST(sent.headers.value("Tenant-Id") == "huka");
-    BOOST_TEST(sent.headers.value("Expect-Instance") == "i-7");
-    BOOST_TEST(sent.headers.value("Deadline-Ms") == "1234");
-    BOOST_TEST(sent.headers.value("Last-Event-Id") == "12");
-    BOOST_TEST(sent.headers.value("Request-Id") == "ab12");
-    BOOST_TEST(sent.headers.value("Token-Usage") == "540,400");
-    BOOST_TEST(sent.headers.count("X-Hop") == 0u);
-    BOOST_TEST(sent.headers.value("X-Kept") == "2");
+    const net::Request forwarded = adapter.upstreamRequest(callerRequest(), attempt);
+    BOOST_TEST(forwarded.method == "POST");
+    BOOST_TEST(forwarded.target == "/lamps/7?x=1");
+    BOOST_TEST(forwarded.body == "the body");
+    BOOST_TEST(forwarded.headers.count("Authorization") == 0u);
+    BOOST_TEST(forwarded.headers.count("Tenant-Id") == 1u);
+    BOOST_TEST(forwarded.headers.value("Tenant-Id") == "huka");
+    BOOST_TEST(forwarded.headers.value("Expect-Instance") == "i-7");
+    BOOST_TEST(forwarded.headers.value("Deadline-Ms") == "1234");
+    BOOST_TEST(forwarded.headers.value("Last-Event-Id") == "12");
+    BOOST_TEST(forwarded.headers.value("Request-Id") == "ab12");
+    BOOST_TEST(forwarded.headers.value("Token-Usage") == "540,400");
+    BOOST_TEST(forwarded.headers.count("X-Hop") == 0u);
+    BOOST_TEST(forwarded.headers.value("X-Kept") == "2");
     attempt.workspace.clear();
     BOOST_TEST(adapter.upstreamRequest(callerRequest(), attempt).headers.count("Tenant-Id") == 0u);
 }
 
-// Guards against a status that promises "not run" for a request that may have run.
-BOOST_AUTO_TEST_CASE(promisesAreKept)
+// Guards against a status that states that a request has not run although it may have run. The
+// caller would then repeat it.
+BOOST_AUTO_TEST_CASE(errorStatusClaimsNotRunOnlyWhenCertain)
 {
     const auto statusOf = [](const Failure &failure) {
         return makeErrorResponse(failure, absl::ZeroDuration()).head.status;
@@ -112,17 +113,17 @@
     BOOST_TEST(response.head.headers.value("Retry-After") == "0.350");
 }
 
-BOOST_AUTO_TEST_CASE(answerFactsAreRead)
+BOOST_AUTO_TEST_CASE(responseInfoIsParsed)
 {
     net::ResponseHead head;
     head.status = 503;
     head.headers.add("Request-Id", "ab12");
     head.headers.add("Not-Executed", "1");
     head.headers.add("Server-Load", "7,2,8");
-    const serving::ResponseInfo facts = adapter.parseResponse(head);
-    BOOST_TEST(facts.notRun);
-    BOOST_TEST(!facts.isInstanceMismatch);
-    BOOST_TEST(*facts.outstandingRequests == 9);
+    const serving::ResponseInfo info = adapter.parseResponse(head);
+    BOOST_TEST(info.notRun);
+    BOOST_TEST(!info.isInstanceMismatch);
+    BOOST_TEST(*info.outstandingRequests == 9);
     head.headers.remove("Not-Executed");
     head.headers.set("Server-Load", "7,x");
     BOOST_TEST(!adapter.parseResponse(head).notRun);
@@ -131,7 +132,7 @@
     BOOST_TEST(adapter.parseResponse(head).isInstanceMismatch);
 }
 
-BOOST_AUTO_TEST_CASE(itemIsARequestOfItsOwn)
+BOOST_AUTO_TEST_CASE(itemRequestIsBuiltFromTheItem)
 {
     wire::JobItem item{
             "it1", "/lamps/3", {{"Model-Name", "m"}, {"Authorization", "x"}}, "bytes", 9};
@@ -153,7 +154,7 @@
 
 BOOST_AUTO_TEST_SUITE(JobCallsTest)
 
-BOOST_AUTO_TEST_CASE(submissionIsRead)
+BOOST_AUTO_TEST_CASE(submissionIsParsed)
 {
     net::Request request;
     request.method = "POST";
@@ -169,9 +170,9 @@
     BOOST_TEST(job.items[0].tokens == 940);
 }
 
-BOOST_AUTO_TEST_CASE(brokenSubmissionsAreRefused)
+BOOST_AUTO_TEST_CASE(invalidSubmissionsAreRefused)
 {
-    const std::string many = [] {
+    const std::string tooManyItems = [] {
         std::string list;
         for (int i = 0; i < 201; ++i)
             list += (i == 0 ? "" : ",") + std::string(R"({"id":"i)") + std::to_string(i)
@@ -182,7 +183,8 @@
          {std::string("{"), std::string("[]"), std::string(R"({"requests":[]})"),
           std::string(R"({"requests":[{"id":"a"}]})"),
           std::string(R"({"requests":[{"id":"a","path":"/p","body":"%%%%"}]})"),
-          std::string(R"({"requests":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]})"), many}) {
+          std::string(R"({"requests":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]})"),
+          tooManyItems}) {
         net::Request request;
         request.method = "POST";
         request.target = "/batch/1";
@@ -192,14 +194,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(readsAndEndsAreRead)
+BOOST_AUTO_TEST_CASE(readAndCancelCallsAreParsed)
 {
-    net::Request read;
-    read.method = "GET";
-    read.target = "/lots/job1?after=12";
-    read.headers.add("Wait-Ms", "1000");
-    BOOST_TEST(isJobRequest(read));
-    const auto call = outcomeOf([&] { return decodeJobCall(read, ""); });
+    net::Request readRequest;
+    readRequest.method = "GET";
+    readRequest.target = "/lots/job1?after=12";
+    readRequest.headers.add("Wait-Ms", "1000");
+    BOOST_TEST(isJobRequest(readRequest));
+    const auto call = outcomeOf([&] { return decodeJobCall(readRequest, ""); });
     BOOST_TEST(std::get<serving::ReadJobCall>(call.value()).after == 12);
     BOOST_TEST((std::get<serving::ReadJobCall>(call.value()).wait == absl::Seconds(1)));
     net::Request item;
@@ -207,15 +209,15 @@
     item.target = "/items/job1?id=e5";
     const auto itemCall = outcomeOf([&] { return decodeJobCall(item, ""); });
     BOOST_TEST(std::get<serving::ReadItemCall>(itemCall.value()).item == "e5");
-    net::Request end;
-    end.method = "DELETE";
-    end.target = "/lots/job1";
-    BOOST_TEST(isJobRequest(end));
-    const auto endCall = outcomeOf([&] { return decodeJobCall(end, ""); });
-    BOOST_TEST(std::get<serving::CancelJobCall>(endCall.value()).job == "job1");
+    net::Request cancelRequest;
+    cancelRequest.method = "DELETE";
+    cancelRequest.target = "/lots/job1";
+    BOOST_TEST(isJobRequest(cancelRequest));
+    const auto cancelCall = outcomeOf([&] { return decodeJobCall(cancelRequest, ""); });
+    BOOST_TEST(std::get<serving::CancelJobCall>(cancelCall.value()).job == "job1");
 }
 
-BOOST_AUTO_TEST_CASE(resultsAreWritten)
+BOOST_AUTO_TEST_CASE(resultsAreEncoded)
 {
     wire::ReadJobResponse results;
     results.total = 3;
