--- a/tests/engine/engineclient_test.cpp
+++ b/tests/engine/engineclient_test.cpp
@@ -13,7 +13,7 @@
 namespace rattanrill::engine {
 namespace {
 
-/// An engine in this process with one handler for completions.
+/// An engine inside the test process that answers completions with a given handler.
 class Server
 {
 public:
@@ -22,7 +22,7 @@
         m_server.Post("/v1/completions", std::move(complete));
         m_port = m_server.bind_to_any_port("127.0.0.1");
         m_thread = std::thread([this] { m_server.listen_after_bind(); });
-        // The library ignores a stop that comes before its thread runs.
+        // httplib ignores a call of stop() before the server runs.
         while (!m_server.is_running())
             std::this_thread::yield();
     }
@@ -63,25 +63,26 @@
     return client.stream(request, abortSignal, [](const Token &) {});
 }
 
-/// Answers with the start of a stream that never goes on.
-void answerAndHang(const httplib::Request &, httplib::Response &response)
+/// Sends the start of a stream and then neither continues nor ends it.
+void startStreamAndHang(const httplib::Request &, httplib::Response &response)
 {
-    const auto hang = std::make_shared<bool>(false);
+    const auto started = std::make_shared<bool>(false);
     response.set_chunked_content_provider("text/event-stream",
-                                          [hang](std::size_t, httplib::DataSink &sink) {
+                                          [started](std::size_t, httplib::DataSink &sink) {
                                               const std::string text = ": waiting\n\n";
-                                              if (!*hang)
+                                              if (!*started)
                                                   sink.write(text.data(), text.size());
-                                              *hang = true;
+                                              *started = true;
                                               return sink.is_writable();
                                           });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Client)
+BOOST_AUTO_TEST_SUITE(EngineClientTest)
 
-// R9: guards against a refusal that claims "not run" for a request that was sent.
+// R9: guards against a failure with the state NotRun although the engine received the request and
+// did not report that it did not run.
 BOOST_AUTO_TEST_CASE(runStateOfFailuresIsTrue)
 {
     int status = 503;
@@ -105,10 +106,10 @@
     BOOST_TEST((refused.failure().run == EffectState::NotRun));
 }
 
-// Guards against a call that a frozen engine holds for ever.
+// Guards against a call that blocks for ever because the engine has frozen.
 BOOST_AUTO_TEST_CASE(silentStreamEndsAtTheIdleLimitAndAtTheDeadline)
 {
-    Server server(answerAndHang);
+    Server server(startStreamAndHang);
     EngineClient client(server.options());
     AbortSignal abortSignal;
     const auto broken = run(client, abortSignal);
@@ -118,25 +119,25 @@
     BOOST_TEST((run(client, abortSignal, deadline).failure().code == ErrorCode::Timeout));
 }
 
-// Guards against a reader that cannot be stopped from another thread.
+// Guards against a call that another thread can't abort while it waits for the engine.
 BOOST_AUTO_TEST_CASE(abortFromAnotherThreadEndsTheCall)
 {
-    absl::Notification answering;
+    absl::Notification streamStarted;
     Server server([&](const httplib::Request &request, httplib::Response &response) {
-        answerAndHang(request, response);
-        answering.Notify();
+        startStreamAndHang(request, response);
+        streamStarted.Notify();
     });
     EngineOptions options = server.options();
     options.idleTimeout = absl::Minutes(5);
     EngineClient client(options);
     AbortSignal abortSignal;
-    std::thread other([&] {
-        answering.WaitForNotification();
+    std::thread aborter([&] {
+        streamStarted.WaitForNotification();
         abortSignal.abort();
     });
-    const auto ended = run(client, abortSignal);
-    other.join();
-    BOOST_TEST((ended.failure().code == ErrorCode::ClientDisconnected));
+    const auto result = run(client, abortSignal);
+    aborter.join();
+    BOOST_TEST((result.failure().code == ErrorCode::ClientDisconnected));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/engine/streamreader_test.cpp
+++ b/tests/engine/streamreader_test.cpp
@@ -5,8 +5,8 @@
 namespace rattanrill::engine {
 namespace {
 
-std::string event(const std::string &id, int index, const std::string &text,
-                  const std::string &finish = "")
+std::string makeEvent(const std::string &id, int index, const std::string &text,
+                      const std::string &finish = "")
 {
     const Json choice = {{"index", 0},
                          {"text", text},
@@ -16,12 +16,12 @@
            + "\n\n";
 }
 
-const std::string done = "data: [DONE]\n\n";
+const std::string doneEvent = "data: [DONE]\n\n";
 
-/// A reader for request "r" that collects the text.
-struct Reading
+/// Reads the stream of request "r" and collects its text.
+struct CollectingReader
 {
-    explicit Reading(std::uint64_t resumeAfter = 0)
+    explicit CollectingReader(std::uint64_t resumeAfter = 0)
         : reader("r", resumeAfter, [this](const Token &token) { text += token.text; })
     {}
 
@@ -31,66 +31,67 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Reader)
+BOOST_AUTO_TEST_SUITE(StreamReaderTest)
 
-// R8: guards against tokens that are lost or repeated when bytes arrive in pieces.
-BOOST_AUTO_TEST_CASE(streamIsReadInPiecesOfAnySize)
+// R8: guards against tokens that are lost or repeated when an event arrives in several chunks.
+BOOST_AUTO_TEST_CASE(streamIsReadInChunksOfAnySize)
 {
-    const std::string stream =
-            event("r", 0, "a") + event("r", 1, "b") + event("r", 2, "", "stop") + done;
+    const std::string stream = makeEvent("r", 0, "a") + makeEvent("r", 1, "b")
+                               + makeEvent("r", 2, "", "stop") + doneEvent;
     for (std::size_t size = 1; size < stream.size(); ++size) {
-        Reading reading;
+        CollectingReader collector;
         for (std::size_t i = 0; i < stream.size(); i += size)
-            BOOST_REQUIRE(reading.reader.feed(std::string_view(stream).substr(i, size)));
-        const auto end = reading.reader.finish();
+            BOOST_REQUIRE(collector.reader.feed(std::string_view(stream).substr(i, size)));
+        const auto end = collector.reader.finish();
         BOOST_REQUIRE(end.ok());
-        BOOST_TEST(reading.text == "ab");
+        BOOST_TEST(collector.text == "ab");
         BOOST_TEST(end.value().tokens == 2u);
     }
 }
 
-// R8: guards against late tokens of the own and tokens of another request.
+// R8: guards against tokens in the answer that repeat earlier ones or belong to another request.
 BOOST_AUTO_TEST_CASE(foreignAndRepeatedEventsAreDroppedAndCounted)
 {
-    Reading reading(5);
-    BOOST_TEST(reading.reader.feed(event("x", 5, "no") + event("r", 4, "late") + event("r", 5, "a")
-                                   + event("r", 5, "again") + event("r", 6, "b", "length") + done));
-    BOOST_TEST(reading.reader.finish().ok());
-    BOOST_TEST(reading.text == "ab");
-    BOOST_TEST(reading.reader.dropped() == 3u);
+    CollectingReader collector(5);
+    BOOST_TEST(collector.reader.feed(makeEvent("x", 5, "no") + makeEvent("r", 4, "late")
+                                     + makeEvent("r", 5, "a") + makeEvent("r", 5, "again")
+                                     + makeEvent("r", 6, "b", "length") + doneEvent));
+    BOOST_TEST(collector.reader.finish().ok());
+    BOOST_TEST(collector.text == "ab");
+    BOOST_TEST(collector.reader.dropped() == 3u);
 }
 
-// R8: guards against an answer with a hole.
+// R8: guards against an answer in which a token is missing, in the middle or at the end.
 BOOST_AUTO_TEST_CASE(gapBreaksTheStream)
 {
-    Reading reading;
-    BOOST_TEST(reading.reader.feed(event("r", 0, "a")));
-    BOOST_TEST(!reading.reader.feed(event("r", 2, "c")));
-    BOOST_TEST(!reading.reader.finish().ok());
-    Reading atEnd;
-    BOOST_TEST(!atEnd.reader.feed(event("r", 0, "a") + event("r", 3, "", "stop")));
+    CollectingReader collector;
+    BOOST_TEST(collector.reader.feed(makeEvent("r", 0, "a")));
+    BOOST_TEST(!collector.reader.feed(makeEvent("r", 2, "c")));
+    BOOST_TEST(!collector.reader.finish().ok());
+    CollectingReader gapAtEnd;
+    BOOST_TEST(!gapAtEnd.reader.feed(makeEvent("r", 0, "a") + makeEvent("r", 3, "", "stop")));
 }
 
-// R8: guards against a part that is taken for the whole.
+// R8: guards against an incomplete answer that is reported as complete.
 BOOST_AUTO_TEST_CASE(endWithoutDoneOrFinishReasonIsBroken)
 {
-    Reading noDone;
-    BOOST_TEST(noDone.reader.feed(event("r", 0, "a", "stop")));
-    BOOST_TEST((noDone.reader.finish().failure().code == ErrorCode::StreamBroken));
-    Reading noReason;
-    BOOST_TEST(noReason.reader.feed(event("r", 0, "a") + done));
-    BOOST_TEST((noReason.reader.finish().failure().run == EffectState::MayHaveRun));
+    CollectingReader withoutDone;
+    BOOST_TEST(withoutDone.reader.feed(makeEvent("r", 0, "a", "stop")));
+    BOOST_TEST((withoutDone.reader.finish().failure().code == ErrorCode::StreamBroken));
+    CollectingReader withoutReason;
+    BOOST_TEST(withoutReason.reader.feed(makeEvent("r", 0, "a") + doneEvent));
+    BOOST_TEST((withoutReason.reader.finish().failure().run == EffectState::MayHaveRun));
 }
 
-// Guards against waiting for the whole answer of another request.
-BOOST_AUTO_TEST_CASE(streamOfAnotherRequestIsGivenUp)
+// Guards against a reader that reads the complete answer of another request before it fails.
+BOOST_AUTO_TEST_CASE(streamOfAnotherRequestIsBroken)
 {
-    Reading reading;
+    CollectingReader collector;
     int fed = 0;
-    while (fed < 100 && reading.reader.feed(event("x", fed, "no")))
+    while (fed < 100 && collector.reader.feed(makeEvent("x", fed, "no")))
         ++fed;
     BOOST_TEST(fed < 100);
-    BOOST_TEST(reading.text.empty());
+    BOOST_TEST(collector.text.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
