--- a/src/policy/batchallowance.h
+++ b/src/policy/batchallowance.h
@@ -10,34 +10,38 @@
 
 struct SchedulerSettings;
 
-/// How much batch work this entry may put on an engine. The online tail weight sets the reserve
-/// and the spacing of batch prefills.
+/// Limits the batch tasks that this entry starts on an engine. The online tail weight determines
+/// the online reserve and the spacing of batch prefills.
 class BatchAllowance
 {
 public:
     explicit BatchAllowance(const SchedulerSettings &settings);
 
-    /// Slots of an engine kept free for online work that arrives before the next report shows it.
-    /// Arrivals during the lag are close to a Poisson process, so their spread is the square root
-    /// of their number.
+    /// Number of slots of an engine that are kept free for online tasks that arrive before the next
+    /// report includes them. Arrivals during the load lag are close to a Poisson process, so their
+    /// standard deviation is the square root of their expected number.
     double onlineReserve(double onlineRatePerEngine) const;
-    /// Batch works that this entry may start on \a engine now, as far as slots are concerned; not
-    /// above 0 when the reserve is touched. Every entry takes its share of the free slots, so that
-    /// all of them together do not overshoot.
-    int batchCapacity(const EngineRecord &engine, double onlineRatePerEngine, double unseenOnline,
-                      std::size_t entries) const;
-    /// Time between two batch starts of this entry on one engine, so that entries do not
-    /// start their batch prompts at the same moment. Denser with a larger tail weight, because the
-    /// windows for it are shorter.
+    /// Number of batch tasks that this entry may start on \a engine now, as limited by the slots; 0
+    /// or less when only the online reserve is free. Every entry uses only its share of the free
+    /// slots, so that all entries together do not exceed them. \a unreportedOnline is the estimated
+    /// number of online tasks that other entries have sent to the engine since its last report.
+    int batchCapacity(const EngineRecord &engine, double onlineRatePerEngine,
+                      double unreportedOnline, std::size_t entries) const;
+    /// Time between two batch starts of this entry on one engine, so that entries do not start
+    /// their batch prompts at the same moment. Shorter with a larger online tail weight, because
+    /// the prefill windows are then shorter.
     absl::Duration spacing(std::int64_t prefillTokens, std::size_t entries) const;
-    /// Own prompt tokens of batch work that may be in prefill on an engine at a time.
+    /// Maximum number of prompt tokens of this entry's batch tasks that may be in prefill on an
+    /// engine at a time.
     static std::int64_t prefillLimit();
 
 private:
     double m_lagSeconds;
     double m_prefillTokensPerSecond;
+    /// Online reserve, in standard deviations of the number of arrivals.
     double m_reserveDeviations;
-    double m_prefillShare;
+    /// Rate of batch prompt tokens on an engine, as a multiple of its prefill speed.
+    double m_prefillRateFactor;
 };
 
 } // namespace rattanrill::policy
--- a/src/policy/crashhistory.cpp
+++ b/src/policy/crashhistory.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Upstreams of a lost domain fail within the spread of their connection timeouts.
-constexpr absl::Duration window = absl::Seconds(2);
+/// Time within which crashes in a failure domain are correlated. The upstreams of a lost failure
+/// domain are detected at different times because of their connection timeouts.
+constexpr absl::Duration correlationWindow = absl::Seconds(2);
 
-bool shareRequest(const Crash &left, const Crash &right)
+bool haveCommonRequest(const Crash &left, const Crash &right)
 {
     return std::any_of(left.fingerprints.begin(), left.fingerprints.end(),
                        [&](const std::string &fingerprint) {
@@ -23,20 +24,21 @@
 
 std::vector<Crash> CrashHistory::add(Crash crash)
 {
-    const absl::Time oldest = crash.at - window;
+    const absl::Time windowStart = crash.at - correlationWindow;
     m_recent.erase(std::remove_if(m_recent.begin(), m_recent.end(),
-                                  [&](const Crash &old) { return old.at < oldest; }),
+                                  [&](const Crash &recent) { return recent.at < windowStart; }),
                    m_recent.end());
-    std::vector<Crash> together;
-    for (const Crash &old : m_recent) {
-        const bool other = old.upstream != crash.upstream;
-        if (other && old.failureDomain == crash.failureDomain && !shareRequest(old, crash))
-            together.push_back(old);
+    std::vector<Crash> correlated;
+    for (const Crash &recent : m_recent) {
+        const bool isOtherUpstream = recent.upstream != crash.upstream;
+        if (isOtherUpstream && recent.failureDomain == crash.failureDomain
+            && !haveCommonRequest(recent, crash))
+            correlated.push_back(recent);
     }
     m_recent.push_back(crash);
-    if (!together.empty())
-        together.push_back(std::move(crash));
-    return together;
+    if (!correlated.empty())
+        correlated.push_back(std::move(crash));
+    return correlated;
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/crashhistory.h
+++ b/src/policy/crashhistory.h
@@ -16,13 +16,14 @@
     std::vector<std::string> fingerprints;
 };
 
-/// Recent crashes, to tell the loss of a failure domain from a request that crashes upstreams.
+/// Recent crashes. Distinguishes the loss of a failure domain from a request that crashes
+/// upstreams.
 class CrashHistory
 {
 public:
-    /// Adds \a crash. Returns the crashes, this one included, that it shows to be a loss of the
-    /// failure domain: several upstreams of the domain within a short time without a request in
-    /// common. Empty when there is no such sign.
+    /// Adds \a crash. Returns the crashes, including this one, that indicate the loss of the
+    /// failure domain: those of several upstreams of the domain within a short time that had no
+    /// request in common. Returns an empty list when there are no such crashes.
     std::vector<Crash> add(Crash crash);
 
 private:
--- a/src/policy/engineassignment.h
+++ b/src/policy/engineassignment.h
@@ -5,18 +5,19 @@
 
 namespace rattanrill::policy {
 
-/// Division of a model's engines among the entries, equal at all of them. Online work prefers the
-/// entry's own engines. Suspects of different entries run on different ones, so that an innocent
-/// one is not counted into the crash of another. With more entries than engines, several entries
-/// share one.
+/// Division of a model's engines among the entries. All entries compute the same division. An entry
+/// prefers its own engines for online tasks. Suspects of different entries run on different
+/// engines, so that a request is not blamed for a crash that the suspect of another entry caused.
+/// With more entries than engines, several entries share an engine.
 class EngineAssignment
 {
 public:
     void setEntries(const std::string &self, std::vector<std::string> instances);
-    /// Engines of this entry among \a engines, which are all engines of a model.
-    std::vector<std::string> choose(std::vector<std::string> engines) const;
-    /// Engines for suspects, first choice first: one of this entry alone, then those that no entry
-    /// has as its first choice, for the time when the first is down, then the rest.
+    /// Returns the engines that this entry prefers. \a engines are all engines of a model.
+    std::vector<std::string> preferredEngines(std::vector<std::string> engines) const;
+    /// Returns \a engines in the order in which this entry uses them for suspects: the entry's
+    /// first choice, which differs between entries; then the engines that are no entry's first
+    /// choice, which are used while the first choice is down; then the others.
     std::vector<std::string> suspectOrder(std::vector<std::string> engines) const;
 
 private:
--- a/src/policy/enginereconciler.cpp
+++ b/src/policy/enginereconciler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::array<EnumName<EngineCommandKind>, 4> orderNames{{
+constexpr std::array<EnumName<EngineCommandKind>, 4> commandKindNames{{
         {EngineCommandKind::LoadModel, "load_model"},
         {EngineCommandKind::LoadAdapter, "load_adapter"},
         {EngineCommandKind::LoadVersion, "load_version"},
@@ -24,7 +24,7 @@
 
 std::string_view name(EngineCommandKind kind)
 {
-    return nameOf(orderNames, kind);
+    return nameOf(commandKindNames, kind);
 }
 
 EngineReconciler::EngineReconciler(EngineReconcilerSettings settings, absl::Time now)
@@ -84,7 +84,7 @@
         return;
     Engine &engine = found->second;
     engine.outstanding.reset();
-    // The order may have been carried out or not, so its kind is open again.
+    // It is unknown whether the engine executed the command, so its value is no longer confirmed.
     engine.confirmed.erase(command.kind);
     engine.commandMayArriveUntil = now + m_settings.commandLifetime;
 }
--- a/src/policy/enginerecord.h
+++ b/src/policy/enginerecord.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::policy {
 
-/// An engine with the scheduler's own work on it.
+/// An engine with the tasks that this entry runs on it.
 struct EngineRecord
 {
     EngineRecord(EngineInfo info, OutlierSettings outlier)
@@ -21,16 +21,19 @@
     EngineState state;
     std::set<TaskId> running;
     int suspectsRunning = 0;
+    /// Number of running batch tasks whose preemption has been requested.
     int preempting = 0;
-    /// This entry prefers the engine for online work. Every engine is preferred by few entries, so
-    /// that most prompts in prefill there are this entry's own, which it knows of at once.
+    /// Whether this entry prefers the engine for online tasks. Few entries prefer the same engine,
+    /// so most prompts in prefill there belong to this entry, which counts them without waiting for
+    /// a load report.
     bool preferred = false;
-    /// Group of PrefillWindows.
+    /// Group of the engine in PrefillWindows.
     std::size_t windowGroup = 0;
     absl::Time nextBatchStart = absl::InfinitePast();
-    /// Rounding of this entry's share of free slots, drawn anew with each report.
-    double rounding = 0;
-    /// The directory no longer lists the engine.
+    /// Random value from 0 to 1 that is added to this entry's share of the free slots before the
+    /// share is rounded down. Changes with each load report.
+    double roundingOffset = 0;
+    /// Whether the directory no longer lists the engine.
     bool removed = false;
 };
 
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Changes older than this are dropped even when no report came; the report is then too old to
-/// count on.
-constexpr absl::Duration changeMemory = absl::Seconds(5);
+/// Changes older than this are dropped even when no newer report has arrived. The last report is
+/// then too old to be useful.
+constexpr absl::Duration changeLifetime = absl::Seconds(5);
 
 std::size_t index(TaskKind kind)
 {
@@ -24,13 +24,13 @@
 
 void EngineState::loadReported(absl::Time now, const EngineLoad &load)
 {
-    const absl::Time describes = now - load.age;
-    if (describes < m_reportedAt)
+    const absl::Time reportedAt = now - load.age;
+    if (reportedAt < m_reportedAt)
         return;
     m_load = load;
-    m_reportedAt = describes;
+    m_reportedAt = reportedAt;
     ++m_reports;
-    while (!m_changes.empty() && m_changes.front().at <= describes)
+    while (!m_changes.empty() && m_changes.front().at <= reportedAt)
         dropOldestChange();
 }
 
@@ -69,8 +69,9 @@
 double EngineState::reportedRequests() const
 {
     const std::int64_t reported = m_load.running + m_load.waiting;
-    const std::int64_t own = localTaskChange(TaskKind::Online) + localTaskChange(TaskKind::Batch);
-    return static_cast<double>(std::max<std::int64_t>(reported + own, 0));
+    const std::int64_t localChange =
+            localTaskChange(TaskKind::Online) + localTaskChange(TaskKind::Batch);
+    return static_cast<double>(std::max<std::int64_t>(reported + localChange, 0));
 }
 
 double EngineState::expectedRequests(std::size_t entries) const
@@ -84,9 +85,10 @@
 {
     if (m_load.kvCapacityTokens <= 0)
         return 0;
-    const auto own = static_cast<double>(m_changedTokens);
-    const double others = std::max(own, 0.0) * static_cast<double>(entries == 0 ? 0 : entries - 1);
-    const double used = static_cast<double>(m_load.kvTokens) + own + others;
+    const auto localChange = static_cast<double>(m_changedTokens);
+    const double others =
+            std::max(localChange, 0.0) * static_cast<double>(entries == 0 ? 0 : entries - 1);
+    const double used = static_cast<double>(m_load.kvTokens) + localChange + others;
     return std::max(used, 0.0) / static_cast<double>(m_load.kvCapacityTokens);
 }
 
@@ -96,7 +98,7 @@
     m_ownChange[index(change.kind)] += change.delta;
     m_changedTokens += change.tokens;
     m_changes.push_back(change);
-    while (m_changes.front().at < change.at - changeMemory)
+    while (m_changes.front().at < change.at - changeLifetime)
         dropOldestChange();
 }
 
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Keeps the virtual time of a workspace without weight finite; such work goes last.
-constexpr double smallestWeight = 1e-6;
+/// Smallest weight of a workspace. Keeps the virtual time of a workspace with weight 0 finite; its
+/// tasks go last.
+constexpr double minWeight = 1e-6;
 
 } // namespace
 
 void FairQueue::setWeight(const std::string &workspace, double weight)
 {
-    m_flows[workspace].weight = std::max(weight, smallestWeight);
+    m_flows[workspace].weight = std::max(weight, minWeight);
 }
 
 void FairQueue::push(const std::string &workspace, TaskId task, absl::Time deadline,
--- a/src/policy/leasequeue.cpp
+++ b/src/policy/leasequeue.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-/// Distinct due times that a decision looks at. Later ones come into view as earlier ones are done.
-constexpr int dueTimesChecked = 64;
+/// Number of distinct deadlines that one decision checks. Later deadlines are checked after the
+/// items with earlier ones have been leased.
+constexpr int maxDeadlinesChecked = 64;
 
 } // namespace
 
@@ -56,15 +57,15 @@
 bool LeaseQueue::isUrgent(absl::Time now) const
 {
     const absl::Duration slack = m_settings.runTime * m_settings.safetyFactor;
-    std::size_t before = 0;
+    std::size_t itemsDue = 0;
     int checked = 0;
     for (const auto &[deadline, count] : m_deadlineCounts) {
-        before += count;
-        const absl::Duration work =
-                absl::Seconds(static_cast<double>(before) / m_settings.itemsPerSecond);
-        if (deadline - work - slack <= now)
+        itemsDue += count;
+        const absl::Duration timeNeeded =
+                absl::Seconds(static_cast<double>(itemsDue) / m_settings.itemsPerSecond);
+        if (deadline - timeNeeded - slack <= now)
             return true;
-        if (++checked == dueTimesChecked)
+        if (++checked == maxDeadlinesChecked)
             break;
     }
     return false;
--- a/src/policy/outlierdetector.cpp
+++ b/src/policy/outlierdetector.cpp
@@ -7,11 +7,12 @@
 namespace {
 
 /// Weight of a new sample of the time to first token.
-constexpr double smoothing = 0.2;
-/// Samples before slowness is judged, so that one long prompt ejects nothing.
-constexpr int samplesToJudge = 8;
-/// Share right after an ejection.
-constexpr double firstShare = 0.1;
+constexpr double sampleWeight = 0.2;
+/// Number of samples before an upstream can be ejected as slow, so that one long prompt does not
+/// cause an ejection.
+constexpr int minSamples = 8;
+/// Share of its normal traffic that an upstream gets right after an ejection.
+constexpr double minTrafficShare = 0.1;
 
 } // namespace
 
@@ -35,11 +36,11 @@
 
 void OutlierDetector::firstToken(absl::Time now, absl::Duration time, absl::Duration fleetTime)
 {
-    m_smoothed = m_samples == 0 ? time : m_smoothed + (time - m_smoothed) * smoothing;
+    m_smoothed = m_samples == 0 ? time : m_smoothed + (time - m_smoothed) * sampleWeight;
     ++m_samples;
     const bool slow = m_smoothed > fleetTime * m_settings.slowFactor
                       && m_smoothed > fleetTime + m_settings.slowMargin;
-    if (slow && m_samples >= samplesToJudge)
+    if (slow && m_samples >= minSamples)
         eject(now);
 }
 
@@ -47,17 +48,18 @@
 {
     if (ejected(now))
         return 0;
-    const double back = absl::FDivDuration(now - m_ejectedUntil, m_settings.rampUpTime);
-    return std::clamp(firstShare + (1 - firstShare) * back, firstShare, 1.0);
+    const double rampUpProgress = absl::FDivDuration(now - m_ejectedUntil, m_settings.rampUpTime);
+    return std::clamp(minTrafficShare + (1 - minTrafficShare) * rampUpProgress, minTrafficShare,
+                      1.0);
 }
 
 void OutlierDetector::eject(absl::Time now)
 {
-    // Answers to work sent before the ejection say nothing new.
+    // Responses to tasks that were sent before the ejection are no new evidence.
     if (ejected(now))
         return;
-    const absl::Duration time = m_settings.firstEjection * (1 << std::min(m_ejections, 10));
-    m_ejectedUntil = now + std::min(time, m_settings.maxEjection);
+    const absl::Duration ejection = m_settings.firstEjection * (1 << std::min(m_ejections, 10));
+    m_ejectedUntil = now + std::min(ejection, m_settings.maxEjection);
     ++m_ejections;
     m_failuresInRow = 0;
     m_samples = 0;
--- a/src/policy/prefixindex.cpp
+++ b/src/policy/prefixindex.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The hashes cover 64, 128, 256, ... bytes; a token of English text has about four.
+/// Number of tokens that the first hash covers. The hashes cover 64, 128, 256, ... bytes, and a
+/// token of English text has about 4 bytes.
 constexpr std::int64_t firstHashTokens = 16;
 
 } // namespace
@@ -79,7 +80,7 @@
 {
     if (cache.guesses.size() <= m_limit)
         return;
-    // Half the lifetime is the age at which a guess is worth less than the memory it takes.
+    // At half its lifetime, a guess is worth less than the memory that it uses.
     const absl::Time limit = now + m_lifetime / 2;
     for (auto guess = cache.guesses.begin(); guess != cache.guesses.end();) {
         if (guess->second.expires < limit)
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -14,13 +14,13 @@
 {
     expire(now);
     std::vector<std::string> changed;
-    const bool onlyOne = alone && fingerprints.size() == 1;
+    const bool isOnlyRequest = alone && fingerprints.size() == 1;
     for (const std::string &fingerprint : fingerprints) {
         Suspect &suspect = m_suspects[fingerprint];
         if (!suspect.upstreams.insert(upstream).second)
             continue;
         suspect.blocked = suspect.blocked || suspect.upstreams.size() >= m_settings.crashLimit;
-        const bool certain = suspect.blocked || onlyOne;
+        const bool certain = suspect.blocked || isOnlyRequest;
         const absl::Time expires = now + (certain ? m_settings.blockTime : m_settings.suspectTime);
         suspect.expires = std::max(suspect.expires, expires);
         changed.push_back(fingerprint);
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How much more load counts where places are scarce.
+/// Additional cost per unit of load above RouterSettings::loadLimit, where slots are scarce.
 constexpr double scarcityFactor = 5;
 
 bool isUsable(absl::Time now, const EngineState &engine, const std::vector<std::string> &excluded)
@@ -76,11 +76,11 @@
     double cost = load * m_settings.loadCost + scarcity;
     cost += static_cast<double>(prefill) / m_settings.prefillTokensPerLoad;
     cost += static_cast<double>(engine.load().waiting) * m_settings.waitingCost;
-    const bool far = engine.info().failureDomain != m_failureDomain;
-    if (far || load > m_settings.loadLimit)
+    const bool isRemote = engine.info().failureDomain != m_failureDomain;
+    if (isRemote || load > m_settings.loadLimit)
         cost += m_settings.remoteDomainCost;
-    const bool mayAttract = load <= leastLoad + m_settings.prefixLoadBound && load < 1;
-    if (mayAttract && task.promptTokens > 0) {
+    const bool countsPrefix = load <= leastLoad + m_settings.prefixLoadBound && load < 1;
+    if (countsPrefix && task.promptTokens > 0) {
         const auto cached = static_cast<double>(
                 prefixes.cachedTokens(now, engine.info().name, task.prefixHashes));
         const double share = cached / static_cast<double>(task.promptTokens);
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -39,7 +39,7 @@
 void Scheduler::setEntries(const std::string &self, const std::vector<std::string> &instances)
 {
     m_state->entries = std::max<std::size_t>(instances.size(), 1);
-    m_state->ownEngines.setEntries(self, instances);
+    m_state->engineAssignment.setEntries(self, instances);
     m_state->assignAllEngines();
 }
 
@@ -60,7 +60,7 @@
     if (record == nullptr)
         return;
     record->state.loadReported(now, load);
-    record->rounding = std::uniform_real_distribution<double>(0, 1)(m_state->random);
+    record->roundingOffset = std::uniform_real_distribution<double>(0, 1)(m_state->random);
 }
 
 void Scheduler::cacheEvents(absl::Time now, const std::string &engine,
@@ -88,7 +88,7 @@
         return;
     if (item->isRunning())
         m_state->endAttempt(now, *item);
-    m_state->forget(*item);
+    m_state->removeTask(*item);
 }
 
 void Scheduler::started(absl::Time now, TaskId task, int attempt)
@@ -102,14 +102,14 @@
 {
     TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
-        m_state->noteFirstToken(now, *item);
+        m_state->recordFirstToken(now, *item);
 }
 
 void Scheduler::progress(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
 {
     TaskRecord *item = m_state->running(task, attempt);
     if (item != nullptr)
-        m_state->noteProgress(now, *item, deliveredTokens);
+        m_state->recordProgress(now, *item, deliveredTokens);
 }
 
 void Scheduler::finished(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
@@ -117,13 +117,13 @@
     TaskRecord *item = m_state->running(task, attempt);
     if (item == nullptr)
         return;
-    m_state->noteProgress(now, *item, deliveredTokens);
+    m_state->recordProgress(now, *item, deliveredTokens);
     m_state->quarantine.succeeded(item->task.fingerprint);
     EngineRecord *record = m_state->engine(item->engine);
     if (record != nullptr)
         record->state.outlier().succeeded(now);
     m_state->endAttempt(now, *item);
-    m_state->forget(*item);
+    m_state->removeTask(*item);
 }
 
 void Scheduler::failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure)
@@ -139,7 +139,7 @@
     TaskRecord *item = m_state->running(task, attempt);
     if (item == nullptr)
         return;
-    m_state->noteProgress(now, *item, deliveredTokens);
+    m_state->recordProgress(now, *item, deliveredTokens);
     m_state->endAttempt(now, *item);
     item->kvHandle = kvHandle;
     ++item->preemptions;
@@ -159,10 +159,10 @@
 
 std::size_t Scheduler::batchCapacity(absl::Time now) const
 {
-    std::size_t room = 0;
+    std::size_t capacity = 0;
     for (const auto &[model, pool] : m_state->pools)
-        room += m_state->batchCapacity(now, pool);
-    return room;
+        capacity += m_state->batchCapacity(now, pool);
+    return capacity;
 }
 
 std::size_t Scheduler::batchCapacity(absl::Time now, std::string_view model) const
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -1,6 +1,6 @@
 #include "schedulerstate.h"
 
-#include "between.h"
+#include "interpolate.h"
 
 #include "rattanrill/base/concat.h"
 
@@ -11,15 +11,16 @@
 
 namespace {
 
-/// Weight of a new sample in smoothed times.
-constexpr double smoothing = 0.05;
-/// Tokens past the point of a crash after which a request runs beside other suspects again. The
-/// crash still counts against it until it has completed.
+/// Weight of a new sample in the smoothed times.
+constexpr double sampleWeight = 0.05;
+/// Number of tokens that a suspect must deliver beyond those delivered before the crash until it
+/// may run alongside other suspects again. The crash still counts against it until it has
+/// completed.
 constexpr std::int64_t tokensPastCrash = 16;
 
 absl::Duration smoothed(absl::Duration old, absl::Duration sample)
 {
-    return old + (sample - old) * smoothing;
+    return old + (sample - old) * sampleWeight;
 }
 
 } // namespace
@@ -27,15 +28,15 @@
 Scheduler::State::State(SchedulerSettings schedulerSettings, std::uint64_t seed)
     : settings(std::move(schedulerSettings))
     , router(settings.router, settings.failureDomain)
-    , allowance(settings)
+    , batchAllowance(settings)
     , prefillWindows(settings.onlineTailWeight)
     , retry(settings.retry)
     , quarantine(settings.quarantine)
     , random(seed)
-    , tokenTime(settings.decodeStep)
+    , timePerToken(settings.decodeStep)
 {}
 
-// Lists
+// Engines, workspaces and tasks
 
 void Scheduler::State::setEngines(const std::vector<EngineInfo> &list)
 {
@@ -66,7 +67,7 @@
 
 void Scheduler::State::assignEngines(ModelPool &modelPool)
 {
-    // All entries number the engines of a model in order of name.
+    // Sorted by name, so that all entries assign the same numbers to the engines of a model.
     std::sort(modelPool.engines.begin(), modelPool.engines.end(),
               [](const EngineRecord *left, const EngineRecord *right) {
                   return left->state.info().name < right->state.info().name;
@@ -77,19 +78,19 @@
         modelPool.engines[i]->preferred = false;
         names.push_back(modelPool.engines[i]->state.info().name);
     }
-    for (const std::string &own : ownEngines.choose(names))
-        engine(own)->preferred = true;
-    modelPool.suspectOrder = ownEngines.suspectOrder(std::move(names));
+    for (const std::string &engineName : engineAssignment.preferredEngines(names))
+        engine(engineName)->preferred = true;
+    modelPool.suspectOrder = engineAssignment.suspectOrder(std::move(names));
 }
 
 void Scheduler::State::setWorkspaces(const std::vector<WorkspaceWeights> &list)
 {
-    for (const WorkspaceWeights &share : list) {
-        workspaces[share.workspace] = share;
+    for (const WorkspaceWeights &weights : list) {
+        workspaces[weights.workspace] = weights;
         for (auto &[model, modelPool] : pools) {
-            modelPool.online.setWeight(share.workspace, share.onlineWeight);
-            modelPool.outside.setWeight(share.workspace, share.onlineWeight);
-            modelPool.batch.setWeight(share.workspace, share.batchWeight);
+            modelPool.online.setWeight(weights.workspace, weights.onlineWeight);
+            modelPool.outsideContract.setWeight(weights.workspace, weights.onlineWeight);
+            modelPool.batch.setWeight(weights.workspace, weights.batchWeight);
         }
     }
 }
@@ -100,10 +101,10 @@
     if (found != pools.end())
         return found->second;
     ModelPool &created = pools[model];
-    for (const auto &[workspace, share] : workspaces) {
-        created.online.setWeight(workspace, share.onlineWeight);
-        created.outside.setWeight(workspace, share.onlineWeight);
-        created.batch.setWeight(workspace, share.batchWeight);
+    for (const auto &[workspace, weights] : workspaces) {
+        created.online.setWeight(workspace, weights.onlineWeight);
+        created.outsideContract.setWeight(workspace, weights.onlineWeight);
+        created.batch.setWeight(workspace, weights.batchWeight);
     }
     return created;
 }
@@ -123,8 +124,8 @@
 TaskRecord *Scheduler::State::running(TaskId task, int attempt)
 {
     TaskRecord *item = find(task);
-    const bool current = item != nullptr && item->isRunning() && item->attempt == attempt;
-    return current ? item : nullptr;
+    const bool isCurrent = item != nullptr && item->isRunning() && item->attempt == attempt;
+    return isCurrent ? item : nullptr;
 }
 
 // Events
@@ -133,7 +134,7 @@
 {
     item.phase = TaskRecord::Phase::Waiting;
     item.waitingSince = now;
-    // The crash may have been explained while the work backed off.
+    // The crash may have been retracted or cleared while the task waited for its retry.
     if (quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed)
         item.suspect = false;
     ModelPool &waitingPool = pool(item.task.model);
@@ -146,7 +147,8 @@
         return;
     }
     if (item.isOnline()) {
-        FairQueue &queue = item.task.insideContract ? waitingPool.online : waitingPool.outside;
+        FairQueue &queue =
+                item.task.insideContract ? waitingPool.online : waitingPool.outsideContract;
         queue.push(item.task.workspace, item.task.id, item.waitingSince);
         return;
     }
@@ -160,7 +162,7 @@
 void Scheduler::State::dequeue(TaskRecord &item)
 {
     if (item.phase == TaskRecord::Phase::BackingOff) {
-        backoffs.erase({item.notBefore, item.task.id});
+        backoffs.erase({item.retryAt, item.task.id});
         return;
     }
     ModelPool &waitingPool = pool(item.task.model);
@@ -168,42 +170,43 @@
     if (item.isOnline()) {
         onlineDeadlines.erase({item.onlineDeadline, item.task.id});
         waitingPool.online.remove(item.task.id);
-        waitingPool.outside.remove(item.task.id);
+        waitingPool.outsideContract.remove(item.task.id);
         return;
     }
     waitingPool.batch.remove(item.task.id);
     waitingPool.latestStarts.erase({item.latestStart, item.task.id});
 }
 
-void Scheduler::State::noteProgress(absl::Time now, TaskRecord &item, std::int64_t deliveredTokens)
+void Scheduler::State::recordProgress(absl::Time now, TaskRecord &item,
+                                      std::int64_t deliveredTokens)
 {
     const std::int64_t tokens = deliveredTokens - item.deliveredTokens;
     if (tokens <= 0)
         return;
     if (item.prefillTokens > 0)
-        noteFirstToken(now, item);
+        recordFirstToken(now, item);
     else
-        tokenTime = smoothed(tokenTime, (now - item.progressAt) / tokens);
+        timePerToken = smoothed(timePerToken, (now - item.progressAt) / tokens);
     item.deliveredTokens = deliveredTokens;
     item.progressAt = now;
     if (deliveredTokens >= item.clearedAtTokens)
         clearSuspect(item);
 }
 
-void Scheduler::State::noteFirstToken(absl::Time now, TaskRecord &item)
+void Scheduler::State::recordFirstToken(absl::Time now, TaskRecord &item)
 {
     if (item.prefillTokens <= 0)
         return;
     EngineRecord *record = engine(item.engine);
     const absl::Duration time = now - item.startedAt;
     if (item.isOnline()) {
-        const bool first = firstTokenTime == absl::ZeroDuration();
-        firstTokenTime = first ? time : smoothed(firstTokenTime, time);
+        const bool first = timeToFirstToken == absl::ZeroDuration();
+        timeToFirstToken = first ? time : smoothed(timeToFirstToken, time);
     }
     if (record != nullptr) {
         record->state.firstToken(item.task.kind, item.prefillTokens);
         if (item.isOnline())
-            record->state.outlier().firstToken(now, time, firstTokenTime);
+            record->state.outlier().firstToken(now, time, timeToFirstToken);
     }
     item.prefillTokens = 0;
     item.mayHaveRun = true;
@@ -214,10 +217,10 @@
 {
     --runningCount[index(item.task.kind)];
     FairQueue &queue = item.isOnline() ? pool(item.task.model).online : pool(item.task.model).batch;
-    // The start charged for the longest answer; the rest is given back.
+    // The start charged the workspace for maxTokens. The tokens not generated are refunded.
     const auto unused = static_cast<double>(std::max<std::int64_t>(item.remainingTokens(), 0));
-    queue.charge(item.task.workspace, -std::min(item.charged, unused));
-    item.charged = 0;
+    queue.charge(item.task.workspace, -std::min(item.chargedTokens, unused));
+    item.chargedTokens = 0;
     EngineRecord *record = engine(item.engine);
     if (record == nullptr)
         return;
@@ -232,29 +235,30 @@
         --record->preempting;
 }
 
-void Scheduler::State::forget(TaskRecord &item)
+void Scheduler::State::removeTask(TaskRecord &item)
 {
     if (!item.isRunning())
         dequeue(item);
     items.erase(item.task.id);
 }
 
-void Scheduler::State::countCrash(absl::Time now, TaskRecord &item)
+void Scheduler::State::recordCrash(absl::Time now, TaskRecord &item)
 {
     EngineRecord *record = engine(item.engine);
-    if (item.crashCounted || record == nullptr)
+    if (item.crashRecorded || record == nullptr)
         return;
     std::vector<std::string> fingerprints;
     for (const TaskId id : record->running) {
-        TaskRecord &beside = items.at(id);
-        if (beside.crashCounted)
+        TaskRecord &other = items.at(id);
+        if (other.crashRecorded)
             continue;
-        beside.crashCounted = true;
-        // A request that passed the point of its first crash is not blamed for a second one while a
-        // suspect that has not passed it ran beside it.
-        const bool passed = !beside.suspect && quarantine.crashCount(beside.task.fingerprint) > 0;
-        if (!passed || record->suspectsRunning == 0)
-            fingerprints.push_back(beside.task.fingerprint);
+        other.crashRecorded = true;
+        // A request that got past the point of its first crash is not blamed for a second crash
+        // when a suspect that has not got past that point ran on the same engine.
+        const bool passedCrash =
+                !other.suspect && quarantine.crashCount(other.task.fingerprint) > 0;
+        if (!passedCrash || record->suspectsRunning == 0)
+            fingerprints.push_back(other.task.fingerprint);
     }
     record->state.outlier().failed(now, true);
     prefixes.removeEngine(item.engine);
@@ -265,7 +269,7 @@
     for (const std::string &fingerprint : changed)
         decisions.emplace_back(RecordCrash{fingerprint, item.engine});
     const std::string &domain = record->state.info().failureDomain;
-    for (const Crash &crash : crashes.add({now, item.engine, domain, std::move(fingerprints)}))
+    for (const Crash &crash : crashHistory.add({now, item.engine, domain, std::move(fingerprints)}))
         retractCrash(now, crash);
 }
 
@@ -297,29 +301,29 @@
 void Scheduler::State::attemptFailed(absl::Time now, TaskRecord &item,
                                      const AttemptFailure &failure)
 {
-    noteProgress(now, item, failure.deliveredTokens);
+    recordProgress(now, item, failure.deliveredTokens);
     const bool crashed = failure.kind == AttemptFailure::Kind::Crashed;
     if (crashed)
-        countCrash(now, item);
+        recordCrash(now, item);
     EngineRecord *record = engine(item.engine);
-    const bool blame = !crashed && failure.kind != AttemptFailure::Kind::Invalid
-                       && failure.failure.code != ErrorCode::UpstreamBusy;
-    if (record != nullptr && blame)
+    const bool isEngineFailure = !crashed && failure.kind != AttemptFailure::Kind::Invalid
+                                 && failure.failure.code != ErrorCode::UpstreamBusy;
+    if (record != nullptr && isEngineFailure)
         record->state.outlier().failed(now, false);
     if (failure.kind != AttemptFailure::Kind::Refused)
         item.mayHaveRun = true;
     endAttempt(now, item);
     item.phase = TaskRecord::Phase::BackingOff;
-    item.notBefore = now;
+    item.retryAt = now;
     item.excluded.push_back(item.engine);
     const QuarantineStatus status = quarantine.status(now, item.task.fingerprint);
     item.suspect = status == QuarantineStatus::Suspect;
     if (crashed)
         item.clearedAtTokens = item.deliveredTokens + tokensPastCrash;
     if (failure.kind == AttemptFailure::Kind::Invalid)
-        refuse(item, failure.failure.code, failure.failure.detail);
+        reject(item, failure.failure.code, failure.failure.detail);
     else if (status == QuarantineStatus::Blocked)
-        refuse(item, ErrorCode::RequestQuarantined,
+        reject(item, ErrorCode::RequestQuarantined,
                "the request crashed the upstreams that ran it");
     else if (item.isOnline())
         retryOnline(now, item, failure);
@@ -334,7 +338,7 @@
     if (retry.mayRetry(item.failures, run, item.task.idempotent))
         backOff(now, item);
     else
-        refuse(item, failure.failure.code, failure.failure.detail);
+        reject(item, failure.failure.code, failure.failure.detail);
 }
 
 void Scheduler::State::retryBatch(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
@@ -344,13 +348,13 @@
     if (item.failures < settings.maxBatchAttempts)
         backOff(now, item);
     else
-        refuse(item, ErrorCode::ItemFailed, failure.failure.detail);
+        reject(item, ErrorCode::ItemFailed, failure.failure.detail);
 }
 
 void Scheduler::State::backOff(absl::Time now, TaskRecord &item)
 {
-    item.notBefore = now + retry.backoff(std::max(item.failures, 1), random);
-    backoffs.insert({item.notBefore, item.task.id});
+    item.retryAt = now + retry.backoff(std::max(item.failures, 1), random);
+    backoffs.insert({item.retryAt, item.task.id});
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/schedulerstate.h
+++ b/src/policy/schedulerstate.h
@@ -26,22 +26,25 @@
     return static_cast<std::size_t>(kind);
 }
 
-using Deadline = std::pair<absl::Time, TaskId>;
+/// Key of the ordered sets below: a time and a task.
+using TimedTask = std::pair<absl::Time, TaskId>;
 
-/// Engines and waiting work of one model.
+/// Engines and waiting tasks of one model.
 struct ModelPool
 {
-    /// In order of name.
+    /// Sorted by name.
     std::vector<EngineRecord *> engines;
     /// Names of the engines in the order in which this entry uses them for suspects.
     std::vector<std::string> suspectOrder;
     FairQueue online;
-    /// Online work outside its contract.
-    FairQueue outside;
+    /// Waiting online tasks outside their contract.
+    FairQueue outsideContract;
     FairQueue batch;
-    /// Waiting batch work by the latest time at which it may start.
-    std::set<Deadline> latestStarts;
-    /// Suspects that wait for an engine without another suspect; online before batch.
+    /// Waiting batch tasks by the latest time at which they can start and still meet their
+    /// deadline.
+    std::set<TimedTask> latestStarts;
+    /// Suspects that wait for an engine that runs no other suspect; online tasks before batch
+    /// tasks.
     std::set<std::pair<TaskKind, TaskId>> suspects;
     ArrivalRate onlineRate;
 };
@@ -50,25 +53,25 @@
 {
     State(SchedulerSettings schedulerSettings, std::uint64_t seed);
 
-    // Lists
+    // Engines, workspaces and tasks
     void setEngines(const std::vector<EngineInfo> &engines);
     void setWorkspaces(const std::vector<WorkspaceWeights> &list);
     ModelPool &pool(const std::string &model);
     EngineRecord *engine(const std::string &name);
     TaskRecord *find(TaskId task);
-    /// The item when try \a attempt is the one that runs.
+    /// Returns the record of \a task, or nullptr unless attempt \a attempt is running.
     TaskRecord *running(TaskId task, int attempt);
 
     // Events
     void enqueue(absl::Time now, TaskRecord &item);
     void dequeue(TaskRecord &item);
-    void noteProgress(absl::Time now, TaskRecord &item, std::int64_t deliveredTokens);
-    void noteFirstToken(absl::Time now, TaskRecord &item);
+    void recordProgress(absl::Time now, TaskRecord &item, std::int64_t deliveredTokens);
+    void recordFirstToken(absl::Time now, TaskRecord &item);
     void endAttempt(absl::Time now, TaskRecord &item);
-    void forget(TaskRecord &item);
-    void countCrash(absl::Time now, TaskRecord &item);
+    void removeTask(TaskRecord &item);
+    void recordCrash(absl::Time now, TaskRecord &item);
     void retractCrash(absl::Time now, const Crash &crash);
-    /// The item runs beside other suspects again.
+    /// Allows the task to run alongside other suspects again.
     void clearSuspect(TaskRecord &item);
     void attemptFailed(absl::Time now, TaskRecord &item, const AttemptFailure &failure);
     void retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure);
@@ -77,69 +80,74 @@
 
     // Decisions
     void decide(absl::Time now);
-    void wakeBackedOff(absl::Time now);
+    void enqueueBackedOff(absl::Time now);
     void dispatchSuspects(absl::Time now, ModelPool &pool);
-    /// The engine on which this entry runs the suspect, away from suspects of other entries.
-    EngineRecord *suspectEngine(absl::Time now, const ModelPool &pool, const TaskRecord &item);
-    /// Not leaving or ejected, and its load is known.
+    /// Returns the engine on which this entry runs the suspect, apart from suspects of other
+    /// entries.
+    EngineRecord *chooseSuspectEngine(absl::Time now, const ModelPool &pool,
+                                      const TaskRecord &item);
+    /// Returns true when the engine is neither leaving nor ejected and its load report is recent.
     static bool isUsable(absl::Time now, const EngineRecord &record);
     void dispatchOnline(absl::Time now, ModelPool &pool, FairQueue &queue);
-    void shedOutside(ModelPool &pool);
-    void refuseLate(absl::Time now);
+    void rejectOutsideContract(ModelPool &pool);
+    void rejectExpired(absl::Time now);
     void dispatchUrgent(absl::Time now, ModelPool &pool);
     void dispatchBatch(absl::Time now, ModelPool &pool);
     bool startBatchOn(absl::Time now, ModelPool &pool, EngineRecord &record);
     EngineRecord *chooseOnlineEngine(absl::Time now, ModelPool &pool, const TaskRecord &item);
     RouteCandidate candidate(absl::Time now, const ModelPool &pool,
                              const EngineRecord &record) const;
-    /// With few engines there would be no other to go to.
+    /// Returns true when the model has enough engines for prefill windows: online tasks need other
+    /// engines while batch prompts start.
     static bool usesWindows(const ModelPool &pool);
     void assignEngines(ModelPool &pool);
     void assignAllEngines();
-    bool canTake(absl::Time now, const EngineRecord &record) const;
-    void makeRoom(absl::Time now, ModelPool &pool, EngineRecord &record);
-    TaskRecord *victimOn(absl::Time now, const EngineRecord &record);
+    bool hasCapacity(absl::Time now, const EngineRecord &record) const;
+    void preemptIfFull(absl::Time now, ModelPool &pool, EngineRecord &record);
+    TaskRecord *chooseVictim(absl::Time now, const EngineRecord &record);
     bool isPreemptible(absl::Time now, const TaskRecord &item) const;
     void preempt(TaskRecord &item);
     void start(absl::Time now, TaskRecord &item, EngineRecord &record);
-    void refuse(TaskRecord &item, ErrorCode code, std::string detail);
-    /// Refuses the item when its fingerprint is held.
-    bool refuseHeld(absl::Time now, TaskRecord &item);
+    void reject(TaskRecord &item, ErrorCode code, std::string detail);
+    /// Rejects the task and returns true when its fingerprint is blocked.
+    bool rejectBlocked(absl::Time now, TaskRecord &item);
 
     // Estimates
     absl::Duration remainingTime(const TaskRecord &item) const;
     absl::Time latestStart(const TaskRecord &item) const;
     absl::Time onlineDeadline(const TaskRecord &item) const;
     double onlineRatePerEngine(absl::Time now, const ModelPool &pool) const;
-    /// Online work that other entries probably sent to each engine since its report.
-    double unseenOnline(const ModelPool &pool) const;
+    /// Estimated number of online tasks that other entries have sent to each engine since its last
+    /// report.
+    double unreportedOnline(const ModelPool &pool) const;
     int batchCapacityOn(absl::Time now, const ModelPool &pool, const EngineRecord &record) const;
     std::size_t batchCapacity(absl::Time now, const ModelPool &pool) const;
-    void wakeAt(absl::Time time) { nextDecision = std::min(nextDecision, time); }
+    /// Requests a call of decide() at \a time or earlier.
+    void scheduleDecision(absl::Time time) { nextDecision = std::min(nextDecision, time); }
 
     SchedulerSettings settings;
     Router router;
-    BatchAllowance allowance;
+    BatchAllowance batchAllowance;
     PrefillWindows prefillWindows;
     RetryPolicy retry;
     Quarantine quarantine;
-    CrashHistory crashes;
+    CrashHistory crashHistory;
     PrefixIndex prefixes;
-    EngineAssignment ownEngines;
+    EngineAssignment engineAssignment;
     std::mt19937_64 random;
     std::size_t entries = 1;
     std::map<std::string, std::unique_ptr<EngineRecord>, std::less<>> engines;
     std::map<std::string, ModelPool, std::less<>> pools;
     std::map<std::string, WorkspaceWeights> workspaces;
     std::unordered_map<TaskId, TaskRecord> items;
-    std::set<Deadline> onlineDeadlines;
-    std::set<Deadline> backoffs;
+    std::set<TimedTask> onlineDeadlines;
+    std::set<TimedTask> backoffs;
     std::vector<SchedulerDecision> decisions;
     absl::Time nextDecision = absl::InfiniteFuture();
-    /// Smoothed time between two tokens of one answer.
-    absl::Duration tokenTime;
+    /// Smoothed time between two tokens of one response.
+    absl::Duration timePerToken;
     /// Smoothed time to first token over all engines.
-    absl::Duration firstTokenTime;
+    absl::Duration timeToFirstToken;
     std::array<std::size_t, 2> runningCount{};
 };
 
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -10,12 +10,13 @@
 namespace rattanrill::policy {
 namespace {
 
-/// Weight of a new sample in the mean time that a place is held.
-constexpr double smoothing = 0.05;
-/// One in so many places for batch work goes to late work, so that it is not put off for good.
-constexpr int lateEvery = 8;
-/// Retry-After when no upstream of the service takes work at all.
-constexpr absl::Duration noUpstreamReturn = absl::Seconds(1);
+/// Weight of a new sample in the mean time for which a slot is held.
+constexpr double sampleWeight = 0.05;
+/// Number of slots granted to other batch tasks after which a late task gets one, so that late
+/// tasks do not starve.
+constexpr int grantsPerLateTask = 8;
+/// Retry-After when no upstream of the service accepts tasks.
+constexpr absl::Duration noUpstreamRetryAfter = absl::Seconds(1);
 
 constexpr std::array<EnumName<ReleaseReason>, 4> releaseReasonNames = {{
         {ReleaseReason::Completed, "served"},
@@ -200,10 +201,11 @@
              || (reason == ReleaseReason::Failed && !isOverfull(now, *item.upstream)))
         item.upstream->outlier.failed(now, reason == ReleaseReason::Unreachable);
     if (reason == ReleaseReason::Completed) {
-        Service &served = service(item.task.service);
-        absl::Duration &mean = isOnline(item.task) ? served.meanHoldTime : served.meanBatchHoldTime;
-        const absl::Duration hold = item.task.priorRunTime + (now - item.since);
-        mean = mean == absl::ZeroDuration() ? hold : mean + (hold - mean) * smoothing;
+        Service &taskService = service(item.task.service);
+        absl::Duration &mean =
+                isOnline(item.task) ? taskService.meanHoldTime : taskService.meanBatchHoldTime;
+        const absl::Duration holdTime = item.task.priorRunTime + (now - item.since);
+        mean = mean == absl::ZeroDuration() ? holdTime : mean + (holdTime - mean) * sampleWeight;
     }
     leaveSlot(item);
     forget(item);
@@ -232,7 +234,8 @@
     reports[1] = {now, std::max<std::int64_t>(requests - found->second->held(), 0)};
 }
 
-/// Others' requests take places here, so that silence says nothing of the upstream.
+/// Returns true when requests of other senders occupy slots that this scheduler has granted too. A
+/// task that gets no response there does not indicate a fault of the upstream.
 bool SlotScheduler::isOverfull(absl::Time now, const Upstream &upstream) const
 {
     return upstream.held() + foreign(now, upstream) > upstream.info.slots;
@@ -266,7 +269,8 @@
     return !upstream.outlier.ejected(now);
 }
 
-/// The one with the fewest requests, since each makes the steps of all others longer.
+/// Returns the upstream with the fewest requests among those with a free slot, because each request
+/// makes the decode steps of all others longer.
 SlotScheduler::Upstream *SlotScheduler::freeUpstream(absl::Time now, const Service &service,
                                                      const Item &item) const
 {
@@ -275,10 +279,10 @@
     std::int64_t bestLoad = 0;
     for (Upstream *upstream : service.upstreams) {
         const double share = upstream->outlier.trafficShare(now);
-        const auto room = static_cast<std::int64_t>(
+        const auto capacity = static_cast<std::int64_t>(
                 std::ceil(static_cast<double>(upstream->info.slots) * share));
         const std::int64_t load = upstream->held() + foreign(now, *upstream);
-        if (!accepts(now, *upstream, item) || load >= room - onlineReserve)
+        if (!accepts(now, *upstream, item) || load >= capacity - onlineReserve)
             continue;
         if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.probes)
             continue;
@@ -296,7 +300,7 @@
     return best;
 }
 
-/// The one with the most batch work.
+/// Returns the upstream with the most batch tasks.
 SlotScheduler::Upstream *SlotScheduler::preemptibleUpstream(absl::Time now, const Service &service,
                                                             const Item &item) const
 {
@@ -310,15 +314,15 @@
     return best;
 }
 
-/// The one with the least behind it, which is farthest from its end.
+/// Preempts the batch task with the shortest run time, which is farthest from its end.
 void SlotScheduler::preemptOne(absl::Time now, Upstream &upstream)
 {
-    const auto served = [now](const Item *item) {
+    const auto runTime = [now](const Item *item) {
         return item->task.priorRunTime + (now - item->since);
     };
     const auto least = std::min_element(
             upstream.batch.begin(), upstream.batch.end(),
-            [&](const Item *left, const Item *right) { return served(left) < served(right); });
+            [&](const Item *left, const Item *right) { return runTime(left) < runTime(right); });
     Item &item = **least;
     m_decisions.emplace_back(PreemptSlot{item.task.id});
     leaveSlot(item);
@@ -329,7 +333,7 @@
 {
     const Queue queue = item.queue;
     dequeue(service, item);
-    // An item that goes on was charged when it began.
+    // A task that resumes was charged when it first started.
     if (queue == Queue::Online)
         service.online[item.task.priority].charge(item.task.workspace, item.task.tokens);
     else if (item.task.priorRunTime == absl::ZeroDuration())
@@ -378,12 +382,13 @@
 
 bool SlotScheduler::isLate(absl::Time now, const Service &service, const Item &item) const
 {
-    const absl::Duration left =
+    const absl::Duration remaining =
             std::max(service.meanBatchHoldTime - item.task.priorRunTime, absl::ZeroDuration());
-    return now + left > item.task.deadline;
+    return now + remaining > item.task.deadline;
 }
 
-/// Puts aside what can no longer be done in time, as far as it is next.
+/// Moves tasks that can no longer meet their deadline to the late queue: all interrupted ones, and
+/// those at the front of the batch queue.
 void SlotScheduler::moveLate(absl::Time now, Service &service)
 {
     const auto late =
@@ -401,12 +406,13 @@
     }
 }
 
-/// Interrupted work that is nearest to its end, then work that has not begun, then late work.
+/// Returns the interrupted task that is nearest to its end, else a task that has not started, else
+/// a late one. Every grantsPerLateTask grants, a late task goes first.
 SlotScheduler::Item *SlotScheduler::nextBatch(absl::Time now, Service &service)
 {
     moveLate(now, service);
     const std::optional<TaskId> late = service.late.front();
-    if (late && service.grantsSinceLate >= lateEvery)
+    if (late && service.grantsSinceLate >= grantsPerLateTask)
         return itemOf(*late);
     if (!service.interrupted.empty())
         return *std::max_element(service.interrupted.begin(), service.interrupted.end(),
@@ -418,7 +424,7 @@
     return late ? itemOf(*late) : nullptr;
 }
 
-/// Time from one end of an online request to the next when all places are taken.
+/// Expected time between the ends of two online requests when all slots are occupied.
 absl::Duration SlotScheduler::spacing(const Service &service) const
 {
     std::int64_t slots = 0;
@@ -427,7 +433,8 @@
     return slots == 0 ? absl::InfiniteDuration() : service.meanHoldTime / slots;
 }
 
-/// Places that are held back until their upstreams have told their load. Most are free then.
+/// Number of slots that are withheld until their upstreams have reported their load. Most of them
+/// turn out to be free.
 std::int64_t SlotScheduler::unprobedSlots(absl::Time now, const Service &service) const
 {
     std::int64_t slots = 0;
@@ -438,8 +445,8 @@
     return slots;
 }
 
-/// What waits in vain is refused now rather than at its due time. Those of the workspace with the
-/// most service go first.
+/// Rejects tasks that will not get a slot before their deadline, rather than at the deadline. The
+/// tasks of the workspace with the most service are rejected first.
 void SlotScheduler::rejectUnservable(absl::Time now, Service &service)
 {
     for (auto entry = service.online.rbegin(); entry != service.online.rend(); ++entry) {
@@ -467,11 +474,11 @@
 
 void SlotScheduler::refuse(absl::Time now, Service &service, Item &item)
 {
-    absl::Duration wait = noUpstreamReturn;
-    const absl::Duration step = spacing(service);
-    if (step != absl::InfiniteDuration()) {
+    absl::Duration wait = noUpstreamRetryAfter;
+    const absl::Duration interval = spacing(service);
+    if (interval != absl::InfiniteDuration()) {
         const absl::Time next = std::max(service.lastRetryAt, now + m_settings.minRetryAfter)
-                                + step / m_settings.retryShare;
+                                + interval / m_settings.retryShare;
         wait = std::min(next - now, item.task.maxRetryAfter);
         service.lastRetryAt = now + wait;
     }
--- a/src/policy/taskrecord.h
+++ b/src/policy/taskrecord.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::policy {
 
-/// One work as the scheduler tracks it from arrival to its end.
+/// State of a task in the scheduler, from its arrival to its end.
 struct TaskRecord
 {
     enum class Phase {
@@ -19,42 +19,46 @@
         Waiting,
         /// Waits for the end of a backoff.
         BackingOff,
-        /// A try is on \a engine.
+        /// An attempt runs on TaskRecord::engine.
         Running,
-        /// As Running; the end of the try has been ordered.
+        /// As Running, and the preemption of the attempt has been requested.
         Preempting,
     };
 
     Task task;
     Phase phase = Phase::Waiting;
     std::string engine;
-    /// Engines on which a try failed.
+    /// Engines on which an attempt failed.
     std::vector<std::string> excluded;
     std::string kvHandle;
     absl::Time waitingSince;
     absl::Time startedAt;
-    /// Keys of the waiting work in the scheduler's ordered sets; estimates change while it waits.
+    /// These two and retryAt are the task's keys in the scheduler's ordered sets. They are stored
+    /// because the estimates change while the task waits.
     absl::Time latestStart;
     absl::Time onlineDeadline;
-    absl::Time notBefore;
+    /// End of the backoff.
+    absl::Time retryAt;
     int attempt = 0;
     int failures = 0;
     int preemptions = 0;
     std::int64_t deliveredTokens = 0;
     absl::Time progressAt;
-    /// Prompt tokens that the running try counts as its engine's prefill; 0 from its first token.
+    /// Number of prompt tokens that the running attempt adds to the prefill of its engine; 0 after
+    /// the first token.
     std::int64_t prefillTokens = 0;
-    /// Tokens of KV memory that the running try counts on its engine.
+    /// Estimated KV memory, in tokens, that the running attempt adds to its engine.
     std::int64_t kvTokens = 0;
-    /// Tokens charged to the workspace for the running try.
-    double charged = 0;
+    /// Tokens charged to the workspace for the running attempt.
+    double chargedTokens = 0;
+    /// Whether an attempt of the task may have run.
     bool mayHaveRun = false;
-    /// Runs only where no other suspect runs.
+    /// Whether the task runs only on an engine that runs no other suspect.
     bool suspect = false;
-    /// A suspect that delivers this many tokens has passed the point of the crash.
+    /// Number of delivered tokens at which a suspect has got past the point of the crash.
     std::int64_t clearedAtTokens = std::numeric_limits<std::int64_t>::max();
-    /// The crash of the running try's engine has been counted.
-    bool crashCounted = false;
+    /// Whether a crash of the engine during the running attempt has been recorded.
+    bool crashRecorded = false;
 
     bool isOnline() const { return task.kind == TaskKind::Online; }
     bool isRunning() const { return phase == Phase::Running || phase == Phase::Preempting; }
--- a/src/policy/tokenbucket.cpp
+++ b/src/policy/tokenbucket.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Rounding error of the level that is not held against a caller.
+/// Tolerance for rounding errors of the level, in units. Units that are missing by less than this
+/// are granted.
 constexpr double levelTolerance = 1e-9;
 
 } // namespace
@@ -27,7 +28,7 @@
     if (m_level + levelTolerance < units) {
         if (m_contract.ratePerSecond <= 0)
             return {false, absl::InfiniteDuration()};
-        // Rounded up, so that the units are not used a nanosecond early.
+        // Rounded up, so that the units do not come into use a nanosecond too early.
         wait += absl::Seconds((units - m_level) / m_contract.ratePerSecond) + absl::Nanoseconds(1);
     }
     if (wait > maxWait)
--- a/tests/policy/assignment_test.cpp
+++ b/tests/policy/assignment_test.cpp
@@ -31,7 +31,7 @@
         const std::vector<std::string> order = assignment.suspectOrder(engines);
         BOOST_TEST(std::set<std::string>(order.begin(), order.end()).size() == engines.size());
         firsts.insert(order.front());
-        for (const std::string &own : assignment.choose(engines))
+        for (const std::string &own : assignment.preferredEngines(engines))
             BOOST_TEST(preferred.insert(own).second);
     }
     BOOST_TEST(firsts.size() == entries.size());
@@ -44,7 +44,7 @@
     for (const std::string &entry : entries) {
         EngineAssignment assignment;
         assignment.setEntries(entry, entries);
-        BOOST_TEST(assignment.choose({"1", "2"}).size() == 1U);
+        BOOST_TEST(assignment.preferredEngines({"1", "2"}).size() == 1U);
         BOOST_TEST(assignment.suspectOrder({"1", "2"}).size() == 2U);
         BOOST_TEST(assignment.suspectOrder({}).empty());
     }
