--- a/tests/policy/assignment_test.cpp
+++ b/tests/policy/assignment_test.cpp
@@ -20,26 +20,28 @@
 
 BOOST_AUTO_TEST_SUITE(AssignmentTest)
 
-// Guards against suspects of two entries on one engine, and against an entry that has none.
+// Guards against entries that share their first engine for suspects, so that one crash counts
+// against the requests of both, and against an engine that no entry or several entries prefer.
 BOOST_AUTO_TEST_CASE(everyEntryHasItsOwnEngineForSuspects)
 {
-    std::set<std::string> firsts;
+    std::set<std::string> firstChoices;
     std::set<std::string> preferred;
     for (const std::string &entry : entries) {
         EngineAssignment assignment;
         assignment.setEntries(entry, entries);
         const std::vector<std::string> order = assignment.suspectOrder(engines);
         BOOST_TEST(std::set<std::string>(order.begin(), order.end()).size() == engines.size());
-        firsts.insert(order.front());
-        for (const std::string &own : assignment.preferredEngines(engines))
-            BOOST_TEST(preferred.insert(own).second);
+        firstChoices.insert(order.front());
+        for (const std::string &engine : assignment.preferredEngines(engines))
+            BOOST_TEST(preferred.insert(engine).second);
     }
-    BOOST_TEST(firsts.size() == entries.size());
+    BOOST_TEST(firstChoices.size() == entries.size());
     BOOST_TEST(preferred.size() == engines.size());
 }
 
-// Guards against an entry without an engine while there are more entries than engines.
-BOOST_AUTO_TEST_CASE(moreEntriesThanEnginesShare)
+// Guards against an entry that gets no engine because the entries outnumber the engines, or that
+// fails when there are no engines.
+BOOST_AUTO_TEST_CASE(everyEntryHasAnEngineWhenEntriesOutnumberEngines)
 {
     for (const std::string &entry : entries) {
         EngineAssignment assignment;
@@ -50,7 +52,8 @@
     }
 }
 
-// Guards against two groups in their window at once, and against a group that gets none.
+// Guards against overlapping windows of two groups, which would leave fewer engines without batch
+// prefill, and against a group whose window never opens.
 BOOST_AUTO_TEST_CASE(exactlyOneGroupIsOpenAtATime)
 {
     for (const double weight : {0.0, 0.5, 1.0}) {
@@ -73,9 +76,9 @@
     }
 }
 
-// Guards against suspicion of all work in a lost failure domain, and against a poison request that
-// clears itself by crashing two upstreams of one domain.
-BOOST_AUTO_TEST_CASE(lostDomainIsToldFromAPoisonRequest)
+// Guards against a lost failure domain that makes suspects of all requests that ran there, and
+// against a request that crashes two upstreams of one domain and passes for the loss of the domain.
+BOOST_AUTO_TEST_CASE(lostDomainIsDistinguishedFromAPoisonRequest)
 {
     CrashHistory history;
     BOOST_TEST(history.add({start, "1", "d", {"poison", "x"}}).empty());
@@ -85,8 +88,9 @@
     BOOST_TEST(history.add({start + absl::Seconds(11), "5", "d", {"w"}}).size() == 2U);
 }
 
-// Guards against work of a lost domain that runs one at a time as if it were suspect.
-BOOST_FIXTURE_TEST_CASE(workOfALostDomainRestartsTogether, SchedulerFixture)
+// Guards against tasks of a lost failure domain that are treated as suspects and therefore restart
+// one at a time.
+BOOST_FIXTURE_TEST_CASE(tasksOfALostDomainRestartConcurrently, SchedulerFixture)
 {
     setEngines(4);
     for (int i = 0; i < 24; ++i)
@@ -103,9 +107,9 @@
         }
     }
     BOOST_TEST(lost >= 4U);
-    const std::size_t places = 16 - running.size();
-    const auto again = only<StartTask>(advance(absl::Milliseconds(100)));
-    BOOST_TEST(again.size() >= std::min({lost, places, std::size_t{10}}));
+    const std::size_t freeSlots = 16 - running.size();
+    const auto restarts = filter<StartTask>(advance(absl::Milliseconds(100)));
+    BOOST_TEST(restarts.size() >= std::min({lost, freeSlots, std::size_t{10}}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/enginereconciler_test.cpp
+++ b/tests/policy/enginereconciler_test.cpp
@@ -17,56 +17,57 @@
 
 BOOST_AUTO_TEST_SUITE(EngineReconcilerTest)
 
-// Guards against an older order that arrives late at an engine which ignores fencing numbers and
-// undoes a newer one.
-BOOST_AUTO_TEST_CASE(engineThatIgnoresFencesWaitsForOlderOrders)
+// Guards against an older command that arrives late at an engine which ignores fencing numbers and
+// undoes a newer command.
+BOOST_AUTO_TEST_CASE(engineThatIgnoresFencesGetsNoCommandBeforeTheOlderOneEnds)
 {
     const EngineReconcilerSettings settings;
-    EngineReconciler placement(settings, start);
-    placement.setDesired(start, {desired("e", "prefill", false)}, 1);
-    BOOST_TEST(placement.decide(start + settings.commandLifetime - absl::Seconds(1)).empty());
+    EngineReconciler reconciler(settings, start);
+    reconciler.setDesired(start, {desired("e", "prefill", false)}, 1);
+    BOOST_TEST(reconciler.decide(start + settings.commandLifetime - absl::Seconds(1)).empty());
     const absl::Time sent = start + settings.commandLifetime;
-    const std::vector<EngineCommand> first = placement.decide(sent);
+    const std::vector<EngineCommand> first = reconciler.decide(sent);
     BOOST_REQUIRE(first.size() == 1U);
-    placement.setDesired(sent, {desired("e", "decode", false)}, 2);
-    BOOST_TEST(placement.decide(sent + absl::Hours(1)).empty());
-    placement.timedOut(sent + absl::Hours(1), first[0]);
-    BOOST_TEST(placement.decide(sent + absl::Hours(1)).empty());
-    const auto second = placement.decide(sent + absl::Hours(1) + settings.commandLifetime);
+    reconciler.setDesired(sent, {desired("e", "decode", false)}, 2);
+    BOOST_TEST(reconciler.decide(sent + absl::Hours(1)).empty());
+    reconciler.timedOut(sent + absl::Hours(1), first[0]);
+    BOOST_TEST(reconciler.decide(sent + absl::Hours(1)).empty());
+    const auto second = reconciler.decide(sent + absl::Hours(1) + settings.commandLifetime);
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_TEST(second[0].name == "decode");
     BOOST_TEST(second[0].fence == 2U);
 }
 
-// Guards against a needless wait where the engine rejects older orders itself.
-BOOST_AUTO_TEST_CASE(engineThatChecksFencesGetsOrdersAtOnce)
+// Guards against a needless delay of commands to an engine that rejects older commands itself.
+BOOST_AUTO_TEST_CASE(engineThatChecksFencesGetsCommandsAtOnce)
 {
-    EngineReconciler placement(EngineReconcilerSettings{}, start);
-    placement.setDesired(start, {desired("e", "decode", true)}, 7);
-    const auto orders = placement.decide(start);
-    BOOST_REQUIRE(orders.size() == 1U);
-    BOOST_TEST(!placement.isConverged("e"));
-    placement.answered(start, orders[0], true);
-    BOOST_TEST(placement.isConverged("e"));
-    BOOST_TEST(placement.decide(start + absl::Hours(1)).empty());
+    EngineReconciler reconciler(EngineReconcilerSettings{}, start);
+    reconciler.setDesired(start, {desired("e", "decode", true)}, 7);
+    const auto commands = reconciler.decide(start);
+    BOOST_REQUIRE(commands.size() == 1U);
+    BOOST_TEST(!reconciler.isConverged("e"));
+    reconciler.answered(start, commands[0], true);
+    BOOST_TEST(reconciler.isConverged("e"));
+    BOOST_TEST(reconciler.decide(start + absl::Hours(1)).empty());
 }
 
-// Guards against a restart of the fleet that loads all weights at once from a rate limited store.
+// Guards against a restart of the fleet in which all engines load their weights at the same time
+// from a rate-limited store.
 BOOST_AUTO_TEST_CASE(weightLoadsStayWithinTheStoresRate)
 {
     EngineReconcilerSettings settings;
     settings.weightLoads = {0.5, 2};
-    EngineReconciler placement(settings, start);
+    EngineReconciler reconciler(settings, start);
     std::vector<DesiredState> all;
     for (int i = 0; i < 50; ++i)
         all.push_back({"e" + std::to_string(i), true, {{EngineCommandKind::LoadModel, "m"}}});
-    placement.setDesired(start, all, 1);
-    std::size_t orders = 0;
+    reconciler.setDesired(start, all, 1);
+    std::size_t commands = 0;
     for (int second = 0; second < 40; ++second) {
-        orders += placement.decide(start + absl::Seconds(second)).size();
-        BOOST_TEST(orders <= 0.5 * second + 2);
+        commands += reconciler.decide(start + absl::Seconds(second)).size();
+        BOOST_TEST(commands <= 0.5 * second + 2);
     }
-    BOOST_TEST(orders >= 18U);
+    BOOST_TEST(commands >= 18U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/quarantine_test.cpp
+++ b/tests/policy/quarantine_test.cpp
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_SUITE(QuarantineTest)
 
 // Guards against a third crash by the same request.
-BOOST_AUTO_TEST_CASE(poisonIsHeldAfterTwoCrashes)
+BOOST_AUTO_TEST_CASE(poisonRequestIsBlockedAfterTwoCrashes)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.crashed(start, "e1", {"poison", "a", "b"}, false);
@@ -34,8 +34,8 @@
     BOOST_TEST(quarantine.status(start + absl::Hours(1), "poison") == QuarantineStatus::Blocked);
 }
 
-// Guards against innocent requests that stay suspects because they ran beside a poison request.
-BOOST_AUTO_TEST_CASE(successClearsTheInnocent)
+// Guards against requests that stay suspects only because they ran alongside a poison request.
+BOOST_AUTO_TEST_CASE(successClearsASuspect)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.crashed(start, "e1", {"poison", "innocent"}, false);
@@ -47,7 +47,8 @@
                == QuarantineStatus::Suspect);
 }
 
-// Guards against suspicion without end, and against forgetting the only request that ran.
+// Guards against a request that stays a suspect without end, and against a request that ran alone
+// on a crashed upstream and is cleared as early as one that ran alongside others.
 BOOST_AUTO_TEST_CASE(suspicionEndsUnlessTheRequestRanAlone)
 {
     const QuarantineSettings settings;
@@ -59,8 +60,9 @@
     BOOST_TEST(quarantine.status(after, "single") == QuarantineStatus::Suspect);
 }
 
-// Guards against counting one crash twice, which would hold every request that ran there.
-BOOST_AUTO_TEST_CASE(sameUpstreamCountsOnce)
+// Guards against a crash that is counted twice, for example when the directory reports it too.
+// Every request that ran on the upstream would be blocked.
+BOOST_AUTO_TEST_CASE(crashOfTheSameUpstreamCountsOnce)
 {
     Quarantine quarantine{QuarantineSettings{}};
     BOOST_TEST(quarantine.crashed(start, "e1", {"a"}, false).size() == 1U);
@@ -69,9 +71,9 @@
     BOOST_TEST(quarantine.status(start, "a") == QuarantineStatus::Suspect);
 }
 
-// Guards against an entry that runs what another one saw crash, and against a hold that an
-// operator cannot release.
-BOOST_AUTO_TEST_CASE(recordsOfTheDirectoryHoldAndRelease)
+// Guards against an entry that ignores crashes recorded by other entries, and against a block that
+// success removes or that an operator cannot release.
+BOOST_AUTO_TEST_CASE(directoryRecordsBlockAndRelease)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.setRecord(start, "poison", {"e1"}, false);
--- a/tests/policy/retrypolicy_test.cpp
+++ b/tests/policy/retrypolicy_test.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(RetryPolicyTest)
 
-// Guards against a second effect of a request that may have run.
+// Guards against a retry that repeats the effect of a request which may have run.
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNotRetriedAfterItMayHaveRun)
 {
     RetryPolicy policy{RetrySettings{}};
@@ -16,7 +16,8 @@
     BOOST_TEST(policy.mayRetry(1, EffectState::MayHaveRun, true));
 }
 
-// Guards against retries that multiply an outage: at most the share plus the initial budget.
+// Guards against retries that amplify an outage: their number is limited to the budget share of the
+// requests plus the initial budget.
 BOOST_AUTO_TEST_CASE(retriesStayWithinTheBudget)
 {
     RetrySettings settings;
@@ -32,8 +33,8 @@
     BOOST_TEST(retries >= requests * settings.budgetShare - 1);
 }
 
-// Guards against retries in step with each other and against waits without end.
-BOOST_AUTO_TEST_CASE(backoffIsSpreadAndBounded)
+// Guards against callers that retry at the same time, and against backoffs that grow without limit.
+BOOST_AUTO_TEST_CASE(backoffIsRandomAndBounded)
 {
     RetrySettings settings;
     const RetryPolicy policy(settings);
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -10,7 +10,7 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000);
 
-/// Engines of one model with a maximum batch of 100 and given numbers of running requests.
+/// A router with engines of one model. Each engine has a maximum batch of 100 requests.
 struct RouterFixture
 {
     void add(const std::string &name, std::int64_t running, bool leaving = false)
@@ -43,7 +43,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterTest, RouterFixture)
 
-// Guards against new work on an upstream that is about to end.
+// Guards against new tasks on an engine that is about to shut down.
 BOOST_AUTO_TEST_CASE(leavingEngineGetsNothing)
 {
     add("leaving", 0, true);
@@ -53,8 +53,8 @@
         BOOST_TEST(choose() == "staying");
 }
 
-// Guards against a popular prefix that overloads the engine which has it cached.
-BOOST_AUTO_TEST_CASE(prefixAttractsOnlyBelowTheLoadBound)
+// Guards against a popular prefix that overloads the engine which has cached it.
+BOOST_AUTO_TEST_CASE(cachedPrefixIsIgnoredAboveTheLoadBound)
 {
     Task task;
     task.promptTokens = 16;
@@ -71,8 +71,9 @@
         BOOST_TEST(choose(task) == "other");
 }
 
-// Guards against all own work on one engine while its report is late.
-BOOST_AUTO_TEST_CASE(ownWorkSinceTheReportCounts)
+// Guards against an entry that sends all its tasks to one engine while the engine's next report is
+// late.
+BOOST_AUTO_TEST_CASE(localTasksSinceTheReportCountAsLoad)
 {
     add("a", 20);
     add("b", 20);
@@ -82,8 +83,8 @@
     BOOST_TEST(engines[1]->localTasks(TaskKind::Online) > 12);
 }
 
-// Guards against counting own work twice once a report includes it.
-BOOST_AUTO_TEST_CASE(reportReplacesOlderOwnWork)
+// Guards against local tasks that are counted twice after a report includes them.
+BOOST_AUTO_TEST_CASE(reportReplacesOlderLocalTasks)
 {
     add("a", 20);
     EngineState &engine = *engines[0];
@@ -98,8 +99,8 @@
     BOOST_TEST(engine.localTasks(TaskKind::Online) == 1);
 }
 
-// Guards against a flood on an upstream that has just come back, and against one that is never
-// used again.
+// Guards against an engine that is overloaded right after its ejection, and against one that is
+// never used again.
 BOOST_AUTO_TEST_CASE(crashedEngineReturnsGradually)
 {
     add("a", 20);
@@ -108,13 +109,14 @@
     BOOST_TEST(choose() == "b");
     const OutlierDetector &outlier = engines[0]->outlier();
     BOOST_TEST(outlier.trafficShare(start) == 0);
-    const absl::Time back = outlier.ejectedUntil();
-    BOOST_TEST(outlier.trafficShare(back) < 0.2);
-    BOOST_TEST(outlier.trafficShare(back + settings.outlier.rampUpTime) == 1);
+    const absl::Time ejectionEnd = outlier.ejectedUntil();
+    BOOST_TEST(outlier.trafficShare(ejectionEnd) < 0.2);
+    BOOST_TEST(outlier.trafficShare(ejectionEnd + settings.outlier.rampUpTime) == 1);
 }
 
-// Guards against an ejection by one slow answer, and against a slow upstream that keeps its share.
-BOOST_AUTO_TEST_CASE(slowFirstTokensEject)
+// Guards against an ejection because of one slow response, and against a slow engine that keeps its
+// share of the traffic.
+BOOST_AUTO_TEST_CASE(slowFirstTokensEjectAfterSeveralSamples)
 {
     OutlierDetector detector{OutlierSettings{}};
     detector.firstToken(start, absl::Seconds(5), absl::Milliseconds(100));
@@ -124,8 +126,9 @@
     BOOST_TEST(detector.ejected(start));
 }
 
-// Guards against trust in cache events that were lost: after a gap older guesses expire sooner.
-BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensGuesses)
+// Guards against prefixes that count as cached although their eviction events were lost. After a
+// gap in the sequence numbers, older guesses expire sooner.
+BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensTheLifetimeOfGuesses)
 {
     const absl::Duration lifetime = absl::Seconds(100);
     PrefixIndex index(lifetime);
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-/// Fills the only engine with batch work that has sent its first token.
+/// Fills the engine, which must be the only one, with batch tasks that have produced their first
+/// token.
 void fillWithBatch(SchedulerFixture &fixture, const std::string &workspace = "a")
 {
     for (int i = 0; i < 20; ++i)
         fixture.add(TaskKind::Batch, workspace);
     for (int i = 0; i < 100; ++i) {
         for (const StartTask &start :
-             fixture.only<StartTask>(fixture.advance(absl::Milliseconds(20))))
+             fixture.filter<StartTask>(fixture.advance(absl::Milliseconds(20))))
             fixture.firstToken(start.task);
     }
 }
@@ -25,34 +26,36 @@
 
 BOOST_FIXTURE_TEST_SUITE(SchedulerTest, SchedulerFixture)
 
-// Guards against head-of-line blocking: an online request waits for no batch work.
-BOOST_AUTO_TEST_CASE(onlineStartsAtOnceAndBeforeBatch)
+// Guards against head-of-line blocking: an online task does not wait for batch tasks that arrived
+// first.
+BOOST_AUTO_TEST_CASE(onlineTaskStartsBeforeWaitingBatchTasks)
 {
     setEngines(1);
     for (int i = 0; i < 50; ++i)
         add(TaskKind::Batch);
     const TaskId online = add(TaskKind::Online);
-    const auto starts = only<StartTask>(decide());
+    const auto starts = filter<StartTask>(decide());
     BOOST_REQUIRE(!starts.empty());
     BOOST_TEST(starts[0].task == online);
 }
 
-// Guards against batch work that takes the reserve, and against capacity left idle.
-BOOST_AUTO_TEST_CASE(batchFillsUpToTheReserveWithinASecond)
+// Guards against batch tasks that occupy the slots reserved for online tasks, and against slots
+// that stay free while batch tasks wait.
+BOOST_AUTO_TEST_CASE(batchFillsAnEngineUpToTheOnlineReserve)
 {
     setEngines(1);
     for (int i = 0; i < 50; ++i)
         add(TaskKind::Batch);
-    for (const StartTask &start : only<StartTask>(advance(absl::Seconds(1))))
+    for (const StartTask &start : filter<StartTask>(advance(absl::Seconds(1))))
         firstToken(start.task);
-    for (const StartTask &start : only<StartTask>(advance(absl::Seconds(1))))
+    for (const StartTask &start : filter<StartTask>(advance(absl::Seconds(1))))
         firstToken(start.task);
     BOOST_TEST(running.size() >= 6U);
     BOOST_TEST(running.size() < 8U);
 }
 
-// Guards against starvation of online work by batch: with every place taken, each online request
-// of a burst preempts one batch stream in the same decision.
+// Guards against online tasks that wait while batch tasks occupy all slots: each online task of a
+// burst beyond the free slots preempts one batch task in the same call of decide().
 BOOST_AUTO_TEST_CASE(onlineBurstPreemptsBatchAtOnce)
 {
     setEngines(1);
@@ -61,43 +64,43 @@
     const std::size_t burst = 8;
     for (std::size_t i = 0; i < burst; ++i)
         add(TaskKind::Online);
-    const std::vector<SchedulerDecision> made = decide();
-    BOOST_TEST(only<StartTask>(made).size() == burst);
-    BOOST_TEST(only<PreemptTask>(made).size() == batch + burst - 8);
-    for (const PreemptTask &preempt : only<PreemptTask>(made))
+    const std::vector<SchedulerDecision> decisions = decide();
+    BOOST_TEST(filter<StartTask>(decisions).size() == burst);
+    BOOST_TEST(filter<PreemptTask>(decisions).size() == batch + burst - 8);
+    for (const PreemptTask &preempt : filter<PreemptTask>(decisions))
         BOOST_TEST(preempt.task <= 20U);
 }
 
-// Guards against lost progress: preempted work starts again from its last token.
-BOOST_AUTO_TEST_CASE(preemptedWorkContinuesFromItsProgress)
+// Guards against a preempted batch task that loses its progress: it resumes after its last token.
+BOOST_AUTO_TEST_CASE(preemptedTaskResumesFromItsProgress)
 {
     setEngines(1);
     fillWithBatch(*this);
     std::set<TaskId> online;
     for (int i = 0; i < 8; ++i)
         online.insert(add(TaskKind::Online));
-    const auto preempts = only<PreemptTask>(decide());
+    const auto preempts = filter<PreemptTask>(decide());
     BOOST_REQUIRE(!preempts.empty());
     for (const PreemptTask &preempt : preempts)
-        carryOut(preempt, 40);
+        completePreemption(preempt, 40);
     for (const TaskId id : online)
         finish(id);
-    std::set<TaskId> again;
+    std::set<TaskId> resumed;
     for (int i = 0; i < 60; ++i) {
-        for (const StartTask &start : only<StartTask>(advance(absl::Milliseconds(20)))) {
+        for (const StartTask &start : filter<StartTask>(advance(absl::Milliseconds(20)))) {
             firstToken(start.task);
             if (start.attempt == 2) {
                 BOOST_TEST(start.resumeAfter == 40);
-                again.insert(start.task);
+                resumed.insert(start.task);
             }
         }
     }
-    BOOST_TEST(again.size() + 1 >= preempts.size());
+    BOOST_TEST(resumed.size() + 1 >= preempts.size());
 }
 
-// Guards against an item that is preempted until it is late: it stops being preemptible when its
-// slack is used up.
-BOOST_AUTO_TEST_CASE(itemUnderRepeatedPreemptionMeetsItsDueTime)
+// Guards against an item that is preempted until it misses its deadline. An item is no longer
+// preempted when its slack is used up.
+BOOST_AUTO_TEST_CASE(itemUnderRepeatedPreemptionMeetsItsDeadline)
 {
     setEngines(1, 2);
     Task item = task(TaskKind::Batch);
@@ -107,7 +110,8 @@
     int preemptions = 0;
     absl::Time finishedAt = absl::InfiniteFuture();
     std::set<TaskId> online;
-    // An online burst every 200 ms takes every place; the item gets a token in 50 ms while it runs.
+    // An online burst every 200 ms occupies all slots. While it runs, the item generates one token
+    // every 50 ms.
     for (int step = 0; step < 3000 && finishedAt == absl::InfiniteFuture(); ++step) {
         now += absl::Milliseconds(25);
         if (step % 8 == 0) {
@@ -124,10 +128,10 @@
             online.insert(add(TaskKind::Online));
         }
         report();
-        for (const PreemptTask &preempt : only<PreemptTask>(decide())) {
+        for (const PreemptTask &preempt : filter<PreemptTask>(decide())) {
             BOOST_TEST(preempt.task == item.id);
             ++preemptions;
-            carryOut(preempt, delivered);
+            completePreemption(preempt, delivered);
         }
         if (running.count(item.id) > 0 && step % 2 == 0) {
             scheduler.progress(now, item.id, running.at(item.id).attempt, ++delivered);
@@ -141,8 +145,8 @@
     BOOST_TEST((finishedAt <= item.deadline));
 }
 
-// Guards against unequal treatment under overload: a workspace with ten times the requests delays
-// another one by no more than its share.
+// Guards against unfairness under overload: a workspace that sends ten times as many requests
+// delays another one by no more than its own share.
 BOOST_AUTO_TEST_CASE(surgeDoesNotDelayOtherWorkspaces)
 {
     setEngines(1, 4);
@@ -165,90 +169,92 @@
         report();
     }
     BOOST_TEST(servedSteady == 10U);
-    // Four of the surge were started before the other workspace arrived.
+    // 10 tasks of each workspace, plus 4 because the engine serves up to 4 tasks in each round.
     BOOST_TEST(served <= 24U);
 }
 
-// Guards against a refusal inside the contract while work outside its contract is served.
-BOOST_AUTO_TEST_CASE(workOutsideTheContractIsRefusedFirst)
+// Guards against a task inside its contract that is rejected while tasks outside their contract are
+// served.
+BOOST_AUTO_TEST_CASE(tasksOutsideTheContractAreRejectedFirst)
 {
     setEngines(1, 2);
-    std::set<TaskId> outside;
+    std::set<TaskId> outsideContract;
     for (int i = 0; i < 4; ++i) {
-        Task beyond = task(TaskKind::Online);
-        beyond.insideContract = false;
-        outside.insert(add(beyond));
+        Task excessTask = task(TaskKind::Online);
+        excessTask.insideContract = false;
+        outsideContract.insert(add(excessTask));
     }
     for (int i = 0; i < 2; ++i)
         add(TaskKind::Online);
-    const std::vector<SchedulerDecision> made = decide();
-    BOOST_TEST(only<StartTask>(made).size() == 2U);
-    for (const StartTask &start : only<StartTask>(made))
-        BOOST_TEST(outside.count(start.task) == 0U);
-    BOOST_TEST(only<RejectTask>(made).size() == 4U);
-    for (const RejectTask &refuse : only<RejectTask>(made)) {
-        BOOST_TEST(outside.count(refuse.task) == 1U);
-        BOOST_TEST((refuse.failure.run == EffectState::NotRun));
+    const std::vector<SchedulerDecision> decisions = decide();
+    BOOST_TEST(filter<StartTask>(decisions).size() == 2U);
+    for (const StartTask &start : filter<StartTask>(decisions))
+        BOOST_TEST(outsideContract.count(start.task) == 0U);
+    BOOST_TEST(filter<RejectTask>(decisions).size() == 4U);
+    for (const RejectTask &rejection : filter<RejectTask>(decisions)) {
+        BOOST_TEST(outsideContract.count(rejection.task) == 1U);
+        BOOST_TEST((rejection.failure.run == EffectState::NotRun));
     }
 }
 
-// Guards against waits without end and against a refusal that claims too much or too little.
-BOOST_AUTO_TEST_CASE(onlineIsRefusedAsNotRunAfterTheQueueLimit)
+// Guards against an online task that waits without end, and against a rejection with the wrong code
+// or run state.
+BOOST_AUTO_TEST_CASE(onlineTaskIsRejectedAsNotRunAfterTheQueueLimit)
 {
     setEngines(1, 1);
     add(TaskKind::Online);
     const TaskId waiting = add(TaskKind::Online);
-    BOOST_TEST(only<StartTask>(decide()).size() == 1U);
+    BOOST_TEST(filter<StartTask>(decide()).size() == 1U);
     BOOST_TEST((scheduler.nextDecision() < absl::InfiniteFuture()));
-    const auto refused = only<RejectTask>(advance(absl::Milliseconds(500)));
-    BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_TEST(refused[0].task == waiting);
-    BOOST_TEST((refused[0].failure.code == ErrorCode::Overloaded));
-    BOOST_TEST((refused[0].failure.run == EffectState::NotRun));
+    const auto rejected = filter<RejectTask>(advance(absl::Milliseconds(500)));
+    BOOST_REQUIRE(rejected.size() == 1U);
+    BOOST_TEST(rejected[0].task == waiting);
+    BOOST_TEST((rejected[0].failure.code == ErrorCode::Overloaded));
+    BOOST_TEST((rejected[0].failure.run == EffectState::NotRun));
 }
 
-// Guards against a second run of a request that is not idempotent and may have run.
+// Guards against a retry that repeats the effect of a non-idempotent request which may have run.
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNeverRetriedAfterItMayHaveRun)
 {
     setEngines(3);
     for (const AttemptFailure::Kind kind :
          {AttemptFailure::Kind::Broken, AttemptFailure::Kind::Crashed}) {
-        Task once = task(TaskKind::Online);
-        once.idempotent = false;
-        add(once);
+        Task nonIdempotent = task(TaskKind::Online);
+        nonIdempotent.idempotent = false;
+        add(nonIdempotent);
         decide();
-        fail(once.id, kind);
+        fail(nonIdempotent.id, kind);
         const std::vector<SchedulerDecision> after = advance(absl::Seconds(2));
-        BOOST_TEST(only<StartTask>(after).empty());
-        const auto refused = only<RejectTask>(after);
-        BOOST_REQUIRE(refused.size() == 1U);
-        BOOST_TEST((refused[0].failure.run == EffectState::MayHaveRun));
+        BOOST_TEST(filter<StartTask>(after).empty());
+        const auto rejected = filter<RejectTask>(after);
+        BOOST_REQUIRE(rejected.size() == 1U);
+        BOOST_TEST((rejected[0].failure.run == EffectState::MayHaveRun));
     }
-    Task once = task(TaskKind::Online);
-    once.idempotent = false;
-    add(once);
+    Task nonIdempotent = task(TaskKind::Online);
+    nonIdempotent.idempotent = false;
+    add(nonIdempotent);
     decide();
-    fail(once.id, AttemptFailure::Kind::Refused);
-    BOOST_TEST(only<StartTask>(advance(absl::Seconds(1))).size() == 1U);
+    fail(nonIdempotent.id, AttemptFailure::Kind::Refused);
+    BOOST_TEST(filter<StartTask>(advance(absl::Seconds(1))).size() == 1U);
 }
 
-// Guards against a broken stream that starts over: an idempotent one continues elsewhere.
-BOOST_AUTO_TEST_CASE(idempotentContinuesOnAnotherEngineFromTheLastToken)
+// Guards against a broken stream that starts over: an idempotent task resumes on another engine.
+BOOST_AUTO_TEST_CASE(idempotentTaskResumesOnAnotherEngineFromTheLastToken)
 {
     setEngines(3);
     const TaskId id = add(TaskKind::Online);
     decide();
     const std::string failedEngine = running.at(id).engine;
     fail(id, AttemptFailure::Kind::Broken, 17);
-    const auto again = only<StartTask>(advance(absl::Milliseconds(200)));
-    BOOST_REQUIRE(again.size() == 1U);
-    BOOST_TEST(again[0].resumeAfter == 17);
-    BOOST_TEST(again[0].attempt == 2);
-    BOOST_TEST(again[0].engine != failedEngine);
+    const auto retries = filter<StartTask>(advance(absl::Milliseconds(200)));
+    BOOST_REQUIRE(retries.size() == 1U);
+    BOOST_TEST(retries[0].resumeAfter == 17);
+    BOOST_TEST(retries[0].attempt == 2);
+    BOOST_TEST(retries[0].engine != failedEngine);
 }
 
-// Guards against an answer of an earlier try that ends or changes the current one.
-BOOST_AUTO_TEST_CASE(eventsOfAnEarlierTryAreIgnored)
+// Guards against a late response of an earlier attempt that ends or changes the current attempt.
+BOOST_AUTO_TEST_CASE(eventsOfAnEarlierAttemptAreIgnored)
 {
     setEngines(2);
     const TaskId id = add(TaskKind::Online);
@@ -261,22 +267,23 @@
     BOOST_TEST(scheduler.running(TaskKind::Online) == 0U);
 }
 
-// Guards against more than two crashes by one request, and against innocent requests that are held
-// with it: suspects run on engines without another suspect.
-BOOST_AUTO_TEST_CASE(poisonIsHeldAndInnocentsComplete)
+// Guards against more than two crashes by one request, and against other requests that are blocked
+// with it. Each suspect runs on an engine without another suspect, so that a second crash
+// identifies the cause.
+BOOST_AUTO_TEST_CASE(poisonRequestIsBlockedAndOthersComplete)
 {
     setEngines(4);
-    std::set<TaskId> innocents;
+    std::set<TaskId> others;
     Task poison = task(TaskKind::Online);
     add(poison);
     decide();
     const std::string first = running.at(poison.id).engine;
     for (int i = 0; i < 12; ++i)
-        innocents.insert(add(TaskKind::Online));
+        others.insert(add(TaskKind::Online));
     decide();
     std::set<std::string> crashed;
     std::size_t completed = 0;
-    bool held = false;
+    bool blocked = false;
     for (int round = 0; round < 400; ++round) {
         if (running.count(poison.id) > 0) {
             const std::string engine = running.at(poison.id).engine;
@@ -290,27 +297,28 @@
             const auto all = running;
             for (const auto &[id, run] : all) {
                 finish(id);
-                completed += innocents.count(id);
+                completed += others.count(id);
             }
         }
-        for (const RejectTask &refuse : only<RejectTask>(advance(absl::Milliseconds(40)))) {
-            BOOST_TEST(refuse.task == poison.id);
-            held = (refuse.failure.code == ErrorCode::RequestQuarantined);
+        for (const RejectTask &rejection : filter<RejectTask>(advance(absl::Milliseconds(40)))) {
+            BOOST_TEST(rejection.task == poison.id);
+            blocked = (rejection.failure.code == ErrorCode::RequestQuarantined);
         }
     }
     BOOST_TEST(crashed.count(first) == 1U);
     BOOST_TEST(crashed.size() == 2U);
-    BOOST_TEST(held);
+    BOOST_TEST(blocked);
     BOOST_TEST(completed == 12U);
-    poison.id = nextWork++;
+    poison.id = nextTaskId++;
     add(poison);
-    const auto refused = only<RejectTask>(decide());
-    BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_TEST((refused[0].failure.code == ErrorCode::RequestQuarantined));
+    const auto rejected = filter<RejectTask>(decide());
+    BOOST_REQUIRE(rejected.size() == 1U);
+    BOOST_TEST((rejected[0].failure.code == ErrorCode::RequestQuarantined));
 }
 
-// Guards against work for an upstream that leaves, while its running work is left alone.
-BOOST_AUTO_TEST_CASE(leavingEngineGetsNoNewWork)
+// Guards against new tasks on a leaving engine, and against the end of tasks that already run
+// there.
+BOOST_AUTO_TEST_CASE(leavingEngineGetsNoNewTasks)
 {
     setEngines(1);
     const TaskId before = add(TaskKind::Online);
@@ -320,13 +328,14 @@
         add(TaskKind::Online);
         add(TaskKind::Batch);
     }
-    BOOST_TEST(only<StartTask>(advance(absl::Milliseconds(300))).empty());
+    BOOST_TEST(filter<StartTask>(advance(absl::Milliseconds(300))).empty());
     BOOST_TEST(running.count(before) == 1U);
     BOOST_TEST(scheduler.batchCapacity(now) == 0U);
 }
 
-// Guards against a cancelled job whose item runs or waits on, and against counts that drift.
-BOOST_AUTO_TEST_CASE(withdrawnWorkIsForgotten)
+// Guards against cancelled items that still run or wait, and against counters that are wrong after
+// a cancellation.
+BOOST_AUTO_TEST_CASE(cancelledTasksAreRemoved)
 {
     setEngines(1, 4);
     for (int i = 0; i < 10; ++i)
@@ -340,46 +349,46 @@
     BOOST_TEST(scheduler.engine("engine-0")->localPrefillTokens(TaskKind::Batch) == 0);
 }
 
-// Guards against an item that fails without end.
-BOOST_AUTO_TEST_CASE(impossibleBatchItemIsRefusedAfterItsTries)
+// Guards against an item that always fails and is retried without end.
+BOOST_AUTO_TEST_CASE(failingBatchItemIsRejectedAfterMaxAttempts)
 {
     SchedulerSettings settings;
     setEngines(2);
     const TaskId id = add(TaskKind::Batch);
-    int tries = 0;
-    std::vector<RejectTask> refused;
-    for (int i = 0; i < 500 && refused.empty(); ++i) {
-        refused = only<RejectTask>(advance(absl::Milliseconds(100)));
+    int attempts = 0;
+    std::vector<RejectTask> rejected;
+    for (int i = 0; i < 500 && rejected.empty(); ++i) {
+        rejected = filter<RejectTask>(advance(absl::Milliseconds(100)));
         if (running.count(id) > 0) {
-            ++tries;
+            ++attempts;
             fail(id, AttemptFailure::Kind::Broken);
         }
     }
-    BOOST_TEST(tries == settings.maxBatchAttempts);
-    BOOST_REQUIRE(refused.size() == 1U);
-    BOOST_TEST((refused[0].failure.code == ErrorCode::ItemFailed));
+    BOOST_TEST(attempts == settings.maxBatchAttempts);
+    BOOST_REQUIRE(rejected.size() == 1U);
+    BOOST_TEST((rejected[0].failure.code == ErrorCode::ItemFailed));
 }
 
-// Guards against several entries that all fill the same free places: together they stay below the
-// batch size although no one knows of the others' starts.
-BOOST_AUTO_TEST_CASE(entriesTogetherDoNotOvershoot)
+// Guards against entries that all fill the same free slots of an engine. Together they stay within
+// the batch size although no entry receives information about the starts of the others.
+BOOST_AUTO_TEST_CASE(entriesTogetherDoNotExceedTheBatchSize)
 {
     constexpr int entries = 6;
     const std::vector<std::string> names = {"e0", "e1", "e2", "e3", "e4", "e5"};
     std::int64_t started = 0;
     for (int entry = 0; entry < entries; ++entry) {
-        SchedulerFixture other;
-        other.scheduler.setEntries(names[static_cast<std::size_t>(entry)], names);
-        other.setEngines(1, 64);
+        SchedulerFixture fixture;
+        fixture.scheduler.setEntries(names[static_cast<std::size_t>(entry)], names);
+        fixture.setEngines(1, 64);
         for (int i = 0; i < 100; ++i)
-            other.add(TaskKind::Batch);
-        // The report does not change while the entries start work on it.
+            fixture.add(TaskKind::Batch);
+        // The load report does not change while the entries start tasks.
         for (int i = 0; i < 50; ++i) {
-            other.now += absl::Milliseconds(20);
-            for (const StartTask &start : only<StartTask>(other.decide()))
-                other.firstToken(start.task);
+            fixture.now += absl::Milliseconds(20);
+            for (const StartTask &start : filter<StartTask>(fixture.decide()))
+                fixture.firstToken(start.task);
         }
-        started += other.scheduler.engine("engine-0")->localTasks(TaskKind::Batch);
+        started += fixture.scheduler.engine("engine-0")->localTasks(TaskKind::Batch);
     }
     BOOST_TEST(started <= 64);
     BOOST_TEST(started >= 48);
--- a/tests/policy/schedulerfixture.h
+++ b/tests/policy/schedulerfixture.h
@@ -9,7 +9,7 @@
 
 namespace rattanrill::policy {
 
-/// A scheduler with engines of one model whose reports follow its decisions at once.
+/// A scheduler with engines of one model. Their load reports reflect each decision at once.
 struct SchedulerFixture
 {
     explicit SchedulerFixture(SchedulerSettings settings = {})
@@ -37,41 +37,42 @@
 
     Task task(TaskKind kind, const std::string &workspace = "a")
     {
-        Task made;
-        made.id = nextWork++;
-        made.workspace = workspace;
-        made.kind = kind;
-        made.model = "m";
-        made.promptTokens = 10;
-        made.maxTokens = 100;
-        made.fingerprint = "f" + std::to_string(made.id);
-        return made;
+        Task newTask;
+        newTask.id = nextTaskId++;
+        newTask.workspace = workspace;
+        newTask.kind = kind;
+        newTask.model = "m";
+        newTask.promptTokens = 10;
+        newTask.maxTokens = 100;
+        newTask.fingerprint = "f" + std::to_string(newTask.id);
+        return newTask;
     }
 
-    TaskId add(const Task &made)
+    TaskId add(const Task &newTask)
     {
-        scheduler.arrived(now, made);
-        return made.id;
+        scheduler.arrived(now, newTask);
+        return newTask.id;
     }
     TaskId add(TaskKind kind, const std::string &workspace = "a")
     {
         return add(task(kind, workspace));
     }
 
-    /// Decides and keeps track of what runs where; the next reports show it.
+    /// Calls decide() and adds the started tasks to \a running and to the next load reports.
     std::vector<SchedulerDecision> decide()
     {
-        std::vector<SchedulerDecision> made = scheduler.decide(now);
-        for (const SchedulerDecision &decision : made) {
+        std::vector<SchedulerDecision> decisions = scheduler.decide(now);
+        for (const SchedulerDecision &decision : decisions) {
             if (const auto *start = std::get_if<StartTask>(&decision)) {
                 running[start->task] = *start;
                 ++engines[start->engine].running;
             }
         }
-        return made;
+        return decisions;
     }
 
-    /// Advances time in small steps with reports and decisions.
+    /// Advances the time in steps of 20 ms, each with load reports and a call of decide(). Returns
+    /// all decisions.
     std::vector<SchedulerDecision> advance(absl::Duration time)
     {
         std::vector<SchedulerDecision> all;
@@ -88,13 +89,13 @@
 
     void finish(TaskId id, std::int64_t tokens = 100)
     {
-        const StartTask run = take(id);
+        const StartTask run = removeRunning(id);
         scheduler.finished(now, id, run.attempt, tokens);
     }
 
     void fail(TaskId id, AttemptFailure::Kind kind, std::int64_t delivered = 0)
     {
-        const StartTask run = take(id);
+        const StartTask run = removeRunning(id);
         AttemptFailure failure;
         failure.kind = kind;
         failure.deliveredTokens = delivered;
@@ -104,32 +105,35 @@
         scheduler.failed(now, id, run.attempt, failure);
     }
 
-    void carryOut(const PreemptTask &preempt, std::int64_t delivered)
+    /// Reports that \a preempt was carried out after \a delivered tokens.
+    void completePreemption(const PreemptTask &preempt, std::int64_t delivered)
     {
-        take(preempt.task);
+        removeRunning(preempt.task);
         const bool exported = preempt.method == PreemptMethod::ExportKv;
         scheduler.preempted(now, preempt.task, preempt.attempt, delivered, exported ? "kv" : "");
     }
 
+    /// Returns the decisions of type \a Kind.
     template <typename Kind>
-    static std::vector<Kind> only(const std::vector<SchedulerDecision> &decisions)
+    static std::vector<Kind> filter(const std::vector<SchedulerDecision> &decisions)
     {
-        std::vector<Kind> kept;
+        std::vector<Kind> matching;
         for (const SchedulerDecision &decision : decisions) {
             if (const Kind *found = std::get_if<Kind>(&decision))
-                kept.push_back(*found);
+                matching.push_back(*found);
         }
-        return kept;
+        return matching;
     }
 
     Scheduler scheduler;
     absl::Time now = absl::FromUnixSeconds(1000);
     std::map<std::string, EngineLoad> engines;
     std::map<TaskId, StartTask> running;
-    TaskId nextWork = 1;
+    TaskId nextTaskId = 1;
 
 private:
-    StartTask take(TaskId id)
+    /// Removes a running task from \a running and from the next load reports.
+    StartTask removeRunning(TaskId id)
     {
         const StartTask run = running.at(id);
         running.erase(id);
--- a/tests/policy/slotscheduler_test.cpp
+++ b/tests/policy/slotscheduler_test.cpp
@@ -18,13 +18,13 @@
     return {id, "llm", id + ":1", "d", slots, false};
 }
 
-SlotTask online(const std::string &id, absl::Time due, const std::string &workspace = "w")
+SlotTask online(const std::string &id, absl::Time deadline, const std::string &workspace = "w")
 {
     SlotTask task;
     task.id = id;
     task.service = "llm";
     task.workspace = workspace;
-    task.deadline = due;
+    task.deadline = deadline;
     return task;
 }
 
@@ -35,29 +35,29 @@
     return task;
 }
 
-/// Decisions by work.
-struct Decided
+/// Decisions of one call, by task.
+struct Decisions
 {
-    explicit Decided(const std::vector<SlotDecision> &decisions)
+    explicit Decisions(const std::vector<SlotDecision> &decisions)
     {
         for (const SlotDecision &decision : decisions) {
             if (const auto *grant = std::get_if<GrantSlot>(&decision))
                 granted[grant->task] = grant->upstream;
-            if (const auto *refusal = std::get_if<RejectSlot>(&decision))
-                refused[refusal->task] = refusal->retryAfter;
-            if (const auto *yield = std::get_if<PreemptSlot>(&decision))
-                yielded.push_back(yield->task);
+            if (const auto *rejection = std::get_if<RejectSlot>(&decision))
+                rejected[rejection->task] = rejection->retryAfter;
+            if (const auto *preemption = std::get_if<PreemptSlot>(&decision))
+                preempted.push_back(preemption->task);
         }
     }
 
     std::map<std::string, std::string> granted;
-    std::map<std::string, absl::Duration> refused;
-    std::vector<std::string> yielded;
+    std::map<std::string, absl::Duration> rejected;
+    std::vector<std::string> preempted;
 };
 
 struct Fixture
 {
-    Decided decide(absl::Time now = start) { return Decided(scheduler.decide(now)); }
+    Decisions decide(absl::Time now = start) { return Decisions(scheduler.decide(now)); }
 
     SlotScheduler scheduler{SlotSchedulerSettings()};
 };
@@ -66,6 +66,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SlotSchedulerTest, Fixture)
 
+// Guards against requests that queue at one upstream while another one has free slots.
 BOOST_AUTO_TEST_CASE(leastLoadedUpstreamIsChosen)
 {
     scheduler.setUpstreams({upstream("a", 2), upstream("b", 2)});
@@ -79,26 +80,26 @@
     BOOST_TEST(used.count("b") == 2u);
 }
 
-// Load pattern: a pulse of online requests meets places that batch work fills. Guards against
-// online requests that wait behind batch work, and against batch work that loses its place shortly
-// before its end.
-BOOST_AUTO_TEST_CASE(batchYieldsToAPulseLeastServedFirst)
+// Load pattern: a burst of online requests arrives while batch tasks fill all slots. Guards against
+// online requests that wait for batch tasks, and against the preemption of batch tasks that are
+// close to their end.
+BOOST_AUTO_TEST_CASE(onlineBurstPreemptsTheBatchTaskWithTheLeastRunTime)
 {
     scheduler.setUpstreams({upstream("a", 2)});
     scheduler.request(start, batch("old"));
     decide();
     scheduler.request(start + absl::Seconds(1), batch("young"));
     decide(start + absl::Seconds(1));
-    const absl::Time pulse = start + absl::Seconds(2);
-    scheduler.request(pulse, online("o", pulse + absl::Milliseconds(200)));
-    const Decided decided = decide(pulse);
-    BOOST_TEST(decided.granted.at("o") == "a");
-    BOOST_TEST(decided.yielded == std::vector<std::string>{"young"},
+    const absl::Time burst = start + absl::Seconds(2);
+    scheduler.request(burst, online("o", burst + absl::Milliseconds(200)));
+    const Decisions decisions = decide(burst);
+    BOOST_TEST(decisions.granted.at("o") == "a");
+    BOOST_TEST(decisions.preempted == std::vector<std::string>{"young"},
                boost::test_tools::per_element());
 }
 
-// Guards against an interrupted item that counts as new when it goes on, and yields once more.
-BOOST_AUTO_TEST_CASE(timeInFormerPlacesCountsWhenBatchYields)
+// Guards against a resumed task that counts as new and is therefore preempted again first.
+BOOST_AUTO_TEST_CASE(priorRunTimeCountsWhenBatchIsPreempted)
 {
     scheduler.setUpstreams({upstream("a", 2)});
     scheduler.request(start, batch("fresh"));
@@ -109,35 +110,35 @@
     scheduler.request(later, resumed);
     decide(later);
     scheduler.request(later, online("o", later + absl::Seconds(1)));
-    BOOST_TEST(decide(later).yielded == std::vector<std::string>{"fresh"},
+    BOOST_TEST(decide(later).preempted == std::vector<std::string>{"fresh"},
                boost::test_tools::per_element());
 }
 
-// Load pattern: pulse after pulse over a long batch queue. Replays places that are taken for half
-// of the time, by items that need longer than the gap between two pulses. Guards against a queue
-// that begins a new item in each gap and ends none.
-BOOST_AUTO_TEST_CASE(interruptedItemsEndBeforeNewOnesBegin)
+// Load pattern: repeated online bursts with a long batch queue. The bursts leave gaps that are
+// shorter than the run time of a batch task. Guards against a queue that starts new tasks in each
+// gap and completes none.
+BOOST_AUTO_TEST_CASE(interruptedTasksResumeBeforeNewOnesStart)
 {
     constexpr int items = 12;
-    constexpr absl::Duration need = absl::Seconds(4);
+    constexpr absl::Duration requiredRunTime = absl::Seconds(4);
     constexpr absl::Duration gap = absl::Seconds(3);
     scheduler.setUpstreams({upstream("a", 2)});
-    std::map<std::string, absl::Duration> served;
+    std::map<std::string, absl::Duration> runTimes;
     std::set<std::string> running;
-    int ended = 0;
+    int completed = 0;
     const auto request = [&](absl::Time now, const std::string &id) {
         SlotTask task = batch(id);
         task.deadline = start + absl::Minutes(10);
-        task.priorRunTime = served[id];
+        task.priorRunTime = runTimes[id];
         scheduler.request(now, task);
     };
     for (int i = 0; i < items; ++i)
         request(start, std::to_string(i));
     absl::Time now = start;
-    for (int pulse = 0; pulse < 8; ++pulse) {
-        for (const auto &[id, place] : decide(now).granted)
+    for (int burst = 0; burst < 8; ++burst) {
+        for (const auto &[id, upstreamId] : decide(now).granted)
             running.insert(id);
-        // Two more decisions in the gap, when an item ends in it.
+        // Calls decide() again whenever a task completes within the gap.
         const absl::Time gapEnd = now + gap;
         std::map<std::string, absl::Time> since;
         for (const std::string &id : running)
@@ -145,15 +146,15 @@
         while (!running.empty()) {
             const auto next = *std::min_element(
                     running.begin(), running.end(), [&](const auto &left, const auto &right) {
-                        return since[left] - served[left] < since[right] - served[right];
+                        return since[left] - runTimes[left] < since[right] - runTimes[right];
                     });
-            const absl::Time end = since[next] + (need - served[next]);
+            const absl::Time end = since[next] + (requiredRunTime - runTimes[next]);
             if (end > gapEnd)
                 break;
             scheduler.release(end, next, ReleaseReason::Completed);
             running.erase(next);
-            ++ended;
-            for (const auto &[id, place] : decide(end).granted) {
+            ++completed;
+            for (const auto &[id, upstreamId] : decide(end).granted) {
                 running.insert(id);
                 since[id] = end;
             }
@@ -161,44 +162,44 @@
         now = gapEnd;
         for (const char *id : {"o1", "o2"})
             scheduler.request(now, online(id, now + absl::Seconds(1)));
-        for (const std::string &id : decide(now).yielded) {
+        for (const std::string &id : decide(now).preempted) {
             running.erase(id);
-            served[id] += now - since[id];
+            runTimes[id] += now - since[id];
             request(now, id);
         }
         now += absl::Seconds(2);
         for (const char *id : {"o1", "o2"})
             scheduler.release(now, id, ReleaseReason::Completed);
     }
-    // Two places for 24 s are 48 s, enough for all items of 4 s each.
-    BOOST_TEST(ended == items);
+    // 8 gaps of 3 s with 2 slots are 48 s of run time, which is what 12 tasks of 4 s need.
+    BOOST_TEST(completed == items);
 }
 
-// Load pattern: more batch work than can be done in time. Guards against a queue that makes every
-// item late because it always serves the one that is late already.
-BOOST_AUTO_TEST_CASE(lateItemsGoBehindThoseInTime)
+// Load pattern: more batch tasks than can be completed in time. Guards against a queue that serves
+// a late task first and thereby makes the next one late too.
+BOOST_AUTO_TEST_CASE(lateTasksGoBehindThoseInTime)
 {
     scheduler.setUpstreams({upstream("a", 1)});
-    const auto due = [](const std::string &id, absl::Duration after) {
+    const auto batchWithDeadline = [](const std::string &id, absl::Duration after) {
         SlotTask task = batch(id);
         task.deadline = start + after;
         return task;
     };
-    scheduler.request(start, due("first", absl::Seconds(10)));
+    scheduler.request(start, batchWithDeadline("first", absl::Seconds(10)));
     decide();
     absl::Time now = start + absl::Seconds(4);
     scheduler.release(now, "first", ReleaseReason::Completed);
-    // An item takes 4 s, so this one can't be done in time any more.
-    scheduler.request(now, due("late", absl::Seconds(6)));
-    scheduler.request(now, due("inTime", absl::Seconds(20)));
+    // A task takes 4 s, so this one can no longer meet its deadline, which is 2 s away.
+    scheduler.request(now, batchWithDeadline("late", absl::Seconds(6)));
+    scheduler.request(now, batchWithDeadline("inTime", absl::Seconds(20)));
     BOOST_TEST(decide(now).granted.count("inTime") == 1u);
     now += absl::Seconds(4);
     scheduler.release(now, "inTime", ReleaseReason::Completed);
     BOOST_TEST(decide(now).granted.count("late") == 1u);
 }
 
-// Guards against late items that never run while others keep coming.
-BOOST_AUTO_TEST_CASE(lateItemsGetSomePlaces)
+// Guards against starvation of late tasks while other tasks keep arriving.
+BOOST_AUTO_TEST_CASE(lateTasksGetSomeSlots)
 {
     scheduler.setUpstreams({upstream("a", 1)});
     SlotTask late = batch("late");
@@ -208,7 +209,7 @@
     for (int i = 0; i < 20 && !isServed; ++i) {
         scheduler.request(start, batch(std::to_string(i)));
         scheduler.request(start, batch(std::to_string(i) + "b"));
-        for (const auto &[id, place] : decide().granted) {
+        for (const auto &[id, upstreamId] : decide().granted) {
             isServed = isServed || id == "late";
             scheduler.release(start, id, ReleaseReason::Cancelled);
         }
@@ -216,7 +217,8 @@
     BOOST_TEST(isServed);
 }
 
-BOOST_AUTO_TEST_CASE(batchWaitsWhileOnlineWorkWaits)
+// Guards against a batch task that gets a free slot while an online task waits.
+BOOST_AUTO_TEST_CASE(batchWaitsWhileOnlineTasksWait)
 {
     scheduler.setUpstreams({upstream("a", 1)});
     scheduler.request(start, online("first", start + absl::Seconds(5)));
@@ -225,26 +227,27 @@
     scheduler.request(start, online("second", start + absl::Seconds(5)));
     BOOST_TEST(decide().granted.empty());
     scheduler.release(start, "first", ReleaseReason::Completed);
-    const Decided decided = decide();
-    BOOST_TEST(decided.granted.count("second") == 1u);
-    BOOST_TEST(decided.granted.count("b") == 0u);
+    const Decisions decisions = decide();
+    BOOST_TEST(decisions.granted.count("second") == 1u);
+    BOOST_TEST(decisions.granted.count("b") == 0u);
 }
 
-// Load pattern: online load above all places. Guards against requests that are held until their
-// deadline although it is known that they can't be served.
-BOOST_AUTO_TEST_CASE(hopelessRequestIsRefusedAtOnce)
+// Load pattern: the online load exceeds all slots. Guards against requests that are rejected only
+// at their deadline although their expected wait already exceeds it on arrival.
+BOOST_AUTO_TEST_CASE(unservableRequestIsRejectedAtOnce)
 {
     scheduler.setUpstreams({upstream("a", 1)});
     scheduler.request(start, online("runs", start + absl::Milliseconds(200)));
     decide();
-    // One place, held for 700 ms each: the second in line waits longer than 200 ms.
+    // Each request holds the slot for about 700 ms, so the second one would wait for more than
+    // 200 ms.
     scheduler.request(start, online("waits", start + absl::Milliseconds(200)));
-    const Decided decided = decide();
-    BOOST_TEST(decided.refused.count("waits") == 1u);
+    const Decisions decisions = decide();
+    BOOST_TEST(decisions.rejected.count("waits") == 1u);
 }
 
-// Guards against refused callers that come back all at once into the same full places.
-BOOST_AUTO_TEST_CASE(returnsAreSpread)
+// Guards against rejected callers that all retry at the same time and are rejected again.
+BOOST_AUTO_TEST_CASE(retriesOfRejectedCallersAreSpread)
 {
     scheduler.setUpstreams({upstream("a", 4)});
     for (int i = 0; i < 4; ++i)
@@ -254,14 +257,15 @@
     for (int i = 0; i < 6; ++i)
         scheduler.request(start,
                           online("late" + std::to_string(i), start + absl::Milliseconds(50)));
-    std::set<absl::Duration> returns;
-    for (const auto &[task, wait] : decide().refused)
-        returns.insert(wait);
-    BOOST_TEST(returns.size() == 6u);
-    BOOST_TEST((*returns.begin() >= SlotSchedulerSettings().minRetryAfter));
+    std::set<absl::Duration> retryAfters;
+    for (const auto &[task, wait] : decide().rejected)
+        retryAfters.insert(wait);
+    BOOST_TEST(retryAfters.size() == 6u);
+    BOOST_TEST((*retryAfters.begin() >= SlotSchedulerSettings().minRetryAfter));
 }
 
-BOOST_AUTO_TEST_CASE(returnStaysInsideTheCallersPatience)
+// Guards against a Retry-After that exceeds what the caller can use when many callers are rejected.
+BOOST_AUTO_TEST_CASE(retryAfterStaysWithinTheMaximumOfTheCaller)
 {
     scheduler.setUpstreams({upstream("a", 1)});
     scheduler.request(start, online("runs", start));
@@ -271,33 +275,35 @@
         task.maxRetryAfter = absl::Seconds(1);
         scheduler.request(start, task);
     }
-    for (const auto &[task, wait] : decide().refused)
+    for (const auto &[task, wait] : decide().rejected)
         BOOST_TEST((wait <= absl::Seconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(waitingRequestIsRefusedWhenItsTimeIsOver)
+// Guards against a request that waits beyond its deadline because no event triggers a decision.
+BOOST_AUTO_TEST_CASE(waitingRequestIsRejectedAtItsDeadline)
 {
     scheduler.setUpstreams({upstream("a", 8)});
     for (int i = 0; i < 8; ++i)
         scheduler.request(start, online(std::to_string(i), start + absl::Seconds(1)));
     decide();
-    const absl::Time due = start + absl::Milliseconds(150);
-    scheduler.request(start, online("w", due));
-    BOOST_TEST(decide().refused.empty());
-    BOOST_TEST((scheduler.nextDecision() == due));
-    BOOST_TEST(decide(due).refused.count("w") == 1u);
+    const absl::Time deadline = start + absl::Milliseconds(150);
+    scheduler.request(start, online("w", deadline));
+    BOOST_TEST(decide().rejected.empty());
+    BOOST_TEST((scheduler.nextDecision() == deadline));
+    BOOST_TEST(decide(deadline).rejected.count("w") == 1u);
 }
 
-// Load pattern: one workspace's surge. Guards against a small workspace that waits behind it.
-BOOST_AUTO_TEST_CASE(workspaceWithLittleServiceGoesFirst)
+// Load pattern: one workspace sends a surge. Guards against requests of another workspace that wait
+// behind the whole surge.
+BOOST_AUTO_TEST_CASE(workspaceWithTheLeastServiceGoesFirst)
 {
     scheduler.setUpstreams({upstream("a", 1)});
-    const absl::Time due = start + absl::Seconds(60);
-    scheduler.request(start, online("runs", due, "large"));
+    const absl::Time deadline = start + absl::Seconds(60);
+    scheduler.request(start, online("runs", deadline, "large"));
     decide();
     for (int i = 0; i < 5; ++i)
-        scheduler.request(start, online("large" + std::to_string(i), due, "large"));
-    scheduler.request(start, online("small", due, "small"));
+        scheduler.request(start, online("large" + std::to_string(i), deadline, "large"));
+    scheduler.request(start, online("small", deadline, "small"));
     decide();
     scheduler.release(start, "runs", ReleaseReason::Completed);
     const std::string next = decide().granted.begin()->first;
@@ -305,9 +311,9 @@
     BOOST_TEST((next == "small" || decide().granted.count("small") == 1u));
 }
 
-// Guards against requests to an address at which another instance answers now: the empty upstream
-// would be the first choice of every request.
-BOOST_AUTO_TEST_CASE(goneUpstreamIsLeftAloneAtOnce)
+// Guards against further requests to an address where nothing or another instance responds. Because
+// all slots of that upstream are free, it would be the first choice for every request.
+BOOST_AUTO_TEST_CASE(unreachableUpstreamIsEjectedAtOnce)
 {
     scheduler.setUpstreams({upstream("gone", 4), upstream("here", 4)});
     scheduler.request(start, online("1", start + absl::Seconds(1)));
@@ -320,25 +326,26 @@
     }
 }
 
-// Load pattern: a sender that is gone leaves requests behind which their upstreams still run.
-BOOST_AUTO_TEST_CASE(placesShrinkByReportedForeignRequests)
+// Load pattern: upstreams still run requests of a sender that no longer exists. Guards against too
+// many requests there, which queue at the upstream.
+BOOST_AUTO_TEST_CASE(reportedForeignRequestsReduceTheSlots)
 {
     scheduler.setUpstreams({upstream("a", 4), upstream("b", 4)});
     scheduler.loadReported(start, "a", 4);
     scheduler.loadReported(start, "a", 3);
     for (int i = 0; i < 5; ++i)
         scheduler.request(start, online(std::to_string(i), start + absl::Seconds(60)));
-    int onA = 0;
+    int grantedAtA = 0;
     for (const auto &[task, chosen] : decide().granted)
-        onA += chosen == "a" ? 1 : 0;
-    BOOST_TEST(onA == 1);
-    // A report says nothing for long.
+        grantedAtA += chosen == "a" ? 1 : 0;
+    BOOST_TEST(grantedAtA == 1);
+    // Reports expire, so the slots are available again.
     scheduler.request(start, online("later", start + absl::Seconds(60)));
     BOOST_TEST(decide(start + absl::Seconds(2)).granted.at("later") == "a");
 }
 
-// Load pattern: the process that gave out places is lost, and what it sent still runs. Guards
-// against upstreams that are filled a second time before they have told their load.
+// Load pattern: the process that granted slots is lost, and its requests still run. Guards against
+// upstreams that are filled a second time before they have reported their load.
 BOOST_AUTO_TEST_CASE(upstreamsAreProbedAfterATakeover)
 {
     scheduler.setUpstreams({upstream("a", 8)});
@@ -346,33 +353,35 @@
     for (int i = 0; i < 10; ++i)
         scheduler.request(start, online(std::to_string(i), start + absl::Seconds(60)));
     BOOST_TEST(decide().granted.size() == 2u);
-    // Both probes and four others.
-    const absl::Time reported = start + absl::Milliseconds(50);
-    scheduler.loadReported(reported, "a", 6);
-    BOOST_TEST(decide(reported).granted.size() == 2u);
-    // What was left behind has ended by then.
+    // The upstream reports the 2 probes and 4 requests of the lost process.
+    const absl::Time reportedAt = start + absl::Milliseconds(50);
+    scheduler.loadReported(reportedAt, "a", 6);
+    BOOST_TEST(decide(reportedAt).granted.size() == 2u);
+    // The requests of the lost process have ended by then.
     BOOST_TEST(decide(start + absl::Seconds(2)).granted.size() == 4u);
 }
 
-// Load pattern: all processes start again at once, and the requests that were held meanwhile come
-// together. Guards against refusals for want of places that are free and only not probed yet.
-BOOST_AUTO_TEST_CASE(requestsWaitForProbes)
+// Load pattern: all processes restart at once, and the requests that waited meanwhile arrive
+// together. Guards against rejections while slots are free whose upstreams have not reported their
+// load yet.
+BOOST_AUTO_TEST_CASE(requestsWaitWhileUpstreamsAreProbed)
 {
     scheduler.setUpstreams({upstream("a", 8)});
     scheduler.beginTakeover(start);
     for (int i = 0; i < 8; ++i)
         scheduler.request(start, online(std::to_string(i), start + absl::Milliseconds(200)));
-    const Decided first = decide();
+    const Decisions first = decide();
     BOOST_TEST(first.granted.size() == 2u);
-    BOOST_TEST(first.refused.empty());
-    const absl::Time reported = start + absl::Milliseconds(50);
-    scheduler.loadReported(reported, "a", 2);
-    BOOST_TEST(decide(reported).granted.size() == 6u);
+    BOOST_TEST(first.rejected.empty());
+    const absl::Time reportedAt = start + absl::Milliseconds(50);
+    scheduler.loadReported(reportedAt, "a", 2);
+    BOOST_TEST(decide(reportedAt).granted.size() == 6u);
 }
 
-// Load pattern: as above. Guards against healthy upstreams that are ejected because requests waited
-// there behind those of a lost process, which leaves fewer places for the same load.
-BOOST_AUTO_TEST_CASE(silenceBehindForeignRequestsIsNoFault)
+// Load pattern: upstreams still run requests of a lost process. Guards against healthy upstreams
+// that are ejected because requests failed while they waited there behind those of the lost
+// process. The ejection would leave fewer slots for the same load.
+BOOST_AUTO_TEST_CASE(failureBehindForeignRequestsDoesNotEject)
 {
     scheduler.setUpstreams({upstream("a", 4)});
     scheduler.loadReported(start, "a", 5);
@@ -387,8 +396,9 @@
     BOOST_TEST(decide(later).granted.count("next") == 1u);
 }
 
-// Load pattern: a table that follows another one. Guards against places that are given out twice.
-BOOST_AUTO_TEST_CASE(adoptedPlacesAreTaken)
+// Load pattern: a scheduler takes over from another one. Guards against a slot that is granted to
+// two requests.
+BOOST_AUTO_TEST_CASE(adoptedSlotsAreOccupied)
 {
     scheduler.setUpstreams({upstream("a", 1), upstream("b", 1)});
     scheduler.adopt(start, online("held", start), "a");
@@ -401,19 +411,21 @@
     BOOST_TEST(decide().granted.at("2") == "a");
 }
 
-BOOST_AUTO_TEST_CASE(leavingUpstreamGetsNothing)
+// Guards against new tasks on an upstream that is about to shut down.
+BOOST_AUTO_TEST_CASE(leavingUpstreamGetsNoTasks)
 {
     SlotUpstream leaving = upstream("a", 4);
     leaving.leaving = true;
     scheduler.setUpstreams({leaving});
     scheduler.request(start, online("1", start + absl::Seconds(1)));
     scheduler.request(start, batch("b"));
-    const Decided decided = decide();
-    BOOST_TEST(decided.granted.empty());
-    BOOST_TEST(decided.refused.count("1") == 1u);
+    const Decisions decisions = decide();
+    BOOST_TEST(decisions.granted.empty());
+    BOOST_TEST(decisions.rejected.count("1") == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(excludedUpstreamIsNotTriedAgain)
+// Guards against a retry at the upstream that already failed the request.
+BOOST_AUTO_TEST_CASE(excludedUpstreamIsNotUsed)
 {
     scheduler.setUpstreams({upstream("a", 4), upstream("b", 1)});
     SlotTask task = online("1", start + absl::Seconds(1));
@@ -422,7 +434,8 @@
     BOOST_TEST(decide().granted.at("1") == "b");
 }
 
-BOOST_AUTO_TEST_CASE(withdrawnWorkLeavesNoTrace)
+// Guards against a cancelled task that keeps its slot or its position in the queue.
+BOOST_AUTO_TEST_CASE(cancelledTasksReleaseTheirSlots)
 {
     scheduler.setUpstreams({upstream("a", 1)});
     scheduler.request(start, online("1", start + absl::Seconds(1)));
--- a/tests/policy/tokenbucket_test.cpp
+++ b/tests/policy/tokenbucket_test.cpp
@@ -13,16 +13,17 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000);
 
-struct Phase
+/// A contract and the time from which it applies.
+struct ContractPhase
 {
     absl::Time from;
     RateContract contract;
 };
 
-/// rate * t over the phases between two points in time. A lower rate counts from the end of the
-/// longest wait granted before it.
-double granted(const std::vector<Phase> &phases, absl::Time begin, absl::Time end,
-               absl::Duration longestWait)
+/// Returns the sum of rate * t over the phases between \a begin and \a end. A lower rate applies
+/// only after \a longestWait, the longest wait granted before it.
+double accruedUnits(const std::vector<ContractPhase> &phases, absl::Time begin, absl::Time end,
+                    absl::Duration longestWait)
 {
     double units = 0;
     for (std::size_t i = 0; i < phases.size(); ++i) {
@@ -37,18 +38,19 @@
     return units;
 }
 
-/// Units used above the bound in the worst window.
-double worstExcess(const std::vector<Phase> &phases, std::vector<absl::Time> used,
+/// Returns the number of units by which use exceeds the bound in the worst window; negative when it
+/// stays below.
+double worstExcess(const std::vector<ContractPhase> &phases, std::vector<absl::Time> used,
                    absl::Duration longestWait)
 {
     std::sort(used.begin(), used.end());
     double burst = 0;
-    for (const Phase &phase : phases)
+    for (const ContractPhase &phase : phases)
         burst = std::max(burst, phase.contract.burst);
     double worst = -burst;
     for (std::size_t i = 0; i < used.size(); ++i) {
         for (std::size_t j = i; j < used.size(); ++j) {
-            const double bound = granted(phases, used[i], used[j], longestWait) + burst;
+            const double bound = accruedUnits(phases, used[i], used[j], longestWait) + burst;
             worst = std::max(worst, static_cast<double>(j - i + 1) - bound);
         }
     }
@@ -59,7 +61,8 @@
 
 BOOST_AUTO_TEST_SUITE(TokenBucketTest)
 
-// Guards against a second burst after an owner change: the former owner may have granted one.
+// Guards against a second burst after a change of owner. The previous owner may just have granted
+// the whole burst.
 BOOST_AUTO_TEST_CASE(newOwnerStartsEmpty)
 {
     TokenBucket bucket({10, 50}, start);
@@ -68,7 +71,8 @@
     BOOST_TEST(!bucket.take(start + absl::Milliseconds(102), 1).granted);
 }
 
-// Guards against grants before the former owner's lease and last waits have ended.
+// Guards against units that come into use before the previous owner's lease and the waits that it
+// granted have ended.
 BOOST_AUTO_TEST_CASE(nothingComesIntoUseBeforeTheStart)
 {
     TokenBucket bucket({10, 50}, start + absl::Seconds(2));
@@ -78,8 +82,8 @@
     BOOST_TEST((grant.wait >= absl::Milliseconds(2100)));
 }
 
-// Guards against a retry-after that is too early, after which the caller is refused again.
-BOOST_AUTO_TEST_CASE(retryAfterTheAnnouncedTimeSucceeds)
+// Guards against a returned wait that is too short, so that the caller's retry is refused again.
+BOOST_AUTO_TEST_CASE(retryAfterTheReturnedWaitSucceeds)
 {
     TokenBucket bucket({4, 4}, start);
     const RateGrant refused = bucket.take(start, 2, absl::Milliseconds(100));
@@ -87,7 +91,8 @@
     BOOST_TEST(bucket.take(start + refused.wait, 2, absl::Milliseconds(100)).granted);
 }
 
-// Guards against granting what the contract can never grant, and against an endless retry.
+// Guards against a grant of more units than the burst, and against a caller that retries without
+// end because a finite wait is returned.
 BOOST_AUTO_TEST_CASE(moreThanTheBurstIsNeverGranted)
 {
     TokenBucket bucket({100, 5}, start);
@@ -96,7 +101,7 @@
     BOOST_TEST((grant.wait == absl::InfiniteDuration()));
 }
 
-// Guards against a contract that is switched back and forth to refill the burst.
+// Guards against a burst that is refilled when the contract is changed back and forth.
 BOOST_AUTO_TEST_CASE(changedContractGrantsNoSecondBurst)
 {
     TokenBucket bucket({1, 10}, start);
@@ -109,30 +114,30 @@
     BOOST_TEST(granted == 10);
 }
 
-// Guards against over-admission in any window under random demand, waits, clocks that step back
-// and contract changes.
+// Guards against a window in which more units come into use than rate and burst allow, under random
+// demand, waits, contract changes and a clock that steps back.
 BOOST_AUTO_TEST_CASE(noWindowExceedsRateAndBurst)
 {
     for (unsigned seed = 1; seed <= 60; ++seed) {
         std::mt19937 random(seed);
-        const auto number = [&](double low, double high) {
+        const auto uniform = [&](double low, double high) {
             return std::uniform_real_distribution<double>(low, high)(random);
         };
-        const absl::Duration maxWait = absl::Milliseconds(number(0, 400));
-        std::vector<Phase> phases{{start, {number(1, 40), number(1, 20)}}};
+        const absl::Duration maxWait = absl::Milliseconds(uniform(0, 400));
+        std::vector<ContractPhase> phases{{start, {uniform(1, 40), uniform(1, 20)}}};
         TokenBucket bucket(phases[0].contract, start);
         std::vector<absl::Time> used;
         absl::Time now = start;
         for (int i = 0; i < 400; ++i) {
-            now += absl::Milliseconds(number(0, 30));
-            if (number(0, 1) < 0.02) {
-                phases.push_back({now, {number(1, 40), number(1, 20)}});
+            now += absl::Milliseconds(uniform(0, 30));
+            if (uniform(0, 1) < 0.02) {
+                phases.push_back({now, {uniform(1, 40), uniform(1, 20)}});
                 bucket.setContract(now, phases.back().contract);
             }
-            const absl::Time seen = number(0, 1) < 0.1 ? now - absl::Milliseconds(5) : now;
-            const RateGrant grant = bucket.take(seen, 1, maxWait);
+            const absl::Time observedNow = uniform(0, 1) < 0.1 ? now - absl::Milliseconds(5) : now;
+            const RateGrant grant = bucket.take(observedNow, 1, maxWait);
             if (grant.granted)
-                used.push_back(seen + grant.wait);
+                used.push_back(observedNow + grant.wait);
         }
         BOOST_TEST_CONTEXT("seed " << seed)
         {
@@ -141,22 +146,22 @@
     }
 }
 
-// Guards against over-admission across an owner change: two buckets, the second one started at the
-// end of the lease plus the longest wait.
+// Guards against a window that exceeds rate and burst across a change of owner. The bucket of the
+// new owner starts at the end of the previous owner's lease plus the longest wait.
 BOOST_AUTO_TEST_CASE(ownerChangeStaysInsideTheContract)
 {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 random(seed);
-        std::uniform_real_distribution<double> number(0, 1);
-        const RateContract contract{5 + 20 * number(random), 1 + 20 * number(random)};
+        std::uniform_real_distribution<double> uniform(0, 1);
+        const RateContract contract{5 + 20 * uniform(random), 1 + 20 * uniform(random)};
         const absl::Duration maxWait = absl::Milliseconds(200);
-        const absl::Time leaseEnd = start + absl::Seconds(10 * number(random));
-        TokenBucket former(contract, start);
-        TokenBucket next(contract, leaseEnd + maxWait);
+        const absl::Time leaseEnd = start + absl::Seconds(10 * uniform(random));
+        TokenBucket previousOwner(contract, start);
+        TokenBucket nextOwner(contract, leaseEnd + maxWait);
         std::vector<absl::Time> used;
         for (absl::Time now = start; now < start + absl::Seconds(20);
-             now += absl::Milliseconds(40 * number(random))) {
-            TokenBucket &owner = now < leaseEnd ? former : next;
+             now += absl::Milliseconds(40 * uniform(random))) {
+            TokenBucket &owner = now < leaseEnd ? previousOwner : nextOwner;
             const RateGrant grant = owner.take(now, 1, maxWait);
             if (grant.granted)
                 used.push_back(now + grant.wait);
