--- a/src/fleet/fleetclient.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -10,8 +10,9 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// Addresses that are asked at once while no leader is known; three processes found a fleet.
-constexpr std::size_t searchWidth = 3;
+/// Number of addresses that are polled in parallel while no leader is known. Three, because the
+/// fleet group is founded by three processes.
+constexpr std::size_t maxParallelPolls = 3;
 
 } // namespace
 
@@ -26,7 +27,7 @@
         , backoff(this->settings.minBackoff)
     {}
 
-    wire::FleetSyncRequest request() const
+    wire::FleetSyncRequest makeRequest() const
     {
         wire::FleetSyncRequest request;
         request.self = settings.self;
@@ -43,41 +44,43 @@
     {
         if (leader.empty())
             return;
-        wire::FleetSyncRequest message = request();
+        wire::FleetSyncRequest message = makeRequest();
         message.leaving = leaving;
         message.waitMs = 0;
         channels.channel(leader)->sendOneWay(wire::Method::Sync, wire::encode(message));
     }
 
-    /// The leader when it is known. Otherwise a few of the known addresses, each time others: a
-    /// process that is down answers nothing for a while.
+    /// Returns the leader's address when it is known. Otherwise returns a few of the known
+    /// addresses, different ones in each call, because a poll of a process that is down ends only
+    /// after a timeout.
     std::vector<std::string> nextAddresses()
     {
         if (!leader.empty())
             return {leader};
-        std::vector<std::string> known = settings.seeds;
-        for (const wire::FleetMemberStatus &live : state.members) {
-            const std::string &address = live.member.peerAddress;
-            const bool isNew = std::find(known.begin(), known.end(), address) == known.end();
-            if (live.member.role == wire::MemberRole::Control && isNew)
-                known.push_back(address);
+        std::vector<std::string> knownAddresses = settings.seeds;
+        for (const wire::FleetMemberStatus &status : state.members) {
+            const std::string &address = status.member.peerAddress;
+            const bool isNew = std::find(knownAddresses.begin(), knownAddresses.end(), address)
+                               == knownAddresses.end();
+            if (status.member.role == wire::MemberRole::Control && isNew)
+                knownAddresses.push_back(address);
         }
         std::vector<std::string> addresses;
-        while (addresses.size() < std::min(known.size(), searchWidth))
-            addresses.push_back(known[nextKnown++ % known.size()]);
+        while (addresses.size() < std::min(knownAddresses.size(), maxParallelPolls))
+            addresses.push_back(knownAddresses[nextAddressIndex++ % knownAddresses.size()]);
         return addresses;
     }
 
-    /// Begins a round of polls; answers to those of earlier rounds are ignored.
+    /// Starts a round of polls. Responses to polls of earlier rounds are ignored.
     void poll()
     {
         if (stopped)
             return;
         ++round;
         const std::vector<std::string> addresses = nextAddresses();
-        openPolls = addresses.size();
+        pendingPolls = addresses.size();
         if (addresses.empty())
-            return later();
+            return scheduleNextRound();
         for (const std::string &address : addresses)
             poll(address);
     }
@@ -85,27 +88,28 @@
     void poll(const std::string &address)
     {
         const absl::Time sentAt = clock.now();
-        channels.channel(address)->call(
-                wire::Method::Sync, wire::encode(request()), settings.pollTimeout,
-                [self = shared_from_this(), address, sentAt,
-                 sentIn = round](Outcome<std::string> outcome) {
-                    self->loop.post([self, address, sentAt, sentIn, outcome = std::move(outcome)] {
-                        if (!self->stopped && sentIn == self->round)
-                            self->answered(address, sentAt, outcome);
-                    });
-                });
+        channels.channel(address)->call(wire::Method::Sync, wire::encode(makeRequest()),
+                                        settings.pollTimeout,
+                                        [self = shared_from_this(), address, sentAt,
+                                         pollRound = round](Outcome<std::string> outcome) {
+                                            self->loop.post([self, address, sentAt, pollRound,
+                                                             outcome = std::move(outcome)] {
+                                                if (!self->stopped && pollRound == self->round)
+                                                    self->handleOutcome(address, sentAt, outcome);
+                                            });
+                                        });
     }
 
-    void answered(const std::string &address, absl::Time sentAt,
-                  const Outcome<std::string> &outcome)
+    void handleOutcome(const std::string &address, absl::Time sentAt,
+                       const Outcome<std::string> &outcome)
     {
-        --openPolls;
+        --pendingPolls;
         if (!outcome.ok())
-            return failed(address, outcome.failure());
+            return handleFailure(address, outcome.failure());
         const auto response =
                 outcomeOf([&] { return wire::decode<wire::FleetSyncResponse>(outcome.value()); });
         if (!response.ok())
-            return failed(address, response.failure());
+            return handleFailure(address, response.failure());
         if (leader != address || !connected) {
             log(LogLevel::Info, "fleet-leader-found",
                 {{"peerAddress", address}, {"term", response.value().viewTerm}});
@@ -114,39 +118,41 @@
         connected = true;
         followsHint = false;
         backoff = settings.minBackoff;
-        freshAt = sentAt;
-        take(response.value());
+        lastSyncSentAt = sentAt;
+        applyResponse(response.value());
         poll();
     }
 
-    void take(const wire::FleetSyncResponse &response)
+    void applyResponse(const wire::FleetSyncResponse &response)
     {
-        const bool hasView = response.viewTerm != viewTerm || response.viewSequence != viewSequence;
-        const bool hasConfiguration = response.configurationVersion > state.configurationVersion
-                                      && !response.configuration.empty();
-        if (hasConfiguration) {
+        const bool isNewView =
+                response.viewTerm != viewTerm || response.viewSequence != viewSequence;
+        const bool isNewConfiguration = response.configurationVersion > state.configurationVersion
+                                        && !response.configuration.empty();
+        if (isNewConfiguration) {
             state.configurationVersion = response.configurationVersion;
             state.configuration = response.configuration;
         }
-        if (hasView) {
+        if (isNewView) {
             viewTerm = response.viewTerm;
             viewSequence = response.viewSequence;
             state.members = response.members;
             state.membersComplete = response.membersSettled;
             state.storeFounders = response.storeFounders;
-            // A new leader has not read the platform's list yet; the former one's stays in use.
+            // A new leader may not have read the platform's list yet. The list from the previous
+            // leader stays in use until then.
             if (response.upstreamsKnown) {
                 state.upstreams = response.upstreams;
                 state.upstreamsKnown = true;
             }
         }
-        if (hasView || hasConfiguration) {
+        if (isNewView || isNewConfiguration) {
             for (const Listener &listener : listeners)
                 listener(state);
         }
     }
 
-    void failed(const std::string &address, const Failure &failure)
+    void handleFailure(const std::string &address, const Failure &failure)
     {
         const bool hasHint = failure.code == ErrorCode::NotLeader && !failure.detail.empty();
         if (connected) {
@@ -157,18 +163,19 @@
                  {"configurationVersion", state.configurationVersion}});
         }
         connected = false;
-        const std::string hinted = hasHint ? peerAddressOf(failure.detail) : std::string();
-        leader = hinted == address ? std::string() : hinted;
-        // Two replicas with old views may name each other.
+        const std::string hintedAddress = hasHint ? peerAddressOf(failure.detail) : std::string();
+        leader = hintedAddress == address ? std::string() : hintedAddress;
+        // Two replicas with outdated state may each name the other as leader. Only one hint in a
+        // row is followed without a delay, so that the polls do not alternate between the two.
         const bool isNewHint = !leader.empty() && !followsHint;
         followsHint = isNewHint;
         if (isNewHint)
             poll();
-        else if (openPolls == 0)
-            later();
+        else if (pendingPolls == 0)
+            scheduleNextRound();
     }
 
-    void later()
+    void scheduleNextRound()
     {
         loop.timers().subscribeOnce(backoff, [self = shared_from_this()] { self->poll(); });
         backoff = std::min(backoff * 2, settings.maxBackoff);
@@ -184,16 +191,17 @@
     std::vector<Listener> listeners;
     std::function<void(wire::FleetSyncRequest &)> storeReport;
     std::string leader;
-    std::size_t nextKnown = 0;
+    std::size_t nextAddressIndex = 0;
     bool connected = false;
-    /// The poll under way goes to the leader that the answer before it named.
+    /// The current poll was sent to the leader that the previous response named.
     bool followsHint = false;
     std::uint64_t round = 0;
-    /// Polls of this round without an answer.
-    std::size_t openPolls = 0;
+    /// Polls of this round that have not received a response.
+    std::size_t pendingPolls = 0;
     bool stopped = false;
     absl::Duration backoff;
-    absl::Time freshAt = absl::InfinitePast();
+    /// Sending time of the last poll that received a response.
+    absl::Time lastSyncSentAt = absl::InfinitePast();
 };
 
 FleetClient::FleetClient(net::EventLoop &loop, peer::ChannelPool &channels,
@@ -252,7 +260,7 @@
 
 absl::Duration FleetClient::staleness() const
 {
-    return m_impl->clock.now() - m_impl->freshAt;
+    return m_impl->clock.now() - m_impl->lastSyncSentAt;
 }
 
 std::string FleetClient::leaderAddress() const
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -10,8 +10,8 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// How often waiting polls and silent processes are looked at.
-constexpr absl::Duration watchPeriod = absl::Milliseconds(50);
+/// Interval at which pending polls and member timeouts are checked.
+constexpr absl::Duration checkPeriod = absl::Milliseconds(50);
 constexpr absl::Duration maxPollWait = absl::Seconds(2);
 
 } // namespace
@@ -22,20 +22,20 @@
     {
         wire::FleetSyncRequest request;
         peer::ResponseCallback reply;
-        absl::Time due;
+        absl::Time deadline;
     };
 
-    Impl(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
+    Impl(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &discovery,
          FleetServiceSettings settings, const Clock &clock)
         : loop(loop)
         , replica(replica)
-        , list(list)
+        , discovery(discovery)
         , settings(settings)
         , clock(clock)
         , view(settings.memberTimeout)
     {}
 
-    void serve(const std::string &body, peer::ResponseCallback reply)
+    void handleSync(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = outcomeOf([&] { return wire::decode<wire::FleetSyncRequest>(body); });
         if (!request.ok())
@@ -45,56 +45,57 @@
                                                absl::ZeroDuration(), maxPollWait);
         Poll poll{std::move(request.value()), std::move(reply), now + wait};
         if (leads())
-            take(std::move(poll), now);
+            addPoll(std::move(poll), now);
         else if (!otherLeader().empty())
             poll.reply(notRun(ErrorCode::NotLeader, otherLeader()));
         else
-            early.push_back(std::move(poll));
+            pollsWithoutLeader.push_back(std::move(poll));
     }
 
-    void take(Poll poll, absl::Time now)
+    void addPoll(Poll poll, absl::Time now)
     {
         view.recordHeartbeat(poll.request, now);
         polls.push_back(std::move(poll));
-        answerPolls(now);
+        respondToPolls(now);
     }
 
-    /// Leader of the group if it is known and another replica.
+    /// Returns the leader of the group; empty when it is unknown or this replica.
     std::string otherLeader() const
     {
         const replication::RaftNodeStatus status = replica.status();
         return status.role == replication::Role::Leader ? std::string() : status.leader;
     }
 
-    /// Polls that came before a leader was known: its name is answered as soon as there is one.
-    void answerEarly(absl::Time now)
+    /// Processes the polls that were received while no leader was known. Redirects them to the
+    /// leader as soon as it is known, and fails those whose wait has ended.
+    void processPollsWithoutLeader(absl::Time now)
     {
         if (leads()) {
-            for (Poll &poll : std::exchange(early, {}))
-                take(std::move(poll), now);
+            for (Poll &poll : std::exchange(pollsWithoutLeader, {}))
+                addPoll(std::move(poll), now);
             return;
         }
         const std::string leader = otherLeader();
-        for (auto poll = early.begin(); poll != early.end();) {
-            if (leader.empty() && now < poll->due) {
+        for (auto poll = pollsWithoutLeader.begin(); poll != pollsWithoutLeader.end();) {
+            if (leader.empty() && now < poll->deadline) {
                 ++poll;
                 continue;
             }
             poll->reply(notRun(ErrorCode::NotLeader, leader));
-            poll = early.erase(poll);
+            poll = pollsWithoutLeader.erase(poll);
         }
     }
 
-    /// Leads and has read what its predecessors committed.
+    /// True when this replica leads and has read the records that earlier leaders committed.
     bool leads() const { return isReady && replica.isLeader(); }
 
-    void answerPolls(absl::Time now)
+    void respondToPolls(absl::Time now)
     {
         for (auto poll = polls.begin(); poll != polls.end();) {
-            const bool isDue =
-                    poll->due <= now || !view.isCurrent(poll->request)
+            const bool mustRespond =
+                    poll->deadline <= now || !view.isCurrent(poll->request)
                     || poll->request.configurationVersion < view.records().configurationVersion;
-            if (!isDue) {
+            if (!mustRespond) {
                 ++poll;
                 continue;
             }
@@ -126,11 +127,11 @@
         const wire::FleetQuery query{isReady ? view.records().configurationVersion : 0};
         replica.read(wire::encode(query),
                      [self = shared_from_this(), term](const Outcome<std::string> &outcome) {
-                         self->recordsRead(term, outcome);
+                         self->handleRecords(term, outcome);
                      });
     }
 
-    void recordsRead(std::uint64_t term, const Outcome<std::string> &outcome)
+    void handleRecords(std::uint64_t term, const Outcome<std::string> &outcome)
     {
         if (term != view.term() || !replica.isLeader())
             return;
@@ -143,21 +144,21 @@
                 {{"code", name(records.failure().code)},
                  {"detail", records.failure().detail},
                  {"term", term}});
-            loop.timers().subscribeOnce(watchPeriod,
+            loop.timers().subscribeOnce(checkPeriod,
                                         [self = shared_from_this()] { self->readRecords(); });
             return;
         }
         view.setRecords(records.value());
         if (!isReady)
-            readList();
+            readUpstreams();
         isReady = true;
-        answerEarly(clock.now());
-        answerPolls(clock.now());
+        processPollsWithoutLeader(clock.now());
+        respondToPolls(clock.now());
     }
 
     void tick()
     {
-        answerEarly(clock.now());
+        processPollsWithoutLeader(clock.now());
         if (!leads()) {
             if (!polls.empty())
                 failPolls();
@@ -165,11 +166,11 @@
         }
         const absl::Time now = clock.now();
         view.expire(now);
-        foundStores(now);
-        answerPolls(now);
+        foundStoreGroup(now);
+        respondToPolls(now);
     }
 
-    void foundStores(absl::Time now)
+    void foundStoreGroup(absl::Time now)
     {
         const std::vector<std::string> founders = view.storeFounders(now);
         if (founders.empty() || isFounding)
@@ -187,52 +188,54 @@
         });
     }
 
-    void readList()
+    void readUpstreams()
     {
-        if (isReadingList || !replica.isLeader())
+        if (isReadingUpstreams || !replica.isLeader())
             return;
-        isReadingList = true;
-        list.read([self = shared_from_this(), term = view.term()](auto outcome) {
-            self->isReadingList = false;
-            self->listRead(term, std::move(outcome));
+        isReadingUpstreams = true;
+        discovery.read([self = shared_from_this(), term = view.term()](auto outcome) {
+            self->isReadingUpstreams = false;
+            self->handleUpstreams(term, std::move(outcome));
         });
     }
 
-    void listRead(std::uint64_t term, Outcome<std::vector<wire::FleetUpstream>> outcome)
+    void handleUpstreams(std::uint64_t term, Outcome<std::vector<wire::FleetUpstream>> outcome)
     {
         if (term != view.term() || !leads())
             return;
-        if (outcome.ok() != listReadable) {
-            listReadable = outcome.ok();
-            log(listReadable ? LogLevel::Info : LogLevel::Warning,
-                listReadable ? "upstream-list-regained" : "upstream-list-lost",
+        if (outcome.ok() != upstreamsReadable) {
+            upstreamsReadable = outcome.ok();
+            log(upstreamsReadable ? LogLevel::Info : LogLevel::Warning,
+                upstreamsReadable ? "upstream-list-regained" : "upstream-list-lost",
                 {{"code", outcome.ok() ? "ok" : name(outcome.failure().code)},
                  {"detail", outcome.ok() ? "" : outcome.failure().detail}});
         }
         if (!outcome.ok())
             return;
-        const std::uint64_t before = view.sequence();
+        const std::uint64_t previousSequence = view.sequence();
         const auto count = static_cast<std::int64_t>(outcome.value().size());
         view.setUpstreams(std::move(outcome.value()));
-        if (view.sequence() != before)
+        if (view.sequence() != previousSequence)
             log(LogLevel::Info, "upstream-list-changed",
                 {{"upstreams", count}, {"term", term}, {"sequence", view.sequence()}});
-        answerPolls(clock.now());
+        respondToPolls(clock.now());
     }
 
     net::EventLoop &loop;
     GroupReplica &replica;
-    UpstreamDiscovery &list;
+    UpstreamDiscovery &discovery;
     const FleetServiceSettings settings;
     const Clock &clock;
     FleetView view;
     std::list<Poll> polls;
-    std::list<Poll> early;
+    /// Received while no leader was known.
+    std::list<Poll> pollsWithoutLeader;
     std::vector<TimerService::TimerId> timers;
+    /// The records have been read in the current term.
     bool isReady = false;
     bool isFounding = false;
-    bool isReadingList = false;
-    bool listReadable = true;
+    bool isReadingUpstreams = false;
+    bool upstreamsReadable = true;
 };
 
 FleetService::FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
@@ -250,7 +253,7 @@
     server.handle(wire::Method::Sync, [impl = m_impl](const peer::PeerIdentity &, std::string body,
                                                       peer::ResponseCallback reply) {
         impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
-            impl->serve(body, reply);
+            impl->handleSync(body, reply);
         });
     });
 }
@@ -264,11 +267,11 @@
             impl->readRecords();
     });
     auto &timers = m_impl->loop.timers();
-    m_impl->timers.push_back(timers.subscribeEvery(watchPeriod, [impl = m_impl] { impl->tick(); }));
+    m_impl->timers.push_back(timers.subscribeEvery(checkPeriod, [impl = m_impl] { impl->tick(); }));
     m_impl->timers.push_back(
             timers.subscribeEvery(m_impl->settings.discoveryPeriod, [impl = m_impl] {
                 if (impl->leads())
-                    impl->readList();
+                    impl->readUpstreams();
             }));
 }
 
@@ -277,7 +280,7 @@
     for (const TimerService::TimerId timer : std::exchange(m_impl->timers, {}))
         m_impl->loop.timers().unsubscribe(timer);
     m_impl->failPolls();
-    for (const Impl::Poll &poll : std::exchange(m_impl->early, {}))
+    for (const Impl::Poll &poll : std::exchange(m_impl->pollsWithoutLeader, {}))
         poll.reply(notRun(ErrorCode::NotLeader, ""));
 }
 
--- a/src/fleet/fleetstatemachine.h
+++ b/src/fleet/fleetstatemachine.h
@@ -5,7 +5,7 @@
 
 namespace rattanrill::fleet {
 
-/// State machine behind makeFleetStateMachine().
+/// State machine of the fleet group; see makeFleetStateMachine().
 class FleetStateMachine : public replication::StateMachine
 {
 public:
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -6,11 +6,12 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// A process that was silent for this many member timeouts is forgotten.
-constexpr int forgetTimeouts = 10;
-/// Voters of the store group that are waited for, and how long.
-constexpr std::size_t wantedFounders = 3;
-constexpr absl::Duration founderWait = absl::Seconds(3);
+/// A process is removed after this many member timeouts without a heartbeat.
+constexpr int removalTimeouts = 10;
+/// The store group is founded as soon as this many stores are alive.
+constexpr std::size_t targetFounders = 3;
+/// With fewer live stores, the store group is founded this long after the term began.
+constexpr absl::Duration foundingTimeout = absl::Seconds(3);
 
 bool sameUpstream(const wire::FleetUpstream &left, const wire::FleetUpstream &right)
 {
@@ -52,7 +53,7 @@
                        || records.storeFounders != m_records.storeFounders;
     if (!isNew)
         return;
-    // A query that names the known version brings no document.
+    // The result of a query for the version that is already known contains no document.
     const bool hasDocument = records.configurationVersion != m_records.configurationVersion;
     const std::string document = hasDocument ? records.configuration : m_records.configuration;
     m_records = records;
@@ -85,18 +86,18 @@
     if (leadsStores)
         noteStoreLeader(request);
     Known &known = m_members[request.self.instance];
-    wire::FleetMemberStatus live;
-    live.member = request.self;
-    live.alive = true;
-    live.leadsStores = leadsStores;
-    if (!sameMember(known.live, live))
+    wire::FleetMemberStatus status;
+    status.member = request.self;
+    status.alive = true;
+    status.leadsStores = leadsStores;
+    if (!sameMember(known.live, status))
         changed();
-    known.live = std::move(live);
+    known.live = std::move(status);
     known.heardAt = now;
 }
 
-/// A leader that is cut off or gone is not alive for a while yet; the one of the highest term
-/// counts.
+/// A former leader of the store group that is partitioned or has stopped counts as alive until the
+/// member timeout. Therefore only the leader of the highest term is reported as the store leader.
 void FleetView::noteStoreLeader(const wire::FleetSyncRequest &request)
 {
     m_storeTerm = request.storeTerm;
@@ -120,15 +121,15 @@
     }
     for (auto entry = m_members.begin(); entry != m_members.end();) {
         Known &known = entry->second;
-        const absl::Duration silent = now - known.heardAt;
-        if (known.live.alive && silent > m_memberTimeout) {
+        const absl::Duration sinceHeartbeat = now - known.heardAt;
+        if (known.live.alive && sinceHeartbeat > m_memberTimeout) {
             known.live.alive = false;
             known.live.leadsStores = false;
             changed();
         }
-        const bool isForgotten = silent > m_memberTimeout * forgetTimeouts;
-        entry = isForgotten ? m_members.erase(entry) : std::next(entry);
-        if (isForgotten)
+        const bool isExpired = sinceHeartbeat > m_memberTimeout * removalTimeouts;
+        entry = isExpired ? m_members.erase(entry) : std::next(entry);
+        if (isExpired)
             changed();
     }
 }
@@ -155,12 +156,12 @@
     if (isCurrent(request))
         return response;
     for (const auto &[instance, known] : m_members) {
-        wire::FleetMemberStatus live = known.live;
-        const std::string &replica = live.member.replica;
-        live.retiring = isRetiring(replica);
-        live.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
-                         != m_storeReplicas.end();
-        response.members.push_back(std::move(live));
+        wire::FleetMemberStatus status = known.live;
+        const std::string &replica = status.member.replica;
+        status.retiring = isRetiring(replica);
+        status.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
+                           != m_storeReplicas.end();
+        response.members.push_back(std::move(status));
     }
     response.membersSettled = m_hasAllMembers;
     response.storeFounders = m_records.storeFounders;
@@ -188,11 +189,11 @@
         return founders;
     for (const auto &[instance, known] : m_members) {
         const bool isStore = known.live.member.role == wire::MemberRole::Store;
-        if (isStore && known.live.alive && founders.size() < wantedFounders)
+        if (isStore && known.live.alive && founders.size() < targetFounders)
             founders.push_back(known.live.member.replica);
     }
-    const bool hasWaited = now - m_begunAt >= founderWait;
-    if (founders.size() < wantedFounders && !hasWaited)
+    const bool timedOut = now - m_begunAt >= foundingTimeout;
+    if (founders.size() < targetFounders && !timedOut)
         founders.clear();
     return founders;
 }
--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -9,8 +9,8 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// How often the replica's role and the group's voters are looked at.
-constexpr absl::Duration watchPeriod = absl::Milliseconds(50);
+/// Interval at which the replica's role and the group's voters are checked.
+constexpr absl::Duration checkPeriod = absl::Milliseconds(50);
 
 } // namespace
 
@@ -33,7 +33,7 @@
                              wire::encode(wire::RaftEnvelope{group, std::move(message)}));
     }
 
-    /// Runs on a network thread; the group is thread-safe and does not change after open().
+    /// Runs on a network thread. The node is thread-safe and is not replaced after open().
     void receive(const peer::PeerIdentity &from, const std::string &body)
     {
         auto envelope = outcomeOf([&] { return wire::decode<wire::RaftEnvelope>(body); });
@@ -42,7 +42,7 @@
                 {{"peerInstance", from.instance}, {"code", name(envelope.failure().code)}});
             return;
         }
-        const auto current = std::atomic_load(&group);
+        const auto current = std::atomic_load(&node);
         if (current && envelope.value().group == settings.group)
             current->receive(from.instance, std::move(envelope.value().message));
     }
@@ -50,7 +50,7 @@
     void servePropose(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = outcomeOf([&] { return wire::decode<wire::ProposeRequest>(body); });
-        const auto current = std::atomic_load(&group);
+        const auto current = std::atomic_load(&node);
         if (!request.ok())
             return reply(request.failure());
         if (!current || request.value().group != settings.group)
@@ -90,22 +90,22 @@
                 }));
     }
 
-    void watch()
+    void checkStatus()
     {
-        const replication::RaftNodeStatus now = group->status();
-        if (now.stopped && !reportedStop) {
-            reportedStop = true;
+        const replication::RaftNodeStatus status = node->status();
+        if (status.stopped && !stopLogged) {
+            stopLogged = true;
             log(LogLevel::Error, "replica-stopped",
-                {{"group", settings.group}, {"detail", now.stopReason}});
+                {{"group", settings.group}, {"detail", status.stopReason}});
         }
-        const bool leadsNow = now.role == replication::Role::Leader && !now.stopped;
-        if (leadsNow != leads || (leadsNow && now.term != term))
-            noteRole(now, leadsNow);
-        if (leadsNow && !changing && candidates)
-            changeMembers(now);
+        const bool leadsNow = status.role == replication::Role::Leader && !status.stopped;
+        if (leadsNow != leads || (leadsNow && status.term != term))
+            updateRole(status, leadsNow);
+        if (leadsNow && !isChangingMembers && candidates)
+            changeMembers(status);
     }
 
-    void noteRole(const replication::RaftNodeStatus &status, bool leadsNow)
+    void updateRole(const replication::RaftNodeStatus &status, bool leadsNow)
     {
         const bool wasLeader = leads;
         leads = leadsNow;
@@ -115,10 +115,10 @@
              {"term", status.term},
              {"commitIndex", status.commitIndex},
              {"leader", status.leader}});
-        if (wasLeader && leadListener)
-            leadListener(false);
-        if (leadsNow && leadListener)
-            leadListener(true);
+        if (wasLeader && leadershipListener)
+            leadershipListener(false);
+        if (leadsNow && leadershipListener)
+            leadershipListener(true);
     }
 
     void changeMembers(const replication::RaftNodeStatus &status)
@@ -126,7 +126,7 @@
         const auto change = nextMembershipChange(status, candidates(), settings.rules);
         if (!change)
             return;
-        changing = true;
+        isChangingMembers = true;
         log(LogLevel::Info, "membership-change-started",
             {{"group", settings.group},
              {"added", change->added},
@@ -135,7 +135,7 @@
              {"term", status.term}});
         const auto done = onLoop(
                 [self = shared_from_this(), change = *change](const Outcome<std::string> &outcome) {
-                    self->changing = false;
+                    self->isChangingMembers = false;
                     log(LogLevel::Info, "membership-change-ended",
                         {{"group", self->settings.group},
                          {"added", change.added},
@@ -144,23 +144,23 @@
                          {"detail", outcome.ok() ? "" : outcome.failure().detail}});
                 });
         if (change->added.empty())
-            group->removeReplica(change->replaced, done);
+            node->removeReplica(change->replaced, done);
         else
-            group->addReplica(change->added, change->replaced, done);
+            node->addReplica(change->added, change->replaced, done);
     }
 
     net::EventLoop &loop;
     peer::ChannelPool &channels;
     const GroupReplicaSettings settings;
     const Clock &clock;
-    std::shared_ptr<replication::RaftNode> group;
+    std::shared_ptr<replication::RaftNode> node;
     CandidateSource candidates;
-    LeadershipListener leadListener;
+    LeadershipListener leadershipListener;
     std::function<void()> appliedListener;
     TimerService::TimerId timer = 0;
     bool leads = false;
-    bool changing = false;
-    bool reportedStop = false;
+    bool isChangingMembers = false;
+    bool stopLogged = false;
     std::uint64_t term = 0;
 };
 
@@ -203,24 +203,24 @@
     options.snapshotAfterBytes = m_impl->settings.snapshotAfterBytes;
     BOOST_LEAF_AUTO(opened, replication::startRaftNode(options, std::move(machine), *m_impl,
                                                        m_impl->clock));
-    std::shared_ptr<replication::RaftNode> shared = std::move(opened);
-    shared->onApplied([weak = std::weak_ptr<Impl>(m_impl)](std::uint64_t) {
+    std::shared_ptr<replication::RaftNode> node = std::move(opened);
+    node->onApplied([weak = std::weak_ptr<Impl>(m_impl)](std::uint64_t) {
         const auto impl = weak.lock();
         if (impl && impl->appliedListener)
             impl->loop.post(impl->appliedListener);
     });
-    std::atomic_store(&m_impl->group, shared);
+    std::atomic_store(&m_impl->node, node);
     m_impl->timer =
-            m_impl->loop.timers().subscribeEvery(watchPeriod, [weak = std::weak_ptr<Impl>(m_impl)] {
+            m_impl->loop.timers().subscribeEvery(checkPeriod, [weak = std::weak_ptr<Impl>(m_impl)] {
                 if (const auto impl = weak.lock())
-                    impl->watch();
+                    impl->checkStatus();
             });
     return {};
 }
 
 bool GroupReplica::isOpen() const
 {
-    return m_impl->group != nullptr;
+    return m_impl->node != nullptr;
 }
 
 void GroupReplica::setCandidates(CandidateSource candidates)
@@ -230,7 +230,7 @@
 
 void GroupReplica::onLeadershipChange(LeadershipListener listener)
 {
-    m_impl->leadListener = std::move(listener);
+    m_impl->leadershipListener = std::move(listener);
 }
 
 void GroupReplica::onApplied(std::function<void()> listener)
@@ -240,53 +240,53 @@
 
 bool GroupReplica::isLeader() const
 {
-    if (!m_impl->group || !m_impl->leads)
+    if (!m_impl->node || !m_impl->leads)
         return false;
-    const replication::RaftNodeStatus status = m_impl->group->status();
+    const replication::RaftNodeStatus status = m_impl->node->status();
     return status.role == replication::Role::Leader && !status.stopped;
 }
 
 replication::RaftNodeStatus GroupReplica::status() const
 {
-    return m_impl->group ? m_impl->group->status() : replication::RaftNodeStatus();
+    return m_impl->node ? m_impl->node->status() : replication::RaftNodeStatus();
 }
 
 void GroupReplica::propose(std::string command, Callback callback)
 {
-    if (!m_impl->group)
+    if (!m_impl->node)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    const replication::RaftNodeStatus status = m_impl->group->status();
+    const replication::RaftNodeStatus status = m_impl->node->status();
     if (status.role == replication::Role::Leader || status.leader.empty())
-        return m_impl->group->propose(std::move(command), m_impl->onLoop(std::move(callback)));
+        return m_impl->node->propose(std::move(command), m_impl->onLoop(std::move(callback)));
     m_impl->forward(peerAddressOf(status.leader), std::move(command), std::move(callback));
 }
 
 void GroupReplica::read(std::string query, Callback callback)
 {
-    if (!m_impl->group)
+    if (!m_impl->node)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    m_impl->group->read(std::move(query), m_impl->onLoop(std::move(callback)));
+    m_impl->node->read(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
 void GroupReplica::linearizableRead(std::string query, Callback callback)
 {
-    if (!m_impl->group)
+    if (!m_impl->node)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    m_impl->group->linearizableRead(std::move(query), m_impl->onLoop(std::move(callback)));
+    m_impl->node->linearizableRead(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
 void GroupReplica::transferLeadership()
 {
-    if (m_impl->group && m_impl->leads)
-        m_impl->group->transferLeadership();
+    if (m_impl->node && m_impl->leads)
+        m_impl->node->transferLeadership();
 }
 
 void GroupReplica::stop()
 {
     if (m_impl->timer != 0)
         m_impl->loop.timers().unsubscribe(std::exchange(m_impl->timer, 0));
-    if (const auto group = std::atomic_load(&m_impl->group))
-        group->stop();
+    if (const auto node = std::atomic_load(&m_impl->node))
+        node->stop();
 }
 
 } // namespace rattanrill::fleet
--- a/src/fleet/membershipchange.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -8,7 +8,7 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// Voters that remain at least when a retiring one leaves without a successor.
+/// Minimum number of voters that remain when a retiring voter is removed without a replacement.
 constexpr std::size_t minVoters = 2;
 
 bool contains(const std::vector<replication::ReplicaId> &ids, const replication::ReplicaId &id)
@@ -26,7 +26,7 @@
     return nullptr;
 }
 
-/// Another process stands at the voter's address: its disk was lost.
+/// True when another replica uses the voter's address, because the voter's disk was lost.
 bool isSuperseded(const replication::ReplicaId &voter,
                   const std::vector<VoterCandidate> &candidates)
 {
@@ -48,17 +48,17 @@
 
     std::optional<MembershipChange> next() const
     {
-        const replication::ReplicaId lost = lostVoter();
-        const VoterCandidate *spare = bestSpare(lost);
-        if (!lost.empty() && spare != nullptr)
-            return MembershipChange{spare->replica, lost};
+        const replication::ReplicaId replaced = voterToReplace();
+        const VoterCandidate *spare = bestSpare(replaced);
+        if (!replaced.empty() && spare != nullptr)
+            return MembershipChange{spare->replica, replaced};
         const replication::ReplicaId stale = staleLearner();
         if (!stale.empty())
             return MembershipChange{"", stale};
-        if (lost.empty() && spare != nullptr && mayGrow())
+        if (replaced.empty() && spare != nullptr && canGrow())
             return MembershipChange{spare->replica, ""};
         if (spare == nullptr)
-            return withoutRetiring();
+            return removeRetiringVoter();
         return std::nullopt;
     }
 
@@ -73,21 +73,22 @@
         return !candidate->alive;
     }
 
-    /// A superseded voter comes before a silent one, which may return; a retiring one comes last.
-    replication::ReplicaId lostVoter() const
+    /// Returns the voter to replace next; empty when there is none. A superseded voter has priority
+    /// over one that is not alive, which may return; a retiring voter comes last.
+    replication::ReplicaId voterToReplace() const
     {
-        replication::ReplicaId silent;
+        replication::ReplicaId notAlive;
         replication::ReplicaId retiring;
         for (const replication::ReplicaId &voter : m_status.voters) {
             const VoterCandidate *candidate = find(m_candidates, voter);
             if (isLost(voter) && isSuperseded(voter, m_candidates))
                 return voter;
             if (isLost(voter))
-                silent = voter;
+                notAlive = voter;
             else if (candidate != nullptr && candidate->retiring)
                 retiring = voter;
         }
-        return silent.empty() ? retiring : silent;
+        return notAlive.empty() ? retiring : notAlive;
     }
 
     replication::ReplicaId staleLearner() const
@@ -106,44 +107,47 @@
                && !contains(m_status.voters, candidate.replica);
     }
 
-    /// At the lost voter's address first, then a failure domain with few voters.
-    const VoterCandidate *bestSpare(const replication::ReplicaId &lost) const
+    /// Prefers a spare at the address of the replaced voter, then one in the failure domain with
+    /// the fewest voters.
+    const VoterCandidate *bestSpare(const replication::ReplicaId &replaced) const
     {
-        std::map<std::string, int> votersIn;
+        std::map<std::string, int> voterCounts;
         for (const replication::ReplicaId &voter : m_status.voters) {
             const VoterCandidate *candidate = find(m_candidates, voter);
-            if (candidate != nullptr && voter != lost)
-                ++votersIn[candidate->failureDomain];
+            if (candidate != nullptr && voter != replaced)
+                ++voterCounts[candidate->failureDomain];
         }
         const VoterCandidate *best = nullptr;
         for (const VoterCandidate &candidate : m_candidates) {
             if (!isSpare(candidate))
                 continue;
-            if (!lost.empty() && peerAddressOf(candidate.replica) == peerAddressOf(lost))
+            if (!replaced.empty() && peerAddressOf(candidate.replica) == peerAddressOf(replaced))
                 return &candidate;
             if (best == nullptr
-                || votersIn[candidate.failureDomain] < votersIn[best->failureDomain])
+                || voterCounts[candidate.failureDomain] < voterCounts[best->failureDomain])
                 best = &candidate;
         }
         return best;
     }
 
-    /// Grows to the largest odd number that the present processes allow.
-    bool mayGrow() const
+    /// True when the group has fewer voters than the largest odd number that the limit and the
+    /// available processes allow.
+    bool canGrow() const
     {
-        std::size_t present = m_status.voters.size();
+        std::size_t available = m_status.voters.size();
         for (const VoterCandidate &candidate : m_candidates)
-            present += isSpare(candidate) ? 1 : 0;
-        const std::size_t wanted = std::min(m_rules.maxVoters, present - (present + 1) % 2);
-        return m_status.voters.size() < wanted;
+            available += isSpare(candidate) ? 1 : 0;
+        const std::size_t targetVoters =
+                std::min(m_rules.maxVoters, available - (available + 1) % 2);
+        return m_status.voters.size() < targetVoters;
     }
 
-    std::optional<MembershipChange> withoutRetiring() const
+    std::optional<MembershipChange> removeRetiringVoter() const
     {
         const auto &voters = m_status.voters;
-        const bool allPresent = std::none_of(voters.begin(), voters.end(),
-                                             [this](const auto &voter) { return isLost(voter); });
-        if (!allPresent || voters.size() <= minVoters)
+        const bool allAlive = std::none_of(voters.begin(), voters.end(),
+                                           [this](const auto &voter) { return isLost(voter); });
+        if (!allAlive || voters.size() <= minVoters)
             return std::nullopt;
         for (const replication::ReplicaId &voter : m_status.voters) {
             const VoterCandidate *candidate = find(m_candidates, voter);
--- a/src/fleet/replicaidentity.cpp
+++ b/src/fleet/replicaidentity.cpp
@@ -16,24 +16,24 @@
 
 constexpr const char *identityFile = "/identity.json";
 
-Failure ioFailure(const std::string &what, const std::string &path)
+Failure ioFailure(const std::string &action, const std::string &path)
 {
-    return notRun(ErrorCode::IoError, concat(what, " ", path, ": ", std::strerror(errno)));
+    return notRun(ErrorCode::IoError, concat(action, " ", path, ": ", std::strerror(errno)));
 }
 
-class Descriptor
+class FileDescriptor
 {
 public:
-    Descriptor(const std::string &path, int flags)
+    FileDescriptor(const std::string &path, int flags)
         : m_descriptor(open(path.c_str(), flags | O_CLOEXEC, 0640))
     {}
-    ~Descriptor()
+    ~FileDescriptor()
     {
         if (m_descriptor >= 0)
             close(m_descriptor);
     }
-    Descriptor(const Descriptor &) = delete;
-    Descriptor &operator=(const Descriptor &) = delete;
+    FileDescriptor(const FileDescriptor &) = delete;
+    FileDescriptor &operator=(const FileDescriptor &) = delete;
 
     int value() const { return m_descriptor; }
 
@@ -43,7 +43,7 @@
 
 Result<void> writeSynced(const std::string &path, const std::string &text)
 {
-    const Descriptor file(path, O_CREAT | O_TRUNC | O_WRONLY);
+    const FileDescriptor file(path, O_CREAT | O_TRUNC | O_WRONLY);
     if (file.value() < 0)
         return fail(ioFailure("cannot create", path));
     if (write(file.value(), text.data(), text.size()) != static_cast<ssize_t>(text.size()))
@@ -55,7 +55,7 @@
 
 Result<void> syncFolder(const std::string &folder)
 {
-    const Descriptor directory(folder, O_RDONLY | O_DIRECTORY);
+    const FileDescriptor directory(folder, O_RDONLY | O_DIRECTORY);
     if (directory.value() < 0 || fsync(directory.value()) != 0)
         return fail(ioFailure("cannot sync", folder));
     return {};
@@ -77,7 +77,7 @@
         }
     }
     if (identity.replica.empty())
-        return fail(notRun(ErrorCode::CorruptData, concat(path, " holds no replica id")));
+        return fail(notRun(ErrorCode::CorruptData, concat(path, " contains no replica id")));
     return identity;
 }
 
