--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-/// Wait after a try that broke off; doubled with each further one.
-constexpr absl::Duration firstBackoff = absl::Milliseconds(100);
+/// Delay after a failed attempt; doubles with each further failure up to maxBackoff.
+constexpr absl::Duration minBackoff = absl::Milliseconds(100);
 constexpr absl::Duration maxBackoff = absl::Seconds(2);
-/// Silence of an upstream after which the item goes on elsewhere. Longer than a busy engine's
-/// prefill, since an item has time and a further run costs its prompt again.
-constexpr absl::Duration silenceLimit = absl::Milliseconds(1500);
+/// An attempt fails when its upstream sends no data for this long; the item then requests another
+/// slot. Longer than the prefill of a busy engine, because batch items are not urgent and each
+/// further attempt computes the prompt again.
+constexpr absl::Duration idleTimeout = absl::Milliseconds(1500);
 
-constexpr int statusCannotBeDone = 422;
+constexpr int statusUnprocessable = 422;
 
 std::string taskId(const wire::JobRecord &job, const wire::JobItem &item)
 {
@@ -30,11 +31,11 @@
 } // namespace
 
 ItemRun::ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
-                 const wire::JobItem &item, Done done)
+                 const wire::JobItem &item, ResultCallback resultCallback)
     : m_context(context)
     , m_job(std::move(job))
     , m_item(item)
-    , m_done(std::move(done))
+    , m_resultCallback(std::move(resultCallback))
 {}
 
 void ItemRun::resume(const wire::ItemProgress &progress)
@@ -43,35 +44,35 @@
     m_output = progress.output;
     m_hasOutput = true;
     m_storedEvent = progress.lastEvent;
-    m_storedLength = m_output.size();
-    m_served = absl::Milliseconds(progress.servedMs);
+    m_storedOutputLength = m_output.size();
+    m_priorRunTime = absl::Milliseconds(progress.servedMs);
 }
 
-std::optional<wire::ItemProgress> ItemRun::unstored() const
+std::optional<wire::ItemProgress> ItemRun::unstoredProgress() const
 {
     const std::int64_t last = m_position.lastId().value_or(-1);
     if (last <= m_storedEvent)
         return std::nullopt;
-    wire::ItemProgress step;
-    step.job = m_job->id;
-    step.item = m_item.id;
-    step.after = m_storedEvent;
-    step.lastEvent = last;
-    step.servedMs = absl::ToInt64Milliseconds(served());
-    // A line feed joins the events, also across two steps.
-    const std::size_t begin = m_storedEvent < 0 ? 0 : m_storedLength + 1;
-    step.output = m_output.substr(begin);
-    return step;
+    wire::ItemProgress progress;
+    progress.job = m_job->id;
+    progress.item = m_item.id;
+    progress.after = m_storedEvent;
+    progress.lastEvent = last;
+    progress.servedMs = absl::ToInt64Milliseconds(runTime());
+    // Events are joined by line feeds, also between two stored parts of the output.
+    const std::size_t begin = m_storedEvent < 0 ? 0 : m_storedOutputLength + 1;
+    progress.output = m_output.substr(begin);
+    return progress;
 }
 
-void ItemRun::stored(std::int64_t lastEvent)
+void ItemRun::markStored(std::int64_t lastEvent)
 {
-    const auto found = m_lengths.find(lastEvent);
-    if (found == m_lengths.end())
+    const auto found = m_unstoredOutputLengths.find(lastEvent);
+    if (found == m_unstoredOutputLengths.end())
         return;
     m_storedEvent = lastEvent;
-    m_storedLength = found->second;
-    m_lengths.erase(m_lengths.begin(), std::next(found));
+    m_storedOutputLength = found->second;
+    m_unstoredOutputLengths.erase(m_unstoredOutputLengths.begin(), std::next(found));
 }
 
 const serving::Route *ItemRun::route() const
@@ -99,10 +100,10 @@
                     self->abandon();
                 });
     }
-    askForPlace();
+    acquireSlot();
 }
 
-void ItemRun::askForPlace()
+void ItemRun::acquireSlot()
 {
     const serving::Route &current = *route();
     const absl::Duration age =
@@ -116,18 +117,18 @@
     task.priority = current.priority;
     task.tokens = static_cast<double>(m_item.tokens);
     task.deadline = m_context.clock.now() + (current.completionObjective - age);
-    task.priorRunTime = m_served;
+    task.priorRunTime = m_priorRunTime;
     m_state = State::Waiting;
     serving::SlotBroker::BatchHandlers handlers;
     handlers.granted = [self = shared_from_this()](const std::string &upstream,
                                                    const std::string &address) {
-        self->granted(upstream, address);
+        self->slotGranted(upstream, address);
     };
-    handlers.preempted = [self = shared_from_this()] { self->yielded(); };
+    handlers.preempted = [self = shared_from_this()] { self->slotPreempted(); };
     m_context.broker.acquireBatch(task, std::move(handlers));
 }
 
-void ItemRun::granted(const std::string &upstream, const std::string &address)
+void ItemRun::slotGranted(const std::string &upstream, const std::string &address)
 {
     m_state = State::Running;
     m_upstream = upstream;
@@ -135,80 +136,85 @@
     m_hasProgressed = false;
     m_hasHead = false;
     m_splitter.reset();
-    ++m_runs;
+    ++m_attempts;
     serving::UpstreamAttempt attempt;
     attempt.expectedInstance = upstream;
     attempt.workspace = m_job->workspace;
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
     handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
-        return self->noteHead(head);
+        return self->handleHead(head);
+    };
+    handlers.body = [self = shared_from_this()](std::string_view bytes) {
+        self->handleBody(bytes);
     };
-    handlers.body = [self = shared_from_this()](std::string_view bytes) { self->noteBody(bytes); };
     handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
-        self->callEnded(status);
+        self->handleCallEnd(status);
     };
-    armSilenceTimer();
+    restartIdleTimer();
     m_call = m_context.upstreams.call(
             address, net::serialize(m_context.protocol.itemRequest(m_item, m_job->host, attempt)),
             std::move(handlers));
 }
 
-/// Makes room for an online request; goes on after its last event later.
-void ItemRun::yielded()
+/// Frees the slot for an online request. The item continues after its last event when it is granted
+/// another slot.
+void ItemRun::slotPreempted()
 {
     if (m_state != State::Running)
         return;
-    ++m_yields;
+    ++m_preemptions;
     m_context.metrics.count("rattanrill_batch_yields_total");
     m_context.upstreams.cancel(m_call);
-    cancelTimer(m_silenceTimer);
-    stopServing();
-    askForPlace();
+    cancelTimer(m_idleTimer);
+    recordRunTime();
+    acquireSlot();
 }
 
-bool ItemRun::noteHead(const net::ResponseHead &head)
+bool ItemRun::handleHead(const net::ResponseHead &head)
 {
-    const serving::ResponseInfo facts = m_context.protocol.parseResponse(head);
-    if (!facts.requestId.empty() && facts.requestId != m_item.id) {
+    const serving::ResponseInfo responseInfo = m_context.protocol.parseResponse(head);
+    if (!responseInfo.requestId.empty() && responseInfo.requestId != m_item.id) {
         log(LogLevel::Warning, "foreign-answer-dropped",
-            {{"item", m_item.id}, {"foreignRequestId", facts.requestId}, {"upstream", m_upstream}});
+            {{"item", m_item.id},
+             {"foreignRequestId", responseInfo.requestId},
+             {"upstream", m_upstream}});
         return false;
     }
     m_head = head;
-    m_facts = facts;
+    m_responseInfo = responseInfo;
     m_hasHead = true;
-    if (facts.outstandingRequests)
-        m_context.broker.updateLoad({m_upstream, *facts.outstandingRequests});
+    if (responseInfo.outstandingRequests)
+        m_context.broker.updateLoad({m_upstream, *responseInfo.outstandingRequests});
     return true;
 }
 
-void ItemRun::noteBody(std::string_view bytes)
+void ItemRun::handleBody(std::string_view bytes)
 {
-    const bool isSuccess = m_head.status >= 200 && m_head.status < 300 && !m_facts.notRun;
+    const bool isSuccess = m_head.status >= 200 && m_head.status < 300 && !m_responseInfo.notRun;
     if (m_state != State::Running || !isSuccess)
         return;
     std::vector<serving::StreamEvent> events;
     m_splitter.feed(bytes, events);
     for (const serving::StreamEvent &event : events) {
-        const serving::SequenceCheck verdict = m_position.advance(event);
-        if (verdict == serving::SequenceCheck::Gap)
+        const serving::SequenceCheck check = m_position.advance(event);
+        if (check == serving::SequenceCheck::Gap)
             return attemptFailed("an event is missing", ReleaseReason::Failed);
-        if (verdict == serving::SequenceCheck::Repeated)
+        if (check == serving::SequenceCheck::Repeated)
             continue;
         if (m_hasOutput)
             m_output += '\n';
         m_output += event.data;
         m_hasOutput = true;
         m_hasProgressed = true;
-        m_brokenTries = 0;
+        m_consecutiveFailures = 0;
         if (event.id)
-            m_lengths[*event.id] = m_output.size();
+            m_unstoredOutputLengths[*event.id] = m_output.size();
     }
-    armSilenceTimer();
+    restartIdleTimer();
 }
 
-void ItemRun::callEnded(net::CallStatus status)
+void ItemRun::handleCallEnd(net::CallStatus status)
 {
     if (m_state != State::Running)
         return;
@@ -216,37 +222,37 @@
         return attemptFailed(net::name(status), ReleaseReason::Unreachable);
     if (status == net::CallStatus::Broken)
         return attemptFailed(net::name(status), ReleaseReason::Failed);
-    if (m_facts.notRun)
-        return attemptFailed("the upstream refused", m_facts.isInstanceMismatch
-                                                             ? ReleaseReason::Unreachable
-                                                             : ReleaseReason::Failed);
-    if (m_head.status == statusCannotBeDone) {
-        leaveUpstream(ReleaseReason::Completed);
+    if (m_responseInfo.notRun)
+        return attemptFailed("the upstream reported that the request did not run",
+                             m_responseInfo.isInstanceMismatch ? ReleaseReason::Unreachable
+                                                               : ReleaseReason::Failed);
+    if (m_head.status == statusUnprocessable) {
+        releaseSlot(ReleaseReason::Completed);
         return finish(wire::ItemOutcome::DeadLettered, "the upstream cannot do the item");
     }
     if (m_head.status >= 200 && m_head.status < 300)
-        return completed();
+        return handleSuccess();
     if (m_head.status == 500)
         ++m_serverErrors;
     if (m_serverErrors >= route()->maxAttempts) {
-        leaveUpstream(ReleaseReason::Completed);
+        releaseSlot(ReleaseReason::Completed);
         return finish(wire::ItemOutcome::DeadLettered, "the item failed at every try");
     }
     attemptFailed(concat("status ", m_head.status), ReleaseReason::Completed);
 }
 
-void ItemRun::completed()
+void ItemRun::handleSuccess()
 {
     if (!m_splitter.incompleteEvent().empty())
-        return attemptFailed("the answer ends inside an event", ReleaseReason::Failed);
-    leaveUpstream(ReleaseReason::Completed);
+        return attemptFailed("the response ends with an incomplete event", ReleaseReason::Failed);
+    releaseSlot(ReleaseReason::Completed);
     finish(wire::ItemOutcome::Completed, "");
 }
 
-void ItemRun::attemptFailed(std::string_view reason, ReleaseReason end)
+void ItemRun::attemptFailed(std::string_view reason, ReleaseReason releaseReason)
 {
     m_context.upstreams.cancel(m_call);
-    leaveUpstream(end);
+    releaseSlot(releaseReason);
     log(LogLevel::Info, "item-try-failed",
         {{"job", m_job->id},
          {"item", m_item.id},
@@ -254,33 +260,34 @@
          {"reason", reason},
          {"lastEvent", m_position.lastId().value_or(-1)},
          {"serverErrors", m_serverErrors},
-         {"run", m_runs}});
-    const int doublings = std::min(m_brokenTries++, 5);
-    const absl::Duration delay = std::min(firstBackoff * (1 << doublings), maxBackoff);
+         {"run", m_attempts}});
+    const int doublings = std::min(m_consecutiveFailures++, 5);
+    const absl::Duration delay = std::min(minBackoff * (1 << doublings), maxBackoff);
     m_state = State::BackingOff;
     m_backoffTimer = m_context.loop.timers().subscribeOnce(delay, [self = shared_from_this()] {
         self->m_backoffTimer = 0;
         if (self->m_state == State::BackingOff)
-            self->askForPlace();
+            self->acquireSlot();
     });
 }
 
-absl::Duration ItemRun::served() const
+absl::Duration ItemRun::runTime() const
 {
-    const bool isServed = m_state == State::Running && m_hasProgressed;
-    return m_served + (isServed ? m_context.clock.now() - m_grantedAt : absl::ZeroDuration());
+    const bool countsCurrentSlot = m_state == State::Running && m_hasProgressed;
+    return m_priorRunTime
+           + (countsCurrentSlot ? m_context.clock.now() - m_grantedAt : absl::ZeroDuration());
 }
 
-void ItemRun::stopServing()
+void ItemRun::recordRunTime()
 {
-    m_served = served();
+    m_priorRunTime = runTime();
     m_hasProgressed = false;
 }
 
-void ItemRun::leaveUpstream(ReleaseReason reason)
+void ItemRun::releaseSlot(ReleaseReason reason)
 {
-    cancelTimer(m_silenceTimer);
-    stopServing();
+    cancelTimer(m_idleTimer);
+    recordRunTime();
     m_state = State::BackingOff;
     m_context.broker.releaseBatch(taskId(*m_job, m_item), reason);
 }
@@ -292,18 +299,19 @@
     if (m_state == State::Running)
         m_context.upstreams.cancel(m_call);
     m_context.broker.cancelBatch(taskId(*m_job, m_item));
-    finish(wire::ItemOutcome::DeadLettered, "the item was not done in time");
+    finish(wire::ItemOutcome::DeadLettered,
+           "the item was not completed within the route's time limit");
 }
 
-void ItemRun::armSilenceTimer()
+void ItemRun::restartIdleTimer()
 {
-    cancelTimer(m_silenceTimer);
-    m_silenceTimer =
-            m_context.loop.timers().subscribeOnce(silenceLimit, [self = shared_from_this()] {
-                self->m_silenceTimer = 0;
-                if (self->m_state == State::Running)
-                    self->attemptFailed("the upstream is silent", ReleaseReason::Failed);
-            });
+    cancelTimer(m_idleTimer);
+    m_idleTimer = m_context.loop.timers().subscribeOnce(idleTimeout, [self = shared_from_this()] {
+        self->m_idleTimer = 0;
+        if (self->m_state == State::Running)
+            self->attemptFailed("the upstream sent no data within the idle timeout",
+                                ReleaseReason::Failed);
+    });
 }
 
 void ItemRun::cancelTimer(TimerService::TimerId &timer)
@@ -324,8 +332,8 @@
          {"workspace", m_job->workspace},
          {"outcome", wire::name(outcome)},
          {"reason", reason},
-         {"runs", m_runs},
-         {"yields", m_yields},
+         {"runs", m_attempts},
+         {"yields", m_preemptions},
          {"ageMs", absl::ToInt64Milliseconds(m_context.clock.wallNow()
                                              - absl::FromUnixMillis(m_job->acceptedAtMs))}});
     wire::ItemResult result;
@@ -333,8 +341,8 @@
     result.outcome = outcome;
     if (outcome == wire::ItemOutcome::Completed)
         result.output = std::move(m_output);
-    const Done done = std::exchange(m_done, nullptr);
-    done(std::move(result));
+    const ResultCallback resultCallback = std::exchange(m_resultCallback, nullptr);
+    resultCallback(std::move(result));
 }
 
 void ItemRun::stop()
@@ -345,7 +353,7 @@
         m_context.upstreams.cancel(m_call);
     m_context.broker.cancelBatch(taskId(*m_job, m_item));
     m_state = State::Ended;
-    for (TimerService::TimerId *timer : {&m_abandonTimer, &m_backoffTimer, &m_silenceTimer})
+    for (TimerService::TimerId *timer : {&m_abandonTimer, &m_backoffTimer, &m_idleTimer})
         cancelTimer(*timer);
 }
 
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -12,30 +12,33 @@
 
 namespace rattanrill::jobs {
 
-/// One item of a job on its way to a result.
+/// Runs one item of a job until it has a result, if necessary on several upstreams in succession.
 class ItemRun : public std::enable_shared_from_this<ItemRun>
 {
 public:
-    /// Receives the result, once.
-    using Done = std::function<void(wire::ItemResult result)>;
+    /// Receives the result; called at most once.
+    using ResultCallback = std::function<void(wire::ItemResult result)>;
 
     ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
-            const wire::JobItem &item, Done done);
+            const wire::JobItem &item, ResultCallback resultCallback);
 
-    /// Goes on after \a progress instead of at the beginning. Before setDeployment().
+    /// Continues after \a progress instead of starting at the first event. Call before
+    /// setDeployment().
     void resume(const wire::ItemProgress &progress);
-    /// What was produced since the last call of stored(); nothing when that is no event.
-    std::optional<wire::ItemProgress> unstored() const;
-    /// The store has the output up to \a lastEvent.
-    void stored(std::int64_t lastEvent);
-    /// The configuration by which the item runs; asks for a place when it has none.
+    /// Returns the output produced since the last call of markStored(); empty when it contains no
+    /// complete event.
+    std::optional<wire::ItemProgress> unstoredProgress() const;
+    /// Records that the store has the output up to \a lastEvent.
+    void markStored(std::int64_t lastEvent);
+    /// Sets the configuration by which the item runs. The first call requests a slot. The item ends
+    /// as dead-lettered when the configuration does not contain the job's route.
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
-    /// Ends without a result.
+    /// Ends the run without a result.
     void stop();
 
 private:
     enum class State {
-        /// The configuration lets nothing happen yet.
+        /// No configuration has been set yet.
         Idle,
         Waiting,
         Running,
@@ -44,56 +47,59 @@
     };
 
     const serving::Route *route() const;
-    void askForPlace();
-    void granted(const std::string &upstream, const std::string &address);
-    void yielded();
-    bool noteHead(const net::ResponseHead &head);
-    void noteBody(std::string_view bytes);
-    void callEnded(net::CallStatus status);
-    void attemptFailed(std::string_view reason, policy::ReleaseReason end);
-    void completed();
+    void acquireSlot();
+    void slotGranted(const std::string &upstream, const std::string &address);
+    void slotPreempted();
+    bool handleHead(const net::ResponseHead &head);
+    void handleBody(std::string_view bytes);
+    void handleCallEnd(net::CallStatus status);
+    void attemptFailed(std::string_view reason, policy::ReleaseReason releaseReason);
+    void handleSuccess();
     void finish(wire::ItemOutcome outcome, std::string_view reason);
     void abandon();
-    void armSilenceTimer();
-    void leaveUpstream(policy::ReleaseReason reason);
-    /// Time for which the item has held places, the present one included.
-    absl::Duration served() const;
-    /// Ends the count of the present place. One that brought nothing does not count.
-    void stopServing();
+    void restartIdleTimer();
+    void releaseSlot(policy::ReleaseReason reason);
+    /// Total time for which the item has run in slots, including the current one.
+    absl::Duration runTime() const;
+    /// Adds the run time in the current slot to the total. A slot in which no event was received
+    /// does not count.
+    void recordRunTime();
     void cancelTimer(TimerService::TimerId &timer);
 
     const JobExecutorContext &m_context;
     const std::shared_ptr<const wire::JobRecord> m_job;
     const wire::JobItem &m_item;
-    Done m_done;
+    ResultCallback m_resultCallback;
     std::shared_ptr<const serving::DeploymentIndex> m_deployment;
     State m_state = State::Idle;
 
     std::string m_upstream;
     net::ConnectionPool::CallId m_call = 0;
     net::ResponseHead m_head;
-    serving::ResponseInfo m_facts;
+    serving::ResponseInfo m_responseInfo;
     bool m_hasHead = false;
     serving::EventSplitter m_splitter;
     serving::StreamPosition m_position{std::nullopt};
     std::string m_output;
     bool m_hasOutput = false;
-    /// Last event whose data the store has, and the length of the output up to it.
+    /// Last event whose data the store has; -1 for none.
     std::int64_t m_storedEvent = -1;
-    std::size_t m_storedLength = 0;
-    /// Length of the output up to each event that is not stored.
-    std::map<std::int64_t, std::size_t> m_lengths;
-    /// Time in former places; in the present one since m_grantedAt, once it has brought an event.
-    absl::Duration m_served;
+    /// Length in bytes of the output up to m_storedEvent.
+    std::size_t m_storedOutputLength = 0;
+    /// Length in bytes of the output up to each event that is not stored, by event id.
+    std::map<std::int64_t, std::size_t> m_unstoredOutputLengths;
+    /// Run time in earlier slots. The run time in the current slot counts from m_grantedAt once an
+    /// event was received.
+    absl::Duration m_priorRunTime;
     absl::Time m_grantedAt;
     bool m_hasProgressed = false;
     int m_serverErrors = 0;
-    int m_brokenTries = 0;
-    int m_yields = 0;
-    int m_runs = 0;
+    int m_consecutiveFailures = 0;
+    int m_preemptions = 0;
+    int m_attempts = 0;
     TimerService::TimerId m_abandonTimer = 0;
     TimerService::TimerId m_backoffTimer = 0;
-    TimerService::TimerId m_silenceTimer = 0;
+    TimerService::TimerId m_idleTimer = 0;
 };
 
 } // namespace rattanrill::jobs
--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -10,27 +10,30 @@
 namespace rattanrill::jobs {
 namespace {
 
-constexpr absl::Duration tryAgain = absl::Milliseconds(40);
-/// One try; a leader that is gone without a word must leave time for another.
-constexpr absl::Duration tryTimeout = absl::Milliseconds(700);
+/// Delay between two attempts of a call.
+constexpr absl::Duration retryDelay = absl::Milliseconds(40);
+/// Timeout of one attempt. Short, so that time remains for another attempt when the leader has
+/// stopped without a response.
+constexpr absl::Duration attemptTimeout = absl::Milliseconds(700);
 
 template <typename Message>
-Outcome<Message> decoded(const Outcome<std::string> &outcome)
+Outcome<Message> decodeBody(const Outcome<std::string> &outcome)
 {
     if (!outcome.ok())
         return outcome.failure();
     return outcomeOf([&] { return wire::decode<Message>(outcome.value()); });
 }
 
-Outcome<Done> done(const Outcome<std::string> &outcome)
+Outcome<Done> discardBody(const Outcome<std::string> &outcome)
 {
     if (!outcome.ok())
         return outcome.failure();
     return Done{};
 }
 
-/// The leader may change, or the answer come from one that was replaced.
-bool mayTryAgain(ErrorCode code)
+/// True for failures after which another attempt may succeed, because the leader may change or the
+/// response may come from a former leader.
+bool isRetryable(ErrorCode code)
 {
     switch (code) {
     case ErrorCode::NotLeader:
@@ -55,8 +58,8 @@
         wire::Method method;
         std::string body;
         absl::Time deadline;
-        /// Added to the timeout of a try: the other side may hold the call.
-        absl::Duration wait;
+        /// How long the store may wait before it responds; added to the timeout of an attempt.
+        absl::Duration maxResponseDelay;
         std::function<void(Outcome<std::string>)> callback;
         bool mayHaveRun = false;
     };
@@ -67,14 +70,14 @@
         , clock(clock)
     {}
 
-    void start(wire::Method method, std::string body, absl::Duration timeout, absl::Duration wait,
-               std::function<void(Outcome<std::string>)> callback)
+    void start(wire::Method method, std::string body, absl::Duration timeout,
+               absl::Duration maxResponseDelay, std::function<void(Outcome<std::string>)> callback)
     {
         auto call = std::make_shared<Call>();
         call->method = method;
         call->body = std::move(body);
         call->deadline = clock.now() + timeout;
-        call->wait = wait;
+        call->maxResponseDelay = maxResponseDelay;
         call->callback = std::move(callback);
         send(call);
     }
@@ -83,52 +86,54 @@
     {
         if (!leader.empty())
             return leader;
-        return stores.empty() ? std::string() : stores[next++ % stores.size()];
+        return stores.empty() ? std::string() : stores[nextStoreIndex++ % stores.size()];
     }
 
     void send(const std::shared_ptr<Call> &call)
     {
         const std::string address = nextStore();
-        const absl::Duration left = call->deadline - clock.now();
-        if (stopped || left <= absl::ZeroDuration())
-            return give(call, notRun(ErrorCode::Timeout, "no store answered in time"));
+        const absl::Duration remaining = call->deadline - clock.now();
+        if (stopped || remaining <= absl::ZeroDuration())
+            return reportFailure(
+                    call, notRun(ErrorCode::Timeout, "no store responded before the timeout"));
         if (address.empty())
-            return again(call);
+            return scheduleRetry(call);
         channels.channel(address)->call(
-                call->method, call->body, std::min(left, tryTimeout + call->wait),
+                call->method, call->body,
+                std::min(remaining, attemptTimeout + call->maxResponseDelay),
                 [self = shared_from_this(), call, address](Outcome<std::string> outcome) {
                     self->loop.post([self, call, address, outcome = std::move(outcome)] {
-                        self->answered(call, address, outcome);
+                        self->handleOutcome(call, address, outcome);
                     });
                 });
     }
 
-    void answered(const std::shared_ptr<Call> &call, const std::string &address,
-                  const Outcome<std::string> &outcome)
+    void handleOutcome(const std::shared_ptr<Call> &call, const std::string &address,
+                       const Outcome<std::string> &outcome)
     {
         if (outcome.ok())
             return call->callback(outcome);
         const Failure &failure = outcome.failure();
         call->mayHaveRun = call->mayHaveRun || failure.run == EffectState::MayHaveRun;
-        if (!mayTryAgain(failure.code))
-            return give(call, failure);
+        if (!isRetryable(failure.code))
+            return reportFailure(call, failure);
         if (leader == address)
             leader.clear();
         if (failure.code == ErrorCode::NotLeader && !failure.detail.empty()) {
-            const std::string hinted = fleet::peerAddressOf(failure.detail);
-            if (hinted != address)
-                leader = hinted;
+            const std::string hintedAddress = fleet::peerAddressOf(failure.detail);
+            if (hintedAddress != address)
+                leader = hintedAddress;
         }
-        again(call);
+        scheduleRetry(call);
     }
 
-    void again(const std::shared_ptr<Call> &call)
+    void scheduleRetry(const std::shared_ptr<Call> &call)
     {
-        loop.timers().subscribeOnce(tryAgain,
+        loop.timers().subscribeOnce(retryDelay,
                                     [self = shared_from_this(), call] { self->send(call); });
     }
 
-    void give(const std::shared_ptr<Call> &call, Failure failure)
+    void reportFailure(const std::shared_ptr<Call> &call, Failure failure)
     {
         if (call->mayHaveRun)
             failure.run = EffectState::MayHaveRun;
@@ -140,7 +145,7 @@
     const Clock &clock;
     std::vector<std::string> stores;
     std::string leader;
-    std::size_t next = 0;
+    std::size_t nextStoreIndex = 0;
     bool stopped = false;
 };
 
@@ -165,7 +170,7 @@
 {
     m_impl->start(wire::Method::SubmitJob, wire::encode(request), timeout, absl::ZeroDuration(),
                   [callback = std::move(callback)](const Outcome<std::string> &outcome) {
-                      callback(done(outcome));
+                      callback(discardBody(outcome));
                   });
 }
 
@@ -175,7 +180,7 @@
     m_impl->start(wire::Method::ReadJob, wire::encode(request), timeout,
                   absl::Milliseconds(request.waitMs),
                   [callback = std::move(callback)](const Outcome<std::string> &outcome) {
-                      callback(decoded<wire::ReadJobResponse>(outcome));
+                      callback(decodeBody<wire::ReadJobResponse>(outcome));
                   });
 }
 
@@ -184,7 +189,7 @@
 {
     m_impl->start(wire::Method::ReadItem, wire::encode(request), timeout, absl::ZeroDuration(),
                   [callback = std::move(callback)](const Outcome<std::string> &outcome) {
-                      callback(decoded<wire::ReadItemResponse>(outcome));
+                      callback(decodeBody<wire::ReadItemResponse>(outcome));
                   });
 }
 
@@ -193,7 +198,7 @@
 {
     m_impl->start(wire::Method::EndJob, wire::encode(request), timeout, absl::ZeroDuration(),
                   [callback = std::move(callback)](const Outcome<std::string> &outcome) {
-                      callback(done(outcome));
+                      callback(discardBody(outcome));
                   });
 }
 
--- a/src/jobs/jobexecutor.cpp
+++ b/src/jobs/jobexecutor.cpp
@@ -13,10 +13,11 @@
 namespace rattanrill::jobs {
 namespace {
 
-/// Wait before a result that could not be stored is proposed again.
-constexpr absl::Duration proposeAgain = absl::Milliseconds(200);
-/// How often the progress of running items is stored: what a lost executor repeats at most, against
-/// a synced write on most stores.
+/// Delay before a result that could not be stored is proposed again.
+constexpr absl::Duration proposeRetryDelay = absl::Milliseconds(200);
+/// Interval at which the progress of running items is stored. After the executor is lost, at most
+/// the output of one interval is produced again; a shorter interval costs more writes, each of
+/// which is synced to disk on a majority of the stores.
 constexpr absl::Duration progressPeriod = absl::Milliseconds(500);
 
 } // namespace
@@ -29,77 +30,80 @@
         : context(context)
     {}
 
-    void add(const wire::OpenJob &open)
+    void add(const wire::OpenJob &openJob)
     {
-        if (jobs.count(open.job.id) != 0 || endedJobs.count(open.job.id) != 0)
+        if (jobs.count(openJob.job.id) != 0 || cancelledJobs.count(openJob.job.id) != 0)
             return;
-        const auto record = std::make_shared<const wire::JobRecord>(open.job);
+        const auto record = std::make_shared<const wire::JobRecord>(openJob.job);
         Runs &runs = jobs[record->id];
         for (const wire::JobItem &item : record->items) {
-            const auto &finished = open.finished;
+            const auto &finished = openJob.finished;
             if (std::find(finished.begin(), finished.end(), item.id) != finished.end())
                 continue;
-            runs[item.id] =
-                    std::make_shared<ItemRun>(context, record, item,
-                                              [self = shared_from_this(), job = record->id,
-                                               current = generation](wire::ItemResult result) {
-                                                  self->itemDone(current, job, std::move(result));
-                                              });
+            runs[item.id] = std::make_shared<ItemRun>(
+                    context, record, item,
+                    [self = shared_from_this(), job = record->id,
+                     expectedGeneration = generation](wire::ItemResult result) {
+                        self->handleItemResult(expectedGeneration, job, std::move(result));
+                    });
         }
-        for (const wire::ItemProgress &step : open.progress) {
-            const auto run = runs.find(step.item);
+        for (const wire::ItemProgress &progress : openJob.progress) {
+            const auto run = runs.find(progress.item);
             if (run != runs.end())
-                run->second->resume(step);
+                run->second->resume(progress);
         }
         startRuns(Runs(runs));
-        startStoring();
+        startProgressTimer();
     }
 
-    void startStoring()
+    void startProgressTimer()
     {
         if (progressTimer == 0)
             progressTimer = context.loop.timers().subscribeEvery(
                     progressPeriod, [self = shared_from_this()] { self->storeProgress(); });
     }
 
-    /// One command for all items. Steps of a command that failed come again with the next one.
+    /// Stores the progress of all items with one command. Progress in a command that failed is sent
+    /// again with the next one.
     void storeProgress()
     {
-        if (isStoring || jobs.empty())
+        if (isStoringProgress || jobs.empty())
             return;
         wire::AppendProgress operation;
         for (const auto &[job, runs] : jobs) {
             for (const auto &[item, run] : runs) {
-                if (auto step = run->unstored())
-                    operation.items.push_back(std::move(*step));
+                if (auto progress = run->unstoredProgress())
+                    operation.items.push_back(std::move(*progress));
             }
         }
         if (operation.items.empty())
             return;
-        isStoring = true;
+        isStoringProgress = true;
         const std::string command = wire::encode(wire::JobCommand{operation});
         context.replica.propose(
-                command, [self = shared_from_this(), current = generation,
-                          steps = std::move(operation.items)](const Outcome<std::string> &outcome) {
-                    self->isStoring = false;
-                    if (current == self->generation && outcome.ok())
-                        self->progressStored(steps);
+                command,
+                [self = shared_from_this(), expectedGeneration = generation,
+                 progressItems = std::move(operation.items)](const Outcome<std::string> &outcome) {
+                    self->isStoringProgress = false;
+                    if (expectedGeneration == self->generation && outcome.ok())
+                        self->progressStored(progressItems);
                 });
     }
 
-    void progressStored(const std::vector<wire::ItemProgress> &steps)
+    void progressStored(const std::vector<wire::ItemProgress> &progressItems)
     {
-        for (const wire::ItemProgress &step : steps) {
-            const auto job = jobs.find(step.job);
+        for (const wire::ItemProgress &progress : progressItems) {
+            const auto job = jobs.find(progress.job);
             if (job == jobs.end())
                 continue;
-            const auto run = job->second.find(step.item);
+            const auto run = job->second.find(progress.item);
             if (run != job->second.end())
-                run->second->stored(step.lastEvent);
+                run->second->markStored(progress.lastEvent);
         }
     }
 
-    /// A run may end at once and change the table.
+    /// Starts \a runs, which must be a copy, because a run may end at once and is then removed from
+    /// jobs.
     void startRuns(const Runs &runs)
     {
         if (!deployment)
@@ -108,9 +112,10 @@
             run->setDeployment(deployment);
     }
 
-    void itemDone(std::uint64_t current, const std::string &job, wire::ItemResult result)
+    void handleItemResult(std::uint64_t expectedGeneration, const std::string &job,
+                          wire::ItemResult result)
     {
-        if (current != generation)
+        if (expectedGeneration != generation)
             return;
         const auto found = jobs.find(job);
         if (found != jobs.end()) {
@@ -121,35 +126,37 @@
         wire::AppendResults operation;
         operation.job = job;
         operation.results.push_back(std::move(result));
-        propose(current, job, wire::encode(wire::JobCommand{std::move(operation)}));
+        propose(expectedGeneration, job, wire::encode(wire::JobCommand{std::move(operation)}));
     }
 
-    void propose(std::uint64_t current, const std::string &job, const std::string &command)
+    void propose(std::uint64_t expectedGeneration, const std::string &job,
+                 const std::string &command)
     {
-        context.replica.propose(command, [self = shared_from_this(), current, job,
+        context.replica.propose(command, [self = shared_from_this(), expectedGeneration, job,
                                           command](const Outcome<std::string> &outcome) {
-            if (current != self->generation)
+            if (expectedGeneration != self->generation)
                 return;
             if (outcome.ok())
-                return self->noteStored(job);
+                return self->notifyResultStored(job);
             log(LogLevel::Warning, "result-not-stored",
                 {{"code", name(outcome.failure().code)}, {"detail", outcome.failure().detail}});
-            self->context.loop.timers().subscribeOnce(proposeAgain, [self, current, job, command] {
-                if (current == self->generation)
-                    self->propose(current, job, command);
-            });
+            self->context.loop.timers().subscribeOnce(
+                    proposeRetryDelay, [self, expectedGeneration, job, command] {
+                        if (expectedGeneration == self->generation)
+                            self->propose(expectedGeneration, job, command);
+                    });
         });
     }
 
-    void noteStored(const std::string &job) const
+    void notifyResultStored(const std::string &job) const
     {
-        if (storedListener)
-            storedListener(job);
+        if (resultStoredListener)
+            resultStoredListener(job);
     }
 
-    void end(const std::string &job)
+    void cancel(const std::string &job)
     {
-        endedJobs.insert(job);
+        cancelledJobs.insert(job);
         const auto found = jobs.find(job);
         if (found == jobs.end())
             return;
@@ -159,10 +166,10 @@
             run->stop();
     }
 
-    void clear()
+    void stopAll()
     {
         ++generation;
-        endedJobs.clear();
+        cancelledJobs.clear();
         if (progressTimer != 0)
             context.loop.timers().unsubscribe(std::exchange(progressTimer, 0));
         const auto ended = std::exchange(jobs, {});
@@ -175,13 +182,15 @@
     const JobExecutorContext context;
     std::shared_ptr<const serving::DeploymentIndex> deployment;
     std::map<std::string, Runs> jobs;
-    /// Jobs that were ended under this leadership; a list of open jobs may be older than an end.
-    std::set<std::string> endedJobs;
-    std::function<void(const std::string &)> storedListener;
-    /// Raised when leadership ends, so that late callbacks are recognized.
+    /// Jobs that were cancelled since this replica gained leadership. A list of open jobs that was
+    /// read before a cancellation still contains the job.
+    std::set<std::string> cancelledJobs;
+    std::function<void(const std::string &)> resultStoredListener;
+    /// Incremented when this replica loses leadership, so that callbacks of an earlier leadership
+    /// are recognized and ignored.
     std::uint64_t generation = 0;
     TimerService::TimerId progressTimer = 0;
-    bool isStoring = false;
+    bool isStoringProgress = false;
 };
 
 JobExecutor::JobExecutor(const JobExecutorContext &context)
@@ -203,7 +212,7 @@
 
 void JobExecutor::onResultStored(std::function<void(const std::string &job)> listener)
 {
-    m_impl->storedListener = std::move(listener);
+    m_impl->resultStoredListener = std::move(listener);
 }
 
 void JobExecutor::add(const wire::OpenJob &job)
@@ -213,12 +222,12 @@
 
 void JobExecutor::cancel(const std::string &job)
 {
-    m_impl->end(job);
+    m_impl->cancel(job);
 }
 
 void JobExecutor::stopAll()
 {
-    m_impl->clear();
+    m_impl->stopAll();
 }
 
 std::size_t JobExecutor::openItemCount() const
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -13,12 +13,13 @@
 namespace {
 
 constexpr absl::Duration maxReadWait = absl::Seconds(2);
-/// Finished jobs are forgotten this long after they were accepted.
-constexpr absl::Duration keepFinished = absl::Minutes(10);
-constexpr absl::Duration forgetPeriod = absl::Seconds(30);
-constexpr absl::Duration listAgain = absl::Milliseconds(100);
-/// A former leader's items may still run where its connections have not ended; upstreams report
-/// them with their next answers, so that places are not given out twice.
+/// Finished and ended jobs are removed this long after they were accepted.
+constexpr absl::Duration retentionPeriod = absl::Minutes(10);
+constexpr absl::Duration cleanupPeriod = absl::Seconds(30);
+constexpr absl::Duration listRetryDelay = absl::Milliseconds(100);
+/// Delay before a new leader starts the open jobs. Items of the former leader may still run at
+/// upstreams to which its connections are not closed yet. The upstreams report them in their next
+/// responses, so that their slots are not granted twice.
 constexpr absl::Duration takeOverDelay = absl::Milliseconds(600);
 
 } // namespace
@@ -29,7 +30,7 @@
     {
         wire::ReadJobRequest request;
         peer::ResponseCallback reply;
-        absl::Time due;
+        absl::Time deadline;
     };
 
     using Handler = void (Impl::*)(const std::string &body, peer::ResponseCallback reply);
@@ -44,10 +45,11 @@
         return notRun(ErrorCode::NotLeader, context.replica.status().leader);
     }
 
-    /// Decodes a request for a handler that needs leadership; nothing when it was answered.
+    /// Decodes a request that only the leader serves. Returns nothing after responding with a
+    /// failure itself.
     template <typename Message>
-    std::optional<Message> decodeFor(const std::string &body,
-                                     const peer::ResponseCallback &reply) const
+    std::optional<Message> decodeOnLeader(const std::string &body,
+                                          const peer::ResponseCallback &reply) const
     {
         auto request = outcomeOf([&] { return wire::decode<Message>(body); });
         if (!request.ok())
@@ -61,14 +63,14 @@
 
     void submit(const std::string &body, peer::ResponseCallback reply)
     {
-        auto request = decodeFor<wire::SubmitJobRequest>(body, reply);
+        auto request = decodeOnLeader<wire::SubmitJobRequest>(body, reply);
         if (!request)
             return;
         const serving::Route *route =
                 deployment ? deployment->routeNamed(request->job.route) : nullptr;
         if (route == nullptr)
-            return reply(notRun(ErrorCode::UnknownRoute,
-                                concat("no route \"", request->job.route, "\"")));
+            return reply(notRun(ErrorCode::UnknownRoute, concat("the configuration has no route \"",
+                                                                request->job.route, "\"")));
         wire::AcceptJob operation;
         operation.job = std::move(request->job);
         operation.job.acceptedAtMs = absl::ToUnixMillis(context.clock.wallNow());
@@ -77,12 +79,12 @@
         context.replica.propose(command,
                                 [self = shared_from_this(), job = std::move(operation.job),
                                  reply = std::move(reply)](const Outcome<std::string> &outcome) {
-                                    self->accepted(job, reply, outcome);
+                                    self->handleAcceptOutcome(job, reply, outcome);
                                 });
     }
 
-    void accepted(const wire::JobRecord &job, const peer::ResponseCallback &reply,
-                  const Outcome<std::string> &outcome)
+    void handleAcceptOutcome(const wire::JobRecord &job, const peer::ResponseCallback &reply,
+                             const Outcome<std::string> &outcome)
     {
         const auto result = outcome.ok() ? outcomeOf([&] {
             return wire::decode<wire::JobCommandResult>(outcome.value());
@@ -98,24 +100,25 @@
              {"code", result.ok() ? "ok" : name(result.failure().code)},
              {"detail", result.ok() ? "" : result.failure().detail}});
         if (!result.ok()) {
-            // The job may be committed all the same.
+            // The job may have been committed nevertheless.
             if (result.failure().run == EffectState::MayHaveRun)
-                listOpen();
+                listOpenJobs();
             return reply(result.failure());
         }
         if (!isAccepted)
-            return reply(notRun(ErrorCode::RateLimited,
-                                "the workspace's limit of waiting tokens is reached"));
+            return reply(notRun(
+                    ErrorCode::RateLimited,
+                    "the job would exceed the workspace's limit of waiting tokens on this route"));
         if (result.value().isNew)
             executor.add(wire::OpenJob{job, {}, {}});
         else
-            listOpen();
+            listOpenJobs();
         reply(std::string());
     }
 
     void read(const std::string &body, peer::ResponseCallback reply)
     {
-        auto request = decodeFor<wire::ReadJobRequest>(body, reply);
+        auto request = decodeOnLeader<wire::ReadJobRequest>(body, reply);
         if (!request)
             return;
         const absl::Duration wait =
@@ -126,15 +129,15 @@
     void readNow(WaitingRead waiting)
     {
         const std::string query = wire::encode(wire::JobQuery{waiting.request});
-        const std::uint64_t storedBefore = storedCount;
+        const std::uint64_t previousStoredCount = storedCount;
         context.replica.read(query, [self = shared_from_this(), waiting = std::move(waiting),
-                                     storedBefore](const Outcome<std::string> &outcome) {
-            self->readDone(waiting, storedBefore, outcome);
+                                     previousStoredCount](const Outcome<std::string> &outcome) {
+            self->handleReadOutcome(waiting, previousStoredCount, outcome);
         });
     }
 
-    void readDone(const WaitingRead &waiting, std::uint64_t storedBefore,
-                  const Outcome<std::string> &outcome)
+    void handleReadOutcome(const WaitingRead &waiting, std::uint64_t previousStoredCount,
+                           const Outcome<std::string> &outcome)
     {
         if (!outcome.ok())
             return waiting.reply(outcome.failure());
@@ -144,10 +147,10 @@
             return waiting.reply(response.failure());
         const bool isFinal = !response.value().results.empty()
                              || waiting.request.after >= response.value().total
-                             || waiting.due <= context.clock.now() || !isReady;
+                             || waiting.deadline <= context.clock.now() || !isReady;
         if (isFinal)
             return waiting.reply(outcome.value());
-        if (storedBefore != storedCount)
+        if (previousStoredCount != storedCount)
             return readNow(waiting);
         reads.push_back(waiting);
         armReadTimer();
@@ -159,25 +162,25 @@
             return;
         absl::Time next = absl::InfiniteFuture();
         for (const WaitingRead &waiting : reads)
-            next = std::min(next, waiting.due);
+            next = std::min(next, waiting.deadline);
         readTimer = context.loop.timers().subscribeOnce(
                 std::max(next - context.clock.now(), absl::ZeroDuration()),
                 [self = shared_from_this()] {
                     self->readTimer = 0;
-                    self->answerDueReads();
+                    self->finishExpiredReads();
                 });
     }
 
-    void answerDueReads()
+    void finishExpiredReads()
     {
         const absl::Time now = context.clock.now();
-        std::list<WaitingRead> due;
+        std::list<WaitingRead> expired;
         for (auto waiting = reads.begin(); waiting != reads.end();) {
             const auto current = waiting++;
-            if (current->due <= now)
-                due.splice(due.end(), reads, current);
+            if (current->deadline <= now)
+                expired.splice(expired.end(), reads, current);
         }
-        for (const WaitingRead &waiting : due)
+        for (const WaitingRead &waiting : expired)
             readNow(waiting);
         armReadTimer();
     }
@@ -197,14 +200,14 @@
 
     void readItem(const std::string &body, peer::ResponseCallback reply)
     {
-        const auto request = decodeFor<wire::ReadItemRequest>(body, reply);
+        const auto request = decodeOnLeader<wire::ReadItemRequest>(body, reply);
         if (request)
             context.replica.read(wire::encode(wire::JobQuery{*request}), std::move(reply));
     }
 
-    void end(const std::string &body, peer::ResponseCallback reply)
+    void endJob(const std::string &body, peer::ResponseCallback reply)
     {
-        const auto request = decodeFor<wire::EndJobRequest>(body, reply);
+        const auto request = decodeOnLeader<wire::EndJobRequest>(body, reply);
         if (!request)
             return;
         const wire::EndJob operation{request->workspace, request->job};
@@ -225,28 +228,28 @@
     {
         isReady = false;
         isTakenOver = false;
-        ++leadership;
+        ++leadershipGeneration;
         executor.stopAll();
         const auto waiting = std::exchange(reads, {});
         for (const WaitingRead &read : waiting)
             read.reply(notLeader());
         if (leads)
-            listOpen();
+            listOpenJobs();
     }
 
-    /// Goes on with the open jobs that the executor does not know, such as those that were
-    /// committed before this leader's term.
-    void listOpen()
+    /// Reads the open jobs and adds those that the executor does not run yet, such as jobs that
+    /// were committed before this leader's term.
+    void listOpenJobs()
     {
         if (!context.replica.isLeader())
             return;
         context.replica.read(wire::encode(wire::JobQuery{wire::ListOpenJobs{}}),
                              [self = shared_from_this()](const Outcome<std::string> &outcome) {
-                                 self->listed(outcome);
+                                 self->handleOpenJobs(outcome);
                              });
     }
 
-    void listed(const Outcome<std::string> &outcome)
+    void handleOpenJobs(const Outcome<std::string> &outcome)
     {
         if (!context.replica.isLeader())
             return;
@@ -256,8 +259,8 @@
                         : Outcome<wire::OpenJobs>(outcome.failure());
         if (!open.ok()) {
             log(LogLevel::Warning, "open-jobs-unread", {{"code", name(open.failure().code)}});
-            context.loop.timers().subscribeOnce(listAgain,
-                                                [self = shared_from_this()] { self->listOpen(); });
+            context.loop.timers().subscribeOnce(
+                    listRetryDelay, [self = shared_from_this()] { self->listOpenJobs(); });
             return;
         }
         isReady = true;
@@ -266,28 +269,28 @@
                 {{"jobs", static_cast<std::int64_t>(open.value().jobs.size())},
                  {"term", context.replica.status().term}});
         if (isTakenOver)
-            return addOpen(open.value());
-        context.loop.timers().subscribeOnce(
-                takeOverDelay,
-                [self = shared_from_this(), current = leadership, open = open.value()] {
-                    self->isTakenOver = self->leadership == current;
-                    if (self->isTakenOver)
-                        self->addOpen(open);
-                });
+            return addOpenJobs(open.value());
+        context.loop.timers().subscribeOnce(takeOverDelay, [self = shared_from_this(),
+                                                            startGeneration = leadershipGeneration,
+                                                            open = open.value()] {
+            self->isTakenOver = self->leadershipGeneration == startGeneration;
+            if (self->isTakenOver)
+                self->addOpenJobs(open);
+        });
     }
 
-    void addOpen(const wire::OpenJobs &open)
+    void addOpenJobs(const wire::OpenJobs &open)
     {
         for (const wire::OpenJob &job : open.jobs)
             executor.add(job);
     }
 
-    void forget()
+    void removeOldJobs()
     {
         if (!isReady || !context.replica.isLeader())
             return;
         const wire::ForgetJobs operation{
-                absl::ToUnixMillis(context.clock.wallNow() - keepFinished)};
+                absl::ToUnixMillis(context.clock.wallNow() - retentionPeriod)};
         context.replica.propose(wire::encode(wire::JobCommand{operation}),
                                 [](const Outcome<std::string> &outcome) {
                                     if (!outcome.ok())
@@ -299,21 +302,25 @@
     const JobExecutorContext context;
     JobExecutor &executor;
     std::shared_ptr<const serving::DeploymentIndex> deployment;
+    /// The open jobs have been read since this replica gained leadership.
     bool isReady = false;
-    /// The jobs of earlier leaders have been handed to the executor.
+    /// The open jobs of earlier leaders have been added to the executor.
     bool isTakenOver = false;
-    std::uint64_t leadership = 0;
+    /// Incremented when this replica gains or loses leadership, so that callbacks of an earlier
+    /// leadership are recognized.
+    std::uint64_t leadershipGeneration = 0;
     std::list<WaitingRead> reads;
+    /// Number of results stored so far. Shows whether a result was stored during a read.
     std::uint64_t storedCount = 0;
     TimerService::TimerId readTimer = 0;
-    TimerService::TimerId forgetTimer = 0;
+    TimerService::TimerId cleanupTimer = 0;
 };
 
 JobService::JobService(const JobExecutorContext &context, JobExecutor &executor)
     : m_impl(std::make_shared<Impl>(context, executor))
 {
-    m_impl->forgetTimer = context.loop.timers().subscribeEvery(
-            forgetPeriod, [impl = m_impl.get()] { impl->forget(); });
+    m_impl->cleanupTimer = context.loop.timers().subscribeEvery(
+            cleanupPeriod, [impl = m_impl.get()] { impl->removeOldJobs(); });
     executor.onResultStored(
             [impl = m_impl.get()](const std::string &job) { impl->resultStored(job); });
 }
@@ -337,7 +344,7 @@
     serve(wire::Method::SubmitJob, &Impl::submit);
     serve(wire::Method::ReadJob, &Impl::read);
     serve(wire::Method::ReadItem, &Impl::readItem);
-    serve(wire::Method::EndJob, &Impl::end);
+    serve(wire::Method::EndJob, &Impl::endJob);
 }
 
 void JobService::setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment)
@@ -352,7 +359,7 @@
 
 void JobService::stop()
 {
-    for (TimerService::TimerId *timer : {&m_impl->readTimer, &m_impl->forgetTimer}) {
+    for (TimerService::TimerId *timer : {&m_impl->readTimer, &m_impl->cleanupTimer}) {
         if (*timer != 0)
             m_impl->context.loop.timers().unsubscribe(std::exchange(*timer, 0));
     }
--- a/src/jobs/jobstatemachine.cpp
+++ b/src/jobs/jobstatemachine.cpp
@@ -10,12 +10,13 @@
 namespace rattanrill::jobs {
 namespace {
 
-/// Results that one read brings at most, in bytes of output.
+/// Maximum output in bytes that the response to one read contains. A larger result is returned
+/// alone.
 constexpr std::size_t maxReadBytes = 1000000;
 
-Failure noJob(const std::string &job)
+Failure jobNotFound(const std::string &job)
 {
-    return notRun(ErrorCode::NotFound, concat("no job \"", job, "\""));
+    return notRun(ErrorCode::NotFound, concat("the workspace has no job \"", job, "\""));
 }
 
 } // namespace
@@ -40,9 +41,9 @@
     wire::JobCommandResult result;
     std::int64_t &waiting = m_waitingTokens[{record.workspace, record.route}];
     result.waitingTokens = waiting;
-    const auto known = m_jobs.find(record.id);
-    if (known != m_jobs.end()) {
-        if (known->second.record.workspace != record.workspace)
+    const auto existing = m_jobs.find(record.id);
+    if (existing != m_jobs.end()) {
+        if (existing->second.record.workspace != record.workspace)
             return fail(notRun(ErrorCode::Conflict,
                                concat("job \"", record.id, "\" belongs to another workspace")));
         return result;
@@ -65,10 +66,10 @@
 {
     const auto found = m_jobs.find(operation.job);
     if (found == m_jobs.end())
-        return fail(noJob(operation.job));
+        return fail(jobNotFound(operation.job));
     Job &job = found->second;
     const auto &items = job.record.items;
-    addWaiting(job, -1);
+    addWaitingTokens(job, -1);
     for (const wire::ItemResult &result : operation.results) {
         const bool isItem = std::any_of(items.begin(), items.end(), [&](const wire::JobItem &item) {
             return item.id == result.id;
@@ -77,26 +78,26 @@
             job.results.push_back(result);
         job.progress.erase(result.id);
     }
-    addWaiting(job, 1);
+    addWaitingTokens(job, 1);
     return wire::JobCommandResult();
 }
 
 Result<wire::JobCommandResult> JobStateMachine::perform(const wire::AppendProgress &operation)
 {
-    for (const wire::ItemProgress &step : operation.items) {
-        const auto found = m_jobs.find(step.job);
-        if (found == m_jobs.end() || found->second.finished.count(step.item) != 0)
+    for (const wire::ItemProgress &progress : operation.items) {
+        const auto found = m_jobs.find(progress.job);
+        if (found == m_jobs.end() || found->second.finished.count(progress.item) != 0)
             continue;
-        wire::ItemProgress &stored = found->second.progress[step.item];
-        if (stored.lastEvent != step.after || step.lastEvent <= step.after)
+        wire::ItemProgress &stored = found->second.progress[progress.item];
+        if (stored.lastEvent != progress.after || progress.lastEvent <= progress.after)
             continue;
         if (stored.lastEvent >= 0)
             stored.output += '\n';
-        stored.output += step.output;
-        stored.lastEvent = step.lastEvent;
-        stored.servedMs = step.servedMs;
-        stored.job = step.job;
-        stored.item = step.item;
+        stored.output += progress.output;
+        stored.lastEvent = progress.lastEvent;
+        stored.servedMs = progress.servedMs;
+        stored.job = progress.job;
+        stored.item = progress.item;
     }
     return wire::JobCommandResult();
 }
@@ -105,7 +106,7 @@
 {
     BOOST_LEAF_CHECK(find(operation.workspace, operation.job));
     Job &job = m_jobs.at(operation.job);
-    addWaiting(job, -1);
+    addWaitingTokens(job, -1);
     job.ended = true;
     job.progress.clear();
     return wire::JobCommandResult();
@@ -115,20 +116,20 @@
 {
     for (auto entry = m_jobs.begin(); entry != m_jobs.end();) {
         const Job &job = entry->second;
-        const bool isOld = job.record.acceptedAtMs < operation.beforeMs && !job.isOpen();
-        entry = isOld ? m_jobs.erase(entry) : std::next(entry);
+        const bool isExpired = job.record.acceptedAtMs < operation.beforeMs && !job.isOpen();
+        entry = isExpired ? m_jobs.erase(entry) : std::next(entry);
     }
     return wire::JobCommandResult();
 }
 
 std::vector<wire::ItemProgress> JobStateMachine::progressOf(const Job &job)
 {
-    std::vector<wire::ItemProgress> steps;
-    for (const auto &[item, step] : job.progress) {
-        if (step.lastEvent >= 0)
-            steps.push_back(step);
+    std::vector<wire::ItemProgress> items;
+    for (const auto &[item, progress] : job.progress) {
+        if (progress.lastEvent >= 0)
+            items.push_back(progress);
     }
-    return steps;
+    return items;
 }
 
 std::int64_t JobStateMachine::unfinishedTokens(const Job &job)
@@ -141,7 +142,7 @@
     return tokens;
 }
 
-void JobStateMachine::addWaiting(const Job &job, int sign)
+void JobStateMachine::addWaitingTokens(const Job &job, int sign)
 {
     if (!job.ended)
         m_waitingTokens[{job.record.workspace, job.record.route}] += sign * unfinishedTokens(job);
@@ -152,7 +153,7 @@
 {
     const auto found = m_jobs.find(job);
     if (found == m_jobs.end() || found->second.record.workspace != workspace)
-        return fail(noJob(job));
+        return fail(jobNotFound(job));
     return &found->second;
 }
 
@@ -161,10 +162,11 @@
     const auto decoded = outcomeOf([&] { return wire::decode<wire::JobQuery>(query); });
     if (!decoded.ok())
         return wire::encodeCommandResult(Outcome<wire::OpenJobs>(decoded.failure()));
-    return std::visit([this](const auto &kind) { return answer(kind); }, decoded.value().query);
+    return std::visit([this](const auto &request) { return evaluate(request); },
+                      decoded.value().query);
 }
 
-std::string JobStateMachine::answer(const wire::ReadJobRequest &query) const
+std::string JobStateMachine::evaluate(const wire::ReadJobRequest &query) const
 {
     return wire::encodeCommandResult(outcomeOf([&]() -> Result<wire::ReadJobResponse> {
         BOOST_LEAF_AUTO(job, find(query.workspace, query.job));
@@ -187,7 +189,7 @@
     }));
 }
 
-std::string JobStateMachine::answer(const wire::ReadItemRequest &query) const
+std::string JobStateMachine::evaluate(const wire::ReadItemRequest &query) const
 {
     return wire::encodeCommandResult(outcomeOf([&]() -> Result<wire::ReadItemResponse> {
         BOOST_LEAF_AUTO(job, find(query.workspace, query.job));
@@ -200,7 +202,7 @@
     }));
 }
 
-std::string JobStateMachine::answer(const wire::ListOpenJobs &) const
+std::string JobStateMachine::evaluate(const wire::ListOpenJobs &) const
 {
     wire::OpenJobs open;
     for (const auto &[id, job] : m_jobs) {
@@ -231,11 +233,11 @@
         job.record = std::move(stored.job);
         job.results = std::move(stored.results);
         job.ended = stored.ended;
-        for (wire::ItemProgress &step : stored.progress)
-            job.progress[step.item] = std::move(step);
+        for (wire::ItemProgress &progress : stored.progress)
+            job.progress[progress.item] = std::move(progress);
         for (const wire::ItemResult &result : job.results)
             job.finished.insert(result.id);
-        addWaiting(job, 1);
+        addWaitingTokens(job, 1);
         m_jobs.emplace(job.record.id, std::move(job));
     }
     return {};
--- a/src/jobs/jobstatemachine.h
+++ b/src/jobs/jobstatemachine.h
@@ -13,7 +13,7 @@
 
 namespace rattanrill::jobs {
 
-/// State machine behind makeJobStateMachine().
+/// State machine of the store group; see makeJobStateMachine().
 class JobStateMachine : public replication::StateMachine
 {
 public:
@@ -28,15 +28,15 @@
         wire::JobRecord record;
         std::vector<wire::ItemResult> results;
         std::set<std::string> finished;
-        /// By item, of items without a result.
+        /// Progress of items without a result, by item id.
         std::map<std::string, wire::ItemProgress> progress;
         bool ended = false;
 
         bool isOpen() const { return !ended && results.size() < record.items.size(); }
     };
 
-    /// Workspace and route.
-    using Account = std::pair<std::string, std::string>;
+    /// Names of a workspace and of a route.
+    using WorkspaceRoute = std::pair<std::string, std::string>;
 
     Result<wire::JobCommandResult> perform(const wire::AcceptJob &operation);
     Result<wire::JobCommandResult> perform(const wire::AppendResults &operation);
@@ -44,18 +44,20 @@
     Result<wire::JobCommandResult> perform(const wire::EndJob &operation);
     Result<wire::JobCommandResult> perform(const wire::ForgetJobs &operation);
 
-    std::string answer(const wire::ReadJobRequest &query) const;
-    std::string answer(const wire::ReadItemRequest &query) const;
-    std::string answer(const wire::ListOpenJobs &query) const;
+    std::string evaluate(const wire::ReadJobRequest &query) const;
+    std::string evaluate(const wire::ReadItemRequest &query) const;
+    std::string evaluate(const wire::ListOpenJobs &query) const;
 
     Result<const Job *> find(const std::string &workspace, const std::string &job) const;
-    void addWaiting(const Job &job, int sign);
+    /// Adds the unfinished tokens of \a job to the waiting tokens (\a sign 1) or subtracts them
+    /// (\a sign -1), unless the job is ended.
+    void addWaitingTokens(const Job &job, int sign);
     static std::vector<wire::ItemProgress> progressOf(const Job &job);
     static std::int64_t unfinishedTokens(const Job &job);
 
     std::map<std::string, Job> m_jobs;
-    /// Tokens of items without a result in jobs that are not ended.
-    std::map<Account, std::int64_t> m_waitingTokens;
+    /// Number of tokens in items without a result, of jobs that are not ended.
+    std::map<WorkspaceRoute, std::int64_t> m_waitingTokens;
 };
 
 } // namespace rattanrill::jobs
