--- a/tests/fleet/fleetservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -29,7 +29,7 @@
     return options;
 }
 
-class NoList : public UpstreamDiscovery
+class FailingDiscovery : public UpstreamDiscovery
 {
 public:
     void read(Callback callback) override { callback(notRun(ErrorCode::Timeout, "")); }
@@ -45,27 +45,27 @@
     BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", 0); }).ok());
 }
 
-/// A control process that only notes that it was asked.
-class AskedServer
+/// A control process that records whether it was polled. Its responses are failures.
+class PolledServer
 {
 public:
-    AskedServer()
+    PolledServer()
     {
         m_server.handle(wire::Method::Sync, [this](const peer::PeerIdentity &, const std::string &,
                                                    const peer::ResponseCallback &reply) {
-            if (!m_asked.HasBeenNotified())
-                m_asked.Notify();
+            if (!m_polled.HasBeenNotified())
+                m_polled.Notify();
             reply(notRun(ErrorCode::Timeout, ""));
         });
         start(m_server);
     }
-    ~AskedServer() { m_server.stop(); }
+    ~PolledServer() { m_server.stop(); }
 
     std::string address() const { return addressOf(m_server); }
-    bool awaitAsked() { return m_asked.WaitForNotificationWithTimeout(absl::Seconds(5)); }
+    bool awaitPoll() { return m_polled.WaitForNotificationWithTimeout(absl::Seconds(5)); }
 
 private:
-    absl::Notification m_asked;
+    absl::Notification m_polled;
     peer::Server m_server{transport("leader")};
 };
 
@@ -73,86 +73,91 @@
 
 BOOST_AUTO_TEST_SUITE(FleetServiceTest)
 
-// Guards against processes that ask again and again, and find a new leader only with the next
-// question: after a loss of power all of them wait for the first leader.
+// Guards against a control process that fails polls at once while it knows no leader. After a power
+// loss all processes wait for the first leader; they would poll repeatedly and find the leader only
+// with their next poll.
 BOOST_AUTO_TEST_CASE(pollIsHeldWhileNoLeaderIsKnown)
 {
-    net::LoopThread on;
+    net::LoopThread loopThread;
     peer::ChannelPool channels(transport("c"));
-    // Never opened, so that it knows no leader.
-    GroupReplica replica(on.loop(), channels, GroupReplicaSettings(), SystemClock::instance());
-    NoList list;
-    FleetService service(on.loop(), replica, list, FleetServiceSettings(), SystemClock::instance());
+    // The replica is never opened, so that it knows no leader.
+    GroupReplica replica(loopThread.loop(), channels, GroupReplicaSettings(),
+                         SystemClock::instance());
+    FailingDiscovery discovery;
+    FleetService service(loopThread.loop(), replica, discovery, FleetServiceSettings(),
+                         SystemClock::instance());
     peer::Server server(transport("c"));
     service.install(server);
     start(server);
-    on.run([&] { service.start(); });
+    loopThread.run([&] { service.start(); });
 
     wire::FleetSyncRequest request;
     request.waitMs = 300;
-    const absl::Time start = absl::Now();
-    absl::Notification answered;
+    const absl::Time startTime = absl::Now();
+    absl::Notification responded;
     ErrorCode code = ErrorCode::Internal;
     channels.channel(addressOf(server))
             ->call(wire::Method::Sync, wire::encode(request), absl::Seconds(5),
                    [&](const Outcome<std::string> &outcome) {
                        code = outcome.ok() ? ErrorCode::Internal : outcome.failure().code;
-                       answered.Notify();
+                       responded.Notify();
                    });
-    answered.WaitForNotification();
+    responded.WaitForNotification();
     BOOST_TEST((code == ErrorCode::NotLeader));
-    BOOST_TEST((absl::Now() - start >= absl::Milliseconds(250)));
-    on.run([&] { service.stop(); });
+    BOOST_TEST((absl::Now() - startTime >= absl::Milliseconds(250)));
+    loopThread.run([&] { service.stop(); });
     server.stop();
 }
 
-// Guards against a follower that backs off although it has just been told who leads.
-BOOST_AUTO_TEST_CASE(followerGoesToTheNamedLeaderAtOnce)
+// Guards against a client that backs off although the response to its poll named the leader.
+BOOST_AUTO_TEST_CASE(clientPollsTheNamedLeaderAtOnce)
 {
-    net::LoopThread on;
-    AskedServer leader;
-    peer::Server other(transport("other"));
-    other.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
-                                         const peer::ResponseCallback &reply) {
+    net::LoopThread loopThread;
+    PolledServer leader;
+    peer::Server nonLeader(transport("other"));
+    nonLeader.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
+                                             const peer::ResponseCallback &reply) {
         reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
     });
-    start(other);
+    start(nonLeader);
 
     peer::ChannelPool channels(transport("f"));
     FleetClientSettings settings;
-    settings.seeds = {addressOf(other)};
-    // Longer than the test, so that only an immediate question arrives.
+    settings.seeds = {addressOf(nonLeader)};
+    // Longer than the test, so that a poll arrives only when it is sent without a delay.
     settings.minBackoff = absl::Minutes(10);
     settings.maxBackoff = absl::Minutes(10);
-    FleetClient follower(on.loop(), channels, settings, SystemClock::instance());
-    on.run([&] { follower.start(); });
-    BOOST_TEST(leader.awaitAsked());
-    on.run([&] { follower.stop(); });
-    other.stop();
+    FleetClient client(loopThread.loop(), channels, settings, SystemClock::instance());
+    loopThread.run([&] { client.start(); });
+    BOOST_TEST(leader.awaitPoll());
+    loopThread.run([&] { client.stop(); });
+    nonLeader.stop();
 }
 
-// Guards against a search for the leader that stands still at a process that is down.
-BOOST_AUTO_TEST_CASE(silentSeedDoesNotHoldUpTheSearch)
+// Guards against a search for the leader that waits for a process that does not respond before it
+// polls the next one.
+BOOST_AUTO_TEST_CASE(unresponsiveSeedDoesNotDelayTheSearchForTheLeader)
 {
-    net::LoopThread on;
-    // A reply that is dropped would be answered.
-    std::vector<peer::ResponseCallback> kept;
-    peer::Server silent(transport("silent"));
-    silent.handle(wire::Method::Sync,
-                  [&](const peer::PeerIdentity &, const std::string &,
-                      const peer::ResponseCallback &reply) { kept.push_back(reply); });
-    start(silent);
-    AskedServer leader;
+    net::LoopThread loopThread;
+    // The callbacks are stored because destroying one would send a response.
+    std::vector<peer::ResponseCallback> pendingReplies;
+    peer::Server unresponsive(transport("silent"));
+    unresponsive.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
+                                                const peer::ResponseCallback &reply) {
+        pendingReplies.push_back(reply);
+    });
+    start(unresponsive);
+    PolledServer leader;
 
     peer::ChannelPool channels(transport("f"));
     FleetClientSettings settings;
-    settings.seeds = {addressOf(silent), leader.address()};
+    settings.seeds = {addressOf(unresponsive), leader.address()};
     settings.pollTimeout = absl::Minutes(10);
-    FleetClient follower(on.loop(), channels, settings, SystemClock::instance());
-    on.run([&] { follower.start(); });
-    BOOST_TEST(leader.awaitAsked());
-    on.run([&] { follower.stop(); });
-    silent.stop();
+    FleetClient client(loopThread.loop(), channels, settings, SystemClock::instance());
+    loopThread.run([&] { client.start(); });
+    BOOST_TEST(leader.awaitPoll());
+    loopThread.run([&] { client.stop(); });
+    unresponsive.stop();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fleet/fleetview_test.cpp
+++ b/tests/fleet/fleetview_test.cpp
@@ -12,7 +12,7 @@
 const absl::Time start = absl::FromUnixSeconds(1000);
 constexpr absl::Duration timeout = absl::Seconds(2);
 
-wire::FleetSyncRequest call(const std::string &instance, wire::MemberRole role)
+wire::FleetSyncRequest syncRequest(const std::string &instance, wire::MemberRole role)
 {
     wire::FleetSyncRequest request;
     request.self.instance = instance;
@@ -22,21 +22,21 @@
     return request;
 }
 
-wire::FleetSyncRequest storeLeader(const std::string &instance, std::uint64_t term)
+wire::FleetSyncRequest storeLeaderRequest(const std::string &instance, std::uint64_t term)
 {
-    wire::FleetSyncRequest request = call(instance, wire::MemberRole::Store);
+    wire::FleetSyncRequest request = syncRequest(instance, wire::MemberRole::Store);
     request.leadsStores = true;
     request.storeTerm = term;
     return request;
 }
 
-std::vector<std::string> leaders(const FleetView &view)
+std::vector<std::string> reportedStoreLeaders(const FleetView &view)
 {
     std::vector<std::string> result;
-    for (const wire::FleetMemberStatus &live :
+    for (const wire::FleetMemberStatus &status :
          view.makeResponse(wire::FleetSyncRequest()).members) {
-        if (live.leadsStores)
-            result.push_back(live.member.instance);
+        if (status.leadsStores)
+            result.push_back(status.member.instance);
     }
     return result;
 }
@@ -52,37 +52,41 @@
 
 BOOST_FIXTURE_TEST_SUITE(FleetViewTest, Fixture)
 
-// Guards against entries that ask a broker which is lost, because its successor is listed beside
-// it: the lost one counts as alive until the member timeout.
-BOOST_AUTO_TEST_CASE(storeLeaderOfTheHighestTermCounts)
+// Guards against entries that request slots from a broker that was lost. The store leader is the
+// broker; a lost one counts as alive until the member timeout, in which it could be reported as the
+// leader besides its successor.
+BOOST_AUTO_TEST_CASE(onlyTheStoreLeaderOfTheHighestTermIsReported)
 {
-    view.recordHeartbeat(storeLeader("z", 3), start);
-    view.recordHeartbeat(storeLeader("a", 4), start + absl::Milliseconds(100));
-    BOOST_TEST(leaders(view) == std::vector<std::string>{"a"}, boost::test_tools::per_element());
-    // The former leader does not know yet that it was replaced.
-    view.recordHeartbeat(storeLeader("z", 3), start + absl::Milliseconds(200));
-    BOOST_TEST(leaders(view) == std::vector<std::string>{"a"}, boost::test_tools::per_element());
+    view.recordHeartbeat(storeLeaderRequest("z", 3), start);
+    view.recordHeartbeat(storeLeaderRequest("a", 4), start + absl::Milliseconds(100));
+    BOOST_TEST(reportedStoreLeaders(view) == std::vector<std::string>{"a"},
+               boost::test_tools::per_element());
+    // The former leader has not detected yet that it was replaced.
+    view.recordHeartbeat(storeLeaderRequest("z", 3), start + absl::Milliseconds(200));
+    BOOST_TEST(reportedStoreLeaders(view) == std::vector<std::string>{"a"},
+               boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(silentMemberIsNotAlive)
+BOOST_AUTO_TEST_CASE(memberWithoutHeartbeatIsNotAlive)
 {
-    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start);
-    const std::uint64_t before = view.sequence();
+    view.recordHeartbeat(syncRequest("e", wire::MemberRole::Entry), start);
+    const std::uint64_t previousSequence = view.sequence();
     view.expire(start + timeout + absl::Milliseconds(1));
-    BOOST_TEST(view.sequence() > before);
+    BOOST_TEST(view.sequence() > previousSequence);
     BOOST_TEST(!view.makeResponse(wire::FleetSyncRequest()).members.front().alive);
-    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start + absl::Seconds(3));
+    view.recordHeartbeat(syncRequest("e", wire::MemberRole::Entry), start + absl::Seconds(3));
     BOOST_TEST(view.makeResponse(wire::FleetSyncRequest()).members.front().alive);
     view.expire(start + absl::Minutes(1));
     BOOST_TEST(view.makeResponse(wire::FleetSyncRequest()).members.empty());
 }
 
-// Guards against voters that are taken for lost by a leader that has only just begun to listen.
-BOOST_AUTO_TEST_CASE(newLeaderNamesNoCandidatesBeforeItHasHeardOfAll)
+// Guards against a new leader that replaces voters that are alive, because it has not received
+// their first heartbeats yet.
+BOOST_AUTO_TEST_CASE(newLeaderHasNoCandidatesBeforeTheMemberTimeout)
 {
-    view.recordHeartbeat(call("c", wire::MemberRole::Control), start);
+    view.recordHeartbeat(syncRequest("c", wire::MemberRole::Control), start);
     BOOST_TEST(view.voterCandidates(wire::MemberRole::Control).empty());
-    view.recordHeartbeat(call("c", wire::MemberRole::Control), start + timeout);
+    view.recordHeartbeat(syncRequest("c", wire::MemberRole::Control), start + timeout);
     view.expire(start + timeout + absl::Milliseconds(1));
     BOOST_TEST(view.voterCandidates(wire::MemberRole::Control).size() == 1u);
     view.beginTerm(2, start + absl::Seconds(3));
@@ -91,8 +95,8 @@
 
 BOOST_AUTO_TEST_CASE(unchangedViewIsNotSentAgain)
 {
-    view.recordHeartbeat(call("e", wire::MemberRole::Entry), start);
-    wire::FleetSyncRequest request = call("e", wire::MemberRole::Entry);
+    view.recordHeartbeat(syncRequest("e", wire::MemberRole::Entry), start);
+    wire::FleetSyncRequest request = syncRequest("e", wire::MemberRole::Entry);
     const wire::FleetSyncResponse first = view.makeResponse(request);
     request.viewTerm = first.viewTerm;
     request.viewSequence = first.viewSequence;
@@ -101,24 +105,25 @@
     BOOST_TEST(view.makeResponse(request).members.empty());
 }
 
-BOOST_AUTO_TEST_CASE(unchangedListRaisesNoSequence)
+BOOST_AUTO_TEST_CASE(unchangedUpstreamsKeepTheSequenceNumber)
 {
     const std::vector<wire::FleetUpstream> list{{"u", "s", "a:1", "d", 8, false}};
     view.setUpstreams(list);
-    const std::uint64_t before = view.sequence();
+    const std::uint64_t previousSequence = view.sequence();
     view.setUpstreams(list);
-    BOOST_TEST(view.sequence() == before);
+    BOOST_TEST(view.sequence() == previousSequence);
     view.setUpstreams({{"u", "s", "a:1", "d", 8, true}});
-    BOOST_TEST(view.sequence() > before);
+    BOOST_TEST(view.sequence() > previousSequence);
 }
 
-// Guards against a store group that is founded by fewer stores than are about to appear.
-BOOST_AUTO_TEST_CASE(storesFoundTheirGroupWhenEnoughAreThere)
+// Guards against a store group that is founded by fewer stores than the deployment has, because the
+// others have not sent a heartbeat yet.
+BOOST_AUTO_TEST_CASE(storeGroupIsFoundedOnceThreeStoresAreAlive)
 {
-    view.recordHeartbeat(call("s1", wire::MemberRole::Store), start);
-    view.recordHeartbeat(call("s2", wire::MemberRole::Store), start);
+    view.recordHeartbeat(syncRequest("s1", wire::MemberRole::Store), start);
+    view.recordHeartbeat(syncRequest("s2", wire::MemberRole::Store), start);
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
-    view.recordHeartbeat(call("s3", wire::MemberRole::Store), start + absl::Seconds(1));
+    view.recordHeartbeat(syncRequest("s3", wire::MemberRole::Store), start + absl::Seconds(1));
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).size() == 3u);
     wire::FleetSnapshot founded;
     founded.storeFounders = {"a"};
@@ -126,8 +131,9 @@
     BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
 }
 
-// Guards against a document that is dropped by a read which left it out as known.
-BOOST_AUTO_TEST_CASE(recordsWithoutDocumentKeepTheKnownOne)
+// Guards against the loss of the configuration document after a read that omits it because its
+// version is known.
+BOOST_AUTO_TEST_CASE(recordsWithoutDocumentKeepThePreviousDocument)
 {
     wire::FleetSnapshot records;
     records.configurationVersion = 4;
--- a/tests/fleet/membershipchange_test.cpp
+++ b/tests/fleet/membershipchange_test.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-replication::RaftNodeStatus leading(std::vector<std::string> voters,
-                                    std::vector<std::string> learners = {})
+replication::RaftNodeStatus leaderStatus(std::vector<std::string> voters,
+                                         std::vector<std::string> learners = {})
 {
     replication::RaftNodeStatus status;
     status.role = replication::Role::Leader;
@@ -24,12 +24,12 @@
     return status;
 }
 
-VoterCandidate present(const std::string &replica)
+VoterCandidate liveCandidate(const std::string &replica)
 {
     return {replica, "d", true, false};
 }
 
-VoterCandidate silent(const std::string &replica)
+VoterCandidate deadCandidate(const std::string &replica)
 {
     return {replica, "d", false, false};
 }
@@ -40,92 +40,104 @@
 
 BOOST_AUTO_TEST_SUITE(MembershipChangeTest)
 
-// Guards against a lost disk that stays a voter: the process at its address has another identity.
-BOOST_AUTO_TEST_CASE(emptiedDiskIsExchangedAtItsOwnAddress)
+// Guards against a voter that stays in the group after its disk was lost. The process at its
+// address has returned under another replica id.
+BOOST_AUTO_TEST_CASE(voterWithLostDiskIsReplacedAtItsAddress)
 {
-    const auto change = nextMembershipChange(
-            leading({"a/1", "b/1", "c/1"}),
-            {present("a/1"), present("b/1"), present("c/2"), present("d/1")}, rules);
+    const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
+                                             {liveCandidate("a/1"), liveCandidate("b/1"),
+                                              liveCandidate("c/2"), liveCandidate("d/1")},
+                                             rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "c/2");
     BOOST_TEST(change->replaced == "c/1");
 }
 
-BOOST_AUTO_TEST_CASE(silentVoterIsExchangedForAPresentProcess)
+BOOST_AUTO_TEST_CASE(deadVoterIsReplacedByALiveProcess)
 {
-    const auto change = nextMembershipChange(
-            leading({"a/1", "b/1", "c/1"}),
-            {present("a/1"), present("b/1"), silent("c/1"), present("d/1")}, rules);
+    const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
+                                             {liveCandidate("a/1"), liveCandidate("b/1"),
+                                              deadCandidate("c/1"), liveCandidate("d/1")},
+                                             rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
     BOOST_TEST(change->replaced == "c/1");
 }
 
-// Guards against a group that shrinks below the copies it had, one silent voter after another.
-BOOST_AUTO_TEST_CASE(silentVoterStaysWithoutASuccessor)
+// Guards against a group that loses copies of its data because voters that are not alive are
+// removed one after another without a replacement.
+BOOST_AUTO_TEST_CASE(deadVoterStaysWithoutAReplacement)
 {
-    BOOST_TEST(!nextMembershipChange(leading({"a/1", "b/1", "c/1"}),
-                                     {present("a/1"), present("b/1"), silent("c/1")}, rules));
+    BOOST_TEST(!nextMembershipChange(
+            leaderStatus({"a/1", "b/1", "c/1"}),
+            {liveCandidate("a/1"), liveCandidate("b/1"), deadCandidate("c/1")}, rules));
 }
 
-// Guards against changes by a leader that knows nothing of who lives.
-BOOST_AUTO_TEST_CASE(nothingIsChangedWithoutCandidates)
+// Guards against changes by a leader that does not know yet which processes are alive.
+BOOST_AUTO_TEST_CASE(votersStayUnchangedWithoutCandidates)
 {
-    BOOST_TEST(!nextMembershipChange(leading({"a/1", "b/1", "c/1"}), {}, rules));
+    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), {}, rules));
 }
 
 BOOST_AUTO_TEST_CASE(groupGrowsToAnOddNumber)
 {
-    const auto four = nextMembershipChange(
-            leading({"a/1", "b/1", "c/1"}),
-            {present("a/1"), present("b/1"), present("c/1"), present("d/1")}, rules);
+    const auto four = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
+                                           {liveCandidate("a/1"), liveCandidate("b/1"),
+                                            liveCandidate("c/1"), liveCandidate("d/1")},
+                                           rules);
     BOOST_TEST(!four.has_value());
-    const auto five = nextMembershipChange(
-            leading({"a/1", "b/1", "c/1"}),
-            {present("a/1"), present("b/1"), present("c/1"), present("d/1"), present("e/1")},
-            rules);
+    const auto five =
+            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
+                                 {liveCandidate("a/1"), liveCandidate("b/1"), liveCandidate("c/1"),
+                                  liveCandidate("d/1"), liveCandidate("e/1")},
+                                 rules);
     BOOST_REQUIRE(five.has_value());
     BOOST_TEST(five->replaced.empty());
 }
 
 BOOST_AUTO_TEST_CASE(staleLearnerIsRemoved)
 {
-    const auto change = nextMembershipChange(
-            leading({"a/1", "b/1", "c/1"}, {"d/1"}),
-            {present("a/1"), present("b/1"), present("c/1"), silent("d/1")}, rules);
+    const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}, {"d/1"}),
+                                             {liveCandidate("a/1"), liveCandidate("b/1"),
+                                              liveCandidate("c/1"), deadCandidate("d/1")},
+                                             rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added.empty());
     BOOST_TEST(change->replaced == "d/1");
 }
 
-BOOST_AUTO_TEST_CASE(retiringVoterGivesWayToASpare)
+BOOST_AUTO_TEST_CASE(retiringVoterIsReplacedByASpare)
 {
-    std::vector<VoterCandidate> candidates{present("a/1"), present("b/1"), present("c/1"),
-                                           present("d/1")};
+    std::vector<VoterCandidate> candidates{liveCandidate("a/1"), liveCandidate("b/1"),
+                                           liveCandidate("c/1"), liveCandidate("d/1")};
     candidates[1].retiring = true;
-    const auto change = nextMembershipChange(leading({"a/1", "b/1", "c/1"}), candidates, rules);
+    const auto change =
+            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
     BOOST_TEST(change->replaced == "b/1");
 }
 
-BOOST_AUTO_TEST_CASE(retiringVoterLeavesWithoutSpareOnlyWhenAllOthersAreThere)
+BOOST_AUTO_TEST_CASE(retiringVoterIsRemovedWithoutSpareOnlyWhenAllOthersAreAlive)
 {
-    std::vector<VoterCandidate> candidates{present("a/1"), present("b/1"), present("c/1")};
+    std::vector<VoterCandidate> candidates{liveCandidate("a/1"), liveCandidate("b/1"),
+                                           liveCandidate("c/1")};
     candidates[1].retiring = true;
-    const auto change = nextMembershipChange(leading({"a/1", "b/1", "c/1"}), candidates, rules);
+    const auto change =
+            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->replaced == "b/1");
     candidates[2].alive = false;
-    BOOST_TEST(!nextMembershipChange(leading({"a/1", "b/1", "c/1"}), candidates, rules));
+    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(ReplicaIdentityTest)
 
-// Guards against a process that forgets who it is, or comes back as the replica whose disk it lost.
-BOOST_AUTO_TEST_CASE(identityLastsAsLongAsItsFolder)
+// Guards against a process that returns under another replica id although its data folder was kept,
+// or under the previous one although its disk was lost.
+BOOST_AUTO_TEST_CASE(identityIsKeptUntilItsFolderIsRemoved)
 {
     const auto folder = std::filesystem::temp_directory_path() / "rattanrill-identity-test";
     std::filesystem::remove_all(folder);
@@ -135,9 +147,9 @@
         return loaded.value();
     };
     load({"a:1/one", {"a:1/one", "b:1/one"}});
-    const ReplicaIdentity again = load({"a:1/two", {}});
-    BOOST_TEST(again.replica == "a:1/one");
-    BOOST_TEST(again.founders.size() == 2u);
+    const ReplicaIdentity reloaded = load({"a:1/two", {}});
+    BOOST_TEST(reloaded.replica == "a:1/one");
+    BOOST_TEST(reloaded.founders.size() == 2u);
     std::filesystem::remove_all(folder);
     BOOST_TEST(load({"a:1/two", {}}).replica == "a:1/two");
     BOOST_TEST(peerAddressOf("a:1/two") == "a:1");
--- a/tests/fleet/statemachine_test.cpp
+++ b/tests/fleet/statemachine_test.cpp
@@ -21,10 +21,10 @@
 
     wire::FleetResult perform(wire::FleetOperation operation)
     {
-        const std::string answer =
+        const std::string response =
                 machine->apply(++index, wire::encode(wire::FleetCommand{std::move(operation)}));
         const auto result = outcomeOf([&]() -> Result<wire::FleetResult> {
-            BOOST_LEAF_AUTO(decoded, wire::decode<wire::CommandResult>(answer));
+            BOOST_LEAF_AUTO(decoded, wire::decode<wire::CommandResult>(response));
             return wire::decode<wire::FleetResult>(decoded.body);
         });
         BOOST_REQUIRE(result.ok());
@@ -32,11 +32,11 @@
     }
 
     static wire::FleetSnapshot records(const replication::StateMachine &machine,
-                                       std::uint64_t known = 0)
+                                       std::uint64_t knownVersion = 0)
     {
-        const std::string answer = machine.query(wire::encode(wire::FleetQuery{known}));
+        const std::string response = machine.query(wire::encode(wire::FleetQuery{knownVersion}));
         const auto result = outcomeOf([&]() -> Result<wire::FleetSnapshot> {
-            BOOST_LEAF_AUTO(decoded, wire::decode<wire::CommandResult>(answer));
+            BOOST_LEAF_AUTO(decoded, wire::decode<wire::CommandResult>(response));
             return wire::decode<wire::FleetSnapshot>(decoded.body);
         });
         BOOST_REQUIRE(result.ok());
@@ -51,7 +51,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(FleetStateMachineTest, Fixture)
 
-// Guards against a configuration that goes back when a change is resent late.
+// Guards against a configuration that reverts to an older version when a change is resent late.
 BOOST_AUTO_TEST_CASE(highestVersionStays)
 {
     BOOST_TEST(put(7, "seven") == 7u);
@@ -61,7 +61,7 @@
     BOOST_TEST(records(*machine).configuration == "nine");
 }
 
-// Guards against two operators whose changes of equal version both take effect.
+// Guards against two changes of the same version by different operators that both take effect.
 BOOST_AUTO_TEST_CASE(equalVersionWithOtherContentChangesNothing)
 {
     put(7, "first");
@@ -69,14 +69,14 @@
     BOOST_TEST(records(*machine).configuration == "first");
 }
 
-BOOST_AUTO_TEST_CASE(documentIsLeftOutForItsOwnVersion)
+BOOST_AUTO_TEST_CASE(documentIsOmittedForTheKnownVersion)
 {
     put(7, "seven");
     BOOST_TEST(records(*machine, 7).configuration.empty());
     BOOST_TEST(records(*machine, 7).configurationVersion == 7u);
 }
 
-// Guards against a second store group beside the one that holds accepted jobs.
+// Guards against a second store group besides the one that stores the accepted jobs.
 BOOST_AUTO_TEST_CASE(storeGroupIsFoundedOnce)
 {
     perform(wire::BootstrapStoreGroup{{"a", "b", "c"}});
@@ -84,20 +84,20 @@
     BOOST_TEST(records(*machine).storeFounders.size() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(snapshotHoldsEverything)
+BOOST_AUTO_TEST_CASE(snapshotRestoresTheWholeState)
 {
     put(7, "seven");
     perform(wire::BootstrapStoreGroup{{"a"}});
     perform(wire::RetireStore{"r"});
     perform(wire::RetireStore{"r"});
-    const auto other = fleet::makeFleetStateMachine();
-    BOOST_REQUIRE(outcomeOf([&] { return other->restore(machine->snapshot()); }).ok());
-    const wire::FleetSnapshot restored = records(*other);
+    const auto restoredMachine = fleet::makeFleetStateMachine();
+    BOOST_REQUIRE(outcomeOf([&] { return restoredMachine->restore(machine->snapshot()); }).ok());
+    const wire::FleetSnapshot restored = records(*restoredMachine);
     BOOST_TEST(restored.configuration == "seven");
     BOOST_TEST(restored.storeFounders.size() == 1u);
     BOOST_TEST(restored.retiringStores.size() == 1u);
-    BOOST_TEST(!outcomeOf([&] { return other->restore("\xff no snapshot"); }).ok());
-    BOOST_TEST(records(*other).configuration == "seven");
+    BOOST_TEST(!outcomeOf([&] { return restoredMachine->restore("\xff no snapshot"); }).ok());
+    BOOST_TEST(records(*restoredMachine).configuration == "seven");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
