--- a/tests/jobs/executor_test.cpp
+++ b/tests/jobs/executor_test.cpp
@@ -23,7 +23,7 @@
     JobExecutor executor{JobExecutorContext{loop, SystemClock::instance(), metrics, adapter,
                                             upstreams, broker, replica, "d"}};
 
-    static wire::OpenJob open(const std::string &id)
+    static wire::OpenJob openJob(const std::string &id)
     {
         wire::OpenJob job;
         job.job.id = id;
@@ -39,22 +39,22 @@
 
 BOOST_AUTO_TEST_CASE(onlyItemsWithoutAResultAreRun)
 {
-    executor.add(open("j"));
-    executor.add(open("j"));
+    executor.add(openJob("j"));
+    executor.add(openJob("j"));
     BOOST_TEST(executor.openItemCount() == 1u);
     executor.cancel("j");
     BOOST_TEST(executor.openItemCount() == 0u);
 }
 
-// Guards against items of an ended job that run: a new leader lists the open jobs, one of them is
-// ended, and the list is taken over after that.
-BOOST_AUTO_TEST_CASE(listThatIsOlderThanAnEndStartsNothing)
+// Guards against items that run after their job was cancelled. A new leader lists the open jobs,
+// one of them is cancelled, and only then are the listed jobs added to the executor.
+BOOST_AUTO_TEST_CASE(outdatedListDoesNotRestartACancelledJob)
 {
-    const wire::OpenJob listed = open("j");
+    const wire::OpenJob listed = openJob("j");
     executor.cancel("j");
     executor.add(listed);
     BOOST_TEST(executor.openItemCount() == 0u);
-    // Another leadership begins with what its own list says.
+    // After a new change of leadership, the job is run when the new list contains it.
     executor.stopAll();
     executor.add(listed);
     BOOST_TEST(executor.openItemCount() == 1u);
--- a/tests/jobs/statemachine_test.cpp
+++ b/tests/jobs/statemachine_test.cpp
@@ -26,10 +26,10 @@
 }
 
 template <typename Message>
-Outcome<Message> unpacked(const std::string &answer)
+Outcome<Message> decodeResponse(const std::string &response)
 {
     return outcomeOf([&]() -> Result<Message> {
-        BOOST_LEAF_AUTO(result, wire::decode<wire::CommandResult>(answer));
+        BOOST_LEAF_AUTO(result, wire::decode<wire::CommandResult>(response));
         if (result.failure.failed)
             return fail(wire::fromMessage(result.failure));
         return wire::decode<Message>(result.body);
@@ -40,7 +40,7 @@
 {
     Outcome<wire::JobCommandResult> perform(wire::JobOperation operation)
     {
-        return unpacked<wire::JobCommandResult>(
+        return decodeResponse<wire::JobCommandResult>(
                 machine->apply(++index, wire::encode(wire::JobCommand{std::move(operation)})));
     }
 
@@ -51,13 +51,13 @@
         request.workspace = workspace;
         request.job = id;
         request.after = after;
-        return unpacked<wire::ReadJobResponse>(
+        return decodeResponse<wire::ReadJobResponse>(
                 machine->query(wire::encode(wire::JobQuery{request})));
     }
 
-    wire::OpenJobs open()
+    wire::OpenJobs listOpenJobs()
     {
-        return unpacked<wire::OpenJobs>(
+        return decodeResponse<wire::OpenJobs>(
                        machine->query(wire::encode(wire::JobQuery{wire::ListOpenJobs{}})))
                 .value();
     }
@@ -76,18 +76,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(JobStateMachineTest, Fixture)
 
-// Guards against a resent job that runs a second time.
+// Guards against a job that runs a second time because its submission was resent.
 BOOST_AUTO_TEST_CASE(jobIsAcceptedOnce)
 {
     BOOST_TEST(perform(wire::AcceptJob{job("j", 2), 0}).value().isNew);
-    const auto again = perform(wire::AcceptJob{job("j", 2), 0});
-    BOOST_TEST(!again.value().isNew);
-    BOOST_TEST(!again.value().overLimit);
-    BOOST_TEST(open().jobs.size() == 1u);
+    const auto repeated = perform(wire::AcceptJob{job("j", 2), 0});
+    BOOST_TEST(!repeated.value().isNew);
+    BOOST_TEST(!repeated.value().overLimit);
+    BOOST_TEST(listOpenJobs().jobs.size() == 1u);
 }
 
-// Guards against a result that changes or moves after it was read.
-BOOST_AUTO_TEST_CASE(resultKeepsItsPlaceAndContent)
+// Guards against a result whose content or position changes after it was read.
+BOOST_AUTO_TEST_CASE(resultKeepsItsPositionAndContent)
 {
     perform(wire::AcceptJob{job("j", 3), 0});
     finish("j", "i2", "first");
@@ -100,14 +100,14 @@
     BOOST_TEST_REQUIRE(all.results.size() == 2u);
     BOOST_TEST(all.results[0].id == "i2");
     BOOST_TEST(all.results[0].output == "first");
-    const wire::ReadJobResponse rest = read("j", 1).value();
-    BOOST_TEST(rest.results.size() == 1u);
-    BOOST_TEST(rest.results[0].output == "second");
+    const wire::ReadJobResponse remaining = read("j", 1).value();
+    BOOST_TEST(remaining.results.size() == 1u);
+    BOOST_TEST(remaining.results[0].output == "second");
     BOOST_TEST(read("j", 2).value().results.empty());
     BOOST_TEST(read("j", 2).value().next == 2);
 }
 
-// Guards against jobs that are visible to another workspace.
+// Guards against access to a job from another workspace.
 BOOST_AUTO_TEST_CASE(jobOfAnotherWorkspaceIsNotFound)
 {
     perform(wire::AcceptJob{job("j", 1), 0});
@@ -116,13 +116,13 @@
     BOOST_TEST(!perform(wire::AcceptJob{job("j", 1, "v"), 0}).ok());
 }
 
-// Guards against more waiting tokens than a workspace is granted on a route.
+// Guards against a workspace that exceeds its limit of waiting tokens on a route.
 BOOST_AUTO_TEST_CASE(waitingTokensAreLimited)
 {
     BOOST_TEST(!perform(wire::AcceptJob{job("a", 2), 300}).value().overLimit);
     BOOST_TEST(perform(wire::AcceptJob{job("b", 2), 300}).value().overLimit);
     BOOST_TEST(!read("b").ok());
-    // A repeat of an accepted job is not counted again.
+    // The tokens of an accepted job are not counted again when the job is resent.
     BOOST_TEST(!perform(wire::AcceptJob{job("a", 2), 300}).value().overLimit);
     finish("a", "i0", "x");
     BOOST_TEST(!perform(wire::AcceptJob{job("b", 2), 300}).value().overLimit);
@@ -132,37 +132,38 @@
     BOOST_TEST(perform(wire::AcceptJob{job("d", 1), 300}).value().overLimit);
 }
 
-// Guards against items of an ended job that run again under a new executor.
+// Guards against items of an ended job that a new executor runs again.
 BOOST_AUTO_TEST_CASE(endedJobIsNotOpenAndKeepsItsResults)
 {
     perform(wire::AcceptJob{job("j", 2), 0});
     finish("j", "i0", "x");
     BOOST_TEST(perform(wire::EndJob{"w", "j"}).ok());
     BOOST_TEST(perform(wire::EndJob{"w", "j"}).ok());
-    BOOST_TEST(open().jobs.empty());
+    BOOST_TEST(listOpenJobs().jobs.empty());
     BOOST_TEST(read("j").value().results.size() == 1u);
 }
 
-// Guards against stored progress that is joined from two runs.
-BOOST_AUTO_TEST_CASE(progressOnlyGrowsWhereItEnds)
+// Guards against stored output that mixes the events of two runs of an item.
+BOOST_AUTO_TEST_CASE(progressIsAppendedOnlyAfterItsLastEvent)
 {
     perform(wire::AcceptJob{job("j", 1), 0});
-    const auto step = [&](std::int64_t after, std::int64_t last, const std::string &text) {
+    const auto appendProgress = [&](std::int64_t after, std::int64_t last,
+                                    const std::string &text) {
         perform(wire::AppendProgress{{{"j", "i0", after, last, text}}});
     };
-    step(-1, 2, "a\nb");
-    step(-1, 3, "x\ny\nz");
-    step(5, 7, "late");
-    step(2, 3, "c");
-    const wire::OpenJobs listed = open();
+    appendProgress(-1, 2, "a\nb");
+    appendProgress(-1, 3, "x\ny\nz");
+    appendProgress(5, 7, "late");
+    appendProgress(2, 3, "c");
+    const wire::OpenJobs listed = listOpenJobs();
     BOOST_TEST_REQUIRE(listed.jobs.at(0).progress.size() == 1u);
     BOOST_TEST(listed.jobs[0].progress[0].output == "a\nb\nc");
     BOOST_TEST(listed.jobs[0].progress[0].lastEvent == 3);
     finish("j", "i0", "a\nb\nc\nd");
-    BOOST_TEST(open().jobs.empty());
+    BOOST_TEST(listOpenJobs().jobs.empty());
 }
 
-BOOST_AUTO_TEST_CASE(onlyFinishedJobsAreForgotten)
+BOOST_AUTO_TEST_CASE(onlyFinishedJobsAreRemoved)
 {
     wire::JobRecord old = job("old", 1);
     old.acceptedAtMs = 1000;
@@ -174,7 +175,7 @@
     BOOST_TEST(!read("old").ok());
 }
 
-BOOST_AUTO_TEST_CASE(largeResultsComeInParts)
+BOOST_AUTO_TEST_CASE(largeResultsAreReadInParts)
 {
     perform(wire::AcceptJob{job("j", 3), 0});
     for (int i = 0; i < 3; ++i)
@@ -183,8 +184,8 @@
     BOOST_TEST(read("j", 1).value().next == 2);
 }
 
-// Guards against a restored replica that answers otherwise than the others.
-BOOST_AUTO_TEST_CASE(restoredReplicaAnswersLikeTheOriginal)
+// Guards against a replica that differs from the others after it was restored from a snapshot.
+BOOST_AUTO_TEST_CASE(restoredReplicaBehavesLikeTheOriginal)
 {
     std::mt19937 random(17);
     for (int step = 0; step < 300; ++step) {
@@ -206,12 +207,12 @@
                 perform(wire::EndJob{"w", id});
         }
     }
-    const auto other = jobs::makeJobStateMachine();
-    BOOST_REQUIRE(outcomeOf([&] { return other->restore(machine->snapshot()); }).ok());
-    BOOST_TEST(other->snapshot() == machine->snapshot());
+    const auto restored = jobs::makeJobStateMachine();
+    BOOST_REQUIRE(outcomeOf([&] { return restored->restore(machine->snapshot()); }).ok());
+    BOOST_TEST(restored->snapshot() == machine->snapshot());
     const std::string command =
             wire::encode(wire::JobCommand{wire::AcceptJob{job("new", 4), 2000}});
-    BOOST_TEST(other->apply(1, command) == machine->apply(index + 1, command));
+    BOOST_TEST(restored->apply(1, command) == machine->apply(index + 1, command));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
