--- a/src/replication/applythread.cpp
+++ b/src/replication/applythread.cpp
@@ -8,11 +8,11 @@
 namespace rattanrill::replication {
 namespace {
 
-Outcome<std::string> unpack(const std::string &answer)
+Outcome<std::string> unpack(const std::string &response)
 {
-    const auto result = outcomeOf([&] { return wire::decode<wire::CommandResult>(answer); });
+    const auto result = outcomeOf([&] { return wire::decode<wire::CommandResult>(response); });
     if (!result.ok())
-        return mayHaveRun(ErrorCode::Internal, "the state machine's answer is malformed");
+        return mayHaveRun(ErrorCode::Internal, "the state machine returned a malformed response");
     if (result.value().failure.failed)
         return wire::fromMessage(result.value().failure);
     return result.value().body;
@@ -64,7 +64,7 @@
         if (tasks.empty())
             break;
         for (Task &task : tasks)
-            std::visit([this](auto &known) { runTask(known); }, task);
+            std::visit([this](auto &alternative) { runTask(alternative); }, task);
     }
     for (auto &[index, read] : std::exchange(m_reads, {}))
         read.callback(notRun(ErrorCode::Stopped, "the replica has stopped"));
@@ -75,7 +75,7 @@
     for (CommittedEntry &committed : entries)
         applyEntry(committed);
     notifyApplied();
-    answerReads();
+    completeReadyReads();
     takeSnapshotIfDue();
 }
 
@@ -87,14 +87,14 @@
             committed.callback(mayHaveRun(ErrorCode::Stopped, "the replica has stopped"));
         return;
     }
-    std::string answer;
+    std::string response;
     if (entry.kind == EntryKind::Command)
-        answer = m_machine->apply(entry.index, entry.data);
+        response = m_machine->apply(entry.index, entry.data);
     m_appliedIndex = entry.index;
     m_appliedTerm = entry.term;
     m_bytesSinceSnapshot += sizeOf(entry);
     if (committed.callback)
-        committed.callback(unpack(answer));
+        committed.callback(unpack(response));
 }
 
 void ApplyThread::runTask(InstalledSnapshot &snapshot)
@@ -109,13 +109,13 @@
     m_appliedTerm = snapshot.meta.term;
     m_bytesSinceSnapshot = 0;
     notifyApplied();
-    answerReads();
+    completeReadyReads();
 }
 
 void ApplyThread::runTask(Read &read)
 {
     if (read.index <= m_appliedIndex)
-        answer(read);
+        completeRead(read);
     else
         m_reads.emplace(read.index, std::move(read));
 }
@@ -132,20 +132,21 @@
             ++it;
             continue;
         }
-        it->second.callback(notRun(ErrorCode::NoQuorum, "the replica did not catch up in time"));
+        it->second.callback(notRun(ErrorCode::NoQuorum,
+                                   "the replica did not apply the read index before the deadline"));
         it = m_reads.erase(it);
     }
 }
 
-void ApplyThread::answerReads()
+void ApplyThread::completeReadyReads()
 {
     while (!m_reads.empty() && m_reads.begin()->first <= m_appliedIndex) {
-        answer(m_reads.begin()->second);
+        completeRead(m_reads.begin()->second);
         m_reads.erase(m_reads.begin());
     }
 }
 
-void ApplyThread::answer(const Read &read)
+void ApplyThread::completeRead(const Read &read)
 {
     if (m_failed) {
         read.callback(notRun(ErrorCode::Stopped, "the replica has stopped"));
@@ -156,7 +157,7 @@
         read.callback(std::move(outcome));
         return;
     }
-    // A read has no effect whatever the answer says.
+    // A read has no effect, whatever effect state the failure carries.
     Failure failure = outcome.failure();
     failure.run = EffectState::NotRun;
     read.callback(std::move(failure));
--- a/src/replication/applythread.h
+++ b/src/replication/applythread.h
@@ -16,18 +16,18 @@
 
 using Callback = RaftNode::Callback;
 
-/// Owns the state machine: applies committed entries, answers reads, takes and restores snapshots
-/// and calls the callers back, all on one thread.
+/// Owns the state machine. One thread applies committed entries, evaluates reads, takes and
+/// restores snapshots and invokes the callbacks.
 class ApplyThread
 {
 public:
     struct CommittedEntry
     {
         Entry entry;
-        /// Of the local proposer, if any.
+        /// Callback of the local proposer; empty when there is none.
         Callback callback;
     };
-    /// A read whose index is known.
+    /// A read whose read index has been determined.
     struct Read
     {
         std::uint64_t index = 0;
@@ -37,7 +37,7 @@
     };
     struct Listener
     {
-        /// The state machine's snapshot after \a index, of entry term \a term.
+        /// Receives a snapshot of the state after the entry at \a index, which has term \a term.
         std::function<void(std::uint64_t index, std::uint64_t term, std::string data)>
                 snapshotTaken;
         std::function<void(const Failure &failure)> failed;
@@ -53,11 +53,11 @@
     void finish(Callback callback, Outcome<std::string> outcome);
     /// Fails reads whose deadline has passed.
     void expireReads(absl::Time now) { push(now); }
-    /// Allows the next snapshot.
+    /// Ends the pending snapshot, so that the next one may be taken.
     void snapshotDone() { m_snapshotPending = false; }
     void onApplied(std::function<void(std::uint64_t)> listener);
     std::uint64_t appliedIndex() const { return m_appliedIndex; }
-    /// Runs what is queued, fails the reads that still wait, and ends the thread.
+    /// Runs the queued tasks, fails the pending reads and ends the thread.
     void stop();
 
 private:
@@ -77,8 +77,8 @@
     void runTask(Finished &finished);
     void runTask(absl::Time &now);
     void applyEntry(CommittedEntry &committed);
-    void answerReads();
-    void answer(const Read &read);
+    void completeReadyReads();
+    void completeRead(const Read &read);
     void takeSnapshotIfDue();
     void notifyApplied();
 
--- a/src/replication/calllimit.h
+++ b/src/replication/calllimit.h
@@ -7,7 +7,7 @@
 
 namespace rattanrill::replication {
 
-/// Bounds the open calls of a group by number and bytes.
+/// Limits the open calls of a replica by number and total bytes.
 class CallLimit
 {
 public:
@@ -16,7 +16,7 @@
         , m_maxBytes(maxBytes)
     {}
 
-    /// False when the limit is reached; otherwise release() follows.
+    /// Returns false when the limit is reached. After true, the caller must call release().
     bool acquire(std::size_t bytes)
     {
         const std::int64_t calls = m_calls.fetch_add(1) + 1;
--- a/src/replication/filestorage.cpp
+++ b/src/replication/filestorage.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view temporarySuffix = ".tmp";
 constexpr std::size_t incarnationBytes = 12;
 
-/// Fixed width, so that names sort by number.
+/// The number has a fixed width, so that names sort by number.
 std::string numberedName(std::string_view prefix, std::uint64_t number)
 {
     char digits[17];
@@ -63,12 +63,12 @@
 {
     BOOST_LEAF_CHECK(m_fileSystem.createFolder(m_options.folder));
     BOOST_LEAF_ASSIGN(m_lock, m_fileSystem.lock(path(lockName)));
-    BOOST_LEAF_CHECK(removeLeftovers());
+    BOOST_LEAF_CHECK(removeTemporaryFiles());
     BOOST_LEAF_CHECK(readIdentity());
     state.incarnation = m_identity.incarnation;
     BOOST_LEAF_CHECK(readSnapshotFile(state));
     BOOST_LEAF_CHECK(readSegments(state));
-    BOOST_LEAF_CHECK(joinSnapshotAndLog(state));
+    BOOST_LEAF_CHECK(reconcileSnapshotAndLog(state));
     if (m_hardState.founders.empty()) {
         for (const ReplicaId &id : m_identity.founders)
             m_hardState.founders[id] = id == m_options.self ? m_identity.incarnation : "";
@@ -77,7 +77,7 @@
     return {};
 }
 
-Result<void> FileStorage::removeLeftovers()
+Result<void> FileStorage::removeTemporaryFiles()
 {
     BOOST_LEAF_AUTO(names, m_fileSystem.list(m_options.folder));
     for (const std::string &name : names) {
@@ -91,7 +91,7 @@
 {
     BOOST_LEAF_AUTO(names, m_fileSystem.list(m_options.folder));
     if (std::find(names.begin(), names.end(), identityName) == names.end()) {
-        BOOST_LEAF_CHECK(removeUnfinishedFormat(names));
+        BOOST_LEAF_CHECK(removeUnfinishedInitialization(names));
         return createIdentity();
     }
     const std::string file = path(identityName);
@@ -104,7 +104,7 @@
     return {};
 }
 
-Result<void> FileStorage::removeUnfinishedFormat(const std::vector<std::string> &names)
+Result<void> FileStorage::removeUnfinishedInitialization(const std::vector<std::string> &names)
 {
     const std::string firstSegment = numberedName(segmentPrefix, 1);
     for (const std::string &name : names) {
@@ -112,14 +112,15 @@
             continue;
         bool isUnused = false;
         if (name == firstSegment) {
-            // The identity is written last; a segment that was used had one.
+            // The identity is written last, so a segment without one has never been used.
             BOOST_LEAF_AUTO(bytes, m_fileSystem.read(path(name)));
             const std::string head = encodeSegmentHeader(1, 0);
             isUnused = bytes.size() == head.size();
         }
         if (!isUnused)
-            return fail(notRun(ErrorCode::IdentityMismatch,
-                               concat(m_options.folder, ": has \"", name, "\" but no identity")));
+            return fail(
+                    notRun(ErrorCode::IdentityMismatch, concat(m_options.folder, ": contains \"",
+                                                               name, "\" but no identity file")));
         BOOST_LEAF_CHECK(m_fileSystem.remove(path(name)));
     }
     return {};
@@ -150,11 +151,12 @@
     BOOST_LEAF_AUTO(bytes, m_fileSystem.read(file));
     BOOST_LEAF_AUTO(content, decodeSnapshot(file, bytes));
     if (content.meta.index != numberOf(snapshotPrefix, snapshots.back()))
-        return fail(notRun(ErrorCode::CorruptData,
-                           concat(file, ": the snapshot has another index than its name")));
+        return fail(
+                notRun(ErrorCode::CorruptData,
+                       concat(file, ": the snapshot index differs from the one in the file name")));
     state.start.snapshot = content.meta;
     state.snapshotData = bytes.substr(content.dataOffset);
-    noteSnapshot(content.meta, content.dataOffset, state.snapshotData.size());
+    recordSnapshot(content.meta, content.dataOffset, state.snapshotData.size());
     snapshots.pop_back();
     for (const std::string &name : snapshots)
         BOOST_LEAF_CHECK(m_fileSystem.remove(path(name)));
@@ -177,7 +179,7 @@
                                       ": damaged frame in a segment that is not the last")));
         if (!m_segments.empty() && *sequence != m_segments.back().sequence + 1)
             return fail(notRun(ErrorCode::CorruptData,
-                               concat(file, ": the segment before it is missing")));
+                               concat(file, ": the preceding segment is missing")));
         BOOST_LEAF_AUTO(bytes, m_fileSystem.read(file));
         BOOST_LEAF_ASSIGN(last, decodeSegment(file, bytes, *sequence, identityHash()));
         m_segments.push_back({*sequence, 0});
@@ -185,8 +187,9 @@
             BOOST_LEAF_CHECK(replay(file, record, state));
     }
     if (m_segments.empty())
-        return fail(notRun(ErrorCode::CorruptData,
-                           concat(m_options.folder, ": has an identity but no log segment")));
+        return fail(
+                notRun(ErrorCode::CorruptData,
+                       concat(m_options.folder, ": contains an identity file but no log segment")));
     return openLastSegment(last);
 }
 
@@ -224,12 +227,12 @@
             {{"file", file}, {"bytes", content.intactBytes}, {"group", m_options.group}});
         BOOST_LEAF_CHECK(m_file->truncate(content.intactBytes));
     }
-    // What was read may not have been synced before a crash of the process.
+    // The process may have crashed before it synced what was read here.
     BOOST_LEAF_CHECK(m_file->sync());
     return m_fileSystem.syncFolder(m_options.folder);
 }
 
-Result<void> FileStorage::joinSnapshotAndLog(StoredState &state)
+Result<void> FileStorage::reconcileSnapshotAndLog(StoredState &state)
 {
     const SnapshotMeta &snapshot = state.start.snapshot;
     std::vector<Entry> &log = state.start.entries;
@@ -245,7 +248,8 @@
     const bool conflicts =
             coversSnapshot && log[snapshot.index - log.front().index].term != snapshot.term;
     if (isOlder || conflicts) {
-        // An installed snapshot replaces the log; the change of segments was interrupted.
+        // An installed snapshot replaces the log. The process stopped before it had switched to a
+        // new segment.
         log.clear();
         BOOST_LEAF_CHECK(startSegment(snapshot.index));
         return removeSegmentsBefore(m_segments.back().sequence);
@@ -257,7 +261,7 @@
     return {};
 }
 
-Result<void> FileStorage::guarded(const std::function<Result<void>()> &operation)
+Result<void> FileStorage::runLatchingFailure(const std::function<Result<void>()> &operation)
 {
     if (m_failure)
         return fail(*m_failure);
@@ -271,7 +275,7 @@
 
 Result<void> FileStorage::write(const std::vector<PersistRequest> &requests)
 {
-    return guarded([&]() -> Result<void> {
+    return runLatchingFailure([&]() -> Result<void> {
         LogRecord record;
         for (const PersistRequest &request : requests) {
             if (request.hardState)
@@ -291,7 +295,7 @@
     const std::string frame = encodeFrame(sequence, m_fileBytes, encodeLogRecord(record));
     const Outcome<Done> written = outcomeOf([&] { return m_file->append(frame); });
     if (!written.ok()) {
-        // The next frame must not follow a part of this one.
+        // The next frame must not follow a partially written one.
         BOOST_LEAF_CHECK(m_file->truncate(m_fileBytes));
         return fail(written.failure());
     }
@@ -306,7 +310,7 @@
 
 Result<void> FileStorage::startSegment(std::optional<std::uint64_t> resetIndex)
 {
-    // The hard state is repeated, so that older segments can be removed.
+    // Each segment starts with the hard state, so that older segments can be removed.
     const std::uint64_t sequence = m_segments.back().sequence + 1;
     const std::string header = encodeSegmentHeader(sequence, identityHash());
     LogRecord first;
@@ -325,7 +329,7 @@
                                     std::string_view data)
 {
     const std::string temporary = path(concat(name, temporarySuffix));
-    // Left over from a full disk.
+    // A write that failed on a full disk may have left the temporary file behind.
     BOOST_LEAF_CHECK(m_fileSystem.remove(temporary));
     BOOST_LEAF_AUTO(file, m_fileSystem.openAppend(temporary));
     BOOST_LEAF_CHECK(file->append(head));
@@ -341,14 +345,14 @@
     const std::string header = encodeSnapshotHeader(snapshot.meta, *snapshot.data);
     const std::string name = numberedName(snapshotPrefix, snapshot.meta.index);
     BOOST_LEAF_CHECK(writeFile(name, header, *snapshot.data));
-    noteSnapshot(snapshot.meta, header.size(), snapshot.data->size());
+    recordSnapshot(snapshot.meta, header.size(), snapshot.data->size());
     if (previous == 0 || previous == snapshot.meta.index)
         return {};
     return m_fileSystem.remove(path(numberedName(snapshotPrefix, previous)));
 }
 
-void FileStorage::noteSnapshot(const SnapshotMeta &meta, std::uint64_t dataOffset,
-                               std::uint64_t dataSize)
+void FileStorage::recordSnapshot(const SnapshotMeta &meta, std::uint64_t dataOffset,
+                                 std::uint64_t dataSize)
 {
     m_snapshotIndex = meta.index;
     m_snapshotDataOffset = dataOffset;
@@ -357,7 +361,7 @@
 
 Result<void> FileStorage::install(const PersistRequest &request)
 {
-    return guarded([&]() -> Result<void> {
+    return runLatchingFailure([&]() -> Result<void> {
         BOOST_LEAF_CHECK(writeSnapshotFile(*request.snapshot));
         BOOST_LEAF_CHECK(startSegment(request.snapshot->meta.index));
         BOOST_LEAF_CHECK(removeSegmentsBefore(m_segments.back().sequence));
@@ -372,7 +376,7 @@
 
 Result<void> FileStorage::saveSnapshot(const InstalledSnapshot &snapshot)
 {
-    return guarded([&]() -> Result<void> {
+    return runLatchingFailure([&]() -> Result<void> {
         if (snapshot.meta.index <= m_snapshotIndex)
             return {};
         BOOST_LEAF_CHECK(writeSnapshotFile(snapshot));
@@ -388,7 +392,7 @@
 
 Result<void> FileStorage::removeSegmentsBefore(std::uint64_t sequence)
 {
-    // Oldest first, so that an interruption leaves no gap.
+    // Removes the oldest first, so that an interruption leaves no gap.
     while (m_segments.front().sequence < sequence) {
         const std::string name = numberedName(segmentPrefix, m_segments.front().sequence);
         BOOST_LEAF_CHECK(m_fileSystem.remove(path(name)));
--- a/src/replication/filestorage.h
+++ b/src/replication/filestorage.h
@@ -13,15 +13,17 @@
     std::string folder;
     std::string group;
     ReplicaId self;
-    /// Voters of a new group, noted when the folder is created.
+    /// Voters of a new group; stored when the folder is created.
     std::vector<ReplicaId> founders;
-    /// A new segment is started beyond this size.
+    /// A new segment is started once the current one is larger than this.
     std::uint64_t segmentBytes = 8u << 20;
-    /// hasSpace() is false below this many free bytes; at least the writes that can be under way.
+    /// hasSpace() is false below this many free bytes. Must be at least the size of the writes that
+    /// can be in progress.
     std::uint64_t reserveBytes = 16u << 20;
 };
 
-/// Storage in one folder: `identity`, segments `log-SEQUENCE` and one `snapshot-INDEX`.
+/// Storage in one folder, which contains the file `identity`, the log segments `log-SEQUENCE` and
+/// at most one `snapshot-INDEX`.
 class FileStorage : public Storage
 {
 public:
@@ -41,7 +43,7 @@
     struct Segment
     {
         std::uint64_t sequence = 0;
-        /// Highest index of its entries.
+        /// Highest index of the entries in this segment; 0 when there are none.
         std::uint64_t highestIndex = 0;
     };
 
@@ -49,24 +51,25 @@
 
     // Opening
     Result<void> openFolder(StoredState &state);
-    Result<void> removeLeftovers();
+    Result<void> removeTemporaryFiles();
     Result<void> readIdentity();
     Result<void> createIdentity();
-    Result<void> removeUnfinishedFormat(const std::vector<std::string> &names);
+    Result<void> removeUnfinishedInitialization(const std::vector<std::string> &names);
     Result<void> readSnapshotFile(StoredState &state);
     Result<void> readSegments(StoredState &state);
     Result<void> replay(const std::string &path, const LogRecord &record, StoredState &state);
-    Result<void> joinSnapshotAndLog(StoredState &state);
+    Result<void> reconcileSnapshotAndLog(StoredState &state);
     Result<void> openLastSegment(const SegmentContent &content);
 
-    // Writing; a failure other than DiskFull is noted by guarded().
-    Result<void> guarded(const std::function<Result<void>()> &operation);
+    // Writing. runLatchingFailure() stores a failure other than DiskFull and returns it for every
+    // later call.
+    Result<void> runLatchingFailure(const std::function<Result<void>()> &operation);
     Result<void> appendRecord(const LogRecord &record);
     Result<void> startSegment(std::optional<std::uint64_t> resetIndex);
     Result<void> writeFile(const std::string &name, std::string_view head, std::string_view data);
     Result<void> writeSnapshotFile(const InstalledSnapshot &snapshot);
     Result<void> removeSegmentsBefore(std::uint64_t sequence);
-    void noteSnapshot(const SnapshotMeta &meta, std::uint64_t dataOffset, std::uint64_t dataSize);
+    void recordSnapshot(const SnapshotMeta &meta, std::uint64_t dataOffset, std::uint64_t dataSize);
 
     std::string path(std::string_view name) const;
     std::uint64_t identityHash() const;
--- a/src/replication/filesystem.cpp
+++ b/src/replication/filesystem.cpp
@@ -16,14 +16,15 @@
 namespace rattanrill::replication {
 namespace {
 
-Failure systemFailure(ErrorCode code, std::string_view what, const std::string &path, int error)
+Failure systemFailure(ErrorCode code, std::string_view operation, const std::string &path,
+                      int error)
 {
     const bool isFull = error == ENOSPC || error == EDQUOT;
     return notRun(isFull && code == ErrorCode::IoError ? ErrorCode::DiskFull : code,
-                  concat(what, " \"", path, "\": ", std::strerror(error)));
+                  concat(operation, " \"", path, "\": ", std::strerror(error)));
 }
 
-/// Closes a descriptor.
+/// Owns a file descriptor and closes it on destruction.
 class Descriptor
 {
 public:
@@ -68,7 +69,8 @@
 
     Result<void> sync() override
     {
-        // Not repeated on failure: the kernel may have dropped the pages that it could not write.
+        // Must not be retried after a failure: the kernel may have dropped the pages that it could
+        // not write, and a second fdatasync() could then succeed.
         if (::fdatasync(m_descriptor.get()) != 0)
             return fail(systemFailure(ErrorCode::FsyncFailed, "sync", m_path, errno));
         return {};
@@ -126,16 +128,17 @@
         std::string data;
         std::string buffer(std::size_t(1) << 20, '\0');
         while (data.size() < length) {
-            const std::size_t wanted = std::min<std::uint64_t>(buffer.size(), length - data.size());
-            const off_t place = static_cast<off_t>(offset + data.size());
-            const ssize_t got = ::pread(file.get(), buffer.data(), wanted, place);
-            if (got < 0 && errno == EINTR)
+            const std::size_t chunkBytes =
+                    std::min<std::uint64_t>(buffer.size(), length - data.size());
+            const off_t position = static_cast<off_t>(offset + data.size());
+            const ssize_t readBytes = ::pread(file.get(), buffer.data(), chunkBytes, position);
+            if (readBytes < 0 && errno == EINTR)
                 continue;
-            if (got < 0)
+            if (readBytes < 0)
                 return fail(systemFailure(ErrorCode::IoError, "read", path, errno));
-            if (got == 0)
+            if (readBytes == 0)
                 break;
-            data.append(buffer, 0, static_cast<std::size_t>(got));
+            data.append(buffer, 0, static_cast<std::size_t>(readBytes));
         }
         return data;
     }
--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -11,13 +11,13 @@
 namespace rattanrill::replication {
 namespace {
 
-/// Open proposals, reads and membership changes of one replica.
+/// Maximum number and bytes of the open proposals, reads and membership changes of one replica.
 constexpr std::int64_t maxOpenCalls = 32768;
 constexpr std::int64_t maxOpenBytes = std::int64_t(64) << 20;
-/// Received messages beyond this are dropped; their sender repeats them.
+/// Received messages beyond this many queued bytes are dropped; the sender resends them.
 constexpr std::int64_t maxQueuedMessageBytes = std::int64_t(64) << 20;
-/// A call without result is given up after this many election timeouts.
-constexpr int callTimeouts = 25;
+/// A call without a result fails after this many election timeouts.
+constexpr int callElectionTimeouts = 25;
 
 Failure stoppedFailure(const std::optional<Failure> &reason)
 {
@@ -86,7 +86,7 @@
     ApplyThread::Listener listener;
     listener.snapshotTaken = [this](std::uint64_t index, std::uint64_t term, std::string data) {
         m_inbox.push([this, index, term, data = std::move(data)]() mutable {
-            noteSnapshotTaken(index, term, std::move(data));
+            handleSnapshotTaken(index, term, std::move(data));
         });
     };
     listener.failed = [this](const Failure &failure) {
@@ -95,7 +95,7 @@
     return listener;
 }
 
-Callback GroupDriver::limited(Callback callback, std::size_t bytes)
+Callback GroupDriver::withCallLimit(Callback callback, std::size_t bytes)
 {
     if (!m_calls.acquire(bytes)) {
         callback(notRun(ErrorCode::QueueFull, "too many calls are open"));
@@ -115,7 +115,7 @@
 
 void GroupDriver::propose(std::string command, Callback callback)
 {
-    callback = limited(std::move(callback), command.size());
+    callback = withCallLimit(std::move(callback), command.size());
     if (!callback)
         return;
     post([this, command = std::move(command),
@@ -135,7 +135,7 @@
 
 void GroupDriver::startRead(StartRead start, std::string query, Callback callback)
 {
-    callback = limited(std::move(callback), query.size());
+    callback = withCallLimit(std::move(callback), query.size());
     if (!callback)
         return;
     const auto begin = [this, start, query = std::move(query), callback]() mutable {
@@ -163,7 +163,7 @@
 void GroupDriver::changeMembers(const ReplicaId &member, const ReplicaId &replaced,
                                 Callback callback)
 {
-    callback = limited(std::move(callback), 0);
+    callback = withCallLimit(std::move(callback), 0);
     if (!callback)
         return;
     const auto begin = [this, member, replaced, callback]() mutable {
@@ -192,10 +192,10 @@
         return;
     }
     decoded.value().from = from;
-    m_inbox.push([this, size, known = std::move(decoded.value())] {
+    m_inbox.push([this, size, incoming = std::move(decoded.value())] {
         m_queuedMessageBytes.fetch_sub(size);
         if (!m_stopReason)
-            m_core.step(known);
+            m_core.step(incoming);
     });
 }
 
@@ -248,7 +248,7 @@
             handleOutput();
         publishStatus();
     }
-    failEverything(mayHaveRun(ErrorCode::Stopped, "the replica has stopped"));
+    failOpenCalls(mayHaveRun(ErrorCode::Stopped, "the replica has stopped"));
 }
 
 absl::Duration GroupDriver::timeToDeadline() const
@@ -270,7 +270,7 @@
         m_apply.finish(std::move(callback), position.failure());
         return;
     }
-    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callTimeouts;
+    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callElectionTimeouts;
     OpenProposal proposal{position.value().term, std::move(callback), deadline};
     m_proposals.insert_or_assign(position.value().index, std::move(proposal));
 }
@@ -317,7 +317,8 @@
                 callback = std::move(proposal->second.callback);
             else
                 m_apply.finish(std::move(proposal->second.callback),
-                               mayHaveRun(ErrorCode::ProposalLost, "another entry took its place"));
+                               mayHaveRun(ErrorCode::ProposalLost,
+                                          "another entry was committed at its index"));
             m_proposals.erase(proposal);
         }
         committed.push_back({std::move(entry), std::move(callback)});
@@ -327,7 +328,7 @@
 
 void GroupDriver::finishReads(const std::vector<ReadResult> &results)
 {
-    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callTimeouts;
+    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callElectionTimeouts;
     for (const ReadResult &result : results) {
         const auto found = m_reads.find(result.token);
         if (found == m_reads.end())
@@ -371,14 +372,15 @@
     m_apply.expireReads(now);
     while (!m_proposals.empty() && m_proposals.begin()->second.deadline <= now) {
         m_apply.finish(std::move(m_proposals.begin()->second.callback),
-                       mayHaveRun(ErrorCode::NoQuorum, "no quorum has stored the command in time"));
+                       mayHaveRun(ErrorCode::NoQuorum,
+                                  "no quorum stored the command before the deadline"));
         m_proposals.erase(m_proposals.begin());
     }
 }
 
-void GroupDriver::noteSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data)
+void GroupDriver::handleSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data)
 {
-    // An installed snapshot may have overtaken it.
+    // A newer snapshot may have been installed meanwhile.
     if (m_stopReason || index <= m_core.snapshot().index) {
         m_apply.snapshotDone();
         return;
@@ -398,10 +400,10 @@
         {{"group", m_options.group},
          {"code", std::string(name(failure.code))},
          {"detail", failure.detail}});
-    failEverything(mayHaveRun(ErrorCode::Stopped, describe(failure)));
+    failOpenCalls(mayHaveRun(ErrorCode::Stopped, describe(failure)));
 }
 
-void GroupDriver::failEverything(const Failure &failure)
+void GroupDriver::failOpenCalls(const Failure &failure)
 {
     failProposals(failure);
     for (auto &[token, callback] : std::exchange(m_changes, {}))
--- a/src/replication/groupdriver.h
+++ b/src/replication/groupdriver.h
@@ -10,15 +10,15 @@
 
 namespace rattanrill::replication {
 
-/// RaftNode over a RaftCore, which runs on a thread of its own and hands disk work to a
-/// StorageThread and state-machine work to an ApplyThread. Callbacks come on the apply thread.
+/// RaftNode that runs a RaftCore on a thread of its own. Disk operations run on a StorageThread,
+/// state machine operations and callbacks on an ApplyThread.
 class GroupDriver : public RaftNode
 {
 public:
     struct Parts
     {
         std::unique_ptr<Storage> storage;
-        /// Restored to start.snapshot.
+        /// Its state must already be that of start.snapshot.
         std::unique_ptr<StateMachine> machine;
         RaftStart start;
         RaftOptions raft;
@@ -54,7 +54,7 @@
         Callback callback;
     };
 
-    Callback limited(Callback callback, std::size_t bytes);
+    Callback withCallLimit(Callback callback, std::size_t bytes);
     void post(Task task, const Callback &callback);
     void startRead(StartRead start, std::string query, Callback callback);
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, Callback callback);
@@ -70,9 +70,9 @@
     void finishChanges(const std::vector<ChangeResult> &results);
     void failProposals(const Failure &failure);
     void expireCalls();
-    void noteSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data);
+    void handleSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data);
     void stopReplica(const Failure &failure);
-    void failEverything(const Failure &failure);
+    void failOpenCalls(const Failure &failure);
     void publishStatus();
     void logRoleChange(const RaftNodeStatus &before, const RaftNodeStatus &now) const;
 
--- a/src/replication/logformat.cpp
+++ b/src/replication/logformat.cpp
@@ -60,7 +60,7 @@
     LogRecord record;
     while (!bytes.empty()) {
         if (bytes.size() < 5 || bytes.size() - 5 < uint32At(bytes, 1))
-            return fail(notRun(ErrorCode::MalformedMessage, "part of a log record is cut"));
+            return fail(notRun(ErrorCode::MalformedMessage, "a part of a log record is truncated"));
         const std::size_t size = uint32At(bytes, 1);
         const auto tag = static_cast<RecordTag>(bytes[0]);
         BOOST_LEAF_CHECK(decodePart(record, tag, bytes.substr(5, size)));
@@ -69,17 +69,18 @@
     return record;
 }
 
-/// Checksum of a frame; its place takes part, so that stale or moved frames do not count.
+/// Checksum of a frame. It covers the position of the frame, so that stale or moved frames are
+/// invalid.
 std::uint64_t frameChecksum(std::uint64_t sequence, std::uint64_t offset, std::string_view payload)
 {
-    std::string place;
-    putUint64(place, sequence);
-    putUint64(place, offset);
-    putUint64(place, payload.size());
-    return stableHash(payload, stableHash(place));
+    std::string position;
+    putUint64(position, sequence);
+    putUint64(position, offset);
+    putUint64(position, payload.size());
+    return stableHash(payload, stableHash(position));
 }
 
-/// Payload of an intact frame at \a offset.
+/// Payload of the frame at \a offset; empty when there is no intact frame.
 std::optional<std::string_view> frameAt(std::string_view bytes, std::uint64_t sequence,
                                         std::uint64_t offset)
 {
@@ -94,17 +95,17 @@
     return payload;
 }
 
-/// Whether an intact frame follows somewhere after \a offset: then the damage at \a offset is not
-/// an interrupted write.
+/// Whether an intact frame follows anywhere after \a offset. If so, the damage at \a offset is not
+/// due to an interrupted write.
 bool hasLaterFrame(std::string_view bytes, std::uint64_t sequence, std::uint64_t offset)
 {
     std::string magic;
     putUint32(magic, frameMagic);
-    std::size_t place = bytes.find(magic, offset + 1);
-    while (place != std::string_view::npos) {
-        if (frameAt(bytes, sequence, place))
+    std::size_t position = bytes.find(magic, offset + 1);
+    while (position != std::string_view::npos) {
+        if (frameAt(bytes, sequence, position))
             return true;
-        place = bytes.find(magic, place + 1);
+        position = bytes.find(magic, position + 1);
     }
     return false;
 }
@@ -120,7 +121,7 @@
         return fail(notRun(ErrorCode::UnsupportedFormat,
                            concat(path, ": format version ", uint32At(bytes, 4))));
     if (uint64At(bytes, 8) != sequence)
-        return fail(corrupt(path, 8, "the segment has another number than its name"));
+        return fail(corrupt(path, 8, "the segment number differs from the one in the file name"));
     if (uint64At(bytes, 16) != identityHash)
         return fail(notRun(ErrorCode::IdentityMismatch,
                            concat(path, ": the segment belongs to another replica")));
@@ -184,7 +185,7 @@
         offset += frameHeaderBytes + payload->size();
     }
     if (hasLaterFrame(bytes, sequence, offset))
-        return fail(corrupt(path, offset, "damaged frame before intact ones"));
+        return fail(corrupt(path, offset, "a damaged frame is followed by an intact one"));
     content.intactBytes = offset;
     content.isTorn = offset < bytes.size();
     return content;
@@ -215,7 +216,8 @@
     const std::uint64_t metaSize = uint64At(bytes, 8);
     const std::uint64_t dataSize = uint64At(bytes, 16);
     if (bytes.size() != snapshotHeaderBytes + metaSize + dataSize)
-        return fail(corrupt(path, bytes.size(), "the snapshot has another size than it says"));
+        return fail(corrupt(path, bytes.size(),
+                            "the file size differs from the size in the snapshot header"));
     SnapshotContent content;
     content.dataOffset = snapshotHeaderBytes + metaSize;
     const std::string_view meta = bytes.substr(snapshotHeaderBytes, metaSize);
--- a/src/replication/main_bench.cpp
+++ b/src/replication/main_bench.cpp
@@ -16,18 +16,18 @@
 #include <iostream>
 #include <map>
 
-/// rattanrill-bench-replication: measures a group whose replicas run in this process, with real
-/// files and syncs, joined by direct calls. Prints one JSON line for each measurement.
+/// rattanrill-bench-replication: measures a group whose replicas run in this process. Files and
+/// syncs are real; messages are direct calls. Prints one JSON line for each measurement.
 /// Usage: rattanrill-bench-replication [FOLDER]
 namespace rattanrill::replication {
 namespace {
 
 constexpr std::size_t commandBytes = 200;
-constexpr absl::Duration measureTime = absl::Seconds(3);
-constexpr absl::Duration patience = absl::Seconds(30);
-constexpr int failovers = 9;
+constexpr absl::Duration measurementTime = absl::Seconds(3);
+constexpr absl::Duration leaderTimeout = absl::Seconds(30);
+constexpr int failoverRuns = 9;
 
-/// Counts commands and keeps the last ones, so that a snapshot has a fixed size.
+/// Keeps the last 1024 commands, so that the size of a snapshot is bounded.
 class BenchMachine : public StateMachine
 {
 public:
@@ -53,7 +53,7 @@
     std::map<std::uint64_t, std::string> m_values;
 };
 
-/// Replicas in this process.
+/// A group whose replicas run in this process.
 class BenchGroup
 {
 public:
@@ -114,11 +114,11 @@
 
     ReplicaId waitForLeader()
     {
-        const absl::Time deadline = absl::Now() + patience;
+        const absl::Time deadline = absl::Now() + leaderTimeout;
         while (absl::Now() < deadline) {
             for (const ReplicaId &id : m_ids) {
-                const auto known = replica(id);
-                if (known && known->status().role == Role::Leader)
+                const auto node = replica(id);
+                if (node && node->status().role == Role::Leader)
                     return id;
             }
             absl::SleepFor(absl::Milliseconds(1));
@@ -127,17 +127,18 @@
         std::exit(1);
     }
 
-    /// Proposes until one command is accepted.
+    /// Proposes until one command succeeds.
     void writeOnce()
     {
         while (true) {
             absl::Notification done;
             bool ok = false;
             replica(waitForLeader())
-                    ->propose(std::string(commandBytes, 'x'), [&](const Outcome<std::string> &got) {
-                        ok = got.ok();
-                        done.Notify();
-                    });
+                    ->propose(std::string(commandBytes, 'x'),
+                              [&](const Outcome<std::string> &outcome) {
+                                  ok = outcome.ok();
+                                  done.Notify();
+                              });
             done.WaitForNotification();
             if (ok)
                 return;
@@ -165,19 +166,19 @@
     std::map<ReplicaId, std::shared_ptr<RaftNode>> m_replicas ABSL_GUARDED_BY(m_mutex);
 };
 
-/// Closed loop: each of a number of clients has one write open.
+/// Closed-loop load: each client always has one open write.
 class WriteLoad
 {
 public:
     WriteLoad(std::shared_ptr<RaftNode> leader, int clients)
         : m_leader(std::move(leader))
-        , m_open(clients)
+        , m_openWrites(clients)
     {
         for (int i = 0; i < clients; ++i)
             startWrite();
     }
 
-    /// Latencies in seconds of the writes that ended within \a time, sorted.
+    /// Runs the load for \a time and returns the sorted latencies of its writes in seconds.
     std::vector<double> run(absl::Duration time)
     {
         absl::SleepFor(time);
@@ -197,16 +198,16 @@
                                   m_latencies.push_back(absl::ToDoubleSeconds(absl::Now() - start));
                               if (!m_stopping && outcome.ok())
                                   startWrite();
-                              else if (--m_open == 0)
+                              else if (--m_openWrites == 0)
                                   m_finished.Notify();
                           });
     }
 
     const std::shared_ptr<RaftNode> m_leader;
-    std::atomic<int> m_open;
+    std::atomic<int> m_openWrites;
     std::atomic<bool> m_stopping = false;
     absl::Notification m_finished;
-    /// Callbacks come on one thread.
+    /// Not guarded: all callbacks run on one thread.
     std::vector<double> m_latencies;
 };
 
@@ -227,13 +228,13 @@
     BenchGroup group(folder, replicas, 64u << 20);
     group.writeOnce();
     WriteLoad load(group.replica(group.waitForLeader()), clients);
-    const std::vector<double> latencies = load.run(measureTime);
+    const std::vector<double> latencies = load.run(measurementTime);
     print({{"measure", "writes"},
            {"replicas", replicas},
            {"clients", clients},
            {"command_bytes", commandBytes},
            {"writes_per_s",
-            static_cast<double>(latencies.size()) / absl::ToDoubleSeconds(measureTime)},
+            static_cast<double>(latencies.size()) / absl::ToDoubleSeconds(measurementTime)},
            {"p50_ms", quantile(latencies, 0.5) * 1e3},
            {"p99_ms", quantile(latencies, 0.99) * 1e3}});
 }
@@ -242,7 +243,7 @@
 {
     BenchGroup group(folder, replicas, 64u << 20);
     std::vector<double> times;
-    for (int i = 0; i < failovers; ++i) {
+    for (int i = 0; i < failoverRuns; ++i) {
         group.writeOnce();
         const ReplicaId leader = group.waitForLeader();
         group.close(leader);
@@ -254,22 +255,22 @@
     std::sort(times.begin(), times.end());
     print({{"measure", "failover_to_first_write"},
            {"replicas", replicas},
-           {"runs", failovers},
+           {"runs", failoverRuns},
            {"election_timeout_ms", 400},
            {"median_s", quantile(times, 0.5)},
            {"max_s", times.back()}});
 }
 
-void fill(RaftNode &replica, std::uint64_t megabytes)
+void fillLog(RaftNode &replica, std::uint64_t megabytes)
 {
-    constexpr std::size_t largeCommand = 16u << 10;
-    const std::uint64_t count = (megabytes << 20) / largeCommand;
+    constexpr std::size_t largeCommandBytes = 16u << 10;
+    const std::uint64_t count = (megabytes << 20) / largeCommandBytes;
     std::atomic<std::uint64_t> done = 0;
     for (std::uint64_t i = 0; i < count; ++i) {
-        // Bounded, so that the group does not refuse with QueueFull.
+        // Limits the open proposals, so that the group does not refuse them with QueueFull.
         while (i - done > 512)
             absl::SleepFor(absl::Microseconds(200));
-        replica.propose(std::string(largeCommand, 'x'),
+        replica.propose(std::string(largeCommandBytes, 'x'),
                         [&done](const Outcome<std::string> &) { ++done; });
     }
     while (done < count)
@@ -281,7 +282,7 @@
     const std::uint64_t snapshotAfter = snapshots ? 16u << 20 : UINT64_MAX;
     BenchGroup group(folder, 1, snapshotAfter);
     group.writeOnce();
-    fill(*group.replica("r0"), megabytes);
+    fillLog(*group.replica("r0"), megabytes);
     group.close("r0");
     const absl::Time start = absl::Now();
     group.open("r0");
@@ -320,9 +321,9 @@
         std::cerr << "cannot create a folder in " << base << "\n";
         return 1;
     }
-    rattanrill::LogSettings quiet;
-    quiet.level = rattanrill::LogLevel::Error;
-    rattanrill::initLogging(quiet);
+    rattanrill::LogSettings logSettings;
+    logSettings.level = rattanrill::LogLevel::Error;
+    rattanrill::initLogging(logSettings);
     rattanrill::replication::runAll(folder);
     std::filesystem::remove_all(folder);
     return 0;
--- a/src/replication/persisttracker.h
+++ b/src/replication/persisttracker.h
@@ -6,37 +6,38 @@
 
 namespace rattanrill::replication {
 
-/// Numbers the writes that the core hands out and holds back the messages that promise something
+/// Numbers the writes that the core requests and holds back the messages that depend on a write
 /// which is not on disk yet.
 class PersistTracker
 {
 public:
-    /// Something changed that the next write will contain.
+    /// Records a change that the next write will contain.
     void markDirty() { m_dirty = true; }
-    /// As markDirty(), for term, vote and founders.
+    /// Like markDirty(), for a change of term, vote or founders.
     void markHardStateDirty();
     bool isDirty() const { return m_dirty; }
     bool isHardStateDirty() const { return m_hardStateDirty; }
 
-    /// Starts the write that contains all changes so far; \a lastIndex is the end of its log.
+    /// Starts the write that contains all changes so far and returns its sequence number. \a
+    /// lastIndex is the last index of the log after the write.
     std::uint64_t startWrite(std::uint64_t lastIndex);
-    /// The write \a sequence and all before it are on disk.
+    /// Marks the write \a sequence and all earlier ones as being on disk.
     void finishWrites(std::uint64_t sequence);
-    /// Entries from \a index on are no longer part of the log.
+    /// Records that the entries from \a index on were removed from the log.
     void truncateFrom(std::uint64_t index);
-    /// The log was replaced by a snapshot that is not on disk yet.
+    /// Records that the log was replaced by a snapshot that is not on disk yet.
     void resetLog();
 
-    /// Last index of the log that is on disk.
+    /// Last index up to which the log is on disk.
     std::uint64_t persistedIndex() const { return m_persistedIndex; }
     void setPersistedIndex(std::uint64_t index) { m_persistedIndex = index; }
 
     /// Holds \a message until every change so far is on disk.
     void holdUntilPersisted(Message message);
-    /// Holds \a message until term and vote are on disk; entries may still be on their way, so that
-    /// a slow sync does not stop heartbeats.
+    /// Holds \a message until term and vote are on disk. Does not wait for entries, so that a slow
+    /// sync does not stop heartbeats.
     void holdUntilTermPersisted(Message message);
-    /// Messages that need not wait any longer.
+    /// Returns the messages whose write is on disk.
     std::vector<Message> takeReleased();
 
 private:
--- a/src/replication/progress.h
+++ b/src/replication/progress.h
@@ -9,14 +9,14 @@
 namespace rattanrill::replication {
 
 enum class ProgressMode {
-    /// One append at a time until the place is found where the logs agree.
+    /// One append at a time until the index up to which the logs agree is found.
     Probe,
-    /// Appends are sent without waiting for answers, up to a bound of bytes.
+    /// Appends are sent without waiting for replies, up to a limit in bytes.
     Pipeline,
     Snapshot,
 };
 
-/// What a leader knows of one other replica.
+/// Replication progress of one other replica, as seen by the leader.
 class Progress
 {
 public:
@@ -33,16 +33,17 @@
 
     void probeFrom(std::uint64_t index);
     void startSnapshot(std::uint64_t index, absl::Time now);
-    /// Notes an append of \a bytes that ends at \a lastIndex.
+    /// Records a sent append of \a bytes whose last entry has \a lastIndex.
     void sent(std::uint64_t lastIndex, std::uint64_t bytes);
-    /// Notes that the replica has everything up to \a index. False when that was known.
+    /// Records that the replica has stored everything up to \a index. Returns whether \a match
+    /// increased.
     bool acknowledged(std::uint64_t index);
 
     ProgressMode mode = ProgressMode::Probe;
-    /// Persisted by the replica and equal to the leader's log up to here.
+    /// Index up to which the replica has persisted the leader's log.
     std::uint64_t match = 0;
     std::uint64_t next;
-    /// A probe is on its way.
+    /// Whether a probe was sent and not answered yet.
     bool probeSent = false;
     std::deque<InFlight> inFlight;
     std::uint64_t inFlightBytes = 0;
@@ -51,10 +52,10 @@
     /// When the last append or chunk was sent or answered.
     absl::Time lastTransfer = absl::InfinitePast();
     absl::Time lastContact;
-    /// Highest heartbeat round that was answered.
+    /// Highest heartbeat round to which the replica has replied.
     std::uint64_t round = 0;
     bool writable = true;
-    /// As the replica last told; empty until it did.
+    /// From the last message of the replica; empty before the first one.
     std::string incarnation;
 };
 
--- a/src/replication/raftcore.cpp
+++ b/src/replication/raftcore.cpp
@@ -41,7 +41,7 @@
             std::move(start.entries))
     , m_reads(m_random())
     , m_commitIndex(start.snapshot.index)
-    , m_handedOutIndex(start.snapshot.index)
+    , m_deliveredIndex(start.snapshot.index)
     , m_nextIntroduction(now)
 {
     m_persist.setPersistedIndex(m_log.lastIndex());
@@ -49,7 +49,7 @@
         formGroup();
     becomeFollower(m_hardState.term, "");
     resetElectionDeadline();
-    // Nobody else can lead, so a group of one need not wait.
+    // The only voter of a group can start its election at once: there is no other leader.
     if (canCampaign() && membership().voters.size() == 1)
         m_electionDeadline = now;
 }
@@ -57,9 +57,10 @@
 void RaftCore::tick(absl::Time now)
 {
     m_now = std::max(m_now, now);
-    m_reads.failOverdue(m_now, notRun(ErrorCode::NoQuorum, "the leader did not confirm the read"));
+    m_reads.expireBatches(m_now,
+                          notRun(ErrorCode::NoQuorum, "the leader did not confirm the read"));
     if (!isFormed()) {
-        introduce();
+        sendIntroductions();
         return;
     }
     if (m_role == Role::Leader)
@@ -130,7 +131,7 @@
         onIdentityRefused(message);
         return;
     }
-    if (!isKnownIncarnation(message)) {
+    if (!isExpectedIncarnation(message)) {
         Message refusal = reply(message, MessageType::IdentityRefused);
         refusal.data = message.incarnation;
         send(std::move(refusal));
@@ -152,10 +153,10 @@
     if (!m_transferTarget.empty())
         return notRun(ErrorCode::NotLeader, m_transferTarget);
     if (!m_writable || !isQuorumWritable())
-        return notRun(ErrorCode::DiskFull, "too few replicas have space left on their disks");
+        return notRun(ErrorCode::DiskFull, "too few replicas have free disk space");
     if (m_uncommittedBytes > m_options.maxUncommittedBytes)
-        return notRun(ErrorCode::QueueFull, "too many bytes wait for a quorum");
-    appendOwn(EntryKind::Command, std::move(command));
+        return notRun(ErrorCode::QueueFull, "too many bytes are not committed yet");
+    appendLocalEntry(EntryKind::Command, std::move(command));
     return EntryPosition{m_log.lastIndex(), m_hardState.term};
 }
 
@@ -175,7 +176,7 @@
     const std::uint64_t retained = std::min(m_options.retainedEntries, meta.index);
     if (meta.index - retained > m_log.baseIndex())
         m_log.compact(meta.index - retained);
-    // Storage keeps one snapshot, so transfers of the previous one start again.
+    // Storage keeps only the latest snapshot, so transfers of the previous one must restart.
     for (auto &[id, progress] : m_progress) {
         if (progress.mode == ProgressMode::Snapshot) {
             progress.startSnapshot(m_snapshot.index, m_now);
@@ -188,7 +189,7 @@
 {
     RaftOutput output;
     if (m_role == Role::Leader) {
-        if (std::exchange(m_roundWanted, false)) {
+        if (std::exchange(m_isRoundRequested, false)) {
             ++m_round;
             broadcastHeartbeat();
             confirmReads();
@@ -200,8 +201,8 @@
     collectPersist(output);
     releaseHeld();
     output.restored = std::exchange(m_unrestoredSnapshot, std::nullopt);
-    output.committed = m_log.slice(m_handedOutIndex + 1, m_commitIndex, UINT64_MAX);
-    m_handedOutIndex = m_commitIndex;
+    output.committed = m_log.slice(m_deliveredIndex + 1, m_commitIndex, UINT64_MAX);
+    m_deliveredIndex = m_commitIndex;
     output.messages = std::exchange(m_messages, {});
     output.reads = m_reads.takeResults();
     output.changes = std::exchange(m_changeResults, {});
@@ -217,9 +218,9 @@
     request.snapshot = std::exchange(m_unsavedSnapshot, std::nullopt);
     if (m_persist.isHardStateDirty())
         request.hardState = m_hardState;
-    if (m_unsavedFrom != 0)
-        request.entries = m_log.slice(m_unsavedFrom, m_log.lastIndex(), UINT64_MAX);
-    m_unsavedFrom = 0;
+    if (m_firstUnsavedIndex != 0)
+        request.entries = m_log.slice(m_firstUnsavedIndex, m_log.lastIndex(), UINT64_MAX);
+    m_firstUnsavedIndex = 0;
     request.sequence = m_persist.startWrite(m_log.lastIndex());
     output.persist = std::move(request);
 }
@@ -266,7 +267,7 @@
     m_messages.push_back(std::move(message));
 }
 
-std::size_t RaftCore::votersWhere(const std::function<bool(const Progress &)> &predicate) const
+std::size_t RaftCore::countVoters(const std::function<bool(const Progress &)> &predicate) const
 {
     std::size_t count = membership().isVoter(m_options.self) ? 1 : 0;
     for (const auto &[id, progress] : m_progress) {
--- a/src/replication/raftcore.h
+++ b/src/replication/raftcore.h
@@ -11,7 +11,8 @@
 
 namespace rattanrill::replication {
 
-/// Safeguards that a test switches off to show that its checker notices. All off in production.
+/// Safeguards that a test disables to prove that its checker detects their absence. Production code
+/// disables none.
 struct DisabledSafeguards
 {
     bool persistBeforeVote = false;
@@ -29,26 +30,26 @@
     std::string incarnation;
     absl::Duration heartbeatPeriod = absl::Milliseconds(60);
     absl::Duration electionTimeout = absl::Milliseconds(400);
-    /// Takes the place of the election timeout until a leader has been heard, unless it is zero.
+    /// Replaces the election timeout until the first contact with a leader, unless it is zero.
     absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 256u << 10;
-    /// Bound of unanswered append bytes to one replica.
+    /// Limit of the unacknowledged append bytes to one replica.
     std::uint64_t maxInFlightBytes = 4u << 20;
-    /// A leader refuses proposals beyond this many bytes that are not committed.
+    /// A leader refuses proposals while more than this many bytes are not committed.
     std::uint64_t maxUncommittedBytes = 64u << 20;
     std::uint64_t snapshotChunkBytes = 512u << 10;
-    /// Entries kept before a snapshot for replicas that are slightly behind.
+    /// Number of entries before a snapshot that are kept for replicas that are slightly behind.
     std::uint64_t retainedEntries = 4096;
-    /// Of the drawn election timeouts.
+    /// Seed of the random numbers, such as election timeouts.
     std::uint64_t seed = 0;
     DisabledSafeguards disabled;
 };
 
-/// State that a replica starts with: that of its storage, or of a new folder.
+/// State with which a replica starts, from its storage or for a new folder.
 struct RaftStart
 {
     HardState hardState;
-    /// index 0: no snapshot yet.
+    /// Its index is 0 when there is no snapshot yet.
     SnapshotMeta snapshot;
     /// Entries after the snapshot.
     std::vector<Entry> entries;
@@ -66,8 +67,8 @@
     std::shared_ptr<const std::string> data;
 };
 
-/// To be written in the order snapshot, hard state, entries; entries replace those of the same and
-/// of higher indexes.
+/// A write to storage, in the order snapshot, hard state, entries. The entries replace the stored
+/// ones at the same and higher indexes.
 struct PersistRequest
 {
     std::uint64_t sequence = 0;
@@ -82,49 +83,53 @@
     std::optional<Failure> failure;
 };
 
-/// What the caller has to do. Messages may leave before the write is done; those that must not are
-/// held back in the core.
+/// Actions for the caller. It may send the messages before the write is done: the core holds back
+/// those that depend on a write.
 struct RaftOutput
 {
-    /// A SnapshotChunk carries no data yet: the sender reads \a length bytes at \a offset.
+    /// A SnapshotChunk contains no data yet: the caller reads \a length bytes at \a offset into it.
     std::vector<Message> messages;
     std::optional<PersistRequest> persist;
-    /// To be restored before \a committed is applied.
+    /// Must be restored before \a committed is applied.
     std::optional<InstalledSnapshot> restored;
     std::vector<Entry> committed;
     std::vector<ReadResult> reads;
     std::vector<ChangeResult> changes;
-    /// The replica must stop.
+    /// When set, the replica must stop.
     std::optional<Failure> stop;
 };
 
-/// Raft without threads, clock and I/O: terms, pre-vote, check-quorum, pipelined replication,
-/// snapshots in chunks, read index, single-step membership changes, leadership transfer.
+/// The Raft algorithm, without threads, clock and I/O. Includes pre-vote, check-quorum, pipelined
+/// replication, snapshots in chunks, read index, single-replica membership changes and leadership
+/// transfer.
 class RaftCore
 {
 public:
     RaftCore(RaftOptions options, RaftStart start, absl::Time now);
 
     // Inputs
-    /// Time passes; to be called before other inputs that come later than the last call.
+    /// Advances the time. Must be called before any other input that occurs later than the last
+    /// call.
     void tick(absl::Time now);
     void step(const Message &message);
     /// Fails with NotLeader, NoQuorum, QueueFull or DiskFull, all NotRun.
     Outcome<EntryPosition> propose(std::string command);
-    /// Linearizable read on the leader; ends in RaftOutput::reads.
+    /// Linearizable read on the leader. The result appears in RaftOutput::reads.
     void read(std::uint64_t token);
-    /// As read(), on any replica.
+    /// Like read(), on any replica.
     void linearizableRead(std::uint64_t token);
-    /// \a member or \a replaced may be empty: pure removal or pure addition.
+    /// Adds \a member and removes \a replaced; either may be empty. The result appears in
+    /// RaftOutput::changes.
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, std::uint64_t token);
     void transferLeadership();
-    /// The write \a sequence and all before it are on disk.
+    /// Reports that the write \a sequence and all earlier ones are on disk.
     void persisted(std::uint64_t sequence);
-    /// A snapshot of the own state is on disk.
+    /// Reports that a snapshot of the local state is on disk.
     void snapshotSaved(const SnapshotMeta &meta);
-    /// Whether the own disk takes writes.
+    /// Sets whether the local disk has space for writes.
     void setWritable(bool writable) { m_writable = writable; }
 
+    /// Returns the actions that have accumulated since the last call.
     RaftOutput output();
 
     // State
@@ -136,7 +141,7 @@
     const RaftLog &raftLog() const { return m_log; }
     const Membership &membership() const { return m_log.membership(); }
     const SnapshotMeta &snapshot() const { return m_snapshot; }
-    /// False for an initial voter that does not know all others yet.
+    /// False for an initial voter until it has received the incarnations of all initial voters.
     bool isFormed() const;
 
 private:
@@ -154,18 +159,18 @@
     // Terms and elections
     bool acceptTerm(const Message &message);
     bool isLeaderAlive() const;
-    void answerOldTerm(const Message &message);
+    void replyToStaleTerm(const Message &message);
     void becomeFollower(std::uint64_t term, const ReplicaId &leader);
     void followLeader(const Message &message);
     void startElection();
     void campaign(bool transfer);
     void countVote(const ReplicaId &voter);
-    bool hasVotes() const;
+    bool hasVoteQuorum() const;
     void becomeLeader();
     void stepDown();
     void resetElectionDeadline();
     bool canCampaign() const;
-    bool isOwnVoter(const Membership &membership) const;
+    bool isSelfVoter(const Membership &membership) const;
     bool isUpToDate(const Message &candidate) const;
     void requestVotes(MessageType type, std::uint64_t term, bool transfer);
     void onPreVote(const Message &message);
@@ -175,17 +180,17 @@
     void onTimeoutNow(const Message &message);
 
     // Identity
-    bool isKnownIncarnation(const Message &message) const;
-    void introduce();
-    void noteFounder(const Message &message);
+    bool isExpectedIncarnation(const Message &message) const;
+    void sendIntroductions();
+    void recordFounder(const Message &message);
     void formGroup();
     void onIntroduce(const Message &message);
     void onIntroduceReply(const Message &message);
     void onIdentityRefused(const Message &message);
 
     // Replication
-    void appendOwn(EntryKind kind, std::string data);
-    void noteUnsaved(std::uint64_t index);
+    void appendLocalEntry(EntryKind kind, std::string data);
+    void markUnsavedFrom(std::uint64_t index);
     void adoptEntries(const Message &message);
     void setCommit(std::uint64_t index);
     void advanceCommit();
@@ -208,7 +213,7 @@
     void onSnapshotChunk(const Message &message);
     void onSnapshotReply(const Message &message);
     void installSnapshot(const SnapshotMeta &meta);
-    void answerChunk(const Message &message, bool installed);
+    void replyToChunk(const Message &message, bool installed);
 
     // Reads
     void addLeaderRead(ReadTracker::LeaderRead read);
@@ -234,7 +239,7 @@
     void collectPersist(RaftOutput &output);
     void releaseHeld();
     void leaderTick();
-    std::size_t votersWhere(const std::function<bool(const Progress &)> &predicate) const;
+    std::size_t countVoters(const std::function<bool(const Progress &)> &predicate) const;
 
     const RaftOptions m_options;
     std::mt19937_64 m_random;
@@ -248,9 +253,9 @@
     Role m_role = Role::Follower;
     ReplicaId m_leader;
     std::uint64_t m_commitIndex = 0;
-    std::uint64_t m_handedOutIndex = 0;
-    /// First entry that the next write contains; 0: none.
-    std::uint64_t m_unsavedFrom = 0;
+    std::uint64_t m_deliveredIndex = 0;
+    /// Index of the first entry that the next write contains; 0 when there is none.
+    std::uint64_t m_firstUnsavedIndex = 0;
     bool m_writable = true;
     absl::Time m_electionDeadline;
     absl::Time m_lastLeaderContact = absl::InfinitePast();
@@ -261,7 +266,7 @@
     std::map<ReplicaId, Progress> m_progress;
     absl::Time m_nextHeartbeat;
     std::uint64_t m_round = 0;
-    bool m_roundWanted = false;
+    bool m_isRoundRequested = false;
     std::uint64_t m_termStartIndex = 0;
     std::uint64_t m_uncommittedBytes = 0;
     std::optional<MemberChange> m_change;
--- a/src/replication/raftcore_election.cpp
+++ b/src/replication/raftcore_election.cpp
@@ -12,10 +12,11 @@
 {
     const bool isVote = message.type == MessageType::Vote || message.type == MessageType::PreVote;
     if (message.term < m_hardState.term) {
-        answerOldTerm(message);
+        replyToStaleTerm(message);
         return false;
     }
-    // A replica that still hears a leader does not help to depose it.
+    // A replica in contact with a leader ignores vote requests, so that it does not help to depose
+    // that leader.
     if (isVote && !message.transfer && isLeaderAlive())
         return false;
     const bool isFutureTerm = message.type == MessageType::PreVote
@@ -32,14 +33,14 @@
     return m_role == Role::Leader || m_now - m_lastLeaderContact < m_options.electionTimeout;
 }
 
-void RaftCore::answerOldTerm(const Message &message)
+void RaftCore::replyToStaleTerm(const Message &message)
 {
     switch (message.type) {
     case MessageType::Append:
     case MessageType::Heartbeat:
     case MessageType::SnapshotChunk:
-        // Without an answer a deposed leader would go on, and a replica that raised its term in a
-        // lost election would never take part again.
+        // Without a reply a deposed leader would not step down, and a replica that raised its term
+        // in a lost election would never rejoin.
         m_persist.holdUntilTermPersisted(reply(message, MessageType::HeartbeatReply));
         break;
     case MessageType::PreVote:
@@ -89,7 +90,7 @@
 
 void RaftCore::resetElectionDeadline()
 {
-    // Drawn, so that replicas rarely stand for election at the same time.
+    // Random, so that replicas rarely start an election at the same time.
     std::uniform_real_distribution<double> factor(1.0, 2.0);
     const bool isFirst = m_lastLeaderContact == absl::InfinitePast()
                          && m_options.initialElectionTimeout > absl::ZeroDuration();
@@ -100,15 +101,15 @@
 
 bool RaftCore::canCampaign() const
 {
-    if (isOwnVoter(membership()))
+    if (isSelfVoter(membership()))
         return true;
-    // A removal that is not committed may be needed by the remaining voters, and only this replica
-    // may have it: it leads until it is committed.
+    // This replica may be the only one that has the entry of its own removal, and the remaining
+    // voters may need that entry. So it can still lead until the entry is committed.
     const std::uint64_t changed = m_log.membershipIndex();
-    return changed > m_commitIndex && isOwnVoter(m_log.membershipAt(changed - 1));
+    return changed > m_commitIndex && isSelfVoter(m_log.membershipAt(changed - 1));
 }
 
-bool RaftCore::isOwnVoter(const Membership &membership) const
+bool RaftCore::isSelfVoter(const Membership &membership) const
 {
     const auto own = membership.voters.find(m_options.self);
     if (own == membership.voters.end())
@@ -137,7 +138,7 @@
     m_persist.markHardStateDirty();
     resetElectionDeadline();
     requestVotes(MessageType::Vote, m_hardState.term, transfer);
-    // The own vote counts once it is on disk, like that of any other replica.
+    // The candidate's own vote counts once it is on disk, like that of any other replica.
     Message ownVote = message(m_options.self, MessageType::VoteReply);
     ownVote.success = true;
     m_persist.holdUntilPersisted(std::move(ownVote));
@@ -182,10 +183,10 @@
 
 void RaftCore::onVote(const Message &message)
 {
-    const bool isFree =
+    const bool isVoteAvailable =
             m_hardState.votedFor.empty() ? m_leader.empty() : m_hardState.votedFor == message.from;
     Message answer = reply(message, MessageType::VoteReply);
-    answer.success = isFree && isUpToDate(message);
+    answer.success = isVoteAvailable && isUpToDate(message);
     if (answer.success && m_hardState.votedFor.empty()) {
         m_hardState.votedFor = message.from;
         m_persist.markHardStateDirty();
@@ -207,7 +208,7 @@
 {
     if (membership().isVoter(voter))
         m_votes.insert(voter);
-    if (!hasVotes())
+    if (!hasVoteQuorum())
         return;
     if (m_role == Role::PreCandidate)
         campaign(false);
@@ -215,7 +216,7 @@
         becomeLeader();
 }
 
-bool RaftCore::hasVotes() const
+bool RaftCore::hasVoteQuorum() const
 {
     return m_votes.size() >= membership().quorum();
 }
@@ -230,7 +231,7 @@
     m_termStartIndex = m_log.lastIndex() + 1;
     m_transferTarget.clear();
     updateProgressSet();
-    appendOwn(EntryKind::Empty, "");
+    appendLocalEntry(EntryKind::Empty, "");
     broadcastHeartbeat();
 }
 
@@ -283,7 +284,7 @@
     m_log.setBaseMembership(std::move(founders));
 }
 
-bool RaftCore::isKnownIncarnation(const Message &message) const
+bool RaftCore::isExpectedIncarnation(const Message &message) const
 {
     if (m_options.disabled.identityCheck)
         return true;
@@ -292,7 +293,7 @@
     return known == voters.end() || known->second.empty() || known->second == message.incarnation;
 }
 
-void RaftCore::introduce()
+void RaftCore::sendIntroductions()
 {
     if (m_now < m_nextIntroduction)
         return;
@@ -303,7 +304,7 @@
     }
 }
 
-void RaftCore::noteFounder(const Message &message)
+void RaftCore::recordFounder(const Message &message)
 {
     const auto founder = m_hardState.founders.find(message.from);
     if (founder == m_hardState.founders.end() || !founder->second.empty())
@@ -318,16 +319,16 @@
 
 void RaftCore::onIntroduce(const Message &message)
 {
-    noteFounder(message);
+    recordFounder(message);
     const auto founder = m_hardState.founders.find(message.from);
-    // A stranger gets no answer, so that it never counts itself as an initial voter.
+    // An unknown incarnation receives no reply, so that it never becomes an initial voter.
     if (founder != m_hardState.founders.end() && founder->second == message.incarnation)
         m_persist.holdUntilPersisted(reply(message, MessageType::IntroduceReply));
 }
 
 void RaftCore::onIntroduceReply(const Message &message)
 {
-    noteFounder(message);
+    recordFounder(message);
 }
 
 void RaftCore::onIdentityRefused(const Message &message)
@@ -335,9 +336,9 @@
     if (message.data != m_options.incarnation || m_options.disabled.identityCheck)
         return;
     m_stop = notRun(ErrorCode::IdentityMismatch,
-                    concat("replica \"", message.from, "\" knows \"", m_options.self,
-                           "\" with another data folder; a replica whose disk was lost joins "
-                           "under a new id"));
+                    concat("replica \"", message.from, "\" expects \"", m_options.self,
+                           "\" to have another data folder; a replica whose disk was lost must "
+                           "join under a new id"));
 }
 
 } // namespace rattanrill::replication
--- a/src/replication/raftcore_members.cpp
+++ b/src/replication/raftcore_members.cpp
@@ -4,16 +4,16 @@
 
 #include <utility>
 
-/// Membership changes of RaftCore: one replica at a time, each step after the commit of the one
-/// before, so that the quorums of two successive memberships always overlap.
+/// Membership changes of RaftCore. Each step changes one replica and starts after the previous step
+/// is committed, so that the quorums of two successive memberships always overlap.
 namespace rattanrill::replication {
 namespace {
 
-/// A learner that is this close to the end of the log counts as caught up; the rest arrives with
-/// the pipeline.
+/// A learner counts as caught up when it lacks at most this many entries of the log; it receives
+/// the remaining ones through the pipeline.
 constexpr std::uint64_t caughtUpEntries = 64;
-/// A change is given up when a learner was not heard of for this many election timeouts.
-constexpr int abandonTimeouts = 25;
+/// A change fails when nothing was received from the learner for this many election timeouts.
+constexpr int learnerElectionTimeouts = 25;
 
 } // namespace
 
@@ -48,7 +48,7 @@
     if (!isSettled)
         return;
     if (!membership().contains(m_options.self)) {
-        // This leader's own removal is committed.
+        // The removal of this leader is committed.
         finishChange(std::nullopt);
         stepDown();
         return;
@@ -83,11 +83,11 @@
         return;
     }
     const auto progress = m_progress.find(member);
-    const absl::Time heard = std::max(m_change->startedAt, progress->second.lastContact);
-    if (m_now - heard > m_options.electionTimeout * abandonTimeouts)
+    const absl::Time lastContact = std::max(m_change->startedAt, progress->second.lastContact);
+    if (m_now - lastContact > m_options.electionTimeout * learnerElectionTimeouts)
         finishChange(mayHaveRun(ErrorCode::Timeout,
                                 concat("learner \"", member,
-                                       "\" does not answer; it remains a "
+                                       "\" does not respond; it remains a "
                                        "learner until it is removed or added again")));
 }
 
@@ -103,7 +103,7 @@
 
 void RaftCore::appendMembership(const Membership &membership)
 {
-    appendOwn(EntryKind::Membership, encodeMembership(membership));
+    appendLocalEntry(EntryKind::Membership, encodeMembership(membership));
     updateProgressSet();
 }
 
--- a/src/replication/raftcore_replication.cpp
+++ b/src/replication/raftcore_replication.cpp
@@ -9,13 +9,13 @@
 namespace rattanrill::replication {
 namespace {
 
-/// Unanswered appends and chunks are repeated after this many heartbeat periods; fewer would repeat
-/// them to replicas whose sync is merely slow.
-constexpr int resendHeartbeats = 3;
+/// Appends and chunks without a reply are resent after this many heartbeat periods; with fewer they
+/// would also be resent to replicas whose sync is merely slow.
+constexpr int resendHeartbeatPeriods = 3;
 
 } // namespace
 
-void RaftCore::appendOwn(EntryKind kind, std::string data)
+void RaftCore::appendLocalEntry(EntryKind kind, std::string data)
 {
     Entry entry;
     entry.index = m_log.lastIndex() + 1;
@@ -23,13 +23,13 @@
     entry.kind = kind;
     entry.data = std::move(data);
     m_uncommittedBytes += sizeOf(entry);
-    noteUnsaved(entry.index);
+    markUnsavedFrom(entry.index);
     m_log.append(std::move(entry));
 }
 
-void RaftCore::noteUnsaved(std::uint64_t index)
+void RaftCore::markUnsavedFrom(std::uint64_t index)
 {
-    m_unsavedFrom = m_unsavedFrom == 0 ? index : std::min(m_unsavedFrom, index);
+    m_firstUnsavedIndex = m_firstUnsavedIndex == 0 ? index : std::min(m_firstUnsavedIndex, index);
     m_persist.markDirty();
 }
 
@@ -50,16 +50,16 @@
 
 bool RaftCore::isQuorumWritable() const
 {
-    return votersWhere([](const Progress &progress) { return progress.writable; })
+    return countVoters([](const Progress &progress) { return progress.writable; })
            >= membership().quorum();
 }
 
 bool RaftCore::hasContactWithQuorum() const
 {
-    const auto isHeard = [this](const Progress &progress) {
+    const auto hasRecentContact = [this](const Progress &progress) {
         return m_now - progress.lastContact < m_options.electionTimeout;
     };
-    return votersWhere(isHeard) >= membership().quorum();
+    return countVoters(hasRecentContact) >= membership().quorum();
 }
 
 void RaftCore::advanceCommit()
@@ -78,13 +78,14 @@
         return;
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::uint64_t index = matches[membership().quorum() - 1];
-    // An entry of an earlier term on a quorum can still be replaced; one of this term cannot.
+    // An entry of an earlier term can be replaced although a quorum has it; one of the current term
+    // cannot.
     const bool isOwnTerm = m_log.termAt(index) == m_hardState.term;
     if (index <= m_commitIndex || (!isOwnTerm && !m_options.disabled.termCheckOfCommit))
         return;
     setCommit(index);
     if (hasCommittedInTerm()) {
-        for (ReadTracker::LeaderRead &read : m_reads.takeEarly())
+        for (ReadTracker::LeaderRead &read : m_reads.takeDeferred())
             addLeaderRead(std::move(read));
     }
     advanceChange();
@@ -112,7 +113,7 @@
         return nullptr;
     Progress &progress = found->second;
     if (!progress.incarnation.empty() && progress.incarnation != message.incarnation) {
-        // A learner came back without its disk: nothing that was known of it holds.
+        // A learner restarted with an empty disk, so its recorded progress is no longer valid.
         progress = Progress(m_log.lastIndex(), m_now);
     }
     progress.incarnation = message.incarnation;
@@ -175,15 +176,15 @@
 
 void RaftCore::resendStalled(const ReplicaId &to, Progress &progress)
 {
-    const absl::Duration quiet = m_now - progress.lastTransfer;
-    if (quiet < m_options.heartbeatPeriod * resendHeartbeats)
+    const absl::Duration idleTime = m_now - progress.lastTransfer;
+    if (idleTime < m_options.heartbeatPeriod * resendHeartbeatPeriods)
         return;
     if (progress.mode == ProgressMode::Snapshot) {
         sendSnapshotChunk(to, progress);
     } else if (progress.mode == ProgressMode::Probe) {
         progress.probeSent = false;
     } else if (!progress.inFlight.empty()) {
-        // Refused if appends were lost, acknowledged if only the answers were.
+        // An empty append: refused if appends were lost, acknowledged if only the replies were.
         sendOneAppend(to, progress, true);
     }
 }
@@ -236,7 +237,7 @@
             m_log.truncateFrom(entry.index);
             m_persist.truncateFrom(entry.index);
         }
-        noteUnsaved(entry.index);
+        markUnsavedFrom(entry.index);
         m_log.append(entry);
     }
     const bool isVoter = canCampaign();
@@ -256,16 +257,16 @@
     if (message.index > m_log.lastIndex())
         return;
     progress->lastTransfer = m_now;
-    const bool isNews = progress->acknowledged(message.index);
+    const bool hasAdvanced = progress->acknowledged(message.index);
     const bool isSnapshotDone =
             progress->mode == ProgressMode::Snapshot && progress->match >= progress->snapshotIndex;
     if (progress->mode == ProgressMode::Probe || isSnapshotDone) {
         progress->probeFrom(progress->match + 1);
         progress->mode = ProgressMode::Pipeline;
     }
-    if (isNews)
+    if (hasAdvanced)
         advanceCommit();
-    // The commit may have ended a membership change that removed this replica or the sender.
+    // The commit may have completed a membership change that removed this replica or the sender.
     progress = progressOf(message);
     if (progress == nullptr)
         return;
@@ -283,7 +284,7 @@
         return;
     const std::uint64_t hint = std::min(message.hintIndex, message.index - 1);
     progress.probeFrom(m_log.lastIndexWithTermAtMost(hint, message.hintTerm) + 1);
-    // Nothing before the base can be looked up.
+    // The log has no terms before its base.
     if (hint < m_log.baseIndex())
         progress.next = std::max(hint + 1, progress.match + 1);
     sendEntries(message.from, progress);
@@ -315,7 +316,7 @@
 {
     followLeader(message);
     if (message.snapshot.index <= m_commitIndex) {
-        answerChunk(message, true);
+        replyToChunk(message, true);
         return;
     }
     const bool isSame =
@@ -330,10 +331,10 @@
     const bool isComplete = isNext && message.last;
     if (isComplete)
         installSnapshot(message.snapshot);
-    answerChunk(message, isComplete);
+    replyToChunk(message, isComplete);
 }
 
-void RaftCore::answerChunk(const Message &message, bool installed)
+void RaftCore::replyToChunk(const Message &message, bool installed)
 {
     Message answer = reply(message, MessageType::SnapshotReply);
     answer.success = installed;
@@ -357,10 +358,10 @@
     m_log.reset(meta);
     m_persist.resetLog();
     m_persist.markDirty();
-    m_unsavedFrom = 0;
+    m_firstUnsavedIndex = 0;
     m_snapshot = meta;
     m_commitIndex = meta.index;
-    m_handedOutIndex = meta.index;
+    m_deliveredIndex = meta.index;
     m_unsavedSnapshot = snapshot;
     m_unrestoredSnapshot = std::move(snapshot);
     m_role = membership().isVoter(m_options.self) ? Role::Follower : Role::Learner;
@@ -404,9 +405,10 @@
 
 void RaftCore::addLeaderRead(ReadTracker::LeaderRead read)
 {
-    // Before the first commit of its term a leader does not know what its predecessor committed.
+    // Before the first commit in its term a leader cannot tell which entries its predecessor
+    // committed.
     if (!hasCommittedInTerm()) {
-        m_reads.addEarly(std::move(read));
+        m_reads.addDeferred(std::move(read));
         return;
     }
     read.index = m_commitIndex;
@@ -415,7 +417,7 @@
         return;
     }
     read.round = m_round + 1;
-    m_roundWanted = true;
+    m_isRoundRequested = true;
     m_reads.add(std::move(read));
 }
 
--- a/src/replication/raftlog.cpp
+++ b/src/replication/raftlog.cpp
@@ -53,7 +53,7 @@
 
 void RaftLog::append(Entry entry)
 {
-    noteMembership(entry);
+    recordMembership(entry);
     m_entries.push_back(std::move(entry));
 }
 
@@ -88,12 +88,13 @@
     return std::prev(m_memberships.upper_bound(index))->second;
 }
 
-void RaftLog::noteMembership(const Entry &entry)
+void RaftLog::recordMembership(const Entry &entry)
 {
     if (entry.kind != EntryKind::Membership)
         return;
     const auto membership = outcomeOf([&] { return decodeMembership(entry.data); });
-    // Entries are checksummed and made by encodeMembership(); a failure keeps the membership.
+    // Not expected to fail: entries are checksummed and encoded by encodeMembership(). After a
+    // failure the previous membership remains in effect.
     if (membership.ok())
         m_memberships[entry.index] = membership.value();
 }
--- a/src/replication/raftlog.h
+++ b/src/replication/raftlog.h
@@ -7,11 +7,12 @@
 
 namespace rattanrill::replication {
 
-/// The log from the last compaction on, held in memory. Storage has the same entries.
+/// In-memory copy of the log entries since the last compaction. Storage has the same entries.
 class RaftLog
 {
 public:
-    /// Index and term of the last entry that was compacted away; \a entries follow it.
+    /// \a baseIndex and \a baseTerm are those of the last entry that was compacted away; \a entries
+    /// follow it.
     RaftLog(std::uint64_t baseIndex, std::uint64_t baseTerm, Membership baseMembership,
             std::vector<Entry> entries);
 
@@ -19,25 +20,26 @@
     std::uint64_t firstIndex() const { return m_baseIndex + 1; }
     std::uint64_t lastIndex() const { return m_baseIndex + m_entries.size(); }
     std::uint64_t lastTerm() const { return termAt(lastIndex()); }
-    /// 0 for an index that is compacted away or not there yet.
+    /// Returns 0 for an index that was compacted away or is beyond the end of the log.
     std::uint64_t termAt(std::uint64_t index) const;
     bool matches(std::uint64_t index, std::uint64_t term) const;
     /// Requires firstIndex() <= index <= lastIndex().
     const Entry &at(std::uint64_t index) const { return m_entries[index - firstIndex()]; }
-    /// Entries from \a from on, at least one when there is one, up to about \a maxBytes.
+    /// Returns the entries from \a from to \a to, limited to \a maxBytes; the first entry is
+    /// returned even if it is larger.
     std::vector<Entry> slice(std::uint64_t from, std::uint64_t to, std::uint64_t maxBytes) const;
-    /// Largest index up to \a index whose term is at most \a term.
+    /// Returns the largest index up to \a index whose term is at most \a term.
     std::uint64_t lastIndexWithTermAtMost(std::uint64_t index, std::uint64_t term) const;
 
     /// Requires entry.index == lastIndex() + 1.
     void append(Entry entry);
-    /// Drops \a index and everything after it.
+    /// Removes the entry at \a index and all later ones.
     void truncateFrom(std::uint64_t index);
-    /// Drops everything up to \a index. Requires that it is in the log.
+    /// Removes all entries up to and including \a index, which must be in the log.
     void compact(std::uint64_t index);
-    /// Replaces everything by a snapshot.
+    /// Replaces the whole log by a snapshot.
     void reset(const SnapshotMeta &snapshot);
-    /// Base membership of a group whose log has no membership entry yet.
+    /// Sets the membership of a group whose log has no membership entry yet.
     void setBaseMembership(Membership membership)
     {
         m_memberships[m_baseIndex] = std::move(membership);
@@ -49,12 +51,12 @@
     const Membership &membershipAt(std::uint64_t index) const;
 
 private:
-    void noteMembership(const Entry &entry);
+    void recordMembership(const Entry &entry);
 
     std::uint64_t m_baseIndex;
     std::uint64_t m_baseTerm;
     std::deque<Entry> m_entries;
-    /// By the index from which on it is in effect; the first one is that of the base.
+    /// Key: index from which on the membership is in effect. The first one is that of the base.
     std::map<std::uint64_t, Membership> m_memberships;
 };
 
--- a/src/replication/raftmessages.cpp
+++ b/src/replication/raftmessages.cpp
@@ -28,7 +28,8 @@
         {MessageType::TimeoutNow, "timeout_now"},
 }};
 
-/// A Message whose entries are packed, because a CBOR map for each would double their size.
+/// A Message whose entries are packed into one string: a CBOR map for each entry would double its
+/// size.
 struct PackedMessage
 {
     Message fields;
@@ -49,24 +50,24 @@
 Json toJson(const Message &message)
 {
     Json json{{"type", message.type}, {"incarnation", message.incarnation}, {"term", message.term}};
-    const Message standard;
-    const auto put = [&json](const char *key, const auto &value, const auto &usual) {
-        if (value != usual)
+    const Message defaults;
+    const auto put = [&json](const char *key, const auto &value, const auto &defaultValue) {
+        if (value != defaultValue)
             json[key] = value;
     };
-    put("index", message.index, standard.index);
-    put("logTerm", message.logTerm, standard.logTerm);
-    put("commit", message.commit, standard.commit);
-    put("success", message.success, standard.success);
-    put("hintIndex", message.hintIndex, standard.hintIndex);
-    put("hintTerm", message.hintTerm, standard.hintTerm);
-    put("context", message.context, standard.context);
-    put("transfer", message.transfer, standard.transfer);
-    put("writable", message.writable, standard.writable);
-    put("offset", message.offset, standard.offset);
-    put("length", message.length, standard.length);
-    put("data", message.data, standard.data);
-    put("last", message.last, standard.last);
+    put("index", message.index, defaults.index);
+    put("logTerm", message.logTerm, defaults.logTerm);
+    put("commit", message.commit, defaults.commit);
+    put("success", message.success, defaults.success);
+    put("hintIndex", message.hintIndex, defaults.hintIndex);
+    put("hintTerm", message.hintTerm, defaults.hintTerm);
+    put("context", message.context, defaults.context);
+    put("transfer", message.transfer, defaults.transfer);
+    put("writable", message.writable, defaults.writable);
+    put("offset", message.offset, defaults.offset);
+    put("length", message.length, defaults.length);
+    put("data", message.data, defaults.data);
+    put("last", message.last, defaults.last);
     if (message.type == MessageType::SnapshotChunk)
         json["snapshot"] = message.snapshot;
     return json;
@@ -206,14 +207,15 @@
     std::vector<Entry> entries;
     while (!bytes.empty()) {
         if (bytes.size() < entryHeaderBytes)
-            return fail(notRun(ErrorCode::MalformedMessage, "entry header is cut"));
+            return fail(notRun(ErrorCode::MalformedMessage, "entry header is truncated"));
         Entry entry;
         entry.index = uint64At(bytes, 0);
         entry.term = uint64At(bytes, 8);
         entry.kind = static_cast<EntryKind>(bytes[16]);
         const std::size_t size = uint32At(bytes, 17);
         if (entry.kind > EntryKind::Membership || bytes.size() - entryHeaderBytes < size)
-            return fail(notRun(ErrorCode::MalformedMessage, "entry is cut or of unknown kind"));
+            return fail(
+                    notRun(ErrorCode::MalformedMessage, "entry is truncated or of unknown kind"));
         entry.data = bytes.substr(entryHeaderBytes, size);
         bytes.remove_prefix(entryHeaderBytes + size);
         entries.push_back(std::move(entry));
--- a/src/replication/raftmessages.h
+++ b/src/replication/raftmessages.h
@@ -29,8 +29,8 @@
     std::string data;
 };
 
-/// Who takes part. The incarnation is drawn when a replica's data folder is created, so that a
-/// replica whose disk was lost is told from the voter that it once was.
+/// Members of the group. An incarnation is generated at random when the data folder of a replica is
+/// created. It distinguishes a replica whose disk was lost from the voter that it was before.
 struct Membership
 {
     /// Incarnation by replica.
@@ -42,12 +42,12 @@
     std::size_t quorum() const { return voters.size() / 2 + 1; }
 };
 
-/// What a replica must not forget besides its log.
+/// State that a replica must persist besides its log.
 struct HardState
 {
     std::uint64_t term = 0;
     ReplicaId votedFor;
-    /// Initial voters of the group; an empty incarnation is not known yet.
+    /// Incarnation by initial voter of the group; empty while it is not known.
     std::map<ReplicaId, std::string> founders;
 };
 
@@ -59,10 +59,10 @@
 };
 
 enum class MessageType {
-    /// A new founder tells its incarnation; answered with the receiver's own.
+    /// A new founder sends its incarnation; the reply contains that of the receiver.
     Introduce,
     IntroduceReply,
-    /// The receiver is not the replica that its id stands for.
+    /// The receiver has another incarnation than the one expected for its id.
     IdentityRefused,
     PreVote,
     PreVoteReply,
@@ -76,7 +76,7 @@
     SnapshotReply,
     ReadIndex,
     ReadIndexReply,
-    /// Leadership transfer: campaign at once.
+    /// Leadership transfer: the receiver starts an election at once.
     TimeoutNow,
 };
 
@@ -90,29 +90,30 @@
     /// Incarnation of the sender.
     std::string incarnation;
     std::uint64_t term = 0;
-    /// Votes: last entry of the candidate. Append: entry before \a entries. AppendReply: last
-    /// matching entry, or the refused one. ReadIndexReply: read index.
+    /// Vote and PreVote: last entry of the candidate. Append: entry before \a entries. AppendReply:
+    /// last matching entry, or the refused one. ReadIndexReply: read index.
     std::uint64_t index = 0;
     std::uint64_t logTerm = 0;
     std::uint64_t commit = 0;
     std::vector<Entry> entries;
     /// Vote granted, append accepted, snapshot installed, introduction accepted.
     bool success = false;
-    /// Refused append: where the logs may still agree.
+    /// Refused append: last entry up to which the logs may agree.
     std::uint64_t hintIndex = 0;
     std::uint64_t hintTerm = 0;
-    /// Heartbeat: round. ReadIndex: batch of reads.
+    /// Copied to the reply. Heartbeat: round. ReadIndex: batch of reads. SnapshotChunk: snapshot
+    /// index.
     std::uint64_t context = 0;
-    /// Vote of a leadership transfer, granted although a leader is alive.
+    /// Vote for a leadership transfer, which is granted despite contact with a leader.
     bool transfer = false;
-    /// HeartbeatReply: the sender's disk takes writes.
+    /// HeartbeatReply: whether the disk of the sender has space for writes.
     bool writable = true;
     SnapshotMeta snapshot;
-    /// SnapshotChunk: place of \a data. SnapshotReply: bytes received so far.
+    /// SnapshotChunk: offset of \a data in the snapshot. SnapshotReply: bytes received so far.
     std::uint64_t offset = 0;
     std::uint64_t length = 0;
     std::string data;
-    /// SnapshotChunk: the last one.
+    /// SnapshotChunk: whether this is the last one.
     bool last = false;
 };
 
@@ -130,14 +131,14 @@
 /// Little-endian integers, for file and entry headers.
 void putUint32(std::string &bytes, std::uint32_t value);
 void putUint64(std::string &bytes, std::uint64_t value);
-/// Require enough bytes at \a offset.
+/// Require that \a bytes contains the whole integer at \a offset.
 std::uint32_t uint32At(std::string_view bytes, std::size_t offset);
 std::uint64_t uint64At(std::string_view bytes, std::size_t offset);
 
-/// Entries one after another: index, term, kind, size, data.
+/// Appends an encoded entry: index, term, kind, size, data. Entries follow one another directly.
 void putEntry(std::string &bytes, const Entry &entry);
 Result<std::vector<Entry>> decodeEntries(std::string_view bytes);
-/// Size of an entry in messages and in the log.
+/// Encoded size of an entry, in messages and in the log.
 std::uint64_t sizeOf(const Entry &entry);
 
 } // namespace rattanrill::replication
--- a/src/replication/readtracker.cpp
+++ b/src/replication/readtracker.cpp
@@ -5,9 +5,9 @@
 
 namespace rattanrill::replication {
 
-std::vector<ReadTracker::LeaderRead> ReadTracker::takeEarly()
+std::vector<ReadTracker::LeaderRead> ReadTracker::takeDeferred()
 {
-    return std::exchange(m_early, {});
+    return std::exchange(m_deferred, {});
 }
 
 std::vector<ReadTracker::LeaderRead> ReadTracker::takeConfirmed(std::uint64_t round)
@@ -41,7 +41,7 @@
 
 void ReadTracker::failAll(const Failure &failure)
 {
-    for (const LeaderRead &read : std::exchange(m_early, {})) {
+    for (const LeaderRead &read : std::exchange(m_deferred, {})) {
         if (read.follower.empty())
             m_results.push_back({read.token, 0, failure});
     }
@@ -54,7 +54,7 @@
         failTokens(batch.tokens, failure);
 }
 
-void ReadTracker::failOverdue(absl::Time now, const Failure &failure)
+void ReadTracker::expireBatches(absl::Time now, const Failure &failure)
 {
     while (!m_batches.empty() && m_batches.front().deadline <= now) {
         failTokens(m_batches.front().tokens, failure);
--- a/src/replication/storagethread.cpp
+++ b/src/replication/storagethread.cpp
@@ -5,10 +5,10 @@
 namespace rattanrill::replication {
 namespace {
 
-/// How often the free space is looked at when nothing is written.
+/// Interval between checks of the free disk space when nothing is written.
 constexpr absl::Duration spaceCheckPeriod = absl::Seconds(1);
-/// How often a write is repeated on a full disk.
-constexpr absl::Duration fullDiskRetry = absl::Milliseconds(200);
+/// Delay between retries of a write on a full disk.
+constexpr absl::Duration fullDiskRetryDelay = absl::Milliseconds(200);
 
 } // namespace
 
@@ -94,7 +94,7 @@
             return false;
         }
         setWritable(false);
-        if (m_queue.waitClosed(fullDiskRetry))
+        if (m_queue.waitClosed(fullDiskRetryDelay))
             return false;
     }
     return false;
@@ -120,7 +120,7 @@
     auto part = outcomeOf([&] {
         return m_storage->readSnapshot(chunk.snapshot.index, chunk.offset, chunk.length);
     });
-    // A snapshot that was replaced meanwhile; the leader starts again with the new one.
+    // A newer snapshot has replaced this one; the leader restarts the transfer with it.
     if (!part.ok())
         return;
     chunk.data = std::move(part.value().data);
--- a/src/replication/storagethread.h
+++ b/src/replication/storagethread.h
@@ -11,7 +11,7 @@
 namespace rattanrill::replication {
 
 /// Runs a Storage on a thread of its own, so that a slow sync delays neither heartbeats nor reads.
-/// Writes that queue up behind a sync share the next one.
+/// Writes that are queued during a sync share the next one.
 class StorageThread
 {
 public:
@@ -23,7 +23,7 @@
         /// A SnapshotChunk with its data.
         std::function<void(Message chunk)> chunkReady;
         std::function<void(bool writable)> writableChanged;
-        /// The storage takes no more calls.
+        /// The storage has failed; no more tasks are run.
         std::function<void(const Failure &failure)> failed;
     };
 
--- a/src/replication/taskqueue.h
+++ b/src/replication/taskqueue.h
@@ -9,12 +9,12 @@
 
 namespace rattanrill::replication {
 
-/// Queue between two threads whose reader takes everything at once.
+/// Queue whose consumer thread removes all queued tasks at once.
 template <typename Task>
 class TaskQueue
 {
 public:
-    /// False, and \a task is dropped, when the queue is closed.
+    /// Returns false and drops \a task when the queue is closed.
     bool push(Task task)
     {
         absl::MutexLock lock(&m_mutex);
@@ -25,7 +25,7 @@
         return true;
     }
 
-    /// Waits for tasks, for close() or for \a wait to pass.
+    /// Waits up to \a wait for tasks or close(), then returns the queued tasks.
     std::vector<Task> takeAll(absl::Duration wait)
     {
         const absl::Time deadline = absl::Now() + wait;
@@ -37,7 +37,7 @@
         return std::exchange(m_tasks, {});
     }
 
-    /// Waits for close() or for \a wait to pass; true after close().
+    /// Waits up to \a wait for close(); returns whether the queue is closed.
     bool waitClosed(absl::Duration wait)
     {
         absl::MutexLock lock(&m_mutex);
