--- a/tests/replication/filestorage_test.cpp
+++ b/tests/replication/filestorage_test.cpp
@@ -14,7 +14,8 @@
 
 constexpr int scriptSteps = 24;
 
-/// A replica's folder, what it acknowledged, and a script of writes, snapshots and an install.
+/// The data folder of a replica, the data that it acknowledged, and a script of writes, saved
+/// snapshots and installed snapshots.
 struct Folder
 {
     Outcome<Done> open(const ReplicaId &self = "a")
@@ -45,7 +46,7 @@
         return request;
     }
 
-    /// Step \a step of the script; what it acknowledges is noted.
+    /// Runs step \a step of the script and records what the storage acknowledges.
     Outcome<Done> run(int step)
     {
         if (step % 8 == 5)
@@ -82,8 +83,9 @@
         terms[last] = term;
     }
 
-    /// What was acknowledged and is missing in the reopened state; empty when nothing is.
-    std::string lostThing() const
+    /// Returns the first acknowledged item that is missing from the reopened state; empty when none
+    /// is.
+    std::string missingData() const
     {
         const RaftStart &start = state.start;
         if (start.hardState.term < term)
@@ -98,8 +100,8 @@
         }
         if (index < last)
             return concat("entry ", last);
-        const bool isOther = state.snapshotData != concat("state", start.snapshot.index);
-        return start.snapshot.index != 0 && isOther ? "snapshot data" : "";
+        const bool differs = state.snapshotData != concat("state", start.snapshot.index);
+        return start.snapshot.index != 0 && differs ? "snapshot data" : "";
     }
 
     MemoryFileSystem files;
@@ -112,8 +114,9 @@
     std::map<std::uint64_t, std::uint64_t> terms;
 };
 
-/// Runs the script with a fault at one file operation; returns whether the fault was reached.
-bool surviveFault(std::uint64_t operation, Fault fault, std::uint64_t seed)
+/// Runs the script with a fault at one file operation, restarts and checks that no acknowledged
+/// data is missing. Returns whether the fault was reached.
+bool runWithFault(std::uint64_t operation, Fault fault, std::uint64_t seed)
 {
     Folder folder;
     std::mt19937_64 random(seed);
@@ -121,7 +124,7 @@
     bool failed = !folder.open().ok();
     for (int step = 0; step < scriptSteps && !failed; ++step) {
         failed = !folder.run(step).ok();
-        // After a failed sync nobody knows what is on disk, so nothing more is acknowledged.
+        // After a failed sync it is unknown what is on disk, so nothing more may be acknowledged.
         if (failed)
             BOOST_REQUIRE(!folder.run(step + 1).ok());
     }
@@ -131,7 +134,7 @@
     BOOST_REQUIRE_MESSAGE(bool(reopened.ok()),
                           concat("operation ", operation, ": ",
                                  reopened.ok() ? "" : describe(reopened.failure())));
-    BOOST_REQUIRE_EQUAL(folder.lostThing(), "");
+    BOOST_REQUIRE_EQUAL(folder.missingData(), "");
     BOOST_REQUIRE(folder.run(0).ok());
     return failed;
 }
@@ -150,48 +153,49 @@
 
 BOOST_AUTO_TEST_SUITE(FileStorageTest)
 
-// Guards against acknowledged entries, votes or snapshots that are gone after a kill, and against
-// folders that do not open any more.
+// Guards against acknowledged entries, votes or snapshots that are missing after the process was
+// killed at any file operation, and against folders that cannot be reopened then.
 BOOST_AUTO_TEST_CASE(killAtEveryOperationLosesNothing)
 {
     std::uint64_t operation = 0;
     for (bool isReached = true; isReached; ++operation) {
         for (std::uint64_t seed = 1; seed <= 8; ++seed)
-            isReached = surviveFault(operation, Fault::Kill, seed);
+            isReached = runWithFault(operation, Fault::Kill, seed);
     }
     BOOST_TEST(operation > 60u);
 }
 
-// Guards against acknowledgements after a write or sync has failed.
+// Guards against acknowledgements after a write, sync, rename or removal has failed: it is unknown
+// then what is on disk.
 BOOST_AUTO_TEST_CASE(failureOfAnyOperationStopsTheStorage)
 {
     std::uint64_t operation = 0;
     for (bool isReached = true; isReached; ++operation) {
         for (std::uint64_t seed = 1; seed <= 4; ++seed)
-            isReached = surviveFault(operation, Fault::Fail, seed);
+            isReached = runWithFault(operation, Fault::Fail, seed);
     }
     BOOST_TEST(operation > 60u);
 }
 
-// Guards against damage that goes unnoticed: any changed byte is refused by name, or it is in the
-// last frame, which cannot be told from an interrupted write.
+// Guards against undetected corruption. A changed byte must be refused with the name of the file,
+// unless it is in the last frame, where it cannot be distinguished from an interrupted write.
 BOOST_AUTO_TEST_CASE(flippedBytesAreRefused)
 {
     Folder folder = writtenFolder();
     const auto intact = folder.files.contents();
     const std::string lastSegment = intact.rbegin()->first;
-    std::size_t cut = 0;
+    std::size_t truncated = 0;
     std::size_t refused = 0;
     for (const auto &[path, content] : intact) {
-        for (std::size_t place = 0; place < content.size(); ++place) {
+        for (std::size_t offset = 0; offset < content.size(); ++offset) {
             std::string damaged = content;
-            damaged[place] ^= 0x10;
+            damaged[offset] ^= 0x10;
             folder.files.setContent(path, damaged);
             const auto opened = folder.open();
             if (opened.ok()) {
                 BOOST_REQUIRE_EQUAL(path, lastSegment);
                 BOOST_REQUIRE_EQUAL(folder.state.start.entries.size() + 1, folder.last);
-                ++cut;
+                ++truncated;
             } else {
                 BOOST_REQUIRE(opened.failure().code == ErrorCode::CorruptData);
                 BOOST_REQUIRE(opened.failure().detail.find(path) != std::string::npos);
@@ -203,12 +207,13 @@
                 folder.files.setContent(name, data);
         }
     }
-    BOOST_TEST_MESSAGE(concat(refused, " damages refused, ", cut, " in the last frame cut"));
-    BOOST_TEST(refused > cut);
+    BOOST_TEST_MESSAGE(
+            concat(refused, " corruptions refused, ", truncated, " in the last frame truncated"));
+    BOOST_TEST(refused > truncated);
 }
 
-// Guards against a rest of an interrupted write that blocks the restart or is taken for data.
-BOOST_AUTO_TEST_CASE(tornTailIsCut)
+// Guards against an interrupted write whose partial frame prevents the restart or is read as data.
+BOOST_AUTO_TEST_CASE(tornTailIsTruncated)
 {
     Folder folder = writtenFolder();
     const auto intact = folder.files.contents();
@@ -221,7 +226,7 @@
     }
 }
 
-// Guards against a missing segment or snapshot that passes for a shorter history.
+// Guards against a missing segment or snapshot that is mistaken for a shorter log.
 BOOST_AUTO_TEST_CASE(missingFilesAreRefused)
 {
     Folder folder = writtenFolder();
@@ -240,8 +245,9 @@
     }
 }
 
-// Guards against a replica that runs on the folder of another one.
-BOOST_AUTO_TEST_CASE(foreignFolderIsRefused)
+// Guards against a replica that opens the data folder of another replica, for example after a wrong
+// setting.
+BOOST_AUTO_TEST_CASE(folderOfAnotherReplicaIsRefused)
 {
     Folder folder = writtenFolder();
     const auto opened = folder.open("b");
@@ -249,7 +255,8 @@
     BOOST_TEST((opened.failure().code == ErrorCode::IdentityMismatch));
 }
 
-// Guards against an emptied folder that keeps its identity.
+// Guards against a replica that keeps its incarnation after its folder was emptied, although it has
+// lost its votes and entries.
 BOOST_AUTO_TEST_CASE(emptiedFolderGetsANewIncarnation)
 {
     Folder folder = writtenFolder();
@@ -259,8 +266,9 @@
     BOOST_TEST(folder.state.incarnation != before);
 }
 
-// Guards against a full disk that leaves half a frame behind or ends the storage.
-BOOST_AUTO_TEST_CASE(fullDiskHasNoEffectAndMayBeRepeated)
+// Guards against a write on a full disk that leaves a partial frame behind or makes all later
+// writes fail.
+BOOST_AUTO_TEST_CASE(writeOnFullDiskHasNoEffectAndCanBeRetried)
 {
     Folder folder;
     BOOST_REQUIRE(folder.open().ok());
@@ -276,11 +284,11 @@
     folder.files.setFreeBytes(UINT64_MAX);
     BOOST_REQUIRE(folder.run(1).ok());
     BOOST_REQUIRE(folder.open().ok());
-    BOOST_TEST(folder.lostThing() == "");
+    BOOST_TEST(folder.missingData() == "");
 }
 
-// Guards against a check that would not notice a storage without syncs.
-BOOST_AUTO_TEST_CASE(checkNoticesMissingSyncs)
+// Guards against a missingData() check that cannot detect a storage which never syncs.
+BOOST_AUTO_TEST_CASE(checkDetectsMissingSyncs)
 {
     Folder folder;
     folder.files.ignoreSyncs();
@@ -291,10 +299,11 @@
     folder.storage.reset();
     folder.files.restart(random);
     const auto reopened = folder.open();
-    BOOST_TEST((!reopened.ok() || folder.lostThing() != ""));
+    BOOST_TEST((!reopened.ok() || folder.missingData() != ""));
 }
 
-// Guards against one sync for each entry, which would bound the writes by the disk's syncs.
+// Guards against one sync for each entry, which would limit the write rate to the sync rate of the
+// disk.
 BOOST_AUTO_TEST_CASE(writesOfABatchShareOneSync)
 {
     Folder folder;
--- a/tests/replication/groupdriver_test.cpp
+++ b/tests/replication/groupdriver_test.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-/// Storage in memory whose writes a test blocks or lets fail.
-class GatedStorage : public Storage
+/// Storage that discards writes, and whose writes and syncs a test can block or make fail.
+class FaultyStorage : public Storage
 {
 public:
-    struct Gate
+    struct Faults
     {
         std::atomic<bool> isBlocked = false;
         std::atomic<bool> hasSpace = true;
         std::atomic<bool> failsSync = false;
     };
 
-    explicit GatedStorage(Gate &gate)
-        : m_gate(gate)
+    explicit FaultyStorage(Faults &faults)
+        : m_faults(faults)
     {}
 
     Result<void> write(const std::vector<PersistRequest> &) override
     {
-        LocalCluster::waitUntil([this] { return !m_gate.isBlocked; });
-        if (m_gate.failsSync)
+        LocalCluster::waitUntil([this] { return !m_faults.isBlocked; });
+        if (m_faults.failsSync)
             return fail(notRun(ErrorCode::FsyncFailed, "injected"));
         return {};
     }
@@ -36,17 +36,17 @@
     {
         return SnapshotPart();
     }
-    bool hasSpace() override { return m_gate.hasSpace; }
+    bool hasSpace() override { return m_faults.hasSpace; }
 
 private:
-    Gate &m_gate;
+    Faults &m_faults;
 };
 
-/// Three drivers that are joined by direct calls.
-class GatedGroup
+/// A group of three drivers that exchange messages by direct calls.
+class FaultyGroup
 {
 public:
-    GatedGroup()
+    FaultyGroup()
     {
         for (const ReplicaId &id : m_ids) {
             m_links[id].from = id;
@@ -56,7 +56,7 @@
         for (const ReplicaId &id : m_ids)
             m_links[id].isOpen = true;
     }
-    ~GatedGroup()
+    ~FaultyGroup()
     {
         for (auto &[id, driver] : drivers)
             driver->stop();
@@ -75,7 +75,7 @@
         return found;
     }
 
-    std::map<ReplicaId, GatedStorage::Gate> gates;
+    std::map<ReplicaId, FaultyStorage::Faults> faults;
     std::map<ReplicaId, std::unique_ptr<GroupDriver>> drivers;
 
 private:
@@ -87,7 +87,7 @@
                 group->drivers.at(to)->receive(from, std::move(message));
         }
         ReplicaId from;
-        GatedGroup *group = nullptr;
+        FaultyGroup *group = nullptr;
         std::atomic<bool> isOpen = false;
     };
 
@@ -98,7 +98,7 @@
         options.heartbeatPeriod = absl::Milliseconds(20);
         options.electionTimeout = absl::Milliseconds(300);
         GroupDriver::Parts parts;
-        parts.storage = std::make_unique<GatedStorage>(gates[id]);
+        parts.storage = std::make_unique<FaultyStorage>(faults[id]);
         parts.machine = std::make_unique<RegisterMachine>();
         parts.raft.self = id;
         parts.raft.incarnation = id;
@@ -119,13 +119,13 @@
 
 BOOST_AUTO_TEST_SUITE(GroupDriverTest)
 
-// Guards against a slow disk that stops heartbeats and so costs the leader its office.
+// Guards against a slow sync that blocks heartbeats, so that the leader loses its leadership.
 BOOST_AUTO_TEST_CASE(slowSyncDoesNotStopHeartbeats)
 {
-    GatedGroup group;
+    FaultyGroup group;
     const ReplicaId leader = group.leader();
     const std::uint64_t term = group.drivers.at(leader)->status().term;
-    group.gates[leader].isBlocked = true;
+    group.faults[leader].isBlocked = true;
     group.drivers.at(leader)->propose("key=1", [](const Outcome<std::string> &) {});
     // Several election timeouts.
     const absl::Time end = absl::Now() + absl::Seconds(2);
@@ -136,15 +136,15 @@
     }
     // The other two have stored the command.
     BOOST_TEST(group.drivers.at(leader)->status().commitIndex >= 2u);
-    group.gates[leader].isBlocked = false;
+    group.faults[leader].isBlocked = false;
 }
 
-// Guards against writes that are accepted on a full disk, and against reads that end with it.
+// Guards against a full disk on which writes are still accepted, or which makes reads fail too.
 BOOST_AUTO_TEST_CASE(fullDiskRefusesWritesAsNotRunAndServesReads)
 {
-    GatedGroup group;
+    FaultyGroup group;
     const ReplicaId leader = group.leader();
-    group.gates[leader].hasSpace = false;
+    group.faults[leader].hasSpace = false;
     const auto refusal = [&] {
         const auto outcome = await([&](RaftNode::Callback done) {
             group.drivers.at(leader)->propose("key=1", std::move(done));
@@ -159,12 +159,13 @@
     BOOST_TEST(value.ok());
 }
 
-// Guards against a replica that goes on after a failed sync, when its disk may have lost writes.
+// Guards against a replica that continues after a failed sync, although its disk may have lost
+// writes.
 BOOST_AUTO_TEST_CASE(failedSyncStopsTheReplica)
 {
-    GatedGroup group;
+    FaultyGroup group;
     const ReplicaId leader = group.leader();
-    group.gates[leader].failsSync = true;
+    group.faults[leader].failsSync = true;
     group.drivers.at(leader)->propose("key=1", [](const Outcome<std::string> &) {});
     BOOST_TEST(LocalCluster::waitUntil([&] { return group.drivers.at(leader)->status().stopped; }));
     const auto outcome = await([&](RaftNode::Callback done) {
--- a/tests/replication/groupsimulation.cpp
+++ b/tests/replication/groupsimulation.cpp
@@ -9,8 +9,9 @@
 namespace rattanrill::replication {
 namespace {
 
-constexpr absl::Duration heartbeat = absl::Milliseconds(20);
+constexpr absl::Duration heartbeatPeriod = absl::Milliseconds(20);
 constexpr absl::Duration electionTimeout = absl::Milliseconds(100);
+/// A replica takes a snapshot after this many applied entries.
 constexpr std::uint64_t snapshotEntries = 25;
 
 std::string encodeState(const std::map<std::string, std::string> &state)
@@ -30,7 +31,7 @@
     , m_maxSync(absl::Milliseconds(2))
 {
     for (std::size_t i = 0; i < m_options.replicas; ++i)
-        m_founders.insert(concat("n", m_nextName++));
+        m_founders.insert(concat("n", m_nextNodeNumber++));
     for (const ReplicaId &id : m_founders)
         addNode(id, true);
     for (const ReplicaId &id : m_founders) {
@@ -52,7 +53,7 @@
 void GroupSimulation::start(const ReplicaId &id)
 {
     Node &node = m_nodes.at(id);
-    if (node.core || node.isGone)
+    if (node.core || node.mustNotRestart)
         return;
     Disk &disk = node.disk;
     if (disk.incarnation.empty()) {
@@ -65,7 +66,7 @@
     RaftOptions raft;
     raft.self = id;
     raft.incarnation = disk.incarnation;
-    raft.heartbeatPeriod = heartbeat;
+    raft.heartbeatPeriod = heartbeatPeriod;
     raft.electionTimeout = electionTimeout;
     raft.initialElectionTimeout = m_options.initialElectionTimeout;
     raft.maxBatchBytes = m_options.maxBatchBytes;
@@ -77,9 +78,9 @@
     ++node.epoch;
     node.core = std::make_unique<RaftCore>(raft, disk.durable, m_now);
     node.applied = disk.durable.snapshot.index;
-    node.snapshotAt = node.applied;
+    node.lastSnapshotIndex = node.applied;
     loadState(node, disk.snapshotData);
-    settle(node);
+    processOutput(node);
 }
 
 void GroupSimulation::presetDisk(const ReplicaId &id, const std::vector<std::uint64_t> &terms,
@@ -101,14 +102,14 @@
     Node &node = m_nodes.at(id);
     if (!node.core)
         return;
-    // Some of what was written but not synced may be on disk nevertheless.
+    // Some writes that were not synced may be on disk nevertheless.
     std::size_t kept = node.disk.pending.empty() ? 0 : m_random() % (node.disk.pending.size() + 1);
     if (chance(0.7))
         kept = 0;
     for (std::size_t i = 0; i < kept; ++i)
         makeDurable(node.disk, node.disk.pending[i]);
     node.disk.pending.clear();
-    node.disk.inSync = 0;
+    node.disk.syncingWrites = 0;
     ++node.epoch;
     node.core.reset();
     node.timerAt = absl::InfiniteFuture();
@@ -152,10 +153,10 @@
     }
     node.core->tick(m_now);
     input(node);
-    settle(node);
+    processOutput(node);
 }
 
-void GroupSimulation::settle(Node &node)
+void GroupSimulation::processOutput(Node &node)
 {
     RaftOutput output = node.core->output();
     checkLeader(node);
@@ -171,7 +172,7 @@
     for (Message &message : output.messages)
         send(node, std::move(message));
     if (output.stop) {
-        node.isGone = true;
+        node.mustNotRestart = true;
         const ReplicaId id = node.id;
         schedule(absl::ZeroDuration(), [this, id] { crash(id); });
     }
@@ -203,7 +204,7 @@
     m_now = end;
 }
 
-absl::Duration GroupSimulation::between(absl::Duration low, absl::Duration high)
+absl::Duration GroupSimulation::randomDuration(absl::Duration low, absl::Duration high)
 {
     const std::int64_t span = absl::ToInt64Microseconds(high - low) + 1;
     return low + absl::Microseconds(static_cast<std::int64_t>(m_random() % span));
@@ -219,24 +220,24 @@
 void GroupSimulation::writeToDisk(Node &node, DiskWrite write)
 {
     node.disk.pending.push_back(std::move(write));
-    if (node.disk.inSync == 0)
+    if (node.disk.syncingWrites == 0)
         startSync(node);
 }
 
 void GroupSimulation::startSync(Node &node)
 {
     Disk &disk = node.disk;
-    disk.inSync = disk.pending.size();
-    if (disk.inSync == 0)
+    disk.syncingWrites = disk.pending.size();
+    if (disk.syncingWrites == 0)
         return;
-    const absl::Duration most = disk.slowUntil > m_now ? absl::Milliseconds(150) : m_maxSync;
-    scheduleOn(node.id, between(absl::Microseconds(50), most),
+    const absl::Duration maxSync = disk.slowUntil > m_now ? absl::Milliseconds(150) : m_maxSync;
+    scheduleOn(node.id, randomDuration(absl::Microseconds(50), maxSync),
                [this](Node &synced) { finishSync(synced); });
 }
 
 void GroupSimulation::finishSync(Node &node)
 {
-    for (; node.disk.inSync > 0; --node.disk.inSync) {
+    for (; node.disk.syncingWrites > 0; --node.disk.syncingWrites) {
         const DiskWrite write = std::move(node.disk.pending.front());
         node.disk.pending.pop_front();
         makeDurable(node.disk, write);
@@ -283,9 +284,9 @@
 {
     if (message.type == MessageType::SnapshotChunk) {
         const Disk &disk = from.disk;
-        const bool isThere = disk.durable.snapshot.index == message.snapshot.index
-                             && message.offset <= disk.snapshotData.size();
-        if (!isThere)
+        const bool isAvailable = disk.durable.snapshot.index == message.snapshot.index
+                                 && message.offset <= disk.snapshotData.size();
+        if (!isAvailable)
             return;
         message.data = disk.snapshotData.substr(message.offset, message.length);
         message.last = message.offset + message.data.size() == disk.snapshotData.size();
@@ -296,8 +297,8 @@
     const int copies = chance(m_duplicateRate) ? 2 : 1;
     const auto shared = std::make_shared<Message>(std::move(message));
     for (int i = 0; i < copies; ++i) {
-        schedule(between(absl::Microseconds(100), m_maxDelay), [this, shared] {
-            if (m_cuts.count({shared->from, shared->to}) != 0)
+        schedule(randomDuration(absl::Microseconds(100), m_maxDelay), [this, shared] {
+            if (m_cutLinks.count({shared->from, shared->to}) != 0)
                 return;
             const Node &receiver = m_nodes.at(shared->to);
             runOn(shared->to, receiver.epoch, [shared](Node &node) { node.core->step(*shared); });
@@ -307,9 +308,9 @@
 
 void GroupSimulation::maybeCrashAfterSending(const Message &message)
 {
-    // The moment at which a promise that is not on disk does harm.
-    const bool isPromise = message.type == MessageType::VoteReply && message.success;
-    if (!isPromise || !chance(m_crashAfterVoteRate))
+    // A granted vote that is not on disk does harm if the voter crashes right after sending it.
+    const bool isGrantedVote = message.type == MessageType::VoteReply && message.success;
+    if (!isGrantedVote || !chance(m_crashAfterVoteRate))
         return;
     const ReplicaId id = message.from;
     schedule(absl::ZeroDuration(), [this, id] { restartAfter(id, absl::Milliseconds(1)); });
@@ -323,12 +324,12 @@
         std::string bytes;
         putEntry(bytes, entry);
         const std::uint64_t hash = stableHash(bytes);
-        note(hash);
-        const auto [known, isNew] = m_committed.emplace(entry.index, hash);
-        if (!isNew && known->second != hash)
-            violate(concat("committed entry ", entry.index, " changed on ", node.id));
+        updateDigest(hash);
+        const auto [existing, isNew] = m_committed.emplace(entry.index, hash);
+        if (!isNew && existing->second != hash)
+            reportViolation(concat("committed entry ", entry.index, " changed on ", node.id));
         if (entry.index != node.applied + 1)
-            violate(concat("entry ", entry.index, " applied after ", node.applied));
+            reportViolation(concat("entry ", entry.index, " applied after ", node.applied));
         node.applied = entry.index;
         if (entry.kind == EntryKind::Membership)
             applyMembership(entry);
@@ -340,13 +341,14 @@
             continue;
         if (write->second.term == entry.term) {
             ++m_acknowledged;
-            if (entry.index <= write->second.floor)
-                violate(concat("write ", entry.index, " is before an earlier call's"));
-            m_floor = std::max(m_floor, entry.index);
+            if (entry.index <= write->second.minIndex)
+                reportViolation(concat("write ", entry.index,
+                                       " precedes the index that an earlier call saw"));
+            m_highestSeenIndex = std::max(m_highestSeenIndex, entry.index);
         }
         node.writes.erase(write);
     }
-    answerReads(node);
+    completeReadyReads(node);
 }
 
 void GroupSimulation::applyMembership(const Entry &entry)
@@ -357,7 +359,7 @@
             ++it;
             continue;
         }
-        m_nodes.at(it->first).isGone = true;
+        m_nodes.at(it->first).mustNotRestart = true;
         m_lostDisks.erase(it->first);
         it = m_replacements.erase(it);
     }
@@ -367,9 +369,9 @@
 {
     loadState(node, *snapshot.data);
     node.applied = snapshot.meta.index;
-    node.snapshotAt = snapshot.meta.index;
+    node.lastSnapshotIndex = snapshot.meta.index;
     checkState(node.applied, *snapshot.data);
-    answerReads(node);
+    completeReadyReads(node);
 }
 
 void GroupSimulation::loadState(Node &node, const std::string &data)
@@ -386,9 +388,9 @@
 
 void GroupSimulation::takeSnapshot(Node &node)
 {
-    if (node.applied < node.snapshotAt + snapshotEntries)
+    if (node.applied < node.lastSnapshotIndex + snapshotEntries)
         return;
-    node.snapshotAt = node.applied;
+    node.lastSnapshotIndex = node.applied;
     InstalledSnapshot snapshot;
     const RaftLog &log = node.core->raftLog();
     snapshot.meta = {node.applied, log.termAt(node.applied), log.membershipAt(node.applied)};
@@ -400,29 +402,29 @@
 void GroupSimulation::checkState(std::uint64_t index, const std::string &state)
 {
     const std::uint64_t hash = stableHash(state);
-    const auto [known, isNew] = m_states.emplace(index, hash);
-    if (!isNew && known->second != hash)
-        violate(concat("state after ", index, " differs between replicas"));
+    const auto [existing, isNew] = m_states.emplace(index, hash);
+    if (!isNew && existing->second != hash)
+        reportViolation(concat("state after ", index, " differs between replicas"));
 }
 
 void GroupSimulation::write(const ReplicaId &id)
 {
-    const std::uint64_t floor = m_floor;
+    const std::uint64_t minIndex = m_highestSeenIndex;
     const std::string command = concat("key", m_random() % 4, "=", m_nextValue++);
-    scheduleOn(id, absl::ZeroDuration(), [floor, command](Node &node) {
+    scheduleOn(id, absl::ZeroDuration(), [minIndex, command](Node &node) {
         const auto position = node.core->propose(command);
         if (position.ok())
-            node.writes[position.value().index] = {floor, position.value().term};
+            node.writes[position.value().index] = {minIndex, position.value().term};
     });
 }
 
-void GroupSimulation::read(const ReplicaId &id, bool indexed)
+void GroupSimulation::read(const ReplicaId &id, bool onAnyReplica)
 {
-    const std::uint64_t floor = m_floor;
+    const std::uint64_t minIndex = m_highestSeenIndex;
     const std::uint64_t token = m_nextToken++;
-    scheduleOn(id, absl::ZeroDuration(), [floor, token, indexed](Node &node) {
-        node.reads[token] = {floor, 0};
-        if (indexed)
+    scheduleOn(id, absl::ZeroDuration(), [minIndex, token, onAnyReplica](Node &node) {
+        node.reads[token] = {minIndex, 0};
+        if (onAnyReplica)
             node.core->linearizableRead(token);
         else
             node.core->read(token);
@@ -439,10 +441,10 @@
             node.waitingReads.emplace(result.index, read->second);
         node.reads.erase(read);
     }
-    answerReads(node);
+    completeReadyReads(node);
 }
 
-void GroupSimulation::answerReads(Node &node)
+void GroupSimulation::completeReadyReads(Node &node)
 {
     while (!node.waitingReads.empty() && node.waitingReads.begin()->first <= node.applied) {
         completeRead(node, node.waitingReads.begin()->second);
@@ -453,11 +455,12 @@
 void GroupSimulation::completeRead(const Node &node, const Operation &read)
 {
     ++m_answeredReads;
-    // All replicas apply one sequence, so a read is linearizable when the state it saw is no older
-    // than that of any call which ended before it began.
-    if (node.applied < read.floor)
-        violate(concat("read on ", node.id, " saw ", node.applied, " after ", read.floor));
-    m_floor = std::max(m_floor, node.applied);
+    // All replicas apply the same sequence, so a read is linearizable if the state it saw is no
+    // older than that of any call which ended before the read began.
+    if (node.applied < read.minIndex)
+        reportViolation(concat("read on ", node.id, " saw index ", node.applied,
+                               " although an earlier call saw ", read.minIndex));
+    m_highestSeenIndex = std::max(m_highestSeenIndex, node.applied);
 }
 
 void GroupSimulation::transfer(const ReplicaId &id)
@@ -465,31 +468,32 @@
     scheduleOn(id, absl::ZeroDuration(), [](Node &node) { node.core->transferLeadership(); });
 }
 
-void GroupSimulation::randomCall()
+void GroupSimulation::startRandomCall()
 {
-    const std::vector<ReplicaId> up = upNodes();
-    if (!up.empty()) {
-        // Any replica that takes itself for the leader, so that deposed ones are asked too.
+    const std::vector<ReplicaId> running = runningNodes();
+    if (!running.empty()) {
+        // Any replica whose role is leader, so that deposed leaders receive calls too.
         std::vector<ReplicaId> leaders;
-        for (const ReplicaId &id : up) {
+        for (const ReplicaId &id : running) {
             if (core(id)->role() == Role::Leader)
                 leaders.push_back(id);
         }
-        const ReplicaId target = leaders.empty() ? pick(up) : pick(leaders);
+        const ReplicaId target = leaders.empty() ? pick(running) : pick(leaders);
         if (chance(0.5))
             write(target);
         else if (chance(0.5))
             read(target, false);
         else
-            read(pick(up), true);
+            read(pick(running), true);
     }
-    if (!m_isHealed)
-        schedule(between(absl::Milliseconds(1), absl::Milliseconds(8)), [this] { randomCall(); });
+    if (!m_faultsEnded)
+        schedule(randomDuration(absl::Milliseconds(1), absl::Milliseconds(8)),
+                 [this] { startRandomCall(); });
 }
 
 // Checks
 
-void GroupSimulation::violate(const std::string &what)
+void GroupSimulation::reportViolation(const std::string &what)
 {
     if (m_violation.empty())
         m_violation = concat("seed ", m_options.seed, ", ", m_options.replicas, " replicas, ",
@@ -501,7 +505,7 @@
 {
     std::string text;
     for (const auto &[id, node] : m_nodes) {
-        text += concat(" [", id, node.isGone ? " gone" : "");
+        text += concat(" [", id, node.mustNotRestart ? " must not restart" : "");
         if (node.core) {
             text += concat(" ", name(node.core->role()), " term ", node.core->term(), " log ",
                            node.core->raftLog().lastIndex(), " commit ", node.core->commitIndex(),
@@ -518,13 +522,13 @@
 {
     if (node.core->role() != Role::Leader)
         return;
-    const auto [known, isNew] = m_leaderOfTerm.emplace(node.core->term(), node.id);
-    if (!isNew && known->second != node.id)
-        violate(concat("term ", node.core->term(), " has leaders ", known->second, " and ",
-                       node.id));
+    const auto [existing, isNew] = m_leaderOfTerm.emplace(node.core->term(), node.id);
+    if (!isNew && existing->second != node.id)
+        reportViolation(concat("term ", node.core->term(), " has leaders ", existing->second,
+                               " and ", node.id));
 }
 
-void GroupSimulation::note(std::uint64_t value)
+void GroupSimulation::updateDigest(std::uint64_t value)
 {
     m_digest = m_digest * 0x9e3779b97f4a7c15u + value
                + static_cast<std::uint64_t>(absl::ToUnixMicros(m_now));
@@ -547,14 +551,14 @@
     return m_nodes.at(id).core.get();
 }
 
-std::vector<ReplicaId> GroupSimulation::upNodes() const
+std::vector<ReplicaId> GroupSimulation::runningNodes() const
 {
-    std::vector<ReplicaId> up;
+    std::vector<ReplicaId> running;
     for (const auto &[id, node] : m_nodes) {
         if (node.core)
-            up.push_back(id);
+            running.push_back(id);
     }
-    return up;
+    return running;
 }
 
 std::uint64_t GroupSimulation::faults(const std::string &kind) const
--- a/tests/replication/groupsimulation.h
+++ b/tests/replication/groupsimulation.h
@@ -16,30 +16,30 @@
 {
     std::uint64_t seed = 1;
     std::size_t replicas = 3;
-    /// Time with random faults, before everything is repaired.
+    /// Duration of the random faults, which end before recovery is checked.
     absl::Duration length = absl::Milliseconds(1500);
     DisabledSafeguards disabled;
     /// As in RaftOptions.
     absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 512;
-    /// False: start() is left to the script.
+    /// When false, the caller must start the replicas with start().
     bool startReplicas = true;
-    /// Checks after the repair that the group serves again.
+    /// Whether to check that the group serves again after the faults have ended.
     bool checkRecovery = true;
 };
 
-/// One group of Raft cores with simulated disks, network and time. Everything that happens is drawn
-/// from the seed. The first broken invariant is kept in violation().
+/// One group of Raft cores with simulated disks, network and time. All events follow from the seed.
+/// violation() returns the first broken invariant.
 class GroupSimulation
 {
 public:
     explicit GroupSimulation(SimulationOptions options);
     ~GroupSimulation();
 
-    /// Random faults and calls, then repair; checks that the group serves again.
+    /// Runs random faults and calls, ends the faults, and checks that the group serves again.
     void run();
 
-    /// What was violated first; empty: nothing.
+    /// The first violation of an invariant; empty when there is none.
     const std::string &violation() const { return m_violation; }
     /// Digest of all events, equal for equal seeds.
     std::uint64_t digest() const { return m_digest; }
@@ -53,23 +53,23 @@
     void isolate(const ReplicaId &id, bool isCut);
     void crash(const ReplicaId &id);
     void start(const ReplicaId &id);
-    /// Puts a formed group's log on the disk of a replica that is not started: one empty entry of
-    /// each term, and the highest term any replica has seen.
+    /// Initializes the disk of a replica that is not started as in a formed group. The log has one
+    /// empty entry for each element of \a terms; \a term is the highest term any replica has seen.
     void presetDisk(const ReplicaId &id, const std::vector<std::uint64_t> &terms,
                     std::uint64_t term);
     void loseDisk(const ReplicaId &id);
     void write(const ReplicaId &id);
-    void read(const ReplicaId &id, bool indexed);
+    void read(const ReplicaId &id, bool onAnyReplica);
     void transfer(const ReplicaId &id);
-    /// Leader with the highest term; empty when none.
+    /// Returns the leader with the highest term; empty when there is none.
     ReplicaId leader() const;
     const RaftCore *core(const ReplicaId &id) const;
 
 private:
     struct Operation
     {
-        /// Highest index that any call had seen when this one began.
-        std::uint64_t floor = 0;
+        /// Highest index that any completed call had seen when this call began.
+        std::uint64_t minIndex = 0;
         std::uint64_t term = 0;
     };
     struct DiskWrite
@@ -83,8 +83,8 @@
         RaftStart durable;
         std::string snapshotData;
         std::deque<DiskWrite> pending;
-        /// Writes that the sync under way covers; the later ones share the next.
-        std::size_t inSync = 0;
+        /// Number of pending writes that the current sync covers; later ones share the next sync.
+        std::size_t syncingWrites = 0;
         absl::Time slowUntil = absl::InfinitePast();
     };
     struct Node
@@ -92,16 +92,16 @@
         ReplicaId id;
         Disk disk;
         std::unique_ptr<RaftCore> core;
-        /// Counts starts; events of earlier ones are void.
+        /// Number of starts; events that were scheduled in an earlier epoch are ignored.
         std::uint64_t epoch = 0;
         bool isFounder = false;
-        /// Its disk was lost, or it was removed: it does not come back.
-        bool isGone = false;
+        /// Whether the replica stopped itself or was replaced; it is never started again.
+        bool mustNotRestart = false;
         absl::Time frozenUntil = absl::InfinitePast();
         absl::Time timerAt = absl::InfiniteFuture();
         std::map<std::string, std::string> state;
         std::uint64_t applied = 0;
-        std::uint64_t snapshotAt = 0;
+        std::uint64_t lastSnapshotIndex = 0;
         std::map<std::uint64_t, Operation> writes;
         std::map<std::uint64_t, Operation> reads;
         std::multimap<std::uint64_t, Operation> waitingReads;
@@ -122,12 +122,13 @@
 
     // Events
     void schedule(absl::Duration delay, std::function<void()> action);
-    /// Runs \a input on a node that is up in the given epoch, later when it is frozen.
+    /// Runs \a input after \a delay if the node is still running in the current epoch. While the
+    /// node is frozen, \a input is postponed.
     void scheduleOn(const ReplicaId &id, absl::Duration delay, std::function<void(Node &)> input);
     void runOn(const ReplicaId &id, std::uint64_t epoch, const std::function<void(Node &)> &input);
-    void settle(Node &node);
+    void processOutput(Node &node);
     void armTimer(Node &node);
-    absl::Duration between(absl::Duration low, absl::Duration high);
+    absl::Duration randomDuration(absl::Duration low, absl::Duration high);
     bool chance(double probability);
     template <typename Container>
     const auto &pick(const Container &container)
@@ -150,9 +151,9 @@
     void loadState(Node &node, const std::string &data);
     void takeSnapshot(Node &node);
     void finishReads(Node &node, const std::vector<ReadResult> &results);
-    void answerReads(Node &node);
+    void completeReadyReads(Node &node);
     void completeRead(const Node &node, const Operation &read);
-    void randomCall();
+    void startRandomCall();
 
     // Faults
     struct Fault
@@ -162,32 +163,32 @@
         void (GroupSimulation::*inject)();
     };
     static const std::vector<Fault> &faultTable();
-    void randomFault();
+    void injectRandomFault();
     void cutOneWay();
-    void isolateSome();
+    void isolateRandomNode();
     void isolateLeader();
-    void restartSome();
+    void restartRandomNode();
     void restartAll();
-    void freezeSome();
-    void slowDisk();
-    void loseSomeDisk();
+    void freezeRandomNode();
+    void slowRandomDisk();
+    void loseRandomDisk();
     void transferAndIsolate();
-    void replaceSome();
+    void replaceRandomVoter();
     void isolateFor(const ReplicaId &id, absl::Duration time);
     void restartAfter(const ReplicaId &id, absl::Duration downtime);
-    void repairMembers();
-    void heal();
+    void replaceMembers();
+    void endFaults();
     void checkRecovery();
 
     Node &addNode(const ReplicaId &id, bool isFounder);
-    std::vector<ReplicaId> upNodes() const;
+    std::vector<ReplicaId> runningNodes() const;
     bool isFormedEverywhere() const;
     bool canLoseDisk() const;
-    void violate(const std::string &what);
+    void reportViolation(const std::string &what);
     std::string describeNodes() const;
     void checkLeader(const Node &node);
     void checkState(std::uint64_t index, const std::string &state);
-    void note(std::uint64_t value);
+    void updateDigest(std::uint64_t value);
 
     const SimulationOptions m_options;
     std::mt19937_64 m_random;
@@ -196,27 +197,27 @@
     std::priority_queue<Event, std::vector<Event>, Later> m_events;
     std::map<ReplicaId, Node> m_nodes;
     std::set<ReplicaId> m_founders;
-    std::set<std::pair<ReplicaId, ReplicaId>> m_cuts;
+    std::set<std::pair<ReplicaId, ReplicaId>> m_cutLinks;
     double m_lossRate = 0;
     double m_duplicateRate = 0;
     double m_crashAfterVoteRate = 0;
     absl::Duration m_maxDelay;
     absl::Duration m_maxSync;
-    absl::Duration m_maxFaultGap;
-    bool m_isHealed = false;
-    /// Members to be replaced, with their substitutes.
+    absl::Duration m_maxFaultInterval;
+    bool m_faultsEnded = false;
+    /// Substitute by member to be replaced; empty until a substitute has been started.
     std::map<ReplicaId, ReplicaId> m_replacements;
     std::set<ReplicaId> m_lostDisks;
-    std::uint64_t m_nextName = 1;
+    std::uint64_t m_nextNodeNumber = 1;
     std::uint64_t m_nextToken = 1;
     std::uint64_t m_nextValue = 1;
 
-    // What must hold
+    // State of the invariant checks
     std::map<std::uint64_t, ReplicaId> m_leaderOfTerm;
     std::map<std::uint64_t, std::uint64_t> m_committed;
     std::map<std::uint64_t, std::uint64_t> m_states;
     /// Highest index that a completed call has seen.
-    std::uint64_t m_floor = 0;
+    std::uint64_t m_highestSeenIndex = 0;
     std::uint64_t m_acknowledged = 0;
     std::uint64_t m_answeredReads = 0;
     std::map<std::string, std::uint64_t> m_faults;
--- a/tests/replication/groupsimulation_faults.cpp
+++ b/tests/replication/groupsimulation_faults.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t maxNodes = 9;
-/// Enough for some elections, a snapshot and a replacement after the faults have ended.
+/// Time for recovery after the faults have ended: some elections, a snapshot and a replacement.
 constexpr absl::Duration recoveryTime = absl::Seconds(2);
 
 } // namespace
@@ -21,45 +21,45 @@
 {
     static const std::vector<Fault> table = {
             {"one-way cut", 3, &GroupSimulation::cutOneWay},
-            {"isolation", 2, &GroupSimulation::isolateSome},
+            {"isolation", 2, &GroupSimulation::isolateRandomNode},
             {"isolated leader", 2, &GroupSimulation::isolateLeader},
-            {"restart", 3, &GroupSimulation::restartSome},
+            {"restart", 3, &GroupSimulation::restartRandomNode},
             {"restart of all", 1, &GroupSimulation::restartAll},
-            {"freeze", 2, &GroupSimulation::freezeSome},
-            {"slow disk", 2, &GroupSimulation::slowDisk},
-            {"lost disk", 2, &GroupSimulation::loseSomeDisk},
+            {"freeze", 2, &GroupSimulation::freezeRandomNode},
+            {"slow disk", 2, &GroupSimulation::slowRandomDisk},
+            {"lost disk", 2, &GroupSimulation::loseRandomDisk},
             {"transfer", 2, &GroupSimulation::transferAndIsolate},
-            {"replacement", 1, &GroupSimulation::replaceSome},
+            {"replacement", 1, &GroupSimulation::replaceRandomVoter},
     };
     return table;
 }
 
-void GroupSimulation::randomFault()
+void GroupSimulation::injectRandomFault()
 {
     double total = 0;
     for (const Fault &fault : faultTable())
         total += fault.weight;
-    double place = static_cast<double>(m_random() % 100000) / 100000 * total;
+    double remainingWeight = static_cast<double>(m_random() % 100000) / 100000 * total;
     for (const Fault &fault : faultTable()) {
-        place -= fault.weight;
-        if (place >= 0)
+        remainingWeight -= fault.weight;
+        if (remainingWeight >= 0)
             continue;
         ++m_faults[fault.name];
         (this->*fault.inject)();
         break;
     }
-    schedule(between(absl::Milliseconds(5), m_maxFaultGap), [this] {
-        if (!m_isHealed)
-            randomFault();
+    schedule(randomDuration(absl::Milliseconds(5), m_maxFaultInterval), [this] {
+        if (!m_faultsEnded)
+            injectRandomFault();
     });
 }
 
 void GroupSimulation::cutLink(const ReplicaId &from, const ReplicaId &to, bool isCut)
 {
     if (isCut)
-        m_cuts.insert({from, to});
+        m_cutLinks.insert({from, to});
     else
-        m_cuts.erase({from, to});
+        m_cutLinks.erase({from, to});
 }
 
 void GroupSimulation::isolate(const ReplicaId &id, bool isCut)
@@ -81,19 +81,20 @@
     const ReplicaId from = pick(m_nodes).first;
     const ReplicaId to = pick(m_nodes).first;
     cutLink(from, to, true);
-    schedule(between(absl::Milliseconds(20), absl::Milliseconds(500)),
+    schedule(randomDuration(absl::Milliseconds(20), absl::Milliseconds(500)),
              [this, from, to] { cutLink(from, to, false); });
 }
 
-void GroupSimulation::isolateSome()
+void GroupSimulation::isolateRandomNode()
 {
-    isolateFor(pick(m_nodes).first, between(absl::Milliseconds(20), absl::Milliseconds(500)));
+    isolateFor(pick(m_nodes).first,
+               randomDuration(absl::Milliseconds(20), absl::Milliseconds(500)));
 }
 
 void GroupSimulation::isolateLeader()
 {
     if (!leader().empty())
-        isolateFor(leader(), between(absl::Milliseconds(100), absl::Milliseconds(500)));
+        isolateFor(leader(), randomDuration(absl::Milliseconds(100), absl::Milliseconds(500)));
 }
 
 void GroupSimulation::restartAfter(const ReplicaId &id, absl::Duration downtime)
@@ -102,27 +103,28 @@
     schedule(downtime, [this, id] { start(id); });
 }
 
-void GroupSimulation::restartSome()
+void GroupSimulation::restartRandomNode()
 {
-    restartAfter(pick(m_nodes).first, between(absl::Milliseconds(1), absl::Milliseconds(200)));
+    restartAfter(pick(m_nodes).first,
+                 randomDuration(absl::Milliseconds(1), absl::Milliseconds(200)));
 }
 
 void GroupSimulation::restartAll()
 {
     for (const auto &[id, node] : m_nodes)
-        restartAfter(id, between(absl::Milliseconds(1), absl::Milliseconds(100)));
+        restartAfter(id, randomDuration(absl::Milliseconds(1), absl::Milliseconds(100)));
 }
 
-void GroupSimulation::freezeSome()
+void GroupSimulation::freezeRandomNode()
 {
     Node &node = m_nodes.at(ReplicaId(pick(m_nodes).first));
-    node.frozenUntil = m_now + between(absl::Milliseconds(20), absl::Milliseconds(400));
+    node.frozenUntil = m_now + randomDuration(absl::Milliseconds(20), absl::Milliseconds(400));
 }
 
-void GroupSimulation::slowDisk()
+void GroupSimulation::slowRandomDisk()
 {
     Node &node = m_nodes.at(ReplicaId(pick(m_nodes).first));
-    node.disk.slowUntil = m_now + between(absl::Milliseconds(50), absl::Milliseconds(500));
+    node.disk.slowUntil = m_now + randomDuration(absl::Milliseconds(50), absl::Milliseconds(500));
 }
 
 bool GroupSimulation::isFormedEverywhere() const
@@ -140,11 +142,11 @@
 
 bool GroupSimulation::canLoseDisk() const
 {
-    // A founder that has not met a replica whose disk is lost needs replacement too, so a new group
-    // has to form first.
+    // A founder that has not exchanged identities with a replica before that replica's disk is lost
+    // must be replaced too. So no disk is lost before the group has formed.
     if (!isFormedEverywhere())
         return false;
-    // A quorum of every membership that may be in effect must keep its disks.
+    // In every membership that may be in effect, a quorum must keep its disks.
     std::size_t tolerated = SIZE_MAX;
     for (const auto &[id, node] : m_nodes) {
         if (!node.core)
@@ -153,25 +155,26 @@
         if (voters != 0)
             tolerated = std::min(tolerated, (voters - 1) / 2);
     }
-    return tolerated != SIZE_MAX && m_lostDisks.size() < tolerated && m_floor > 0;
+    return tolerated != SIZE_MAX && m_lostDisks.size() < tolerated && m_highestSeenIndex > 0;
 }
 
-void GroupSimulation::loseSomeDisk()
+void GroupSimulation::loseRandomDisk()
 {
     const ReplicaId current = leader();
     if (!canLoseDisk() || current.empty())
         return;
     const Membership &membership = core(current)->membership();
     const ReplicaId victim = pick(membership.voters).first;
-    if (m_nodes.at(victim).isGone)
+    if (m_nodes.at(victim).mustNotRestart)
         return;
     loseDisk(victim);
-    // Its operator starts it again with the empty folder, which must not do harm.
-    schedule(between(absl::Milliseconds(1), absl::Milliseconds(30)),
+    // The replica is started again with the empty folder, as an operator might do. This must not do
+    // harm.
+    schedule(randomDuration(absl::Milliseconds(1), absl::Milliseconds(30)),
              [this, victim] { start(victim); });
-    // The other replica that may know the last commits is cut off for a while.
+    // Temporarily isolates the other replica that may have the last committed entries.
     if (chance(0.5))
-        isolateFor(current, between(absl::Milliseconds(100), absl::Milliseconds(300)));
+        isolateFor(current, randomDuration(absl::Milliseconds(100), absl::Milliseconds(300)));
 }
 
 void GroupSimulation::transferAndIsolate()
@@ -181,11 +184,11 @@
         return;
     transfer(old);
     if (chance(0.5))
-        schedule(between(absl::Milliseconds(1), absl::Milliseconds(4)),
+        schedule(randomDuration(absl::Milliseconds(1), absl::Milliseconds(4)),
                  [this, old] { isolateFor(old, absl::Milliseconds(150)); });
 }
 
-void GroupSimulation::replaceSome()
+void GroupSimulation::replaceRandomVoter()
 {
     const ReplicaId current = leader();
     if (current.empty() || !m_replacements.empty())
@@ -193,16 +196,16 @@
     m_replacements.emplace(pick(core(current)->membership().voters).first, "");
 }
 
-void GroupSimulation::repairMembers()
+void GroupSimulation::replaceMembers()
 {
-    schedule(absl::Milliseconds(30), [this] { repairMembers(); });
+    schedule(absl::Milliseconds(30), [this] { replaceMembers(); });
     const ReplicaId current = leader();
     if (current.empty() || m_replacements.empty())
         return;
     const ReplicaId old = m_replacements.begin()->first;
     ReplicaId &substitute = m_replacements.begin()->second;
     if (substitute.empty() && m_nodes.size() < maxNodes) {
-        substitute = concat("n", m_nextName++);
+        substitute = concat("n", m_nextNodeNumber++);
         addNode(substitute, false);
         start(substitute);
     }
@@ -212,10 +215,10 @@
     });
 }
 
-void GroupSimulation::heal()
+void GroupSimulation::endFaults()
 {
-    m_isHealed = true;
-    m_cuts.clear();
+    m_faultsEnded = true;
+    m_cutLinks.clear();
     m_lossRate = 0;
     m_duplicateRate = 0;
     m_crashAfterVoteRate = 0;
@@ -235,13 +238,13 @@
     m_crashAfterVoteRate = chance(0.5) ? 0.5 : 0;
     m_maxDelay = chance(0.3) ? absl::Milliseconds(25) : absl::Milliseconds(2);
     m_maxSync = chance(0.3) ? absl::Milliseconds(30) : absl::Milliseconds(2);
-    const std::vector<int> faultGaps = {120, 300, 800};
-    m_maxFaultGap = absl::Milliseconds(pick(faultGaps));
-    randomCall();
-    randomFault();
-    repairMembers();
+    const std::vector<int> maxFaultIntervals = {120, 300, 800};
+    m_maxFaultInterval = absl::Milliseconds(pick(maxFaultIntervals));
+    startRandomCall();
+    injectRandomFault();
+    replaceMembers();
     advance(m_options.length);
-    heal();
+    endFaults();
     advance(recoveryTime);
     checkRecovery();
 }
@@ -252,18 +255,20 @@
         return;
     const ReplicaId current = leader();
     if (current.empty()) {
-        violate(concat("no leader after all faults have ended:", describeNodes()));
+        reportViolation(concat("no leader after all faults have ended:", describeNodes()));
         return;
     }
     const std::uint64_t before = m_acknowledged;
     write(current);
     advance(absl::Milliseconds(300));
     if (m_acknowledged == before && m_violation.empty())
-        violate(concat("no write is accepted after all faults have ended:", describeNodes()));
+        reportViolation(
+                concat("no write is accepted after all faults have ended:", describeNodes()));
     for (const auto &[id, incarnation] : core(current)->membership().voters) {
         const Node &node = m_nodes.at(id);
-        if (node.core && node.applied < m_floor)
-            violate(concat(id, " has applied ", node.applied, " of ", m_floor, describeNodes()));
+        if (node.core && node.applied < m_highestSeenIndex)
+            reportViolation(concat(id, " has applied ", node.applied, " of ", m_highestSeenIndex,
+                                   describeNodes()));
     }
 }
 
--- a/tests/replication/groupsimulation_test.cpp
+++ b/tests/replication/groupsimulation_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-std::uint64_t environmentNumber(const char *name, std::uint64_t standard)
+std::uint64_t environmentNumber(const char *name, std::uint64_t defaultValue)
 {
     const char *text = std::getenv(name);
-    return text == nullptr ? standard : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? defaultValue : std::strtoull(text, nullptr, 10);
 }
 
-SimulationOptions seeded(std::uint64_t seed)
+SimulationOptions optionsForSeed(std::uint64_t seed)
 {
     SimulationOptions options;
     options.seed = seed;
@@ -26,18 +26,19 @@
     return options;
 }
 
-/// A safeguard and the member that switches it off.
+/// A safeguard and the member that disables it.
 struct Safeguard
 {
     const char *name;
     bool DisabledSafeguards::*disabled;
 };
 
-/// The first violation within \a count seeds of a core without a safeguard; empty when none.
+/// Disables \a safeguard, runs up to \a count seeds and returns the first violation; empty when
+/// there is none.
 std::string violationWithout(bool DisabledSafeguards::*safeguard, std::uint64_t count)
 {
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        SimulationOptions options = seeded(seed);
+        SimulationOptions options = optionsForSeed(seed);
         options.disabled.*safeguard = true;
         options.checkRecovery = false;
         GroupSimulation simulation(options);
@@ -65,7 +66,8 @@
         simulation.start(id);
     for (int i = 0; i < 100000 && simulation.core("n3")->raftLog().lastIndex() < 2; ++i)
         simulation.advance(absl::Microseconds(20));
-    // The leader hears that entry 2 has arrived, but its own entry does not get through any more.
+    // The leader receives the acknowledgement of entry 2, but can no longer replicate the entry of
+    // its own term.
     simulation.cutLink("n1", "n3", true);
     simulation.cutLink("n2", "n3", true);
     simulation.advance(absl::Milliseconds(20));
@@ -77,7 +79,7 @@
     return simulation.violation();
 }
 
-std::uint64_t termsAfterReturn(const DisabledSafeguards &disabled)
+std::uint64_t termIncreaseAfterReconnect(const DisabledSafeguards &disabled)
 {
     SimulationOptions options;
     options.disabled = disabled;
@@ -93,15 +95,15 @@
     return simulation.core(simulation.leader())->term() - before;
 }
 
-std::uint64_t writesBehindDeafLeader(const DisabledSafeguards &disabled)
+std::uint64_t writesAfterLeaderStopsReceiving(const DisabledSafeguards &disabled)
 {
     SimulationOptions options;
     options.disabled = disabled;
     GroupSimulation simulation(options);
     simulation.advance(absl::Seconds(1));
-    const ReplicaId deaf = simulation.leader();
+    const ReplicaId oldLeader = simulation.leader();
     for (const ReplicaId id : {"n1", "n2", "n3"})
-        simulation.cutLink(id, deaf, id != deaf);
+        simulation.cutLink(id, oldLeader, id != oldLeader);
     simulation.advance(absl::Seconds(1));
     const std::uint64_t before = simulation.acknowledgedWrites();
     simulation.write(simulation.leader());
@@ -113,8 +115,9 @@
 
 BOOST_AUTO_TEST_SUITE(GroupSimulationTest)
 
-// Guards against every loss or change of committed entries, two leaders of a term, stale reads and
-// a group that does not recover. RATTANRILL_SEEDS and RATTANRILL_FIRST_SEED choose the seeds.
+// Guards against lost or changed committed entries, two leaders in one term, stale reads and a
+// group that does not recover, after crashes, lost disks, partitions and delays. The environment
+// variables RATTANRILL_SEEDS and RATTANRILL_FIRST_SEED select the seeds.
 BOOST_AUTO_TEST_CASE(invariantsHoldUnderRandomFaults)
 {
     const std::uint64_t first = environmentNumber("RATTANRILL_FIRST_SEED", 1);
@@ -122,7 +125,7 @@
     std::uint64_t writes = 0;
     std::uint64_t reads = 0;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        GroupSimulation simulation(seeded(seed));
+        GroupSimulation simulation(optionsForSeed(seed));
         simulation.run();
         BOOST_TEST(simulation.violation() == "");
         writes += simulation.acknowledgedWrites();
@@ -130,18 +133,19 @@
     }
     BOOST_TEST_MESSAGE(
             concat(count, " seeds, ", writes, " acknowledged writes, ", reads, " reads"));
-    // A group that accepts nothing would break no invariant.
+    // A group that accepts no calls would not violate any invariant.
     BOOST_TEST(writes > count * 10);
     BOOST_TEST(reads > count * 10);
 }
 
-// Guards against replicas that harm a group by standing for election soon after their start.
-BOOST_AUTO_TEST_CASE(shortFirstElectionsKeepTheInvariants)
+// Guards against replicas that disrupt a group because a short initial timeout lets them start an
+// election soon after their start.
+BOOST_AUTO_TEST_CASE(shortInitialElectionTimeoutKeepsInvariants)
 {
     constexpr std::uint64_t seeds = 300;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        SimulationOptions options = seeded(seed);
-        // A quarter of the simulation's election timeout.
+        SimulationOptions options = optionsForSeed(seed);
+        // A quarter of the election timeout of the simulation.
         options.initialElectionTimeout = absl::Milliseconds(25);
         GroupSimulation simulation(options);
         simulation.run();
@@ -149,27 +153,29 @@
     }
 }
 
-// Guards against runs that cannot be repeated from their seed.
-BOOST_AUTO_TEST_CASE(equalSeedsGiveEqualRuns)
+// Guards against runs that cannot be reproduced from their seed, for example after a use of real
+// time.
+BOOST_AUTO_TEST_CASE(equalSeedsProduceEqualRuns)
 {
-    GroupSimulation first(seeded(7));
-    GroupSimulation second(seeded(7));
+    GroupSimulation first(optionsForSeed(7));
+    GroupSimulation second(optionsForSeed(7));
     first.run();
     second.run();
     BOOST_TEST(first.digest() == second.digest());
     BOOST_TEST(first.acknowledgedWrites() == second.acknowledgedWrites());
 }
 
-// Guards against a checker that would not notice: without any one of these safeguards it must find
-// a violation.
-BOOST_AUTO_TEST_CASE(checkerNoticesEveryMissingSafeguard)
+// Guards against invariant checks that miss violations: with any one of these safeguards disabled,
+// they must find one.
+BOOST_AUTO_TEST_CASE(checkerDetectsEveryDisabledSafeguard)
 {
     const std::vector<Safeguard> safeguards = {
-            {"vote on disk before the answer", &DisabledSafeguards::persistBeforeVote},
-            {"entries on disk before the answer",
+            {"vote is on disk before the reply", &DisabledSafeguards::persistBeforeVote},
+            {"entries are on disk before the reply",
              &DisabledSafeguards::persistBeforeAcknowledgement},
             {"a quorum confirms reads", &DisabledSafeguards::readConfirmation},
-            {"a lost disk ends an identity", &DisabledSafeguards::identityCheck},
+            {"a replica whose disk was lost cannot keep its identity",
+             &DisabledSafeguards::identityCheck},
     };
     for (const Safeguard &safeguard : safeguards) {
         const std::string violation = violationWithout(safeguard.disabled, 1000);
@@ -178,9 +184,10 @@
     }
 }
 
-// Guards against a commit of an earlier term's entry that only counts replicas: section 5.4.2 of
-// the Raft paper. Entry 2 of term 2 reaches a quorum, then a replica with an entry of term 3 wins.
-BOOST_AUTO_TEST_CASE(entriesOfEarlierTermsCommitWithOneOfTheOwnTerm)
+// Guards against committing an entry of an earlier term by counting replicas (section 5.4.2 of the
+// Raft paper): entry 2 of term 2 reaches a quorum, then a replica with an entry of term 3 wins an
+// election and overwrites it.
+BOOST_AUTO_TEST_CASE(earlierTermEntriesCommitOnlyWithAnEntryOfTheCurrentTerm)
 {
     BOOST_TEST(violationOfEarlierTermCommit(DisabledSafeguards()) == "");
     DisabledSafeguards disabled;
@@ -188,22 +195,24 @@
     BOOST_TEST(violationOfEarlierTermCommit(disabled) != "");
 }
 
-// Guards against a replica that was cut off and deposes a healthy leader when it comes back.
+// Guards against a replica that raises its term while it is isolated and deposes a healthy leader
+// when it reconnects.
 BOOST_AUTO_TEST_CASE(returningReplicaDoesNotDeposeTheLeader)
 {
-    BOOST_TEST(termsAfterReturn(DisabledSafeguards()) == 0u);
+    BOOST_TEST(termIncreaseAfterReconnect(DisabledSafeguards()) == 0u);
     DisabledSafeguards disabled;
     disabled.preVote = true;
-    BOOST_TEST(termsAfterReturn(disabled) > 0u);
+    BOOST_TEST(termIncreaseAfterReconnect(disabled) > 0u);
 }
 
-// Guards against a leader that still sends but hears nobody and blocks the group for ever.
-BOOST_AUTO_TEST_CASE(leaderThatHearsNobodyStepsDown)
+// Guards against a leader that can send but not receive: its heartbeats prevent an election, and it
+// cannot commit anything.
+BOOST_AUTO_TEST_CASE(leaderThatReceivesNothingStepsDown)
 {
-    BOOST_TEST(writesBehindDeafLeader(DisabledSafeguards()) > 0u);
+    BOOST_TEST(writesAfterLeaderStopsReceiving(DisabledSafeguards()) > 0u);
     DisabledSafeguards disabled;
     disabled.checkQuorum = true;
-    BOOST_TEST(writesBehindDeafLeader(disabled) == 0u);
+    BOOST_TEST(writesAfterLeaderStopsReceiving(disabled) == 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/replication/localcluster.cpp
+++ b/tests/replication/localcluster.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::replication {
 namespace {
 
-constexpr absl::Duration patience = absl::Seconds(10);
+constexpr absl::Duration waitTimeout = absl::Seconds(10);
 
 } // namespace
 
@@ -20,15 +20,16 @@
     struct State
     {
         absl::Notification done;
-        Outcome<std::string> outcome = mayHaveRun(ErrorCode::Timeout, "no callback came");
+        Outcome<std::string> outcome =
+                mayHaveRun(ErrorCode::Timeout, "callback was not called in time");
     };
     const auto state = std::make_shared<State>();
     call([state](Outcome<std::string> outcome) {
         state->outcome = std::move(outcome);
         state->done.Notify();
     });
-    if (!state->done.WaitForNotificationWithTimeout(patience))
-        return mayHaveRun(ErrorCode::Timeout, "no callback came");
+    if (!state->done.WaitForNotificationWithTimeout(waitTimeout))
+        return mayHaveRun(ErrorCode::Timeout, "callback was not called in time");
     return state->outcome;
 }
 
@@ -58,9 +59,9 @@
 
 LocalCluster::~LocalCluster()
 {
-    for (auto &[id, group] : m_groups)
-        group->stop();
-    m_groups.clear();
+    for (auto &[id, replica] : m_replicas)
+        replica->stop();
+    m_replicas.clear();
     std::filesystem::remove_all(m_folder);
 }
 
@@ -77,28 +78,28 @@
     auto &link = m_links[id];
     if (!link)
         link = std::make_unique<Link>(*this, id);
-    auto group = outcomeOf([&] {
+    auto replica = outcomeOf([&] {
         return startRaftNode(options, std::make_unique<RegisterMachine>(), *link,
                              SystemClock::instance());
     });
-    if (!group.ok())
-        return group.failure();
-    m_groups[id] = std::move(group.value());
-    cut(id, false);
+    if (!replica.ok())
+        return replica.failure();
+    m_replicas[id] = std::move(replica.value());
+    setDisconnected(id, false);
     return Done{};
 }
 
 void LocalCluster::close(const ReplicaId &id)
 {
-    cut(id, true);
-    m_groups.at(id)->stop();
-    m_groups.erase(id);
+    setDisconnected(id, true);
+    m_replicas.at(id)->stop();
+    m_replicas.erase(id);
 }
 
-void LocalCluster::cut(const ReplicaId &id, bool isCut)
+void LocalCluster::setDisconnected(const ReplicaId &id, bool isDisconnected)
 {
     absl::MutexLock lock(&m_mutex);
-    m_reachable[id] = isCut ? nullptr : m_groups.at(id).get();
+    m_reachable[id] = isDisconnected ? nullptr : m_replicas.at(id).get();
 }
 
 void LocalCluster::deliver(const ReplicaId &from, const ReplicaId &to, std::string message)
@@ -117,7 +118,7 @@
 
 bool LocalCluster::waitUntil(const std::function<bool()> &condition)
 {
-    const absl::Time deadline = absl::Now() + patience;
+    const absl::Time deadline = absl::Now() + waitTimeout;
     while (!condition()) {
         if (absl::Now() > deadline)
             return false;
@@ -130,8 +131,8 @@
 {
     ReplicaId leader;
     waitUntil([&] {
-        for (const auto &[id, group] : m_groups) {
-            if (group->status().role == Role::Leader)
+        for (const auto &[id, replica] : m_replicas) {
+            if (replica->status().role == Role::Leader)
                 leader = id;
         }
         return !leader.empty();
@@ -143,8 +144,8 @@
 {
     Outcome<std::string> outcome = mayHaveRun(ErrorCode::Timeout, "no leader");
     waitUntil([&] {
-        for (const auto &[id, group] : m_groups) {
-            if (group->status().role == Role::Leader)
+        for (const auto &[id, replica] : m_replicas) {
+            if (replica->status().role == Role::Leader)
                 outcome = propose(id, command);
             if (outcome.ok())
                 return true;
--- a/tests/replication/localcluster.h
+++ b/tests/replication/localcluster.h
@@ -13,32 +13,33 @@
 
 namespace rattanrill::replication {
 
-/// Outcome of an asynchronous call; Timeout when no callback comes within 10 s.
+/// Returns the outcome of an asynchronous call, or Timeout if its callback does not run within 10
+/// s.
 Outcome<std::string> await(const std::function<void(RaftNode::Callback)> &call);
 
-/// Replicas in one process with real files, threads and time, joined by direct calls.
+/// Replicas in one process. Files, threads and time are real; messages are direct calls.
 class LocalCluster
 {
 public:
     LocalCluster();
     ~LocalCluster();
 
-    /// Opens or reopens a replica in its folder.
+    /// Starts or restarts a replica on its folder.
     Outcome<Done> open(const ReplicaId &id, const std::vector<ReplicaId> &voters);
     void close(const ReplicaId &id);
-    void cut(const ReplicaId &id, bool isCut);
+    void setDisconnected(const ReplicaId &id, bool isDisconnected);
     std::string folder(const ReplicaId &id) const;
-    RaftNode &at(const ReplicaId &id) { return *m_groups.at(id); }
+    RaftNode &at(const ReplicaId &id) { return *m_replicas.at(id); }
 
-    /// Waits until some replica leads; empty after 10 s.
+    /// Waits until there is a leader and returns it; empty after 10 s.
     ReplicaId waitForLeader();
-    /// Repeats the proposal on whoever leads until it succeeds or 10 s have passed.
+    /// Proposes \a command to the current leader until a proposal succeeds or 10 s have passed.
     Outcome<std::string> write(const std::string &command);
     Outcome<std::string> propose(const ReplicaId &id, const std::string &command);
     Outcome<std::string> linearizableRead(const ReplicaId &id, const std::string &query);
     Outcome<std::string> addReplica(const ReplicaId &leader, const ReplicaId &member,
                                     const ReplicaId &replaced);
-    /// Polls \a condition for up to 10 s.
+    /// Polls \a condition for up to 10 s; returns whether it became true.
     static bool waitUntil(const std::function<bool()> &condition);
 
 private:
@@ -48,7 +49,7 @@
 
     std::string m_folder;
     std::map<ReplicaId, std::unique_ptr<Link>> m_links;
-    std::map<ReplicaId, std::unique_ptr<RaftNode>> m_groups;
+    std::map<ReplicaId, std::unique_ptr<RaftNode>> m_replicas;
     absl::Mutex m_mutex;
     std::map<ReplicaId, RaftNode *> m_reachable ABSL_GUARDED_BY(m_mutex);
 };
--- a/tests/replication/memoryfilesystem.cpp
+++ b/tests/replication/memoryfilesystem.cpp
@@ -16,7 +16,7 @@
 
     Result<void> sync() override
     {
-        BOOST_LEAF_CHECK(m_files.count(ErrorCode::FsyncFailed));
+        BOOST_LEAF_CHECK(m_files.countOperation(ErrorCode::FsyncFailed));
         if (!m_files.m_ignoresSyncs)
             m_content->synced = m_content->data;
         return {};
@@ -24,7 +24,7 @@
 
     Result<void> truncate(std::uint64_t size) override
     {
-        BOOST_LEAF_CHECK(m_files.count(ErrorCode::IoError));
+        BOOST_LEAF_CHECK(m_files.countOperation(ErrorCode::IoError));
         m_content->data.resize(size);
         return {};
     }
@@ -41,7 +41,7 @@
     m_fault = fault;
 }
 
-Result<void> MemoryFileSystem::count(ErrorCode failure)
+Result<void> MemoryFileSystem::countOperation(ErrorCode failure)
 {
     const std::uint64_t operation = m_operations++;
     const bool isKilled = m_fault == Fault::Kill && operation >= m_faultAt;
@@ -56,7 +56,7 @@
         content.data += data.substr(0, m_freeBytes);
         return fail(notRun(ErrorCode::DiskFull, "injected"));
     }
-    const auto counted = outcomeOf([&] { return count(ErrorCode::IoError); });
+    const auto counted = outcomeOf([&] { return countOperation(ErrorCode::IoError); });
     if (!counted.ok()) {
         content.data += data.substr(0, data.size() / 2);
         return fail(counted.failure());
@@ -71,7 +71,7 @@
     if (random() % 2 == 0)
         m_files = m_syncedFiles;
     for (auto &[path, content] : m_files) {
-        // Between nothing and all of what was appended since the last sync.
+        // Keeps a random part of the data that was appended since the last sync, from none to all.
         const std::size_t synced = content->synced.size();
         if (content->data.size() > synced) {
             content->data.resize(synced + random() % (content->data.size() - synced + 1));
@@ -142,7 +142,7 @@
 
 Result<void> MemoryFileSystem::rename(const std::string &from, const std::string &to)
 {
-    BOOST_LEAF_CHECK(count(ErrorCode::IoError));
+    BOOST_LEAF_CHECK(countOperation(ErrorCode::IoError));
     m_files[to] = m_files.at(from);
     m_files.erase(from);
     return {};
@@ -150,14 +150,14 @@
 
 Result<void> MemoryFileSystem::remove(const std::string &path)
 {
-    BOOST_LEAF_CHECK(count(ErrorCode::IoError));
+    BOOST_LEAF_CHECK(countOperation(ErrorCode::IoError));
     m_files.erase(path);
     return {};
 }
 
 Result<void> MemoryFileSystem::syncFolder(const std::string &)
 {
-    BOOST_LEAF_CHECK(count(ErrorCode::FsyncFailed));
+    BOOST_LEAF_CHECK(countOperation(ErrorCode::FsyncFailed));
     m_syncedFiles = m_files;
     return {};
 }
--- a/tests/replication/memoryfilesystem.h
+++ b/tests/replication/memoryfilesystem.h
@@ -10,7 +10,8 @@
 
 namespace rattanrill::replication {
 
-/// Files in memory that lose what was not synced, and that fail or die at a chosen operation.
+/// In-memory file system that loses unsynced data on restart() and injects a fault at a chosen
+/// operation.
 class MemoryFileSystem : public FileSystem
 {
 public:
@@ -22,13 +23,14 @@
         Fail,
     };
 
-    /// Injects \a fault at the operation with this number, counted over writes, syncs, renames and
-    /// removals.
+    /// Injects \a fault at the given operation, counted from 0 over writes, truncations, syncs,
+    /// renames and removals from now on.
     void failAt(std::uint64_t operation, Fault fault);
     std::uint64_t operations() const { return m_operations; }
-    /// Power comes back: unsynced data and names are kept or lost at random.
+    /// Simulates a restart after a loss of power: unsynced data and names are kept or lost at
+    /// random.
     void restart(std::mt19937_64 &random);
-    /// Syncs succeed without effect from now on.
+    /// Makes later syncs of files succeed without effect.
     void ignoreSyncs() { m_ignoresSyncs = true; }
     void setFreeBytes(std::uint64_t bytes) { m_freeBytes = bytes; }
 
@@ -57,7 +59,8 @@
     };
     class OpenFile;
 
-    Result<void> count(ErrorCode failure);
+    /// Counts an operation; fails with \a failure when the fault occurs at it.
+    Result<void> countOperation(ErrorCode failure);
     Result<void> append(Content &content, std::string_view data);
 
     std::uint64_t m_operations = 0;
@@ -66,7 +69,7 @@
     bool m_ignoresSyncs = false;
     std::uint64_t m_freeBytes = UINT64_MAX;
     std::map<std::string, std::shared_ptr<Content>> m_files;
-    /// Names as of the last folder sync.
+    /// Files by path as of the last folder sync.
     std::map<std::string, std::shared_ptr<Content>> m_syncedFiles;
 };
 
--- a/tests/replication/raftnode_test.cpp
+++ b/tests/replication/raftnode_test.cpp
@@ -11,7 +11,8 @@
 
 BOOST_AUTO_TEST_SUITE(RaftNodeTest)
 
-// Guards against a group that cannot form or that loses acknowledged writes over a restart.
+// Guards against a group of one replica that cannot form, or that loses acknowledged writes in a
+// restart.
 BOOST_AUTO_TEST_CASE(singleReplicaKeepsWritesOverRestarts)
 {
     LocalCluster cluster;
@@ -26,7 +27,8 @@
     BOOST_TEST(value.value() == "399");
 }
 
-// Guards against followers that answer from old state, and against a lost leader ending service.
+// Guards against followers that serve reads from stale state, and against a group that stops
+// serving after the loss of its leader.
 BOOST_AUTO_TEST_CASE(threeReplicasServeReadsAndSurviveTheLossOfTheLeader)
 {
     LocalCluster cluster;
@@ -48,8 +50,8 @@
     }));
 }
 
-// Guards against a replica whose disk was emptied and that votes again under its old identity, and
-// against a group that cannot replace it.
+// Guards against a replica that votes again under its old identity after its disk was emptied, and
+// against a group that cannot replace such a replica.
 BOOST_AUTO_TEST_CASE(emptiedReplicaStopsAndIsReplacedUnderANewId)
 {
     LocalCluster cluster;
--- a/tests/replication/registermachine.h
+++ b/tests/replication/registermachine.h
@@ -9,8 +9,8 @@
 
 namespace rattanrill::replication {
 
-/// Registers by name: command "NAME=VALUE" is answered with the former value, query "NAME" with the
-/// value.
+/// Registers by name. The command "NAME=VALUE" sets a register and returns its previous value; the
+/// query "NAME" returns its value.
 class RegisterMachine : public StateMachine
 {
 public:
@@ -18,15 +18,15 @@
     {
         const std::size_t split = command.find('=');
         std::string &value = m_values[std::string(command.substr(0, split))];
-        const std::string former = value;
+        const std::string previous = value;
         value = command.substr(split + 1);
-        return answer(former);
+        return encodeResult(previous);
     }
 
     std::string query(std::string_view query) const override
     {
         const auto found = m_values.find(std::string(query));
-        return answer(found == m_values.end() ? "" : found->second);
+        return encodeResult(found == m_values.end() ? "" : found->second);
     }
 
     std::string snapshot() const override
@@ -51,7 +51,7 @@
     }
 
 private:
-    static std::string answer(const std::string &body)
+    static std::string encodeResult(const std::string &body)
     {
         wire::CommandResult result;
         result.body = body;
