--- a/src/batch/batchstate.cpp
+++ b/src/batch/batchstate.cpp
@@ -13,19 +13,19 @@
 constexpr std::string_view formatName = "rattanrill-batch-";
 constexpr std::string_view formatVersion = "1\n";
 constexpr std::size_t headerBytes = formatName.size() + formatVersion.size();
-/// Upper estimate of an item's share of a snapshot besides its texts.
-constexpr std::size_t itemBytes = 24;
+/// Upper bound for the bytes that an item takes in a snapshot in addition to its texts.
+constexpr std::size_t itemOverheadBytes = 24;
 
-boost::leaf::error_id corrupt(std::string_view reason)
+boost::leaf::error_id corruptSnapshot(std::string_view reason)
 {
     return fail(notRun(ErrorCode::CorruptData, concat("batch snapshot: ", reason)));
 }
 
-/// Payload of a snapshot whose format and checksum are right.
+/// Checks format version and checksum and returns the payload of a snapshot.
 Result<std::string_view> payloadOf(std::string_view bytes)
 {
     if (bytes.substr(0, formatName.size()) != formatName)
-        return corrupt("not a batch snapshot");
+        return corruptSnapshot("not a batch snapshot");
     bytes.remove_prefix(formatName.size());
     if (bytes.substr(0, formatVersion.size()) != formatVersion) {
         return fail(
@@ -34,11 +34,11 @@
     bytes.remove_prefix(formatVersion.size());
     std::uint64_t checksum = 0;
     if (bytes.size() < sizeof checksum)
-        return corrupt("truncated");
+        return corruptSnapshot("truncated");
     std::memcpy(&checksum, bytes.data(), sizeof checksum);
     bytes.remove_prefix(sizeof checksum);
     if (checksum != stableHash(bytes))
-        return corrupt("wrong checksum");
+        return corruptSnapshot("wrong checksum");
     return bytes;
 }
 
@@ -71,7 +71,7 @@
     if (ends)
         finish(number, wire::ItemState::Failed, {0, {}, ErrorCode::LeaseExpired});
     else
-        giveBack(number, 0);
+        releaseItem(number, 0);
 }
 
 void BatchState::endDelays()
@@ -79,12 +79,12 @@
     while (!m_delays.empty() && std::get<0>(*m_delays.begin()) <= m_nowMs) {
         const auto [time, number, index] = *m_delays.begin();
         m_delays.erase(m_delays.begin());
-        // A job that was cancelled meanwhile may be gone.
+        // The job may have been cancelled and removed during the backoff.
         const auto job = m_jobs.find(number);
         if (job == m_jobs.end() || job->second.isExpired())
             continue;
         job->second.setReady(index);
-        settle(job->second);
+        updateQueues(job->second);
     }
 }
 
@@ -188,24 +188,24 @@
 
 Job &BatchState::addJob(const wire::CreateJob &operation)
 {
-    const Job::Number number = m_nextJob++;
+    const Job::Number number = m_nextJobNumber++;
     ItemFile &file = m_files.at(operation.fileId);
     ++file.jobs;
     touchFile(file);
     Job &job =
             m_jobs.emplace(number, Job(number, operation, file.itemCount(), m_nowMs)).first->second;
     indexJob(number, job);
-    settle(job);
+    updateQueues(job);
     return job;
 }
 
 void BatchState::cancelJob(Job &job)
 {
     job.cancel(m_nowMs);
-    settle(job);
+    updateQueues(job);
 }
 
-void BatchState::settle(const Job &job)
+void BatchState::updateQueues(const Job &job)
 {
     if (job.hasOpenItem())
         m_due.add(job);
@@ -229,7 +229,7 @@
     const LeaseTable::Number number =
             m_leases.add({job.number(), index, m_nowMs + leaseMs, holder});
     m_due.endTurn();
-    settle(job);
+    updateQueues(job);
     return {number, index};
 }
 
@@ -253,36 +253,36 @@
     m_leases.remove(number);
     Job &job = jobOf(lease);
     job.finish(lease.index, state, result, m_nowMs);
-    settle(job);
+    updateQueues(job);
 }
 
-void BatchState::giveBack(LeaseTable::Number number, std::int64_t backoffMs)
+void BatchState::releaseItem(LeaseTable::Number number, std::int64_t backoffMs)
 {
     const Lease lease = *m_leases.find(number);
     m_leases.remove(number);
     Job &job = jobOf(lease);
-    job.giveBack(lease.index, m_nowMs);
+    job.releaseItem(lease.index, m_nowMs);
     if (backoffMs > 0)
         m_delays.emplace(m_nowMs + backoffMs, lease.job, lease.index);
     else
         job.setReady(lease.index);
-    settle(job);
+    updateQueues(job);
 }
 
 std::size_t BatchState::textBytes() const
 {
     std::size_t bytes = m_claims.textBytes();
     for (const auto &[id, file] : m_files)
-        bytes += file.textBytes() + file.itemCount() * itemBytes;
+        bytes += file.textBytes() + file.itemCount() * itemOverheadBytes;
     for (const auto &[number, job] : m_jobs)
-        bytes += job.textBytes() + job.itemCount() * itemBytes;
+        bytes += job.textBytes() + job.itemCount() * itemOverheadBytes;
     return bytes;
 }
 
 std::string BatchState::serialize() const
 {
     std::string bytes;
-    // Growing step by step would copy the texts again and again.
+    // Reserves the whole size, because each reallocation would copy all texts.
     bytes.reserve(textBytes());
     bytes.append(formatName);
     bytes.append(formatVersion);
@@ -301,7 +301,7 @@
     writer.number(m_files.size());
     for (const auto &[id, file] : m_files)
         file.write(writer);
-    writer.number(m_nextJob);
+    writer.number(m_nextJobNumber);
     writer.number(m_jobs.size());
     for (const auto &[number, job] : m_jobs)
         job.write(writer);
@@ -322,7 +322,7 @@
     ByteReader reader(payload);
     read(reader);
     if (!reader.ok() || !reader.atEnd())
-        return corrupt("inconsistent content");
+        return corruptSnapshot("inconsistent content");
     return {};
 }
 
@@ -350,7 +350,7 @@
 
 void BatchState::readJobs(ByteReader &reader)
 {
-    m_nextJob = reader.number();
+    m_nextJobNumber = reader.number();
     const std::size_t jobs = reader.count();
     for (std::size_t count = 0; count < jobs; ++count) {
         Job read;
@@ -397,7 +397,7 @@
         const Job::Number number = reader.number();
         const std::uint64_t index = reader.number();
         const auto job = m_jobs.find(number);
-        // The job of a stale delay may be gone.
+        // The job of an outdated delay may already have been removed.
         if (job != m_jobs.end() && index >= job->second.itemCount())
             return reader.setFailed();
         m_delays.emplace(time, number, static_cast<std::uint32_t>(index));
--- a/src/batch/batchstatemachine.cpp
+++ b/src/batch/batchstatemachine.cpp
@@ -21,10 +21,12 @@
 constexpr std::int64_t maxLeaseMs = 3600 * 1000;
 constexpr std::int64_t maxBackoffMs = 3600 * 1000;
 constexpr std::int64_t maxKeepMs = 366LL * 24 * 3600 * 1000;
-/// Times beyond the year 4000 are damage; the limit keeps sums of times in range.
+/// Latest accepted time in milliseconds since the Unix epoch, after the year 4000. A later time can
+/// only come from corrupt data. The limit also prevents overflow when times are added.
 constexpr std::int64_t maxTimeMs = 1LL << 46;
 constexpr std::uint64_t maxResultLines = 10000;
-/// The newest jobs; a partition ends some thousand jobs a day.
+/// ListJobs returns the newest jobs up to this number. Some thousand jobs end in a partition each
+/// day.
 constexpr std::size_t maxListedJobs = 1000;
 constexpr std::int64_t maxHttpStatus = 999;
 
@@ -60,7 +62,7 @@
     return {};
 }
 
-ErrorCode reasonOf(const std::string &reason)
+ErrorCode reasonCode(const std::string &reason)
 {
     return errorCodeFromName(reason).value_or(ErrorCode::ItemFailed);
 }
@@ -109,13 +111,13 @@
 
 std::string BatchStateMachine::apply(std::uint64_t, std::string_view bytes)
 {
-    return wire::encodeCommandResult(outcomeOf([&]() -> Applied {
+    return wire::encodeCommandResult(outcomeOf([&]() -> ApplyResult {
         BOOST_LEAF_AUTO(command, wire::decode<wire::BatchCommand>(bytes));
         return applyCommand(command);
     }));
 }
 
-BatchStateMachine::Applied BatchStateMachine::applyCommand(const wire::BatchCommand &command)
+BatchStateMachine::ApplyResult BatchStateMachine::applyCommand(const wire::BatchCommand &command)
 {
     BOOST_LEAF_CHECK(validateRange("now_ms", command.nowMs, 0, maxTimeMs));
     m_state->advance(command.nowMs);
@@ -125,7 +127,7 @@
 
 std::string BatchStateMachine::query(std::string_view bytes) const
 {
-    return wire::encodeCommandResult(outcomeOf([&]() -> Answered {
+    return wire::encodeCommandResult(outcomeOf([&]() -> QueryResult {
         BOOST_LEAF_AUTO(message, wire::decode<wire::BatchQueryMessage>(bytes));
         return std::visit([this](const auto &query) { return answer(query); }, message.query);
     }));
@@ -144,7 +146,7 @@
     return {};
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::AppendItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AppendItems &operation)
 {
     BOOST_LEAF_CHECK(
             validateNames({{"file_id", operation.fileId}, {"workspace", operation.workspace}}));
@@ -166,7 +168,7 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::SealFile &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::SealFile &operation)
 {
     ItemFile *file = m_state->file(operation.fileId);
     if (file == nullptr || file->workspace() != operation.workspace)
@@ -178,7 +180,7 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::DropFile &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::DropFile &operation)
 {
     const ItemFile *file = m_state->file(operation.fileId);
     if (file == nullptr)
@@ -202,7 +204,8 @@
     return {};
 }
 
-/// Job that the operation names already; null when it is new.
+/// Returns the job that was already created with the idempotency key or job id of the operation, or
+/// null if there is none.
 Result<Job *> BatchStateMachine::existingJob(const wire::CreateJob &operation)
 {
     Job *job = nullptr;
@@ -211,7 +214,7 @@
     if (job != nullptr && job->fileId() != operation.fileId) {
         return failWith(ErrorCode::Conflict,
                         concat("idempotency key \"", operation.idempotencyKey,
-                               "\" names a job of file \"", job->fileId(), "\""));
+                               "\" already identifies a job of file \"", job->fileId(), "\""));
     }
     if (job != nullptr)
         return job;
@@ -227,7 +230,7 @@
     return job;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::CreateJob &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CreateJob &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"job_id", operation.jobId},
                                     {"file_id", operation.fileId},
@@ -248,7 +251,7 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::CancelJob &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CancelJob &operation)
 {
     BOOST_LEAF_CHECK(findJob(operation.jobId, operation.workspace));
     Job &job = *m_state->job(operation.jobId);
@@ -264,7 +267,7 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::LeaseItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::LeaseItems &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"holder", operation.holder}}));
     BOOST_LEAF_CHECK(validateRange("lease_ms", operation.leaseMs, 1, maxLeaseMs));
@@ -290,11 +293,11 @@
     leased.workspace = job.workspace();
     leased.spec = {std::string(spec.customId), std::string(spec.url), std::string(spec.body)};
     leased.dueAtMs = job.dueAtMs();
-    leased.failedTries = job.item(index).failedTries;
+    leased.failedTries = job.item(index).failedAttempts;
     return leased;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::RenewLeases &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::RenewLeases &operation)
 {
     BOOST_LEAF_CHECK(validateRange("lease_ms", operation.leaseMs, 1, maxLeaseMs));
     BatchResult result;
@@ -304,7 +307,7 @@
             result.lost.push_back(item);
         } else if (m_state->jobOf(*lease).isCancelling()) {
             result.lost.push_back(item);
-            m_state->giveBack(item.lease, 0);
+            m_state->releaseItem(item.lease, 0);
         } else {
             m_state->renew(item.lease, operation.leaseMs);
         }
@@ -312,7 +315,7 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::ReleaseItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::ReleaseItems &operation)
 {
     BOOST_LEAF_CHECK(validateRange("backoff_ms", operation.backoffMs, 0, maxBackoffMs));
     BatchResult result;
@@ -331,37 +334,37 @@
 {
     const Lease &lease = *m_state->leaseByNumber(number);
     Job &job = m_state->jobOf(lease);
-    const bool counts = operation.failedTry && !job.isCancelling();
-    if (counts)
-        job.countFailedTry(lease.index);
-    if (counts && job.item(lease.index).failedTries >= maxFailedAttempts)
-        m_state->finish(number, ItemState::Failed, {0, {}, reasonOf(operation.reason)});
+    const bool countsAsFailed = operation.failedTry && !job.isCancelling();
+    if (countsAsFailed)
+        job.countFailedAttempt(lease.index);
+    if (countsAsFailed && job.item(lease.index).failedAttempts >= maxFailedAttempts)
+        m_state->finish(number, ItemState::Failed, {0, {}, reasonCode(operation.reason)});
     else
-        m_state->giveBack(number, operation.backoffMs);
+        m_state->releaseItem(number, operation.backoffMs);
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::CompleteItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CompleteItems &operation)
 {
-    BatchResult answer;
+    BatchResult response;
     for (const wire::ItemResult &result : operation.results) {
         if (m_state->lease(result.item) == nullptr) {
-            ++answer.dropped;
+            ++response.dropped;
             continue;
         }
         complete(result);
-        ++answer.accepted;
+        ++response.accepted;
     }
-    return answer;
+    return response;
 }
 
 void BatchStateMachine::complete(const wire::ItemResult &result)
 {
     const ItemState state = result.failed ? ItemState::Failed : ItemState::Completed;
     const std::int64_t status = std::clamp<std::int64_t>(result.status, 0, maxHttpStatus);
-    m_state->finish(result.item.lease, state, {status, result.body, reasonOf(result.reason)});
+    m_state->finish(result.item.lease, state, {status, result.body, reasonCode(result.reason)});
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::ClaimRequest &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::ClaimRequest &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"workspace", operation.workspace},
                                     {"idempotency_key", operation.idempotencyKey},
@@ -373,20 +376,20 @@
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::FinishClaim &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::FinishClaim &operation)
 {
     BatchResult result;
     BOOST_LEAF_ASSIGN(result.claim, m_state->claims().finish(operation, m_state->nowMs()));
     return result;
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::AbandonClaim &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AbandonClaim &operation)
 {
     BOOST_LEAF_CHECK(m_state->claims().abandon(operation, m_state->nowMs()));
     return BatchResult();
 }
 
-BatchStateMachine::Applied BatchStateMachine::perform(const wire::AdvanceTime &)
+BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AdvanceTime &)
 {
     return BatchResult();
 }
@@ -400,7 +403,7 @@
     return job;
 }
 
-BatchStateMachine::Answered BatchStateMachine::answer(const wire::ReadJob &query) const
+BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadJob &query) const
 {
     BatchQueryResult result;
     BOOST_LEAF_AUTO(job, findJob(query.jobId, query.workspace));
@@ -408,7 +411,7 @@
     return result;
 }
 
-BatchStateMachine::Answered BatchStateMachine::answer(const wire::ReadFile &query) const
+BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadFile &query) const
 {
     const ItemFile *file = std::as_const(*m_state).file(query.fileId);
     if (file == nullptr || !belongsTo(file->workspace(), query.workspace))
@@ -418,7 +421,7 @@
     return result;
 }
 
-BatchStateMachine::Answered BatchStateMachine::answer(const wire::ReadResults &query) const
+BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadResults &query) const
 {
     BOOST_LEAF_AUTO(job, findJob(query.jobId, query.workspace));
     if (job->isExpired()) {
@@ -443,7 +446,7 @@
     return result;
 }
 
-BatchStateMachine::Answered BatchStateMachine::answer(const wire::ListJobs &query) const
+BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ListJobs &query) const
 {
     BatchQueryResult result;
     const auto &jobs = m_state->jobs();
--- a/src/batch/batchstatemachine.h
+++ b/src/batch/batchstatemachine.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::batch {
 
-/// Checks commands and applies them to a BatchState.
+/// Validates commands and applies them to a BatchState.
 class BatchStateMachine : public replication::StateMachine
 {
 public:
@@ -22,30 +22,31 @@
     Result<void> restore(std::string_view snapshot) override;
 
 private:
-    using Applied = Result<wire::BatchResult>;
-    using Answered = Result<wire::BatchQueryResult>;
-
-    Applied applyCommand(const wire::BatchCommand &command);
-    Applied perform(const wire::AppendItems &operation);
-    Applied perform(const wire::SealFile &operation);
-    Applied perform(const wire::DropFile &operation);
-    Applied perform(const wire::CreateJob &operation);
-    Applied perform(const wire::CancelJob &operation);
-    Applied perform(const wire::LeaseItems &operation);
-    Applied perform(const wire::RenewLeases &operation);
-    Applied perform(const wire::ReleaseItems &operation);
-    Applied perform(const wire::CompleteItems &operation);
-    Applied perform(const wire::ClaimRequest &operation);
-    Applied perform(const wire::FinishClaim &operation);
-    Applied perform(const wire::AbandonClaim &operation);
-    Applied perform(const wire::AdvanceTime &operation);
-
-    Answered answer(const wire::ReadJob &query) const;
-    Answered answer(const wire::ReadFile &query) const;
-    Answered answer(const wire::ReadResults &query) const;
-    Answered answer(const wire::ListJobs &query) const;
-
-    /// Job with this id; fails with NotFound also when it belongs to another workspace.
+    using ApplyResult = Result<wire::BatchResult>;
+    using QueryResult = Result<wire::BatchQueryResult>;
+
+    ApplyResult applyCommand(const wire::BatchCommand &command);
+    ApplyResult perform(const wire::AppendItems &operation);
+    ApplyResult perform(const wire::SealFile &operation);
+    ApplyResult perform(const wire::DropFile &operation);
+    ApplyResult perform(const wire::CreateJob &operation);
+    ApplyResult perform(const wire::CancelJob &operation);
+    ApplyResult perform(const wire::LeaseItems &operation);
+    ApplyResult perform(const wire::RenewLeases &operation);
+    ApplyResult perform(const wire::ReleaseItems &operation);
+    ApplyResult perform(const wire::CompleteItems &operation);
+    ApplyResult perform(const wire::ClaimRequest &operation);
+    ApplyResult perform(const wire::FinishClaim &operation);
+    ApplyResult perform(const wire::AbandonClaim &operation);
+    ApplyResult perform(const wire::AdvanceTime &operation);
+
+    QueryResult answer(const wire::ReadJob &query) const;
+    QueryResult answer(const wire::ReadFile &query) const;
+    QueryResult answer(const wire::ReadResults &query) const;
+    QueryResult answer(const wire::ListJobs &query) const;
+
+    /// Returns the job with this id. Fails with NotFound if there is none or if it belongs to
+    /// another workspace.
     Result<const Job *> findJob(const std::string &jobId, const std::string &workspace) const;
     Result<void> checkFileForJob(const wire::CreateJob &operation) const;
     Result<Job *> existingJob(const wire::CreateJob &operation);
--- a/src/batch/bytereader.h
+++ b/src/batch/bytereader.h
@@ -6,8 +6,8 @@
 
 namespace rattanrill::batch {
 
-/// Reads what ByteWriter wrote. After the first error all reads give 0 or an empty text, and ok()
-/// stays false.
+/// Reads the format that ByteWriter writes. After the first error, all reads return 0 or an empty
+/// text and ok() stays false.
 class ByteReader
 {
 public:
@@ -19,10 +19,11 @@
     std::int64_t signedNumber();
     std::string_view text();
     std::string string() { return std::string(text()); }
-    /// Number of elements that follow. Each takes at least one byte, so that a damaged count can't
-    /// ask for more memory than the snapshot has bytes.
+    /// Reads the number of elements that follow. Fails if it exceeds the number of remaining bytes:
+    /// each element takes at least one byte, so a corrupt count cannot request more memory than the
+    /// snapshot has bytes.
     std::size_t count();
-    /// Number below \a end.
+    /// Reads a number and fails unless it is less than \a end.
     std::uint64_t numberBelow(std::uint64_t end);
 
     bool ok() const { return m_ok; }
--- a/src/batch/bytewriter.h
+++ b/src/batch/bytewriter.h
@@ -6,7 +6,8 @@
 
 namespace rattanrill::batch {
 
-/// Appends to the bytes of a snapshot. Numbers take 1 to 10 bytes, smaller ones less.
+/// Appends to the bytes of a snapshot. Numbers have a variable length of 1 to 10 bytes; small
+/// numbers take fewer bytes.
 class ByteWriter
 {
 public:
@@ -16,7 +17,7 @@
 
     void number(std::uint64_t value);
     void signedNumber(std::int64_t value);
-    /// Length and bytes.
+    /// Writes the length, then the bytes.
     void text(std::string_view text);
 
 private:
--- a/src/batch/claimtable.cpp
+++ b/src/batch/claimtable.cpp
@@ -6,7 +6,7 @@
 namespace rattanrill::batch {
 namespace {
 
-constexpr std::uint64_t claimStates = 4;
+constexpr std::uint64_t claimStateCount = 4;
 
 boost::leaf::error_id conflict(const std::string &key, std::string_view reason)
 {
@@ -25,16 +25,16 @@
 Result<wire::ClaimStatus> ClaimTable::claim(const wire::ClaimRequest &request, std::int64_t nowMs)
 {
     const Key key(request.workspace, request.idempotencyKey);
-    const auto known = m_claims.find(key);
-    if (known == m_claims.end())
+    const auto existing = m_claims.find(key);
+    if (existing == m_claims.end())
         return start(key, request, nowMs);
     const bool isFree =
-            known->second.state == State::Abandoned && known->second.holder != request.holder;
-    return isFree ? start(key, request, nowMs) : claimAgain(known->second, request);
+            existing->second.state == State::Abandoned && existing->second.holder != request.holder;
+    return isFree ? start(key, request, nowMs) : claimExisting(existing->second, request);
 }
 
-Result<wire::ClaimStatus> ClaimTable::claimAgain(const Claim &claim,
-                                                 const wire::ClaimRequest &request) const
+Result<wire::ClaimStatus> ClaimTable::claimExisting(const Claim &claim,
+                                                    const wire::ClaimRequest &request) const
 {
     if (claim.state == State::Abandoned)
         return conflict(request.idempotencyKey, "was abandoned by this holder");
@@ -66,16 +66,16 @@
 Result<wire::ClaimStatus> ClaimTable::finish(const wire::FinishClaim &request, std::int64_t nowMs)
 {
     const Key key(request.workspace, request.idempotencyKey);
-    const auto known = m_claims.find(key);
-    if (known == m_claims.end() || known->second.state == State::Abandoned) {
+    const auto existing = m_claims.find(key);
+    if (existing == m_claims.end() || existing->second.state == State::Abandoned) {
         return fail(notRun(ErrorCode::NotFound,
                            concat("no claim of key \"", request.idempotencyKey, "\"")));
     }
-    if (known->second.holder != request.holder)
+    if (existing->second.holder != request.holder)
         return conflict(request.idempotencyKey, "is claimed by another holder");
-    if (known->second.state == State::Finished)
-        return statusOf(known->second);
-    Claim claim = known->second;
+    if (existing->second.state == State::Finished)
+        return statusOf(existing->second);
+    Claim claim = existing->second;
     claim.state = State::Finished;
     claim.expiresAtMs = nowMs + claim.keepMs;
     claim.status = request.status;
@@ -89,11 +89,11 @@
 Result<void> ClaimTable::abandon(const wire::AbandonClaim &request, std::int64_t nowMs)
 {
     const Key key(request.workspace, request.idempotencyKey);
-    const auto known = m_claims.find(key);
-    const bool isTaken = known != m_claims.end() && known->second.state != State::Abandoned;
-    if (isTaken && known->second.holder != request.holder)
+    const auto existing = m_claims.find(key);
+    const bool isHeld = existing != m_claims.end() && existing->second.state != State::Abandoned;
+    if (isHeld && existing->second.holder != request.holder)
         return conflict(request.idempotencyKey, "is claimed by another holder");
-    if (isTaken && known->second.state == State::Finished)
+    if (isHeld && existing->second.state == State::Finished)
         return conflict(request.idempotencyKey, "is finished");
     Claim claim;
     claim.holder = request.holder;
@@ -119,10 +119,10 @@
 void ClaimTable::store(const Key &key, Claim claim)
 {
     erase(key);
-    account(key, m_claims.emplace(key, std::move(claim)).first->second);
+    indexClaim(key, m_claims.emplace(key, std::move(claim)).first->second);
 }
 
-void ClaimTable::account(const Key &key, const Claim &claim)
+void ClaimTable::indexClaim(const Key &key, const Claim &claim)
 {
     m_running += claim.state == State::Running ? 1 : 0;
     m_textBytes += claim.body.size();
@@ -171,7 +171,7 @@
         claim.requestHash = reader.string();
         claim.holder = reader.string();
         claim.keepMs = reader.signedNumber();
-        claim.state = static_cast<State>(reader.numberBelow(claimStates));
+        claim.state = static_cast<State>(reader.numberBelow(claimStateCount));
         claim.expiresAtMs = reader.signedNumber();
         if (claim.state == State::Finished) {
             claim.status = reader.signedNumber();
--- a/src/batch/claimtable.h
+++ b/src/batch/claimtable.h
@@ -14,8 +14,8 @@
 
 namespace rattanrill::batch {
 
-/// Claims of non-idempotent requests by workspace and key. A running claim ends only by its
-/// holder; a finished one is forgotten after its time.
+/// Claims of non-idempotent requests by workspace and idempotency key. Only its holder can end a
+/// running claim. A finished claim is removed keepMs after it was finished.
 class ClaimTable
 {
 public:
@@ -26,8 +26,8 @@
     Result<wire::ClaimStatus> finish(const wire::FinishClaim &request, std::int64_t nowMs);
     /// Fails with Conflict for another holder or a finished claim. A resend changes nothing.
     Result<void> abandon(const wire::AbandonClaim &request, std::int64_t nowMs);
-    /// Forgets finished and abandoned claims whose time is over. Running ones stay, but no longer
-    /// count against the limit.
+    /// Removes finished and abandoned claims that have expired. Expired running claims are kept,
+    /// but no longer count towards maxRunningClaims.
     void expire(std::int64_t nowMs);
 
     std::size_t textBytes() const { return m_textBytes; }
@@ -43,8 +43,8 @@
         /// Running for longer than keepMs; its holder is probably lost.
         Overdue,
         Finished,
-        /// Free for other holders. Remembered for a while, because a delayed copy of the holder's
-        /// ClaimRequest would leave a claim that nobody ends.
+        /// Free for other holders. Kept for abandonedClaimRetentionMs, because otherwise a delayed
+        /// copy of the holder's ClaimRequest would start a claim that no one ends.
         Abandoned,
     };
 
@@ -61,14 +61,15 @@
     };
 
     static wire::ClaimStatus statusOf(const Claim &claim);
-    Result<wire::ClaimStatus> claimAgain(const Claim &claim,
-                                         const wire::ClaimRequest &request) const;
+    Result<wire::ClaimStatus> claimExisting(const Claim &claim,
+                                            const wire::ClaimRequest &request) const;
     Result<wire::ClaimStatus> start(const Key &key, const wire::ClaimRequest &request,
                                     std::int64_t nowMs);
-    /// Replaces the claim of \a key and keeps the counts and times in line.
+    /// Replaces the claim of \a key and updates the totals and m_expiry.
     void store(const Key &key, Claim claim);
     void erase(const Key &key);
-    void account(const Key &key, const Claim &claim);
+    /// Adds a stored claim to the totals and to m_expiry.
+    void indexClaim(const Key &key, const Claim &claim);
 
     std::map<Key, Claim> m_claims;
     std::set<std::pair<std::int64_t, Key>> m_expiry;
--- a/src/batch/duequeue.cpp
+++ b/src/batch/duequeue.cpp
@@ -6,12 +6,12 @@
 
 DueQueue::Workspace &DueQueue::workspaceOf(Group &group, const std::string &name)
 {
-    const auto [place, added] = group.workspaces.try_emplace(name);
+    const auto [workspace, added] = group.workspaces.try_emplace(name);
     if (added) {
-        place->second.turn = group.nextTurn++;
-        group.turns.emplace(place->second.turn, name);
+        workspace->second.turn = group.nextTurn++;
+        group.turns.emplace(workspace->second.turn, name);
     }
-    return place->second;
+    return workspace->second;
 }
 
 void DueQueue::add(const Job &job)
--- a/src/batch/duequeue.h
+++ b/src/batch/duequeue.h
@@ -12,22 +12,23 @@
 
 namespace rattanrill::batch {
 
-/// Jobs with open items, earliest due first. Workspaces with jobs of equal due time take turns,
-/// item by item; the jobs of one workspace come in order of creation.
+/// Jobs with open items, ordered by due time. Workspaces whose jobs have the same due time are
+/// served round-robin, one item per turn; the jobs of one workspace are served in order of
+/// creation.
 class DueQueue
 {
 public:
-    /// Adds \a job unless it is queued.
+    /// Adds \a job unless it is already queued.
     void add(const Job &job);
     /// Removes \a job if it is queued.
     void remove(const Job &job);
-    /// Job whose turn it is.
+    /// Returns the job whose item is leased next.
     std::optional<Job::Number> next() const;
     /// Ends the turn of the workspace of next(). Requires a queued job.
     void endTurn();
 
     void write(ByteWriter &writer) const;
-    /// \a jobs are all jobs of the partition.
+    /// \a jobs holds all jobs of the partition.
     void read(ByteReader &reader, const std::map<Job::Number, Job> &jobs);
 
 private:
--- a/src/batch/itemfile.cpp
+++ b/src/batch/itemfile.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t maxBodyBytes = 4u << 20;
 constexpr std::uint64_t maxItems = 1000000;
 
-/// Precedes the custom id and the body of an item in the text store.
+/// Stored before the custom id and the body of an item in the text store.
 struct ItemHeader
 {
     std::uint16_t customIdBytes;
@@ -56,42 +56,43 @@
 {
     if (firstIndex > m_positions.size()) {
         return conflict(concat("file \"", m_fileId, "\" has ", m_positions.size(),
-                               " items, the range starts at ", firstIndex));
+                               " items, but the range starts at ", firstIndex));
     }
-    const std::size_t known = std::min(items.size(), m_positions.size() - firstIndex);
-    for (std::size_t offset = 0; offset < known; ++offset)
+    const std::size_t storedCount = std::min(items.size(), m_positions.size() - firstIndex);
+    for (std::size_t offset = 0; offset < storedCount; ++offset)
         BOOST_LEAF_CHECK(checkSame(firstIndex + offset, items[offset]));
-    BOOST_LEAF_CHECK(checkNew(items, known));
-    for (std::size_t offset = known; offset < items.size(); ++offset)
+    BOOST_LEAF_CHECK(checkNew(items, storedCount));
+    for (std::size_t offset = storedCount; offset < items.size(); ++offset)
         appendItem(items[offset]);
     return {};
 }
 
 Result<void> ItemFile::checkSame(std::uint64_t index, const wire::ItemSpec &spec) const
 {
-    const Item known = item(index);
+    const Item stored = item(index);
     const bool same =
-            known.customId == spec.customId && known.url == spec.url && known.body == spec.body;
+            stored.customId == spec.customId && stored.url == spec.url && stored.body == spec.body;
     if (!same)
-        return conflict(concat("file \"", m_fileId, "\" has another item ", index));
+        return conflict(concat("file \"", m_fileId, "\" already has a different item ", index));
     return {};
 }
 
-Result<void> ItemFile::checkNew(const std::vector<wire::ItemSpec> &items, std::size_t known) const
+Result<void> ItemFile::checkNew(const std::vector<wire::ItemSpec> &items,
+                                std::size_t storedCount) const
 {
-    if (known == items.size())
+    if (storedCount == items.size())
         return {};
     if (m_sealed)
         return conflict(concat("file \"", m_fileId, "\" is sealed"));
-    if (m_positions.size() + items.size() - known > maxItems)
+    if (m_positions.size() + items.size() - storedCount > maxItems)
         return fail(notRun(ErrorCode::InvalidItem, "a file has at most 1,000,000 items"));
     std::vector<std::string> urls = m_urls;
-    absl::flat_hash_set<std::uint64_t> fresh;
-    for (std::size_t offset = known; offset < items.size(); ++offset) {
+    absl::flat_hash_set<std::uint64_t> newCustomIds;
+    for (std::size_t offset = storedCount; offset < items.size(); ++offset) {
         const wire::ItemSpec &spec = items[offset];
         BOOST_LEAF_CHECK(validateItem(spec));
         const std::uint64_t hash = stableHash(spec.customId);
-        if (m_customIds.contains(hash) || !fresh.insert(hash).second) {
+        if (m_customIds.contains(hash) || !newCustomIds.insert(hash).second) {
             return fail(notRun(ErrorCode::DuplicateItem,
                                concat("custom_id \"", spec.customId, "\" is used twice")));
         }
@@ -118,9 +119,9 @@
 
 std::uint16_t ItemFile::urlIndex(const std::string &url)
 {
-    const auto known = std::find(m_urls.begin(), m_urls.end(), url);
-    const auto index = static_cast<std::uint16_t>(known - m_urls.begin());
-    if (known == m_urls.end())
+    const auto existing = std::find(m_urls.begin(), m_urls.end(), url);
+    const auto index = static_cast<std::uint16_t>(existing - m_urls.begin());
+    if (existing == m_urls.end())
         m_urls.push_back(url);
     return index;
 }
@@ -130,7 +131,7 @@
     const bool matches = itemCount == m_positions.size() && (!m_sealed || bytes == m_bytes);
     if (!matches) {
         return conflict(concat("file \"", m_fileId, "\" has ", m_positions.size(),
-                               " items, the seal names ", itemCount, " items and ", bytes,
+                               " items, but the seal command has ", itemCount, " items and ", bytes,
                                " bytes"));
     }
     m_sealed = true;
--- a/src/batch/itemfile.h
+++ b/src/batch/itemfile.h
@@ -14,8 +14,8 @@
 
 namespace rattanrill::batch {
 
-/// An uploaded file. An item takes 8 bytes for its position and 8 bytes of lengths besides its
-/// texts; urls are stored once.
+/// An uploaded file. In addition to its texts, an item takes 8 bytes for its position and 8 bytes
+/// for its header. Each distinct URL is stored once.
 class ItemFile
 {
 public:
@@ -29,11 +29,11 @@
     ItemFile() = default;
     ItemFile(std::string fileId, std::string workspace);
 
-    /// Appends the items of a range that are not there yet. Fails with Conflict (a gap, other items
-    /// than the ones that are there, or a sealed file), InvalidItem or DuplicateItem and then
-    /// changes nothing.
+    /// Appends those items of a range that are not stored yet. Fails with Conflict (the range
+    /// leaves a gap, differs from the stored items or extends a sealed file), InvalidItem or
+    /// DuplicateItem and then changes nothing.
     Result<void> append(std::uint64_t firstIndex, const std::vector<wire::ItemSpec> &items);
-    /// Fails with Conflict when the file has another number of items or was sealed with other
+    /// Fails with Conflict if the file has a different number of items or was sealed with different
     /// values.
     Result<void> seal(std::uint64_t itemCount, std::int64_t bytes);
 
@@ -49,13 +49,13 @@
     void write(ByteWriter &writer) const;
     void read(ByteReader &reader);
 
-    /// Jobs that use the file.
+    /// Number of jobs that use the file.
     std::uint64_t jobs = 0;
     std::int64_t lastUsedMs = 0;
 
 private:
     Result<void> checkSame(std::uint64_t index, const wire::ItemSpec &spec) const;
-    Result<void> checkNew(const std::vector<wire::ItemSpec> &items, std::size_t known) const;
+    Result<void> checkNew(const std::vector<wire::ItemSpec> &items, std::size_t storedCount) const;
     void appendItem(const wire::ItemSpec &spec);
     std::uint16_t urlIndex(const std::string &url);
 
@@ -66,7 +66,7 @@
     TextStore m_texts;
     std::vector<TextStore::Position> m_positions;
     std::vector<std::string> m_urls;
-    /// Hashes of the custom ids during the upload. Only looked up, never iterated.
+    /// Hashes of the custom ids, kept until the file is sealed. Only looked up, never iterated.
     absl::flat_hash_set<std::uint64_t> m_customIds;
 };
 
--- a/src/batch/job.cpp
+++ b/src/batch/job.cpp
@@ -12,8 +12,8 @@
 using wire::ItemState;
 using wire::JobState;
 
-constexpr std::uint64_t itemStates = 5;
-constexpr std::uint64_t jobStates = 4;
+constexpr std::uint64_t itemStateCount = 5;
+constexpr std::uint64_t jobStateCount = 4;
 
 bool isFinished(ItemState state)
 {
@@ -40,7 +40,7 @@
 bool Job::hasOpenItem() const
 {
     const bool running = m_state == JobState::InProgress;
-    return running && (!m_returned.empty() || m_cursor < m_items.size());
+    return running && (!m_readyItems.empty() || m_cursor < m_items.size());
 }
 
 std::string_view Job::resultBody(const Item &item) const
@@ -75,17 +75,17 @@
 std::uint32_t Job::leaseNext()
 {
     std::uint32_t index = m_cursor;
-    if (m_returned.empty()) {
+    if (m_readyItems.empty()) {
         ++m_cursor;
     } else {
-        index = m_returned.front();
-        m_returned.pop_front();
+        index = m_readyItems.front();
+        m_readyItems.pop_front();
     }
     m_items[index].setState(ItemState::Leased);
     return index;
 }
 
-void Job::giveBack(std::uint32_t index, std::int64_t nowMs)
+void Job::releaseItem(std::uint32_t index, std::int64_t nowMs)
 {
     if (!isCancelling()) {
         m_items[index].setState(ItemState::Open);
@@ -98,9 +98,10 @@
 
 void Job::setReady(std::uint32_t index)
 {
-    const bool waits = m_state == JobState::InProgress && m_items[index].state() == ItemState::Open;
-    if (waits)
-        m_returned.push_back(index);
+    const bool canBeLeased =
+            m_state == JobState::InProgress && m_items[index].state() == ItemState::Open;
+    if (canBeLeased)
+        m_readyItems.push_back(index);
 }
 
 void Job::finish(std::uint32_t index, ItemState state, const ResultText &result, std::int64_t nowMs)
@@ -125,7 +126,7 @@
             ++m_cancelled;
         }
     }
-    m_returned.clear();
+    m_readyItems.clear();
     m_state = JobState::Cancelling;
     endIfDone(nowMs);
 }
@@ -167,25 +168,26 @@
     for (const Item &item : m_items)
         writeItem(writer, item);
     writer.number(m_cursor);
-    writer.number(m_returned.size());
-    for (const std::uint32_t index : m_returned)
+    writer.number(m_readyItems.size());
+    for (const std::uint32_t index : m_readyItems)
         writer.number(index);
 }
 
 void Job::writeItem(ByteWriter &writer, const Item &item) const
 {
-    // Tries share a byte with the state, because most items have none.
-    const bool tried = item.failedTries > 0 || item.expiredLeases > 0;
-    writer.number(static_cast<std::uint64_t>(item.state()) + (tried ? itemStates : 0));
-    if (tried) {
-        writer.number(item.failedTries);
+    // The state byte also encodes whether counts follow, because most items have no failed attempts
+    // or expired leases.
+    const bool hasAttempts = item.failedAttempts > 0 || item.expiredLeases > 0;
+    writer.number(static_cast<std::uint64_t>(item.state()) + (hasAttempts ? itemStateCount : 0));
+    if (hasAttempts) {
+        writer.number(item.failedAttempts);
         writer.number(item.expiredLeases);
     }
     if (isFinished(item.state())) {
         writer.number(item.result);
         writer.number(item.status);
     }
-    // By name: the order of the codes may change between versions.
+    // Written by name, because the numeric values of the codes may change between versions.
     if (item.state() == ItemState::Failed)
         writer.text(name(item.reason()));
 }
@@ -193,10 +195,10 @@
 Job::Item Job::readItem(ByteReader &reader) const
 {
     Item item;
-    const std::uint64_t word = reader.numberBelow(2 * itemStates);
-    item.setState(static_cast<ItemState>(word % itemStates));
-    if (word >= itemStates) {
-        item.failedTries = static_cast<std::uint8_t>(reader.numberBelow(256));
+    const std::uint64_t packedState = reader.numberBelow(2 * itemStateCount);
+    item.setState(static_cast<ItemState>(packedState % itemStateCount));
+    if (packedState >= itemStateCount) {
+        item.failedAttempts = static_cast<std::uint8_t>(reader.numberBelow(256));
         item.expiredLeases = static_cast<std::uint8_t>(reader.numberBelow(256));
     }
     if (isFinished(item.state())) {
@@ -218,7 +220,7 @@
     m_operation.dueAtMs = reader.signedNumber();
     m_operation.retentionMs = reader.signedNumber();
     m_operation.metadata = reader.string();
-    m_state = static_cast<JobState>(reader.numberBelow(jobStates));
+    m_state = static_cast<JobState>(reader.numberBelow(jobStateCount));
     m_createdAtMs = reader.signedNumber();
     m_endedAtMs = reader.signedNumber();
     m_expired = reader.numberBelow(2) == 1;
@@ -227,26 +229,26 @@
     m_results.read(reader);
     readItems(reader);
     m_cursor = static_cast<std::uint32_t>(reader.numberBelow(m_items.size() + 1));
-    readReturned(reader);
+    readReadyItems(reader);
     if (!m_expired && !isConsistent())
         reader.setFailed();
 }
 
-void Job::readReturned(ByteReader &reader)
+void Job::readReadyItems(ByteReader &reader)
 {
-    const std::size_t returned = reader.count();
-    for (std::size_t count = 0; count < returned; ++count) {
+    const std::size_t readyItems = reader.count();
+    for (std::size_t count = 0; count < readyItems; ++count) {
         const std::uint64_t index = reader.numberBelow(m_cursor);
         if (!reader.ok() || m_items[index].state() != ItemState::Open)
             return reader.setFailed();
-        m_returned.push_back(static_cast<std::uint32_t>(index));
+        m_readyItems.push_back(static_cast<std::uint32_t>(index));
     }
 }
 
-/// Counts and state agree with the items, and no item was leased before its turn.
+/// Whether counts and state match the items and no item from m_cursor on was leased.
 bool Job::isConsistent() const
 {
-    std::array<std::uint64_t, itemStates> counts{};
+    std::array<std::uint64_t, itemStateCount> counts{};
     for (const Item &item : m_items)
         ++counts[item.stateByte];
     const auto count = [&counts](ItemState state) {
@@ -256,11 +258,11 @@
                             && count(ItemState::Failed) == m_failed
                             && count(ItemState::Cancelled) == m_cancelled;
     const bool unfinished = count(ItemState::Open) + count(ItemState::Leased) > 0;
-    const bool untouched =
+    const bool restNeverLeased =
             std::all_of(m_items.begin() + m_cursor, m_items.end(), [](const Item &item) {
                 return item.state() == ItemState::Open || item.state() == ItemState::Cancelled;
             });
-    return sameCounts && unfinished != isEnded() && untouched;
+    return sameCounts && unfinished != isEnded() && restNeverLeased;
 }
 
 void Job::readItems(ByteReader &reader)
--- a/src/batch/job.h
+++ b/src/batch/job.h
@@ -13,28 +13,30 @@
 
 namespace rattanrill::batch {
 
-/// A job with the state of its items and their results, 16 bytes an item besides the result texts.
+/// A job with the state and results of its items. An item takes 16 bytes in addition to its result
+/// text.
 class Job
 {
 public:
-    /// Order of creation; names the job in the other tables.
+    /// Number in order of creation, which identifies the job in the other tables.
     using Number = std::uint64_t;
 
-    /// Enumerators are kept as bytes, because jobs have many items.
+    /// Enumerators are stored as bytes to save memory, because jobs have many items.
     struct Item
     {
         wire::ItemState state() const { return static_cast<wire::ItemState>(stateByte); }
         void setState(wire::ItemState state) { stateByte = static_cast<std::uint8_t>(state); }
-        /// Of a failed item.
+        /// Valid only for a failed item.
         ErrorCode reason() const { return static_cast<ErrorCode>(reasonByte); }
         void setReason(ErrorCode reason) { reasonByte = static_cast<std::uint8_t>(reason); }
 
-        /// Of the result text, which its size (4 bytes) precedes; only for finished items.
+        /// Position of the 4-byte size of the result text, which the text follows. Valid only for
+        /// finished items.
         TextStore::Position result = 0;
         std::uint16_t status = 0;
         std::uint8_t stateByte = 0;
         std::uint8_t reasonByte = 0;
-        std::uint8_t failedTries = 0;
+        std::uint8_t failedAttempts = 0;
         std::uint8_t expiredLeases = 0;
     };
     static_assert(sizeof(Item) == 16);
@@ -55,12 +57,12 @@
     const std::string &fileId() const { return m_operation.fileId; }
     const std::string &idempotencyKey() const { return m_operation.idempotencyKey; }
     std::int64_t dueAtMs() const { return m_operation.dueAtMs; }
-    /// When the results are removed; requires isEnded().
+    /// Time at which the results are removed. Requires isEnded().
     std::int64_t retainedUntilMs() const { return m_endedAtMs + m_operation.retentionMs; }
 
     bool isCancelling() const { return m_state == wire::JobState::Cancelling; }
     bool isEnded() const;
-    /// The results were removed after their retention.
+    /// Whether the results were removed after their retention.
     bool isExpired() const { return m_expired; }
     bool hasOpenItem() const;
     std::size_t itemCount() const { return m_itemCount; }
@@ -69,21 +71,22 @@
     std::string_view resultBody(const Item &item) const;
     wire::JobStatus status() const;
 
-    /// Leases the next item: returned ones first, then in order of input. Requires hasOpenItem().
+    /// Leases the next item and returns its index: released items first, then the others in input
+    /// order. Requires hasOpenItem().
     std::uint32_t leaseNext();
-    /// Gives a leased item back. It is leased again only after setReady(). Once the job is
-    /// cancelled, the item is cancelled instead.
-    void giveBack(std::uint32_t index, std::int64_t nowMs);
-    /// An item that was given back may be leased again.
+    /// Ends the lease of an item without a result. The item can be leased again only after
+    /// setReady(). If the job is being cancelled, the item is cancelled instead.
+    void releaseItem(std::uint32_t index, std::int64_t nowMs);
+    /// Allows a released item to be leased again.
     void setReady(std::uint32_t index);
-    void countFailedTry(std::uint32_t index) { ++m_items[index].failedTries; }
+    void countFailedAttempt(std::uint32_t index) { ++m_items[index].failedAttempts; }
     void countExpiredLease(std::uint32_t index) { ++m_items[index].expiredLeases; }
     /// Ends a leased item as completed or failed.
     void finish(std::uint32_t index, wire::ItemState state, const ResultText &result,
                 std::int64_t nowMs);
     /// Cancels all items that are not leased.
     void cancel(std::int64_t nowMs);
-    /// Removes items and results; the status stays.
+    /// Removes items and results and keeps the status.
     void expire();
 
     std::size_t textBytes() const { return m_results.bytes(); }
@@ -94,7 +97,7 @@
     void writeItem(ByteWriter &writer, const Item &item) const;
     Item readItem(ByteReader &reader) const;
     void readItems(ByteReader &reader);
-    void readReturned(ByteReader &reader);
+    void readReadyItems(ByteReader &reader);
     bool isConsistent() const;
     void endIfDone(std::int64_t nowMs);
 
@@ -110,10 +113,10 @@
     std::uint64_t m_cancelled = 0;
     std::vector<Item> m_items;
     TextStore m_results;
-    /// Items from here on were never leased.
+    /// Index of the first item that was never leased; all later items were not leased either.
     std::uint32_t m_cursor = 0;
-    /// Items that were given back and may be leased again.
-    std::deque<std::uint32_t> m_returned;
+    /// Released items that can be leased again.
+    std::deque<std::uint32_t> m_readyItems;
 };
 
 } // namespace rattanrill::batch
--- a/src/batch/leasetable.cpp
+++ b/src/batch/leasetable.cpp
@@ -4,7 +4,7 @@
 
 LeaseTable::Number LeaseTable::add(Lease lease)
 {
-    const Number number = m_next++;
+    const Number number = m_nextNumber++;
     m_expiry.emplace(lease.expiresAtMs, number);
     m_leases.emplace_hint(m_leases.end(), number, std::move(lease));
     return number;
@@ -42,7 +42,7 @@
 
 void LeaseTable::write(ByteWriter &writer) const
 {
-    writer.number(m_next);
+    writer.number(m_nextNumber);
     writer.number(m_leases.size());
     for (const auto &[number, lease] : m_leases) {
         writer.number(number);
@@ -55,10 +55,10 @@
 
 void LeaseTable::read(ByteReader &reader)
 {
-    m_next = reader.number();
+    m_nextNumber = reader.number();
     const std::size_t leases = reader.count();
     for (std::size_t count = 0; count < leases; ++count) {
-        const Number number = reader.numberBelow(m_next);
+        const Number number = reader.numberBelow(m_nextNumber);
         Lease lease;
         lease.job = reader.number();
         lease.index = static_cast<std::uint32_t>(reader.number());
--- a/src/batch/leasetable.h
+++ b/src/batch/leasetable.h
@@ -21,19 +21,19 @@
     std::string holder;
 };
 
-/// Leases by fencing number, and their numbers by time of expiry.
+/// Leases by fencing number, and the numbers ordered by expiry time.
 class LeaseTable
 {
 public:
     using Number = std::uint64_t;
 
-    /// Number of the new lease; never one that was used before.
+    /// Returns the number of the new lease. A number is never reused.
     Number add(Lease lease);
-    /// Null when the lease has ended.
+    /// Returns null if the lease has ended.
     const Lease *find(Number number) const;
     void renew(Number number, std::int64_t expiresAtMs);
     void remove(Number number);
-    /// Number of a lease that has expired by \a nowMs.
+    /// Returns the number of a lease that has expired at \a nowMs, if any.
     std::optional<Number> expired(std::int64_t nowMs) const;
     const std::map<Number, Lease> &leases() const { return m_leases; }
 
@@ -43,7 +43,7 @@
 private:
     std::map<Number, Lease> m_leases;
     std::set<std::pair<std::int64_t, Number>> m_expiry;
-    Number m_next = 1;
+    Number m_nextNumber = 1;
 };
 
 } // namespace rattanrill::batch
--- a/src/batch/main_bench.cpp
+++ b/src/batch/main_bench.cpp
@@ -1,4 +1,5 @@
-// Measures the batch and directory state machines at the two-year target; one JSON line a figure.
+// Measures the batch and directory state machines at the load of the two-year target. Prints one
+// JSON line for each measurement.
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/hash.h"
@@ -34,12 +35,12 @@
     return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-/// Seconds that \a work takes.
-template <typename Work>
-double secondsOf(Work &&work)
+/// Returns the run time of \a function in seconds.
+template <typename Function>
+double secondsOf(Function &&function)
 {
     const auto start = std::chrono::steady_clock::now();
-    work();
+    function();
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
@@ -57,7 +58,8 @@
     return outcomeOf([&] { return wire::decode<Message>(body); }).value();
 }
 
-/// A batch machine with the time that its commands take, without the work of the client.
+/// Measures the time that a batch state machine takes for commands, without the time in which the
+/// client encodes commands and decodes results.
 class BatchBench
 {
 public:
@@ -137,7 +139,7 @@
         Timing renewing;
         Timing completing;
         const std::string body(resultBytes, 'a');
-        while (m_done < items) {
+        while (m_completedItems < items) {
             const std::string answer =
                     apply(wire::LeaseItems{"entry-1", itemsPerLease, 5000}, leasing, itemsPerLease);
             wire::CompleteItems complete;
@@ -148,7 +150,7 @@
             }
             apply(renew, renewing, renew.items.size());
             apply(complete, completing, complete.results.size());
-            m_done += complete.results.size();
+            m_completedItems += complete.results.size();
             m_nowMs += 1;
         }
         printTiming("lease_items", leasing);
@@ -159,16 +161,16 @@
     void snapshot(const std::string &state)
     {
         std::string bytes;
-        const double taking = secondsOf([&] { bytes = m_machine->snapshot(); });
+        const double snapshotSeconds = secondsOf([&] { bytes = m_machine->snapshot(); });
         const auto restored = batch::makeBatchStateMachine();
         bool accepted = false;
-        const double restoring = secondsOf(
+        const double restoreSeconds = secondsOf(
                 [&] { accepted = outcomeOf([&] { return restored->restore(bytes); }).ok(); });
         print("snapshot", {{"state", state},
                            {"bytes", bytes.size()},
                            {"bytes_per_item", static_cast<double>(bytes.size()) / itemsPerJob},
-                           {"snapshot_ms", taking * 1e3},
-                           {"restore_ms", restoring * 1e3},
+                           {"snapshot_ms", snapshotSeconds * 1e3},
+                           {"restore_ms", restoreSeconds * 1e3},
                            {"restored", accepted}});
     }
 
@@ -190,10 +192,10 @@
     std::unique_ptr<replication::StateMachine> m_machine;
     std::int64_t m_nowMs = 1000;
     std::uint64_t m_index = 0;
-    std::size_t m_done = 0;
+    std::size_t m_completedItems = 0;
 };
 
-/// The directory with one contract and one key for each workspace.
+/// Measures a directory state machine with one contract and one key for each workspace.
 class DirectoryBench
 {
 public:
@@ -215,7 +217,7 @@
                                    {"us_per_write", seconds / workspaces / 2 * 1e6},
                                    {"heap_bytes", heapBytes() - before}});
         snapshot();
-        follow();
+        followChanges();
     }
 
 private:
@@ -240,37 +242,37 @@
     void snapshot()
     {
         std::string bytes;
-        const double taking = secondsOf([&] { bytes = m_machine->snapshot(); });
+        const double snapshotSeconds = secondsOf([&] { bytes = m_machine->snapshot(); });
         const auto restored = directory::makeDirectoryStateMachine();
-        const double restoring =
+        const double restoreSeconds =
                 secondsOf([&] { (void)outcomeOf([&] { return restored->restore(bytes); }); });
         print("directory_snapshot", {{"bytes", bytes.size()},
-                                     {"snapshot_ms", taking * 1e3},
-                                     {"restore_ms", restoring * 1e3}});
+                                     {"snapshot_ms", snapshotSeconds * 1e3},
+                                     {"restore_ms", restoreSeconds * 1e3}});
     }
 
-    directory::DirectoryView next(const directory::DirectoryView &view)
+    directory::DirectoryView pollChanges(const directory::DirectoryView &view)
     {
         const std::string query = wire::encode(wire::DirectoryQuery{view.revision()});
         const auto response = unpack<wire::PollChangesResponse>(m_machine->query(query));
         return outcomeOf([&] { return view.withChanges(response); }).value();
     }
 
-    void follow()
+    void followChanges()
     {
         const double before = heapBytes();
         directory::DirectoryView view;
-        const double first = secondsOf([&] { view = next(view); });
+        const double firstSeconds = secondsOf([&] { view = pollChanges(view); });
         const double bytes = heapBytes() - before;
-        double changes = 0;
+        double changeSeconds = 0;
         for (int change = 0; change < singleChanges; ++change) {
             const std::string id = concat("workspace-", change);
             apply(wire::PutContract{contractOf(id, 2)}, concat("change-", change));
-            changes += secondsOf([&] { view = next(view); });
+            changeSeconds += secondsOf([&] { view = pollChanges(view); });
         }
         print("directory_view", {{"heap_bytes", bytes},
-                                 {"first_view_ms", first * 1e3},
-                                 {"us_per_change", changes / singleChanges * 1e6}});
+                                 {"first_view_ms", firstSeconds * 1e3},
+                                 {"us_per_change", changeSeconds / singleChanges * 1e6}});
     }
 
     std::unique_ptr<replication::StateMachine> m_machine;
--- a/src/batch/textstore.cpp
+++ b/src/batch/textstore.cpp
@@ -4,7 +4,8 @@
 namespace {
 
 constexpr std::size_t blockBytes = 256 * 1024;
-/// A position is the index of a block above these bits and an offset in it.
+/// Number of low bits of a position that hold the offset in the block. The higher bits hold the
+/// index of the block.
 constexpr unsigned offsetBits = 32;
 
 } // namespace
@@ -21,13 +22,13 @@
     return next;
 }
 
-TextStore::Position TextStore::append(std::string_view head, std::string_view tail)
+TextStore::Position TextStore::append(std::string_view header, std::string_view body)
 {
-    std::string &block = blockFor(head.size() + tail.size());
+    std::string &block = blockFor(header.size() + body.size());
     const Position position = ((m_blocks.size() - 1) << offsetBits) | block.size();
-    block.append(head);
-    block.append(tail);
-    m_bytes += head.size() + tail.size();
+    block.append(header);
+    block.append(body);
+    m_bytes += header.size() + body.size();
     return position;
 }
 
@@ -54,7 +55,7 @@
     for (std::size_t index = 0; index < blocks; ++index) {
         const std::string_view text = reader.text();
         std::string &block = m_blocks.emplace_back();
-        // All but the first block keep the capacity that they were made with.
+        // All blocks but the first have at least this capacity, as blockFor() creates them.
         if (index > 0 && text.size() < blockBytes)
             block.reserve(blockBytes);
         block.append(text);
--- a/src/batch/textstore.h
+++ b/src/batch/textstore.h
@@ -11,16 +11,16 @@
 
 namespace rattanrill::batch {
 
-/// Append-only texts in large blocks, without an allocation for each text and without the copies
-/// and spare capacity of one growing string.
+/// Append-only store of texts in large blocks. This avoids an allocation for each text as well as
+/// the copies and spare capacity of a single growing string.
 class TextStore
 {
 public:
     using Position = std::uint64_t;
 
-    /// Stores \a head and \a tail one after the other.
-    Position append(std::string_view head, std::string_view tail);
-    /// Text of \a size bytes at \a position; empty when it is out of range.
+    /// Stores \a header directly followed by \a body and returns the position of \a header.
+    Position append(std::string_view header, std::string_view body);
+    /// Returns the text of \a size bytes at \a position, or an empty text if it is out of range.
     std::string_view at(Position position, std::size_t size) const;
     std::size_t bytes() const { return m_bytes; }
 
