--- a/tests/batch/batchdriver.h
+++ b/tests/batch/batchdriver.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::batch {
 
-/// Drives a batch state machine by its encoded interface.
+/// Test driver that sends encoded commands and queries to a batch state machine.
 class BatchDriver
 {
 public:
@@ -18,17 +18,17 @@
     explicit BatchDriver(std::unique_ptr<replication::StateMachine> machine);
 
     Outcome<wire::BatchResult> apply(wire::BatchOperation operation);
-    /// Encoded answer.
+    /// Returns the encoded response.
     std::string applyBytes(const wire::BatchOperation &operation);
     Outcome<wire::BatchQueryResult> query(wire::BatchQuery query) const;
     std::string queryBytes(const wire::BatchQuery &query) const;
-    /// Continues with a machine restored from a snapshot.
+    /// Replaces the state machine with one restored from its snapshot.
     void restart();
     replication::StateMachine &machine() { return *m_machine; }
 
-    /// Uploads and seals a file of \a items items "item-0" and so on.
+    /// Uploads and seals a file with \a items items, named "item-0", "item-1" and so on.
     void upload(const std::string &fileId, const std::string &workspace, std::size_t items);
-    /// Job id; the file is "file-" and the id.
+    /// Uploads a file with the id "file-" + \a jobId and creates a job for it. Returns the job id.
     std::string makeJob(const std::string &jobId, const std::string &workspace, std::size_t items,
                         std::int64_t dueAtMs = 1000000);
     std::vector<wire::LeasedItem> lease(std::int64_t maxItems, const std::string &holder = "e-1",
@@ -44,7 +44,7 @@
     std::uint64_t m_index = 0;
 };
 
-/// Message or failure in an encoded answer.
+/// Returns the result or failure in an encoded response.
 Outcome<wire::BatchResult> unpackResult(const std::string &bytes);
 
 wire::ItemSpec itemSpec(std::size_t index);
--- a/tests/batch/batchmodel.cpp
+++ b/tests/batch/batchmodel.cpp
@@ -34,8 +34,9 @@
         }
     }
     for (auto claim = m_claims.begin(); claim != m_claims.end();) {
-        const bool over = claim->second.expiresAtMs > 0 && claim->second.expiresAtMs <= m_nowMs;
-        claim = over ? m_claims.erase(claim) : std::next(claim);
+        const bool isExpired =
+                claim->second.expiresAtMs > 0 && claim->second.expiresAtMs <= m_nowMs;
+        claim = isExpired ? m_claims.erase(claim) : std::next(claim);
     }
 }
 
@@ -45,7 +46,7 @@
     item.readyAtMs = 0;
 }
 
-BatchModel::Item *BatchModel::leased(const wire::ItemRef &ref)
+BatchModel::Item *BatchModel::findLeased(const wire::ItemRef &ref)
 {
     const auto job = m_jobs.find(ref.jobId);
     if (job == m_jobs.end() || ref.index >= job->second.items.size())
@@ -59,7 +60,7 @@
     return !job.cancelled && item.state == ItemState::Open && item.readyAtMs <= m_nowMs;
 }
 
-std::int64_t BatchModel::earliestDue() const
+std::int64_t BatchModel::earliestDueAtMs() const
 {
     std::int64_t due = std::numeric_limits<std::int64_t>::max();
     for (const auto &[id, job] : m_jobs) {
@@ -75,15 +76,15 @@
 std::string BatchModel::observe(const wire::CreateJob &operation,
                                 const Outcome<wire::BatchResult> &answer)
 {
-    const auto [known, added] =
+    const auto [jobKey, added] =
             m_jobKeys.try_emplace({operation.workspace, operation.idempotencyKey}, operation.jobId);
-    const bool sameFile = added || m_jobs.at(known->second).fileId == operation.fileId;
+    const bool sameFile = added || m_jobs.at(jobKey->second).fileId == operation.fileId;
     if (answer.ok() != sameFile)
-        return "a key names jobs of two files";
+        return "an idempotency key was accepted for a second file, or rejected for its own";
     if (!answer.ok())
         return {};
-    if (answer.value().job.jobId != known->second)
-        return "a resent creation made a second job";
+    if (answer.value().job.jobId != jobKey->second)
+        return "a resent CreateJob created a second job";
     if (added) {
         m_jobs[operation.jobId] = {operation.workspace, operation.fileId, operation.dueAtMs, false,
                                    std::vector<Item>(m_files.at(operation.fileId))};
@@ -114,19 +115,20 @@
         if (!isReady(job, item))
             return concat("leased an item that is ", wire::name(item.state),
                           job.cancelled ? " in a cancelled job" : "");
-        if (job.dueAtMs != earliestDue())
-            return "leased an item of a later due job";
+        if (job.dueAtMs != earliestDueAtMs())
+            return "leased an item of a job that is not due first";
         if (leased.item.lease <= m_lastLease)
-            return "a lease number did not grow";
+            return "a lease number did not increase";
         m_lastLease = leased.item.lease;
         item.state = ItemState::Leased;
         item.lease = leased.item.lease;
         item.holder = operation.holder;
         item.expiresAtMs = m_nowMs + operation.leaseMs;
     }
-    const bool full = answer.value().leased.size() == static_cast<std::size_t>(operation.maxItems);
-    const bool left = earliestDue() != std::numeric_limits<std::int64_t>::max();
-    return !full && left ? "an open item was not leased" : "";
+    const bool limitReached =
+            answer.value().leased.size() == static_cast<std::size_t>(operation.maxItems);
+    const bool hasReadyItem = earliestDueAtMs() != std::numeric_limits<std::int64_t>::max();
+    return !limitReached && hasReadyItem ? "an open item was not leased" : "";
 }
 
 std::string BatchModel::observe(const wire::RenewLeases &operation,
@@ -134,7 +136,7 @@
 {
     std::size_t lost = 0;
     for (const wire::ItemRef &ref : operation.items) {
-        Item *item = leased(ref);
+        Item *item = findLeased(ref);
         const bool held = item != nullptr && item->holder == operation.holder;
         const bool renewed = held && !m_jobs.at(ref.jobId).cancelled;
         lost += renewed ? 0 : 1;
@@ -151,7 +153,7 @@
 {
     std::size_t accepted = 0;
     for (const wire::ItemRef &ref : operation.items) {
-        Item *item = leased(ref);
+        Item *item = findLeased(ref);
         if (item == nullptr)
             continue;
         ++accepted;
@@ -159,8 +161,8 @@
         if (item->state != ItemState::Open)
             continue;
         item->readyAtMs = m_nowMs + operation.backoffMs;
-        item->failedTries += operation.failedTry ? 1 : 0;
-        if (operation.failedTry && item->failedTries >= maxFailedAttempts) {
+        item->failedAttempts += operation.failedTry ? 1 : 0;
+        if (operation.failedTry && item->failedAttempts >= maxFailedAttempts) {
             item->state = ItemState::Failed;
             item->reason = operation.reason;
         }
@@ -173,7 +175,7 @@
 {
     std::size_t accepted = 0;
     for (const wire::ItemResult &result : operation.results) {
-        Item *item = leased(result.item);
+        Item *item = findLeased(result.item);
         if (item == nullptr)
             continue;
         ++accepted;
@@ -183,40 +185,40 @@
     }
     if (answer.value().accepted > accepted)
         return "a result without a current lease was accepted";
-    const bool right = answer.value().accepted == accepted
-                       && answer.value().dropped == operation.results.size() - accepted;
-    return right ? "" : "a result with a current lease was dropped";
+    const bool allAccepted = answer.value().accepted == accepted
+                             && answer.value().dropped == operation.results.size() - accepted;
+    return allAccepted ? "" : "a result with a current lease was dropped";
 }
 
 std::string BatchModel::observe(const wire::ClaimRequest &operation,
                                 const Outcome<wire::BatchResult> &answer)
 {
-    const auto old = m_claims.find(operation.idempotencyKey);
-    const bool abandoned = old != m_claims.end() && old->second.abandoned;
-    if (abandoned && old->second.holder == operation.holder)
+    const auto existing = m_claims.find(operation.idempotencyKey);
+    const bool abandoned = existing != m_claims.end() && existing->second.abandoned;
+    if (abandoned && existing->second.holder == operation.holder)
         return answer.ok() ? "a holder won a claim that it had abandoned" : "";
     if (abandoned)
-        m_claims.erase(old);
+        m_claims.erase(existing);
     const auto [claim, added] =
             m_claims.try_emplace(operation.idempotencyKey, Claim{operation.holder, "", 0, false});
     const wire::ClaimStatus &status = answer.value().claim;
     const bool running = claim->second.expiresAtMs == 0;
     const bool mayRun = running && claim->second.holder == operation.holder;
     if (status.won != mayRun)
-        return "a claim was given to a second holder, or refused to its own";
-    const bool stored = running || status.body == claim->second.answer;
-    return stored ? "" : "a finished claim gave another answer";
+        return "a claim was won by a second holder, or refused to its own holder";
+    const bool sameResponse = running || status.body == claim->second.answer;
+    return sameResponse ? "" : "a finished claim returned a different response";
 }
 
 std::string BatchModel::observe(const wire::FinishClaim &operation,
                                 const Outcome<wire::BatchResult> &answer)
 {
     const auto claim = m_claims.find(operation.idempotencyKey);
-    const bool known = claim != m_claims.end() && claim->second.holder == operation.holder
-                       && !claim->second.abandoned;
-    if (known != answer.ok())
-        return "another holder finished a claim";
-    if (known && claim->second.expiresAtMs == 0) {
+    const bool isHolder = claim != m_claims.end() && claim->second.holder == operation.holder
+                          && !claim->second.abandoned;
+    if (isHolder != answer.ok())
+        return "a claim was finished by another holder, or not by its own holder";
+    if (isHolder && claim->second.expiresAtMs == 0) {
         claim->second.answer = operation.body;
         claim->second.expiresAtMs = m_nowMs + 5000;
     }
@@ -271,7 +273,7 @@
         if (!same)
             return concat("wrong result of item ", index);
     }
-    return next == lines.size() ? "" : "a result too many";
+    return next == lines.size() ? "" : "more results than finished items";
 }
 
 } // namespace rattanrill::batch
--- a/tests/batch/batchmodel.h
+++ b/tests/batch/batchmodel.h
@@ -11,8 +11,8 @@
 
 namespace rattanrill::batch {
 
-/// Naive account of what a partition may answer. It looks at all items at each step and knows
-/// nothing of the queues of the state machine.
+/// Reference model of the responses that a partition may give. It examines all items at each step
+/// and does not use the queues of the state machine.
 class BatchModel
 {
 public:
@@ -22,9 +22,9 @@
         std::uint64_t lease = 0;
         std::string holder;
         std::int64_t expiresAtMs = 0;
-        /// An open item is not leased before.
+        /// Earliest time at which an open item may be leased.
         std::int64_t readyAtMs = 0;
-        int failedTries = 0;
+        int failedAttempts = 0;
         int expiredLeases = 0;
         std::string body;
         std::string reason;
@@ -40,12 +40,15 @@
     };
 
     void addFile(const std::string &fileId, std::size_t items) { m_files[fileId] = items; }
-    /// Accounts for a command and its answer; a text that names the fault, or an empty one.
+    /// Applies a command to the model and checks the response. Returns a description of the fault,
+    /// or an empty text if there is none.
     std::string observe(std::int64_t nowMs, const wire::BatchOperation &operation,
                         const Outcome<wire::BatchResult> &answer);
-    /// Compares the status of a job; counts must add up.
+    /// Compares the status of a job with the model. Returns a description of the fault or an empty
+    /// text.
     std::string checkStatus(const wire::JobStatus &status) const;
-    /// Compares all results of a job.
+    /// Compares all results of a job with the model. Returns a description of the fault or an empty
+    /// text.
     std::string checkResults(const std::string &jobId,
                              const std::vector<wire::ResultLine> &lines) const;
     const std::map<std::string, Job> &jobs() const { return m_jobs; }
@@ -55,16 +58,16 @@
     {
         std::string holder;
         std::string answer;
-        /// Of a finished or abandoned claim.
+        /// Time at which a finished or abandoned claim is removed; 0 while the claim runs.
         std::int64_t expiresAtMs = 0;
         bool abandoned = false;
     };
 
     void advance(std::int64_t nowMs);
     void endLease(const Job &job, Item &item);
-    Item *leased(const wire::ItemRef &ref);
+    Item *findLeased(const wire::ItemRef &ref);
     bool isReady(const Job &job, const Item &item) const;
-    std::int64_t earliestDue() const;
+    std::int64_t earliestDueAtMs() const;
     std::string observe(const wire::CreateJob &operation, const Outcome<wire::BatchResult> &answer);
     std::string observe(const wire::CancelJob &operation, const Outcome<wire::BatchResult> &answer);
     std::string observe(const wire::LeaseItems &operation,
--- a/tests/batch/model_test.cpp
+++ b/tests/batch/model_test.cpp
@@ -22,11 +22,11 @@
 constexpr unsigned seeds = 40;
 constexpr int steps = 400;
 
-/// State machine with a fault: rewrites each command before it is applied.
+/// State machine with an injected fault: a function modifies each command before it is applied.
 class FaultyMachine : public replication::StateMachine
 {
 public:
-    /// Newest lease of each item.
+    /// Latest lease number of each item by job id and item index.
     using Leases = std::map<std::pair<std::string, std::uint64_t>, std::uint64_t>;
     using Rewrite = std::function<void(wire::BatchOperation &, const Leases &)>;
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// First fault in the status or results of any job.
+/// Returns the first fault in the status or results of any job, or an empty text.
 std::string checkJobs(const BatchDriver &driver, const BatchModel &model)
 {
     for (const auto &[jobId, job] : model.jobs()) {
@@ -83,13 +83,13 @@
     return {};
 }
 
-/// Which answers are compared with the model.
+/// Selects the responses that are compared with the model.
 enum class Compare {
     Commands,
     CommandsAndQueries,
 };
 
-/// Runs one seed against the model; the first fault, or an empty text.
+/// Runs one seed against the model. Returns the first fault or an empty text.
 std::string runAgainstModel(BatchDriver &driver, unsigned seed, Compare compare)
 {
     RandomCommands commands(seed);
@@ -98,14 +98,14 @@
     uploadFiles(driver, model);
     driver.nowMs = 1000000;
     for (int step = 0; step < steps; ++step) {
-        driver.nowMs += static_cast<std::int64_t>(commands.below(200));
-        // A new leader's clock may be behind.
-        if (commands.below(10) == 0)
-            driver.nowMs -= static_cast<std::int64_t>(commands.below(1000));
+        driver.nowMs += static_cast<std::int64_t>(commands.randomBelow(200));
+        // The clock of a new leader may be behind that of the previous one.
+        if (commands.randomBelow(10) == 0)
+            driver.nowMs -= static_cast<std::int64_t>(commands.randomBelow(1000));
         const wire::BatchOperation operation = commands.next();
         const Outcome<wire::BatchResult> answer = driver.apply(operation);
         if (answer.ok())
-            commands.learn(answer.value());
+            commands.recordLeases(answer.value());
         std::string fault = model.observe(driver.nowMs, operation, answer);
         if (fault.empty() && queries && step % 8 == 0)
             fault = checkJobs(driver, model);
@@ -115,7 +115,8 @@
     return queries ? checkJobs(driver, model) : "";
 }
 
-/// Fault that the answers to commands show in some seed of a faulty machine.
+/// Runs a faulty machine with all seeds. Returns the first fault that the model detects in the
+/// responses to commands, or an empty text.
 std::string firstFault(const FaultyMachine::Rewrite &rewrite)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
@@ -131,9 +132,9 @@
 
 BOOST_AUTO_TEST_SUITE(ModelTest)
 
-// Guards against any order of commands, resends, old leases and expiries that breaks exactly-once
-// completion (R1), cancel (R2), the single run of a claim (R10) or the counts.
-BOOST_AUTO_TEST_CASE(randomCommandsAgreeWithTheNaiveModel)
+// Guards against orders of commands, resends, outdated leases and expiries that break exactly-once
+// completion (R1), cancellation (R2), the single run of a claimed request (R10) or the item counts.
+BOOST_AUTO_TEST_CASE(randomCommandsAgreeWithModel)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         BatchDriver driver;
@@ -141,35 +142,35 @@
     }
 }
 
-// Guards against state that a snapshot leaves out: a replica that restarts at random must answer
-// byte for byte like one that never does.
-BOOST_AUTO_TEST_CASE(restoredReplicaAnswersLikeTheOthers)
+// Guards against state that is missing from a snapshot: a replica that is restored from snapshots
+// at random must return the same bytes as one that is never restored.
+BOOST_AUTO_TEST_CASE(restoredReplicaRespondsIdentically)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         RandomCommands commands(seed);
         BatchModel model;
-        BatchDriver steady;
+        BatchDriver reference;
         BatchDriver restarting;
-        uploadFiles(steady, model);
+        uploadFiles(reference, model);
         uploadFiles(restarting, model);
         for (int step = 0; step < steps; ++step) {
-            steady.nowMs += static_cast<std::int64_t>(commands.below(200));
-            restarting.nowMs = steady.nowMs;
+            reference.nowMs += static_cast<std::int64_t>(commands.randomBelow(200));
+            restarting.nowMs = reference.nowMs;
             const wire::BatchOperation operation = commands.next();
-            const std::string answer = steady.applyBytes(operation);
+            const std::string answer = reference.applyBytes(operation);
             BOOST_REQUIRE(answer == restarting.applyBytes(operation));
             const Outcome<wire::BatchResult> result = unpackResult(answer);
             if (result.ok())
-                commands.learn(result.value());
-            if (commands.below(10) == 0)
+                commands.recordLeases(result.value());
+            if (commands.randomBelow(10) == 0)
                 restarting.restart();
         }
-        BOOST_REQUIRE(steady.machine().snapshot() == restarting.machine().snapshot());
+        BOOST_REQUIRE(reference.machine().snapshot() == restarting.machine().snapshot());
     }
 }
 
-// Guards against memory errors and endless loops in a snapshot that is wrong under a right
-// checksum, and in the commands that follow it.
+// Guards against memory errors and endless loops while a corrupt snapshot with a valid checksum is
+// restored, and in the commands applied afterwards.
 BOOST_AUTO_TEST_CASE(inconsistentSnapshotIsRefusedOrHarmless)
 {
     constexpr std::size_t headerBytes = std::string_view("rattanrill-batch-1\n").size();
@@ -199,8 +200,9 @@
     }
 }
 
-// Shows that the model catches completion without a check of the lease.
-BOOST_AUTO_TEST_CASE(modelCatchesCompletionWithoutLeaseCheck)
+// Guards against a model that misses results accepted without a check of the lease. The fault
+// replaces the lease number in each CompleteItems with the current one.
+BOOST_AUTO_TEST_CASE(modelDetectsCompletionWithoutLeaseCheck)
 {
     const auto acceptAnyLease = [](wire::BatchOperation &operation,
                                    const FaultyMachine::Leases &leases) {
@@ -214,8 +216,9 @@
     BOOST_TEST(fault.find("without a current lease") != std::string::npos, fault);
 }
 
-// Shows that the model catches a cancel that goes on leasing.
-BOOST_AUTO_TEST_CASE(modelCatchesCancelThatStillLeases)
+// Guards against a model that misses leases of a cancelled job. The fault replaces each CancelJob
+// with a command that has no effect on the job.
+BOOST_AUTO_TEST_CASE(modelDetectsLeaseOfCancelledJob)
 {
     const std::string fault = firstFault([](wire::BatchOperation &operation, const auto &) {
         if (std::holds_alternative<wire::CancelJob>(operation))
--- a/tests/batch/statemachine_test.cpp
+++ b/tests/batch/statemachine_test.cpp
@@ -21,7 +21,7 @@
            && outcome.failure().run == EffectState::NotRun;
 }
 
-std::map<std::string, int> byWorkspace(const std::vector<wire::LeasedItem> &items)
+std::map<std::string, int> countByWorkspace(const std::vector<wire::LeasedItem> &items)
 {
     std::map<std::string, int> counts;
     for (const wire::LeasedItem &item : items)
@@ -33,7 +33,8 @@
 
 BOOST_AUTO_TEST_SUITE(StateMachineTest)
 
-// Guards against items that a resent or reordered upload adds twice, leaves out or replaces.
+// Guards against items that are added twice, left out or replaced when parts of an upload are
+// resent or arrive out of order.
 BOOST_AUTO_TEST_CASE(uploadRangesAreIdempotent)
 {
     BatchDriver driver;
@@ -55,8 +56,8 @@
                        ErrorCode::Conflict));
 }
 
-// Guards against a second job when its creation is resent (F2).
-BOOST_AUTO_TEST_CASE(sameIdempotencyKeyIsTheSameJob)
+// Guards against a second job when CreateJob is resent (F2).
+BOOST_AUTO_TEST_CASE(sameIdempotencyKeyReturnsSameJob)
 {
     BatchDriver driver;
     driver.upload("f", "w", 2);
@@ -75,26 +76,26 @@
     BOOST_TEST(driver.query(wire::ListJobs{""}).value().jobs.size() == 1u);
 }
 
-// Guards against a workspace whose surge delays others with the same due time, and against late
-// jobs behind early ones.
-BOOST_AUTO_TEST_CASE(earliestDueComesFirstAndWorkspacesOfEqualDueTimeTakeTurns)
+// Guards against a workspace with many items that delays other workspaces with the same due time,
+// and against an urgent job that is queued behind jobs that are due later.
+BOOST_AUTO_TEST_CASE(earliestDueJobIsLeasedFirstAndWorkspacesAlternate)
 {
     BatchDriver driver;
     driver.makeJob("large-1", "large", 50, 2000);
     driver.makeJob("large-2", "large", 50, 2000);
     driver.makeJob("small", "small", 5, 2000);
     driver.makeJob("urgent", "large", 3, 1500);
-    const auto first = byWorkspace(driver.lease(3));
+    const auto first = countByWorkspace(driver.lease(3));
     BOOST_TEST(first.at("large") == 3);
     driver.restart();
-    const auto next = byWorkspace(driver.lease(10));
+    const auto next = countByWorkspace(driver.lease(10));
     BOOST_TEST(next.at("large") == 5);
     BOOST_TEST(next.at("small") == 5);
 }
 
-// Guards against two results of one item: the result of a holder that lost its lease must not
-// count.
-BOOST_AUTO_TEST_CASE(lateResultUnderAnOldLeaseIsDropped)
+// Guards against two results of one item: a result must be dropped when its holder has lost the
+// lease, names another item or job, or sends it twice.
+BOOST_AUTO_TEST_CASE(resultWithoutCurrentLeaseIsDropped)
 {
     BatchDriver driver;
     driver.makeJob("j", "w", 1);
@@ -113,17 +114,18 @@
     BOOST_TEST((driver.job("j").state == JobState::Completed));
 }
 
-// Guards against preempted items that run out of tries, and against items that hold up their job.
-BOOST_AUTO_TEST_CASE(onlyFailedTriesCountAndTheyAreBounded)
+// Guards against preempted items that fail because preemptions count as failed attempts, and
+// against items that fail forever and prevent their job from ending.
+BOOST_AUTO_TEST_CASE(onlyFailedAttemptsCountTowardsLimit)
 {
     BatchDriver driver;
     driver.makeJob("j", "w", 1);
     for (int round = 0; round < 50; ++round)
         driver.apply(wire::ReleaseItems{{driver.lease(1).at(0).item}, false, "", 0});
-    for (int tries = 0; tries < maxFailedAttempts; ++tries) {
+    for (int attempts = 0; attempts < maxFailedAttempts; ++attempts) {
         BOOST_TEST((driver.job("j").state == JobState::InProgress));
         const auto leased = driver.lease(1).at(0);
-        BOOST_TEST(leased.failedTries == tries);
+        BOOST_TEST(leased.failedTries == attempts);
         driver.apply(wire::ReleaseItems{{leased.item}, true, "upstream_failed", 0});
     }
     BOOST_TEST((driver.job("j").state == JobState::Completed));
@@ -131,8 +133,8 @@
     BOOST_TEST(driver.results("j").at(0).reason == "upstream_failed");
 }
 
-// Guards against an item without end that stops every entry that runs it.
-BOOST_AUTO_TEST_CASE(expiredLeasesAreBounded)
+// Guards against an item that is leased forever because it stops every entry that runs it.
+BOOST_AUTO_TEST_CASE(itemFailsAfterMaxExpiredLeases)
 {
     BatchDriver driver;
     driver.makeJob("j", "w", 1);
@@ -144,7 +146,7 @@
     BOOST_TEST(driver.results("j").at(0).reason == "lease_expired");
 }
 
-// Guards against a retry before its backoff, also after a restart.
+// Guards against a retry before the backoff has ended, also after a restore from a snapshot.
 BOOST_AUTO_TEST_CASE(backoffDelaysTheNextLease)
 {
     BatchDriver driver;
@@ -157,8 +159,9 @@
     BOOST_TEST(driver.lease(1).size() == 1u);
 }
 
-// Guards against a cancelled job that goes on (R2) or whose counts do not add up.
-BOOST_AUTO_TEST_CASE(cancelStopsLeasingAndTellsHolders)
+// Guards against a cancelled job whose items are still leased or renewed (R2) or whose counts do
+// not add up.
+BOOST_AUTO_TEST_CASE(cancelStopsLeasingAndReportsLostLeases)
 {
     BatchDriver driver;
     driver.makeJob("j", "w", 6);
@@ -181,7 +184,7 @@
     BOOST_TEST(driver.apply(wire::CancelJob{"j", "w"}).ok());
 }
 
-// Guards against leases that are renewed by a holder that lost them.
+// Guards against the renewal of a lease by another holder or after the lease has expired.
 BOOST_AUTO_TEST_CASE(renewalReportsLostLeases)
 {
     BatchDriver driver;
@@ -198,9 +201,9 @@
     BOOST_TEST(lost[0].index == 1u);
 }
 
-// Guards against results out of order, unreadable while the job runs, or lost before retention
-// ends.
-BOOST_AUTO_TEST_CASE(resultsAreReadableInOrderUntilRetentionIsOver)
+// Guards against results that are out of order, cannot be read while the job runs or are removed
+// before the retention has ended.
+BOOST_AUTO_TEST_CASE(resultsAreReadableInOrderUntilRetentionEnds)
 {
     BatchDriver driver;
     driver.makeJob("j", "w", 3);
@@ -226,7 +229,7 @@
     BOOST_TEST(refused(driver.query(wire::ReadJob{"j", "w"}), ErrorCode::NotFound));
 }
 
-// Guards against another workspace that reads or cancels a job.
+// Guards against access to jobs and files of another workspace.
 BOOST_AUTO_TEST_CASE(jobsOfOtherWorkspacesAreNotFound)
 {
     BatchDriver driver;
@@ -237,8 +240,9 @@
     BOOST_TEST(refused(driver.apply(wire::CancelJob{"j", "x"}), ErrorCode::NotFound));
 }
 
-// Guards against a second run of a non-idempotent request (R10).
-BOOST_AUTO_TEST_CASE(claimIsWonByOneHolderUntilItIsGivenBack)
+// Guards against a second run of a non-idempotent request (R10), which happens if a claim is won by
+// a second holder while the first still holds it.
+BOOST_AUTO_TEST_CASE(claimIsWonByOneHolderUntilItIsAbandoned)
 {
     BatchDriver driver;
     const auto claim = [&](const std::string &holder, const std::string &hash = "h") {
@@ -265,8 +269,9 @@
     BOOST_TEST(claim("e-3").value().claim.won);
 }
 
-// Guards against a key that is blocked for good by a delayed copy of a claim that was given back.
-BOOST_AUTO_TEST_CASE(claimThatArrivesAfterItsAbandonIsRefused)
+// Guards against a key that is blocked permanently because a delayed ClaimRequest arrives after the
+// AbandonClaim of the same holder.
+BOOST_AUTO_TEST_CASE(claimArrivingAfterAbandonIsRefused)
 {
     BatchDriver driver;
     const wire::ClaimRequest late{"w", "k", "h", "e-1", 1000};
@@ -277,7 +282,7 @@
     BOOST_TEST(!driver.apply(late).value().claim.won);
 }
 
-// Guards against lost holders that use up the limit of running claims.
+// Guards against claims of lost holders that exhaust the limit of running claims.
 BOOST_AUTO_TEST_CASE(overdueClaimsDoNotCountAgainstTheLimit)
 {
     ClaimTable claims;
@@ -295,7 +300,7 @@
     BOOST_TEST(!claim(0, "e-2").value().won);
 }
 
-// Guards against a restore that accepts damaged bytes or that leaves half a state behind.
+// Guards against a restore that accepts corrupt bytes or changes the state although it fails.
 BOOST_AUTO_TEST_CASE(damagedSnapshotIsRefusedAndChangesNothing)
 {
     BatchDriver driver;
@@ -310,8 +315,9 @@
         std::string damaged = snapshot;
         damaged[position] = static_cast<char>(damaged[position] ^ 0x10);
         const ErrorCode code = codeOf(damaged);
-        const bool typed = code == ErrorCode::CorruptData || code == ErrorCode::UnsupportedFormat;
-        BOOST_REQUIRE(typed);
+        const bool expectedCode =
+                code == ErrorCode::CorruptData || code == ErrorCode::UnsupportedFormat;
+        BOOST_REQUIRE(expectedCode);
         BOOST_REQUIRE((codeOf(snapshot.substr(0, position)) != ErrorCode::Internal));
     }
     BOOST_TEST((driver.machine().snapshot() == snapshot));
