--- a/tests/system/failure_test.py
+++ b/tests/system/failure_test.py
@@ -1,4 +1,4 @@
-"""Kills, freezes and graceful stops of real processes under load."""
+"""Tests in which processes of a deployment are killed, frozen or stopped under load."""
 
 import threading
 import time
@@ -23,7 +23,9 @@
         return process
 
     def test_batch_completes_once_through_kills(self):
-        """R1, F1, F2: an entry and the leading control instance are killed with items in flight."""
+        """R1, F1, F2: guards against items that are lost or completed twice. An entry, the control
+        instance that leads the directory group and an engine are killed while items are in
+        flight."""
         lines, prompts = self.batch_lines(300, tokens=12, prefix="kill")
         file_id = self.deployment.upload(1, "lantern-crew", lines)
         job = self.deployment.create_batch(1, "lantern-crew", file_id, key="kill-batch")
@@ -32,8 +34,8 @@
         leader = self.leader()
         self.deployment.processes[leader].kill()
         self.deployment.processes["engine-1"].kill()
-        again = self.deployment.create_batch(3, "lantern-crew", file_id, key="kill-batch")
-        self.assertEqual(again["id"], job["id"])
+        resent = self.deployment.create_batch(3, "lantern-crew", file_id, key="kill-batch")
+        self.assertEqual(resent["id"], job["id"])
         time.sleep(1)
         for name in ("entry-2", leader, "engine-1"):
             self.restart(name)
@@ -45,7 +47,9 @@
         self.deployment.wait_ready()
 
     def test_frozen_entry_returns_without_a_second_completion(self):
-        """R1: guards against late results under a lease that went to another entry."""
+        """R1: guards against a late result that replaces or repeats one already stored. A frozen
+        entry loses its lease to another entry and resumes after that entry has completed the
+        items."""
         lines, prompts = self.batch_lines(200, tokens=12, prefix="freeze")
         file_id = self.deployment.upload(1, "lantern-crew", lines)
         job = self.deployment.create_batch(1, "lantern-crew", file_id)
@@ -63,8 +67,9 @@
         after = self.deployment.results(2, "lantern-crew", job["output_file_id"])
         self.assertEqual(before, after)
 
-    def test_graceful_stop_cuts_no_stream(self):
-        """R12: guards against a listener or process that ends before its answers do."""
+    def test_graceful_stop_completes_open_streams(self):
+        """R12: guards against streams that are cut off when an entry closes its listener or exits
+        before its responses are complete."""
         key = self.deployment.keys["nightmarket-austin"]
         streams = [Stream(self.deployment.entry_url(2), key, self.model, f"drain {n}", 60)
                    for n in range(12)]
@@ -72,8 +77,8 @@
             stream.start()
         for stream in streams:
             self.assertTrue(stream.first_token.wait(10), stream.error)
-        code = self.deployment.processes["entry-2"].stop()
-        self.assertEqual(code, 0)
+        exit_code = self.deployment.processes["entry-2"].stop()
+        self.assertEqual(exit_code, 0)
         for stream in streams:
             stream.join(20)
             self.assertTrue(stream.complete, stream.error)
@@ -82,7 +87,8 @@
         self.deployment.wait_ready()
 
     def test_broken_stream_continues_on_another_engine(self):
-        """R8, F1: guards against repeated or missing tokens after an engine dies."""
+        """R8, F1: guards against repeated or missing tokens when a stream continues on another
+        engine after its own engine was killed."""
         key = self.deployment.keys["nightmarket-austin"]
         streams = [Stream(self.deployment.entry_url(1), key, self.model, f"resume {n}", 150)
                    for n in range(8)]
@@ -99,7 +105,8 @@
             self.assertEqual(stream.text, self.expected_text(stream.prompt, 150))
 
     def test_cancelled_job_stops(self):
-        """R2: guards against items that start after the acknowledged cancel."""
+        """R2: guards against items that start after the cancellation was acknowledged, and against
+        counts that differ from the stored results."""
         lines, _ = self.batch_lines(400, tokens=40, prefix="cancel")
         file_id = self.deployment.upload(1, "lantern-crew", lines)
         job = self.deployment.create_batch(1, "lantern-crew", file_id)
@@ -121,14 +128,15 @@
 class LimitTest(SystemTest):
 
     def test_rate_holds_over_all_entries(self):
-        """R7: guards against a workspace that gets its rate once per entry."""
+        """R7: guards against entries that each grant the full rate of a workspace when its requests
+        are spread over all of them."""
         rate, burst, seconds = 3, 6, 4
         codes = []
         lock = threading.Lock()
-        began = time.monotonic()
+        started_at = time.monotonic()
 
         def send(entry):
-            while time.monotonic() - began < seconds:
+            while time.monotonic() - started_at < seconds:
                 status, _, _ = self.complete(entry, "booths-tyler", "rate", 1)
                 with lock:
                     codes.append(status)
@@ -138,19 +146,20 @@
             thread.start()
         for thread in threads:
             thread.join()
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         admitted = codes.count(200)
-        self.assertLessEqual(admitted, rate * took + burst)
+        self.assertLessEqual(admitted, rate * elapsed + burst)
         self.assertGreaterEqual(admitted, rate * seconds * 0.9)
         self.assertIn(429, codes)
 
     def test_service_call_runs_at_most_once_across_entries(self):
-        """R10: guards against a resend through another entry that runs a second time."""
-        answers = []
+        """R10: guards against a service call that runs more than once when requests with the same
+        idempotency key arrive at several entries at the same time."""
+        responses = []
         threads = []
 
         def send(entry):
-            answers.append(http_json(
+            responses.append(http_json(
                 "POST", self.deployment.entry_url(entry) + "/desk/orders", {"item": "once"},
                 {**self.deployment.bearer("front-office"), "Idempotency-Key": "once-1"}))
 
@@ -161,16 +170,17 @@
         for thread in threads:
             thread.join()
         send(2)
-        runs = [r for r in self.engine_records("service")
+        runs = [r for r in self.upstream_records("service")
                 if r["path"] == "/desk/orders" and r["run"]]
         self.assertEqual(len(runs), 1)
-        self.assertIn(200, [status for status, _, _ in answers])
-        for status, body, _ in answers:
+        self.assertIn(200, [status for status, _, _ in responses])
+        for status, body, _ in responses:
             if status != 200:
                 self.assertEqual(body["error"]["code"], "duplicate_request")
 
     def test_poison_request_crashes_at_most_two_engines(self):
-        """F8: guards against a fleet that is taken down by one caller who sends a request again."""
+        """F8: guards against the loss of many engines to one request that crashes each engine it
+        runs on and that the caller sends repeatedly through different entries."""
         for i in range(1, self.engines + 1):
             http_json("POST", self.deployment.engine_url(i) + "/faults",
                       {"crash_on": "poisonous prompt"})
@@ -186,10 +196,10 @@
         for entry in range(1, self.entries + 1):
             wait_for(lambda entry=entry: self.complete(
                 entry, "front-office", "poisonous prompt", 4)[1]["error"]["code"] == "request_held",
-                f"held at entry {entry}", timeout=4)
-        still = [name for name, process in self.deployment.processes.items()
-                 if name.startswith("engine") and not process.alive()]
-        self.assertEqual(still, crashed)
+                f"the code request_held at entry {entry}", timeout=4)
+        crashed_afterwards = [name for name, process in self.deployment.processes.items()
+                              if name.startswith("engine") and not process.alive()]
+        self.assertEqual(crashed_afterwards, crashed)
         for name in crashed:
             self.deployment.processes[name].start()
 
--- a/tests/system/operator_test.py
+++ b/tests/system/operator_test.py
@@ -1,17 +1,19 @@
-"""Operators against a running deployment: races, resends, withdrawn keys, control cut off."""
+"""Tests of operator commands on a running deployment: conflicting writes, resent writes, withdrawn
+keys and unresponsive control instances."""
 
 import time
 import unittest
 
 from support import Stream, SystemTest, http_json, wait_for
 
-# A withdrawn key stops working within seconds; the target for configuration is 4 s.
-IN_FORCE_S = 4
+# Time in seconds within which a configuration change, such as a withdrawn key, must be in force on
+# every entry; 4 s is the target for configuration.
+CONFIG_DEADLINE_S = 4
 
 
 class OperatorTest(SystemTest):
 
-    def refused(self, entry, workspace):
+    def refusal_code(self, entry, workspace):
         status, body, _ = self.complete(entry, workspace, "p", 1)
         return body["error"]["code"] if status != 200 else None
 
@@ -21,8 +23,9 @@
             "--batch-share", "1", "--base-revision", str(base), "--request-id", request_id,
             check=False)
 
-    def test_equal_base_revisions_have_one_winner(self):
-        """F5: guards against two operators that both believe their write is in force."""
+    def test_equal_base_revision_conflicts_for_second_write(self):
+        """F5: guards against two writes that both succeed although they start from the same
+        revision. Resending the first write with its request id must repeat its result."""
         contracts = self.deployment.ctl_json("contract", "list")["items"]
         base = next(c["revision"] for c in contracts if c["workspace"] == "booths-tyler")
         first = self.put_rate(base, "race-a", 4)
@@ -35,7 +38,8 @@
         self.assertEqual(resend.stdout, first.stdout)
 
     def test_withdrawn_key_stops_streams_and_requests(self):
-        """R6: guards against a connected caller that goes on under a withdrawn key."""
+        """R6: guards against a stream that continues, and against new requests that are accepted,
+        after the key of the caller was withdrawn."""
         added = self.deployment.ctl_json("key", "add", "booths-laredo")
         self.deployment.ctl("config", "wait", "--revision", str(added["revision"]),
                             "--timeout", "10")
@@ -45,9 +49,9 @@
         self.assertTrue(stream.first_token.wait(10), stream.error)
         self.deployment.ctl("key", "withdraw", added["key_id"])
         withdrawn_at = time.monotonic()
-        stream.join(IN_FORCE_S + 2)
+        stream.join(CONFIG_DEADLINE_S + 2)
         self.assertIsNotNone(stream.ended_at)
-        self.assertLess(stream.ended_at - withdrawn_at, IN_FORCE_S)
+        self.assertLess(stream.ended_at - withdrawn_at, CONFIG_DEADLINE_S)
         self.assertFalse(stream.complete)
         self.assertEqual(stream.error["code"], "key_withdrawn")
         for url in self.deployment.entry_urls():
@@ -56,20 +60,22 @@
                                         {"Authorization": f"Bearer {added['key']}"})
             self.assertEqual((status, body["error"]["run"]), (401, "not_run"))
 
-    def test_keyed_requests_are_refused_while_control_is_silent(self):
-        """R6, F4: guards against keys that stay usable because the withdrawal cannot be seen."""
+    def test_keyed_requests_are_refused_while_control_is_frozen(self):
+        """R6, F4: guards against withdrawn keys that stay usable because an entry that cannot reach
+        control does not receive the withdrawal. All control instances are frozen."""
         controls = [p for name, p in self.deployment.processes.items() if name.startswith("control")]
         for control in controls:
             control.freeze()
         try:
-            wait_for(lambda: self.refused(1, "booths-waco") == "keys_not_fresh",
-                     "keyed requests are refused", timeout=IN_FORCE_S + 2)
+            wait_for(lambda: self.refusal_code(1, "booths-waco") == "keys_not_fresh",
+                     "refusal of keyed requests", timeout=CONFIG_DEADLINE_S + 2)
             status, _, _ = http_json("GET", self.deployment.entry_url(1) + "/desk/status")
             self.assertEqual(status, 200)
         finally:
             for control in controls:
                 control.thaw()
-        wait_for(lambda: self.refused(1, "booths-waco") is None, "service resumes", timeout=15)
+        wait_for(lambda: self.refusal_code(1, "booths-waco") is None,
+                 "acceptance of keyed requests", timeout=15)
 
 
 if __name__ == "__main__":
--- a/tests/system/support.py
+++ b/tests/system/support.py
@@ -1,4 +1,4 @@
-"""Common parts of the tests on real processes."""
+"""Fixture and helpers of the tests that start real processes."""
 
 import http.client
 import json
@@ -18,7 +18,7 @@
 
 
 class SystemTest(unittest.TestCase):
-    """Starts one small deployment for the whole class."""
+    """Starts one small deployment that all test cases of a class share."""
 
     entries = 3
     engines = 3
@@ -44,7 +44,8 @@
         return self.deployment.shape["model"]
 
     def expected_text(self, prompt, tokens):
-        """What an engine answers when asked directly; answers depend on the prompt alone."""
+        """The text that an engine returns for a direct request. It depends only on the prompt and
+        the number of tokens."""
         for i in range(1, self.deployment.engine_count + 1):
             try:
                 status, body, _ = http_json(
@@ -55,16 +56,17 @@
                 continue
             if status == 200:
                 return body["choices"][0]["text"]
-        raise DeploymentError("no engine answered")
+        raise DeploymentError("no engine completed the direct request")
 
     def complete(self, entry, workspace, prompt, tokens=8, headers=None, timeout=30):
         return self.deployment.complete(entry, workspace, prompt, tokens, headers, timeout)
 
-    def engine_records(self, group="engine"):
-        """Records of all running upstreams of one kind: requests, not polls or cancels."""
+    def upstream_records(self, kind="engine"):
+        """The requests that all running upstreams of one kind recorded, without engine polls and
+        cancellations."""
         records = []
-        url = self.deployment.engine_url if group == "engine" else self.deployment.service_url
-        count = (self.deployment.engine_count if group == "engine"
+        url = self.deployment.engine_url if kind == "engine" else self.deployment.service_url
+        count = (self.deployment.engine_count if kind == "engine"
                  else self.deployment.service_count)
         for i in range(1, count + 1):
             try:
@@ -74,7 +76,7 @@
         return [record for record in records if not record["path"].startswith("/engine/")]
 
     def batch_lines(self, count, tokens=4, prefix="item"):
-        """Batch lines and the prompt of each custom_id."""
+        """Returns the lines of a batch file and the prompt of each custom_id."""
         prompts = {f"{prefix}-{n}": f"{prefix} restock list for booth {n}" for n in range(count)}
         lines = "".join(
             json.dumps({"custom_id": custom_id, "method": "POST", "url": "/v1/completions",
@@ -83,7 +85,8 @@
         return lines.encode(), prompts
 
     def check_results(self, results, prompts, tokens=4):
-        """Each item has one result, in order of input, with its own whole answer."""
+        """Checks that each item has exactly one result, in input order, with the complete text of
+        its own prompt."""
         self.assertEqual([line["custom_id"] for line in results], list(prompts))
         for line in results:
             body = line["response"]["body"]
@@ -92,7 +95,8 @@
 
 
 class Stream(threading.Thread):
-    """One streamed completion on a thread; keeps its text, its error and whether it ended whole."""
+    """Runs one streamed completion on a thread and records its text, its error and whether it is
+    complete."""
 
     def __init__(self, url, key, model, prompt, tokens):
         super().__init__(daemon=True)
@@ -132,15 +136,15 @@
         if self.status != 200:
             self.error = json.loads(response.read())["error"]
             return
-        for raw in response:
-            line = raw.decode().strip()
+        for encoded_line in response:
+            line = encoded_line.decode().strip()
             if line == "data: [DONE]":
                 self.complete = True
                 return
             if line.startswith("data: "):
-                self.take(json.loads(line[len("data: "):]))
+                self.handle_event(json.loads(line[len("data: "):]))
 
-    def take(self, event):
+    def handle_event(self, event):
         if "error" in event:
             self.error = event["error"]
             return
