--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -1,7 +1,7 @@
-"""Starts a rattanrill deployment of plain processes on loopback; used by tools/demo and tests/system.
+"""Starts a deployment as plain processes on loopback addresses, for tools/demo and tests/system.
 
-Every instance has an IP address of its own in 127.0.0.0/8, so that several deployments run side by
-side without sharing ports.
+Every instance has an IP address of its own in 127.0.0.0/8, so that several deployments can run side
+by side without port conflicts.
 """
 
 import json
@@ -61,7 +61,7 @@
 
 
 class DeploymentError(Exception):
-    """A process or request of the deployment did not do what was needed."""
+    """A process or request of the deployment failed or timed out."""
 
 
 def http_json(method, url, body=None, headers=None, timeout=10):
@@ -74,17 +74,17 @@
     request = urllib.request.Request(url, data=data, method=method, headers=headers)
     try:
         with urllib.request.urlopen(request, timeout=timeout) as response:
-            status, text, seen = response.status, response.read(), response.headers
+            status, text, response_headers = response.status, response.read(), response.headers
     except urllib.error.HTTPError as error:
-        status, text, seen = error.code, error.read(), error.headers
+        status, text, response_headers = error.code, error.read(), error.headers
     try:
-        return status, json.loads(text), seen
+        return status, json.loads(text), response_headers
     except ValueError:
-        return status, text.decode("utf-8", "replace"), seen
+        return status, text.decode("utf-8", "replace"), response_headers
 
 
-def wait_for(condition, what, timeout=START_TIMEOUT_S, period=0.05):
-    """Polls until condition() is true; raises DeploymentError naming what was awaited."""
+def wait_for(condition, description, timeout=START_TIMEOUT_S, period=0.05):
+    """Polls until condition() is true; raises DeploymentError with the description on timeout."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         try:
@@ -94,7 +94,7 @@
         if value:
             return value
         time.sleep(period)
-    raise DeploymentError(f"timed out after {timeout} s: {what}")
+    raise DeploymentError(f"timed out after {timeout} s waiting for {description}")
 
 
 class Process:
@@ -129,7 +129,7 @@
         self.process.send_signal(signal.SIGCONT)
 
     def stop(self, timeout=STOP_TIMEOUT_S):
-        """Graceful stop; returns the exit code."""
+        """Stops the process gracefully; returns its exit code, or None if it had to be killed."""
         if self.alive():
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -142,7 +142,7 @@
 
 
 class Deployment:
-    """All processes of one deployment; a context manager that ends what it started."""
+    """All processes of one deployment; a context manager that stops them on exit."""
 
     def __init__(self, kind="garza", build=None, entries=None, engines=None, services=None,
                  controls=3, seed=None, folder=None):
@@ -201,7 +201,7 @@
 
     # Settings
 
-    def common(self, name, i):
+    def common_settings(self, name, i):
         return {"instance": name, "failureDomain": self.failure_domain(i),
                 "log": {"level": "info", "file": str(self.folder / f"{name}.log")}}
 
@@ -210,7 +210,7 @@
                      "operatorAddress": f"{self.control_host(n)}:7100",
                      "failureDomain": self.failure_domain(n)}
                     for n in range(1, self.control_count + 1)]
-        return {**self.common(f"control-{i}", i),
+        return {**self.common_settings(f"control-{i}", i),
                 "dataFolder": str(self.folder / f"control-{i}-data"),
                 "peer": {"host": self.control_host(i), "port": 7000},
                 "operator": {"host": self.control_host(i), "port": 7100,
@@ -218,7 +218,7 @@
                 "clusterSecret": self.cluster_secret, "replicas": replicas, "partitions": 2}
 
     def entry_settings(self, i):
-        return {**self.common(f"entry-{i}", i),
+        return {**self.common_settings(f"entry-{i}", i),
                 "http": {"host": self.entry_host(i), "port": 8080},
                 "peer": {"host": self.entry_host(i), "port": 7000},
                 "clusterSecret": self.cluster_secret,
@@ -227,18 +227,18 @@
                 "partitions": 2}
 
     def engine_settings(self, i):
-        return {**self.common(f"engine-{i}", i),
+        return {**self.common_settings(f"engine-{i}", i),
                 "http": {"host": self.address(30, i), "port": 9000},
                 "models": [self.shape["model"]]}
 
     def service_settings(self, i):
-        return {**self.common(f"service-{i}", i),
+        return {**self.common_settings(f"service-{i}", i),
                 "http": {"host": self.address(40, i), "port": 9100},
                 "service": self.shape["service"]}
 
     # Processes
 
-    def add(self, name, binary, settings):
+    def start_process(self, name, binary, settings):
         process = Process(name, binary, settings, self.folder, self.build)
         self.processes[name] = process
         process.start()
@@ -246,32 +246,34 @@
 
     def start_controls(self):
         for i in range(1, self.control_count + 1):
-            self.add(f"control-{i}", "rattanrill-control", self.control_settings(i))
+            self.start_process(f"control-{i}", "rattanrill-control", self.control_settings(i))
         wait_for(self.has_leader, "a leader of the directory group")
 
     def start_upstreams(self):
         for i in range(1, self.engine_count + 1):
-            self.add(f"engine-{i}", "rattanrill-fake-engine", self.engine_settings(i))
+            self.start_process(f"engine-{i}", "rattanrill-fake-engine", self.engine_settings(i))
         for i in range(1, self.service_count + 1):
-            self.add(f"service-{i}", "rattanrill-fake-service", self.service_settings(i))
+            self.start_process(f"service-{i}", "rattanrill-fake-service", self.service_settings(i))
 
     def start_entries(self):
         for i in range(1, self.entry_count + 1):
-            self.add(f"entry-{i}", "rattanrill-entry", self.entry_settings(i))
+            self.start_process(f"entry-{i}", "rattanrill-entry", self.entry_settings(i))
 
     def wait_ready(self):
         for url in self.entry_urls():
-            wait_for(lambda url=url: http_json("GET", url + "/readyz")[0] == 200, f"{url}/readyz")
+            wait_for(lambda url=url: http_json("GET", url + "/readyz")[0] == 200,
+                     f"status 200 of {url}/readyz")
 
     def wait_rate_owners(self):
-        """A new owner of a workspace's rate starts empty and after a wait, so that an older owner
-        cannot have granted the same requests; until then requests are answered 429."""
+        """Waits until every workspace is granted requests. The instance that becomes owner of a
+        workspace's rate starts after a delay and with an empty bucket, so that it cannot grant the
+        requests again that a previous owner granted; until then requests get status 429."""
         for workspace, *_ in self.shape["workspaces"]:
             wait_for(lambda workspace=workspace: self.complete(1, workspace, "ready", 1)[0] == 200,
                      f"rate grants for {workspace}", period=0.5)
 
     def complete(self, entry, workspace, prompt, tokens=8, headers=None, timeout=30):
-        """One whole completion; returns (status, body, headers)."""
+        """Sends one completion request without streaming; returns (status, body, headers)."""
         return http_json("POST", self.entry_url(entry) + "/v1/completions",
                          {"model": self.shape["model"], "prompt": prompt, "max_tokens": tokens},
                          {**self.bearer(workspace), **(headers or {})}, timeout)
@@ -283,27 +285,29 @@
             return False
 
     def ctl(self, *arguments, check=True):
-        """Runs rattanrillctl; returns the finished process."""
+        """Runs rattanrillctl; returns its exit code and output."""
         command = [str(self.build / "bin" / "rattanrillctl"),
                    "--token-file", str(self.folder / "operator-token"), "--json"]
         for server in self.operator_servers():
             command += ["--server", server]
-        done = subprocess.run(command + list(arguments), capture_output=True, text=True,
-                              timeout=60, check=False)
-        if check and done.returncode != 0:
+        finished = subprocess.run(command + list(arguments), capture_output=True, text=True,
+                                  timeout=60, check=False)
+        if check and finished.returncode != 0:
             raise DeploymentError(f"rattanrillctl {' '.join(arguments)}: exit code "
-                                  f"{done.returncode}: {done.stdout}{done.stderr}")
-        return done
+                                  f"{finished.returncode}: {finished.stdout}{finished.stderr}")
+        return finished
 
     def ctl_json(self, *arguments):
         text = self.ctl(*arguments).stdout
         try:
             return json.loads(text)
         except ValueError as error:
-            raise DeploymentError(f"rattanrillctl {arguments}: not JSON: {text!r}") from error
+            raise DeploymentError(
+                f"output of rattanrillctl {arguments} is not JSON: {text!r}") from error
 
     def configure(self):
-        """Writes upstreams, routes, contracts and keys; returns the last revision."""
+        """Writes upstreams, routes, contracts and keys and waits until they are in force; returns
+        the last revision."""
         for i in range(1, self.engine_count + 1):
             self.ctl("upstream", "put", f"engine-{i}", "--kind", "engine",
                      "--serves", self.shape["model"], "--host", self.address(30, i),
@@ -340,7 +344,8 @@
         self.wait_rate_owners()
 
     def stop_all(self):
-        """Ends entries first, so that their requests finish; returns exit codes by name."""
+        """Stops entry instances before the others, so that their requests can complete; returns the
+        exit codes by process name."""
         codes = {}
         order = sorted(self.processes, key=lambda name: not name.startswith("entry"))
         for name in order:
@@ -368,7 +373,7 @@
                                     jsonl, {**self.bearer(workspace),
                                             "Content-Type": "application/jsonl"}, timeout=120)
         if status != 200:
-            raise DeploymentError(f"upload refused: {status} {body}")
+            raise DeploymentError(f"upload failed with status {status}: {body}")
         return body["id"]
 
     def create_batch(self, entry, workspace, file_id, window="24h", key=None):
@@ -379,7 +384,7 @@
                                     {"input_file_id": file_id, "endpoint": "/v1/completions",
                                      "completion_window": window}, headers)
         if status != 200:
-            raise DeploymentError(f"batch refused: {status} {body}")
+            raise DeploymentError(f"batch creation failed with status {status}: {body}")
         return body
 
     def batch(self, entry, workspace, batch_id):
--- a/tools/measure-control.py
+++ b/tools/measure-control.py
@@ -1,8 +1,9 @@
-"""Measures what control costs an idle deployment, over several numbers of entry instances.
+"""Measures the resource use of control and entry instances in idle deployments of several sizes.
 
-Prints one JSON line for each size: processor time in percent of a core and resident memory in MB of
-entry and control instances, and bytes a second that control instances write to files, from /proc. Wall-clock figures: for
-docs/CAPACITY.md, never for a verdict.
+Prints one JSON line for each number of entry instances: processor time in percent of a core and
+resident memory in MB of entry and control instances, and bytes per second that control instances
+write to files, from /proc. The figures are measured in wall-clock time; they are meant for
+docs/CAPACITY.md and decide no test.
 
 Usage: tools/measure-control.py [--sizes 3,6,12,24] [--seconds 10]
 """
@@ -14,17 +15,18 @@
 
 from deployment import Deployment
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_seconds(pid):
     fields = open(f"/proc/{pid}/stat", encoding="ascii").read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_mb(pid):
-    return int(open(f"/proc/{pid}/statm", encoding="ascii").read().split()[1]) * PAGE / 1e6
+    pages = int(open(f"/proc/{pid}/statm", encoding="ascii").read().split()[1])
+    return pages * PAGE_SIZE_BYTES / 1e6
 
 
 def written_bytes(pid):
@@ -49,16 +51,16 @@
                        if name.startswith(role)] for role in ("entry", "control")}
         before = {role: sample(ids) for role, ids in pids.items()}
         time.sleep(seconds)
-        line = {"entries": entries, "seconds": seconds}
+        figures = {"entries": entries, "seconds": seconds}
         for role, ids in pids.items():
             after = sample(ids)
-            line[f"{role}_cpu_percent"] = round(mean(
+            figures[f"{role}_cpu_percent"] = round(mean(
                 [(after[p][0] - before[role][p][0]) / seconds * 100 for p in ids]), 2)
             if role == "control":
-                line["control_written_bytes_per_s"] = round(mean(
+                figures["control_written_bytes_per_s"] = round(mean(
                     [(after[p][1] - before[role][p][1]) / seconds for p in ids]))
-            line[f"{role}_rss_mb"] = round(mean([resident_mb(p) for p in ids]), 1)
-        print(json.dumps(line), flush=True)
+            figures[f"{role}_rss_mb"] = round(mean([resident_mb(p) for p in ids]), 1)
+        print(json.dumps(figures), flush=True)
 
 
 def main():
