--- a/cmake/RattanrillDependencies.cmake
+++ b/cmake/RattanrillDependencies.cmake
@@ -1,4 +1,4 @@
-# Libraries from Debian packages; tools/install-packages installs them.
+# Finds the libraries. All of them are Debian packages that tools/install-packages installs.
 find_package(Threads REQUIRED)
 find_package(absl REQUIRED)
 find_package(nlohmann_json REQUIRED)
--- a/cmake/RattanrillTargets.cmake
+++ b/cmake/RattanrillTargets.cmake
@@ -5,21 +5,21 @@
   target_compile_options(rattanrill_options INTERFACE -Wthread-safety -Wthread-safety-beta)
 endif()
 if(RATTANRILL_SANITIZER STREQUAL "address")
-  set(rattanrill_sanitize -fsanitize=address,undefined -fno-sanitize-recover=all -fno-omit-frame-pointer)
+  set(rattanrill_sanitizer_flags -fsanitize=address,undefined -fno-sanitize-recover=all -fno-omit-frame-pointer)
 elseif(RATTANRILL_SANITIZER STREQUAL "thread")
-  set(rattanrill_sanitize -fsanitize=thread)
+  set(rattanrill_sanitizer_flags -fsanitize=thread)
 endif()
-if(rattanrill_sanitize)
-  target_compile_options(rattanrill_options INTERFACE ${rattanrill_sanitize})
-  target_link_options(rattanrill_options INTERFACE ${rattanrill_sanitize})
+if(rattanrill_sanitizer_flags)
+  target_compile_options(rattanrill_options INTERFACE ${rattanrill_sanitizer_flags})
+  target_link_options(rattanrill_options INTERFACE ${rattanrill_sanitizer_flags})
 endif()
 find_program(RATTANRILL_LLD ld.lld)
 if(RATTANRILL_LLD)
   target_link_options(rattanrill_options INTERFACE -fuse-ld=lld)
 endif()
 
-# rattanrill_library(NAME [DEPENDS target...]): static library of the *.cpp files beside the caller,
-# except main*.cpp.
+# rattanrill_library(NAME [DEPENDS target...]): adds a static library of the *.cpp files in the calling
+# folder, except main*.cpp.
 function(rattanrill_library name)
   cmake_parse_arguments(arg "" "" "DEPENDS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cpp")
@@ -29,7 +29,8 @@
   target_include_directories(rattanrill_${name} PRIVATE "${CMAKE_CURRENT_SOURCE_DIR}")
 endfunction()
 
-# rattanrill_program(NAME SOURCE [DEPENDS target...]): binary in build/bin.
+# rattanrill_program(NAME SOURCE [DEPENDS target...]): adds an executable in the folder bin of the build
+# tree. Benchmarks are left out of builds with RATTANRILL_DEPLOY_ONLY.
 function(rattanrill_program name source)
   if(RATTANRILL_DEPLOY_ONLY AND name MATCHES "-bench-")
     return()
@@ -40,9 +41,10 @@
   set_target_properties(${name} PROPERTIES RUNTIME_OUTPUT_DIRECTORY "${CMAKE_BINARY_DIR}/bin")
 endfunction()
 
-# rattanrill_test(LIBRARY [DEPENDS target...] [APART Suite/case...]): the one test program of a library, from the *.cpp
-# files beside the caller. It may include the library's private headers. Each case under APART is a
-# CTest test of its own, LIBRARY-case, so that KNOWN-RED.txt can name it alone.
+# rattanrill_test(LIBRARY [DEPENDS target...] [APART Suite/case...]): adds the only test program of a
+# library, from the *.cpp files in the calling folder. The tests may include the library's private
+# headers. Each case listed under APART becomes a separate CTest test, LIBRARY-case, so that
+# KNOWN-RED.txt can name it without the other cases.
 function(rattanrill_test library)
   cmake_parse_arguments(arg "" "" "DEPENDS;APART" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cpp")
