--- a/tests/entry/batch_test.cpp
+++ b/tests/entry/batch_test.cpp
@@ -58,7 +58,7 @@
     return job;
 }
 
-std::vector<Json> results(TestFleet &fleet, int entry, const std::string &file)
+std::vector<Json> resultLines(TestFleet &fleet, int entry, const std::string &file)
 {
     const auto answer = fleet.get(entry, "/v1/files/" + file + "/content", "acme");
     BOOST_REQUIRE(answer);
@@ -73,11 +73,12 @@
 
 BOOST_AUTO_TEST_SUITE(Batch)
 
-// R1: guards against lost, repeated or reordered results.
+// R1: guards against item results that are lost, repeated or out of order when several entries and
+// engines work on one job.
 BOOST_AUTO_TEST_CASE(batchCompletesWithResultsInOrderOfInput)
 {
     TestFleet fleet(2, 2);
-    // One item that no engine can complete must not hold up the others.
+    // An item that no engine can complete must not delay or fail the others.
     const std::string bad =
             R"({"custom_id":"bad","url":"/v1/completions","body":{"model":"m","max_tokens":0}})";
     const std::string file = upload(fleet, 0, itemLines(60) + bad + "\n");
@@ -85,7 +86,7 @@
     const Json ended = awaitEnd(fleet, 0, job.at("id"));
     BOOST_TEST(ended.at("request_counts").at("completed") == 60);
     BOOST_TEST(ended.at("request_counts").at("failed") == 1);
-    const std::vector<Json> lines = results(fleet, 1, ended.at("output_file_id"));
+    const std::vector<Json> lines = resultLines(fleet, 1, ended.at("output_file_id"));
     BOOST_REQUIRE(lines.size() == 61u);
     for (int i = 0; i < 60; ++i) {
         BOOST_TEST(lines[i].at("custom_id") == concat("item-", i));
@@ -93,7 +94,7 @@
                    == expectedText(concat("prompt ", i), 3));
     }
     BOOST_TEST(lines[60].at("error").at("code") == "invalid_request");
-    // R4: another workspace sees neither the job nor its results.
+    // R4: another workspace can access neither the job nor its results.
     fleet.addWorkspace("other", 100, 100);
     fleet.awaitInForce();
     BOOST_TEST(fleet.get(0, "/v1/batches/" + job.at("id").get<std::string>(), "other")->status
@@ -105,8 +106,9 @@
                == 404);
 }
 
-// Guards against a bad line that is overlooked, or named wrongly, or leaves a file behind.
-BOOST_AUTO_TEST_CASE(oneBadLineAmongManyRefusesTheFileAndNamesIt)
+// Guards against an invalid line late in an upload that is overlooked or reported with the wrong
+// line number, and against a refused upload that leaves a file behind.
+BOOST_AUTO_TEST_CASE(invalidLineRefusesTheFileAndIsNamedInTheError)
 {
     TestFleet fleet(1, 1);
     const std::pair<std::string, std::string> rows[] = {
@@ -130,8 +132,8 @@
     }
 }
 
-// Guards against files of client libraries that are misread.
-BOOST_AUTO_TEST_CASE(formDataIsAcceptedAsClientLibrariesSendIt)
+// Guards against misparsing multipart/form-data, the form in which client libraries upload files.
+BOOST_AUTO_TEST_CASE(multipartFormUploadIsAccepted)
 {
     TestFleet fleet(1, 1);
     httplib::Client client("127.0.0.1", fleet.port(0));
@@ -149,8 +151,8 @@
     BOOST_TEST(awaitEnd(fleet, 0, job.at("id")).at("request_counts").at("total") == 30);
 }
 
-// F2: guards against a resend through another entry that makes a second job.
-BOOST_AUTO_TEST_CASE(resentCreationIsTheSameJob)
+// F2: guards against a resend of the same creation through another entry that creates a second job.
+BOOST_AUTO_TEST_CASE(resentCreationReturnsTheSameJob)
 {
     TestFleet fleet(2, 1);
     const std::string file = upload(fleet, 0, itemLines(3));
@@ -164,7 +166,8 @@
     BOOST_TEST(errorOf(refused).value("code", "") == "conflict");
 }
 
-// R2: guards against items that go on after the cancel was acknowledged.
+// R2: guards against items that continue to run after the cancellation of their job was
+// acknowledged.
 BOOST_AUTO_TEST_CASE(cancelledJobStops)
 {
     TestFleet fleet(0, 1);
@@ -186,8 +189,8 @@
     BOOST_TEST(ended.at("request_counts").at("cancelled") == 200);
 }
 
-// R3: guards against online requests that wait behind batch work.
-BOOST_AUTO_TEST_CASE(onlineRequestPreemptsBatchWorkWhichThenResumes)
+// R3: guards against online requests that wait behind batch items on an engine whose batch is full.
+BOOST_AUTO_TEST_CASE(onlineRequestPreemptsBatchItemsWhichThenResume)
 {
     TestFleet fleet(1, 1);
     ScriptedEngine::Script script;
@@ -210,18 +213,18 @@
     }
     const Json ended = awaitEnd(fleet, 0, job.at("id"));
     BOOST_TEST(ended.at("request_counts").at("completed") == 8);
-    const std::vector<Json> lines = results(fleet, 0, ended.at("output_file_id"));
+    const std::vector<Json> lines = resultLines(fleet, 0, ended.at("output_file_id"));
     BOOST_REQUIRE(lines.size() == 8u);
     for (int i = 0; i < 8; ++i)
         BOOST_TEST(lines[i].at("response").at("body").at("choices").at(0).at("text")
                    == expectedText(concat("prompt ", i), 3));
 }
 
-// R1, R12: guards against leases that a stopped entry keeps until they expire.
-BOOST_AUTO_TEST_CASE(drainGivesItemsBackToOtherEntries)
+// R1, R12: guards against items that stay leased to a drained entry until their leases expire.
+BOOST_AUTO_TEST_CASE(drainReleasesItemsToOtherEntries)
 {
     TestFleet fleet(0, 1);
-    // Longer than the test: the items move only when they are released.
+    // Longer than the test, so that items reach the other entry only when they are released.
     fleet.settings().batch.lease = absl::Minutes(5);
     fleet.startEntry();
     fleet.startEntry();
@@ -237,7 +240,7 @@
     fleet.engine(0).release();
     const Json ended = awaitEnd(fleet, 1, job.at("id"));
     BOOST_TEST(ended.at("request_counts").at("completed") == 30);
-    BOOST_TEST(results(fleet, 1, ended.at("output_file_id")).size() == 30u);
+    BOOST_TEST(resultLines(fleet, 1, ended.at("output_file_id")).size() == 30u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/entry/fakecontrol.cpp
+++ b/tests/entry/fakecontrol.cpp
@@ -14,7 +14,7 @@
 namespace rattanrill::entry {
 namespace {
 
-constexpr absl::Duration pollHold = absl::Milliseconds(20);
+constexpr absl::Duration pollDelay = absl::Milliseconds(20);
 const std::string directoryGroup = "directory";
 const std::string pollGroup = "polls";
 
@@ -51,7 +51,7 @@
                            const peer::ResponseCallback &reply) { read(body, reply); });
     m_server.handle(wire::Method::PollChanges,
                     [this](const PeerIdentity &, const std::string &body,
-                           const peer::ResponseCallback &reply) { follow(body, reply); });
+                           const peer::ResponseCallback &reply) { pollChanges(body, reply); });
     m_server.handle(wire::Method::Heartbeat,
                     [this](const PeerIdentity &, const std::string &body,
                            const peer::ResponseCallback &reply) { heartbeat(body, reply); });
@@ -91,15 +91,15 @@
     BOOST_REQUIRE(answer.ok());
 }
 
-void FakeControl::setSilent(const std::string &group, bool silent)
+void FakeControl::setUnresponsive(const std::string &group, bool unresponsive)
 {
     absl::MutexLock lock(&m_mutex);
-    m_silent[group] = silent;
+    m_unresponsive[group] = unresponsive;
 }
 
-void FakeControl::setPollsSilent(bool silent)
+void FakeControl::setPollsUnresponsive(bool unresponsive)
 {
-    setSilent(pollGroup, silent);
+    setUnresponsive(pollGroup, unresponsive);
 }
 
 void FakeControl::propose(const std::string &body, const peer::ResponseCallback &reply)
@@ -108,7 +108,7 @@
     Outcome<std::string> answer = std::string();
     {
         absl::MutexLock lock(&m_mutex);
-        if (m_silent[request.group])
+        if (m_unresponsive[request.group])
             return;
         answer = run(request.group, request.command, true);
     }
@@ -124,7 +124,7 @@
     Outcome<std::string> answer = std::string();
     {
         absl::MutexLock lock(&m_mutex);
-        if (m_silent[request.group])
+        if (m_unresponsive[request.group])
             return;
         answer = run(request.group, request.query, false);
     }
@@ -134,55 +134,57 @@
         reply(answer.failure());
 }
 
-std::string FakeControl::changes(std::uint64_t after, bool &any)
+std::string FakeControl::changesSince(std::uint64_t afterRevision, bool &hasChanges)
 {
-    const auto answer = run(directoryGroup, wire::encode(wire::DirectoryQuery{after}), false);
+    const auto answer =
+            run(directoryGroup, wire::encode(wire::DirectoryQuery{afterRevision}), false);
     BOOST_REQUIRE(answer.ok());
-    any = decoded<wire::PollChangesResponse>(answer.value()).revision > after;
+    hasChanges = decoded<wire::PollChangesResponse>(answer.value()).revision > afterRevision;
     return answer.value();
 }
 
 std::uint64_t FakeControl::revision()
 {
     absl::MutexLock lock(&m_mutex);
-    bool any = false;
-    return decoded<wire::PollChangesResponse>(changes(0, any)).revision;
+    bool hasChanges = false;
+    return decoded<wire::PollChangesResponse>(changesSince(0, hasChanges)).revision;
 }
 
 std::size_t FakeControl::members()
 {
     absl::MutexLock lock(&m_mutex);
-    bool any = false;
-    const auto all = decoded<wire::PollChangesResponse>(changes(0, any));
+    bool hasChanges = false;
+    const auto all = decoded<wire::PollChangesResponse>(changesSince(0, hasChanges));
     const auto view = outcomeOf([&] { return directory::DirectoryView().withChanges(all); });
     BOOST_REQUIRE(view.ok());
     return view.value().members().size();
 }
 
-void FakeControl::follow(const std::string &body, const peer::ResponseCallback &reply)
+void FakeControl::pollChanges(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::PollChangesRequest>(body);
     {
         absl::MutexLock lock(&m_mutex);
-        if (m_silent[pollGroup])
+        if (m_unresponsive[pollGroup])
             return;
-        bool any = false;
-        std::string answer = changes(request.afterRevision, any);
-        if (any) {
+        bool hasChanges = false;
+        std::string answer = changesSince(request.afterRevision, hasChanges);
+        if (hasChanges) {
             reply(std::move(answer));
             return;
         }
     }
-    m_timers.subscribeOnce(
-            pollHold, [this, after = request.afterRevision, reply] { answerPoll(after, reply); });
+    m_timers.subscribeOnce(pollDelay, [this, afterRevision = request.afterRevision, reply] {
+        answerPoll(afterRevision, reply);
+    });
 }
 
-void FakeControl::answerPoll(std::uint64_t after, const peer::ResponseCallback &reply)
+void FakeControl::answerPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
 {
     absl::MutexLock lock(&m_mutex);
-    bool any = false;
-    if (!m_silent[pollGroup])
-        reply(changes(after, any));
+    bool hasChanges = false;
+    if (!m_unresponsive[pollGroup])
+        reply(changesSince(afterRevision, hasChanges));
 }
 
 void FakeControl::heartbeat(const std::string &body, const peer::ResponseCallback &reply)
--- a/tests/entry/fakecontrol.h
+++ b/tests/entry/fakecontrol.h
@@ -14,8 +14,8 @@
 
 namespace rattanrill::entry {
 
-/// One control instance in this process: the real state machines behind the real peer protocol,
-/// without replication.
+/// A control instance in the test process. It serves the real state machines over the real peer
+/// protocol, without replication.
 class FakeControl
 {
 public:
@@ -23,12 +23,12 @@
     ~FakeControl();
 
     std::string address() const;
-    /// Writes to the directory; requires success.
+    /// Applies \a operation to the directory and fails the test when the directory refuses it.
     void write(wire::DirectoryOperation operation) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// From now on calls of \a group ("directory", "batch-0") are left unanswered, or no longer.
-    void setSilent(const std::string &group, bool silent) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// As setSilent() for polls of the directory.
-    void setPollsSilent(bool silent) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Sets whether requests to \a group (for example "directory" or "batch-0") stay unanswered.
+    void setUnresponsive(const std::string &group, bool unresponsive) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Sets whether polls for directory changes stay unanswered.
+    void setPollsUnresponsive(bool unresponsive) ABSL_LOCKS_EXCLUDED(m_mutex);
     std::uint64_t revision() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::size_t members() ABSL_LOCKS_EXCLUDED(m_mutex);
 
@@ -39,18 +39,20 @@
             ABSL_LOCKS_EXCLUDED(m_mutex);
     void read(const std::string &body, const peer::ResponseCallback &reply)
             ABSL_LOCKS_EXCLUDED(m_mutex);
-    void follow(const std::string &body, const peer::ResponseCallback &reply)
+    void pollChanges(const std::string &body, const peer::ResponseCallback &reply)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     void heartbeat(const std::string &body, const peer::ResponseCallback &reply)
             ABSL_LOCKS_EXCLUDED(m_mutex);
-    std::string changes(std::uint64_t after, bool &any) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void answerPoll(std::uint64_t after, const peer::ResponseCallback &reply)
+    /// Encoded changes after \a afterRevision; sets \a hasChanges to whether there are any.
+    std::string changesSince(std::uint64_t afterRevision, bool &hasChanges)
+            ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void answerPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
     absl::Mutex m_mutex;
     std::map<std::string, std::unique_ptr<replication::StateMachine>>
             m_groups ABSL_GUARDED_BY(m_mutex);
-    std::map<std::string, bool> m_silent ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, bool> m_unresponsive ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_index ABSL_GUARDED_BY(m_mutex) = 0;
     ThreadTimerService m_timers;
     peer::Server m_server;
--- a/tests/entry/limit_test.cpp
+++ b/tests/entry/limit_test.cpp
@@ -10,7 +10,8 @@
 namespace rattanrill::entry {
 namespace {
 
-/// A workspace that entry number \a owner of \a entries owns.
+/// Name of a workspace whose rate bucket is owned by the entry with index \a owner among \a
+/// entries.
 std::string workspaceOf(int owner, int entries)
 {
     std::vector<std::string> members;
@@ -27,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(Limits)
 
-// R7: guards against a workspace that gets its burst once per entry.
-BOOST_AUTO_TEST_CASE(burstHoldsOverAllEntries)
+// R7: guards against a workspace that gets its full burst at each entry instead of once.
+BOOST_AUTO_TEST_CASE(burstLimitAppliesAcrossAllEntries)
 {
     TestFleet fleet(3, 1);
     // The rate adds less than one request during the test.
@@ -49,9 +50,9 @@
     BOOST_TEST(!refused->get_header_value("Retry-After").empty());
 }
 
-// R7: guards against an entry that joins, becomes the owner and starts with an empty bucket, or
-// with a full one.
-BOOST_AUTO_TEST_CASE(joiningOwnerTakesOverTheLevel)
+// R7: guards against a joining entry that becomes the owner of a rate bucket and starts with an
+// empty or a full bucket instead of the level at the former owner.
+BOOST_AUTO_TEST_CASE(joiningOwnerTakesOverTheBucketLevel)
 {
     TestFleet fleet(1, 1);
     const std::string used = workspaceOf(1, 2);
@@ -68,8 +69,8 @@
     BOOST_TEST(granted == 9);
 }
 
-// R7: guards against an owner that leaves and takes the rest of a workspace's burst with it.
-BOOST_AUTO_TEST_CASE(leavingOwnerHandsOverTheLevel)
+// R7: guards against losing the rest of a workspace's burst when the owner of its bucket leaves.
+BOOST_AUTO_TEST_CASE(leavingOwnerHandsOverTheBucketLevel)
 {
     TestFleet fleet(2, 1);
     const std::string workspace = workspaceOf(0, 2);
@@ -82,7 +83,8 @@
     BOOST_TEST(granted == 5);
 }
 
-// R7, R9: guards against requests that run uncounted when the owner cannot be reached.
+// R7, R9: guards against requests that run uncounted while the owner of the bucket cannot grant
+// because its directory view is older than the owner lease.
 BOOST_AUTO_TEST_CASE(ownerWithAStaleViewGrantsNothing)
 {
     TestFleet fleet(2, 1);
@@ -91,8 +93,8 @@
     fleet.awaitInForce();
     BOOST_TEST(eventually([&] { return fleet.complete(0, workspace, "p", 1)->status == 200; }));
     const std::size_t runs = fleet.engine(0).runs();
-    fleet.control().setPollsSilent(true);
-    // Both views grow older than the owner lease, but not than the freshness of keys.
+    fleet.control().setPollsUnresponsive(true);
+    // Both views become older than the owner lease, but not older than the key freshness limit.
     BOOST_TEST(eventually([&] {
         return errorOf(fleet.complete(0, workspace, "p", 1)).value("code", "") == "rate_unknown";
     }));
@@ -101,8 +103,9 @@
     BOOST_TEST(fleet.engine(0).runs() >= runs);
 }
 
-// R12: guards against a stop that cuts streams, and against new work that is refused too early.
-BOOST_AUTO_TEST_CASE(drainCutsNothing)
+// R12: guards against a drain that breaks running streams, and against one that refuses new
+// requests during the drain notice.
+BOOST_AUTO_TEST_CASE(drainInterruptsNoRequest)
 {
     TestFleet fleet(2, 2);
     ScriptedEngine::Script script;
@@ -120,7 +123,7 @@
     BOOST_TEST(idle.Get("/healthz")->status == 200);
     bool finished = false;
     std::thread drain([&] { finished = fleet.entry(0).drain(); });
-    // In the notice time readiness has ended and requests are still served.
+    // During the drain notice the entry is no longer ready but still serves requests.
     BOOST_TEST(eventually([&] {
         const auto ready = idle.Get("/readyz");
         return ready && ready->status == 503;
@@ -142,7 +145,7 @@
     }
 }
 
-// Guards against connections above the limit that wait without an answer.
+// Guards against connections above the limit that wait without a response instead of being refused.
 BOOST_AUTO_TEST_CASE(connectionsAboveTheLimitAreRefused)
 {
     TestFleet fleet(0, 1);
--- a/tests/entry/online_test.cpp
+++ b/tests/entry/online_test.cpp
@@ -6,7 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(Online)
 
-// Guards against answers that are short or lose the form that client libraries expect.
+// Guards against completions that are truncated or deviate from the format that client libraries
+// expect.
 BOOST_AUTO_TEST_CASE(wholeAndStreamedAnswersAreComplete)
 {
     TestFleet fleet(1, 1);
@@ -31,7 +32,7 @@
                == expectedText("a\nb", 3));
 }
 
-// R4, R9: guards against work for a caller without a valid key.
+// R4, R9: guards against running a request of a caller without a valid key.
 BOOST_AUTO_TEST_CASE(missingUnknownAndWithdrawnKeysAreRefusedAsNotRun)
 {
     TestFleet fleet(1, 1);
@@ -50,8 +51,8 @@
     BOOST_TEST(fleet.engine(0).runs() == runs);
 }
 
-// R5: guards against a key that is forwarded in a header, the query or the body.
-BOOST_AUTO_TEST_CASE(noUpstreamSeesTheKey)
+// R5: guards against forwarding the caller's key in a header, the query string or the body.
+BOOST_AUTO_TEST_CASE(keyIsNeverForwardedToAnUpstream)
 {
     TestFleet fleet(1, 1, 1);
     wire::Route route{"desk", "/desk", "desk", false, true};
@@ -70,16 +71,17 @@
     const auto inBody = fleet.post(0, "/desk/a", "acme", R"({"note":"key-acme"})");
     BOOST_TEST(inBody->status == 400);
     BOOST_TEST(errorOf(inBody).at("run") == "not_run");
-    std::vector<SeenRequest> seen = fleet.engine(0).seen();
-    for (const SeenRequest &request : fleet.service(0).seen())
-        seen.push_back(request);
-    for (const SeenRequest &request : seen) {
+    std::vector<RecordedRequest> requests = fleet.engine(0).requests();
+    for (const RecordedRequest &request : fleet.service(0).requests())
+        requests.push_back(request);
+    for (const RecordedRequest &request : requests) {
         for (const char *secret : {"key-acme", "key%2Dacme", "session=1", "Authorization"})
-            BOOST_TEST(request.everything.find(secret) == std::string::npos, request.everything);
+            BOOST_TEST(request.rawText.find(secret) == std::string::npos, request.rawText);
     }
 }
 
-// R6: guards against keyed service from a view that may miss a withdrawal.
+// R6: guards against serving a request with a key from a directory view that is too old to show
+// that the key was withdrawn.
 BOOST_AUTO_TEST_CASE(staleViewRefusesKeyedRequestsAndKeepsOpenRoutes)
 {
     TestFleet fleet(0, 1, 1);
@@ -87,7 +89,7 @@
     fleet.control().write(wire::PutRoute{{"open", "/desk/open", "desk", true, true}});
     fleet.startEntry();
     fleet.awaitInForce();
-    fleet.control().setPollsSilent(true);
+    fleet.control().setPollsUnresponsive(true);
     BOOST_TEST(eventually([&] { return fleet.complete(0, "acme", "p", 1)->status == 503; }));
     BOOST_TEST(eventually([&] {
         return errorOf(fleet.complete(0, "acme", "p", 1)).value("code", "") == "keys_not_fresh";
@@ -99,11 +101,11 @@
     BOOST_TEST(fleet.engine(0).runs() == runs);
     BOOST_TEST(fleet.get(0, "/desk/open", "")->status == 200);
     BOOST_TEST(fleet.get(0, "/readyz", "")->status == 503);
-    fleet.control().setPollsSilent(false);
+    fleet.control().setPollsUnresponsive(false);
     BOOST_TEST(eventually([&] { return fleet.complete(0, "acme", "p", 1)->status == 200; }));
 }
 
-// R6: guards against a stream that goes on after its key was withdrawn.
+// R6: guards against a stream that continues after its key was withdrawn.
 BOOST_AUTO_TEST_CASE(streamOfWithdrawnKeyEndsWithTypedError)
 {
     TestFleet fleet(1, 1);
@@ -121,13 +123,14 @@
     BOOST_TEST(fleet.engine(0).awaitCancel());
 }
 
-// R8: guards against repeated or missing tokens when a stream continues elsewhere.
-BOOST_AUTO_TEST_CASE(cutStreamContinuesFromTheLastToken)
+// R8: guards against repeated or missing tokens when a stream whose engine connection broke
+// continues on another engine.
+BOOST_AUTO_TEST_CASE(interruptedStreamContinuesFromTheLastToken)
 {
     TestFleet fleet(1, 2);
     ScriptedEngine::Script script;
-    script.cutAfter = 4;
-    script.cuts = 1;
+    script.disconnectAfter = 4;
+    script.disconnects = 1;
     script.repeatTokens = true;
     fleet.engine(0).setScript(script);
     fleet.engine(1).setScript(script);
@@ -137,7 +140,7 @@
     BOOST_TEST(call.text == expectedText("cut me", 12));
     std::vector<std::int64_t> resumed;
     for (int i = 0; i < 2; ++i) {
-        for (const SeenRequest &request : fleet.engine(i).seen()) {
+        for (const RecordedRequest &request : fleet.engine(i).requests()) {
             if (request.path == "/v1/completions" && request.body.at("prompt") == "cut me")
                 resumed.push_back(request.body.at("resume_after").get<std::int64_t>());
         }
@@ -146,13 +149,14 @@
     BOOST_TEST(*std::max_element(resumed.begin(), resumed.end()) >= 4);
 }
 
-// R8: guards against the answer of another request.
-BOOST_AUTO_TEST_CASE(crossedAnswerIsNeverDelivered)
+// R8: guards against delivering the response of another request, which the engine sent under the
+// wrong request id.
+BOOST_AUTO_TEST_CASE(responseToAnotherRequestIsNeverDelivered)
 {
     TestFleet fleet(1, 2);
-    ScriptedEngine::Script crossed;
-    crossed.crossAnswers = true;
-    fleet.engine(0).setScript(crossed);
+    ScriptedEngine::Script script;
+    script.wrongRequestId = true;
+    fleet.engine(0).setScript(script);
     for (int i = 0; i < 4; ++i) {
         const auto answer = fleet.complete(0, "acme", "mine", 5);
         BOOST_REQUIRE(answer->status == 200);
@@ -161,8 +165,8 @@
     }
 }
 
-// Guards against engines that go on generating for nobody.
-BOOST_AUTO_TEST_CASE(workOfACallerThatHasGoneIsCancelled)
+// Guards against engines that continue to generate after the caller has disconnected.
+BOOST_AUTO_TEST_CASE(generationIsCancelledWhenTheCallerDisconnects)
 {
     TestFleet fleet(1, 1);
     ScriptedEngine::Script script;
@@ -175,8 +179,9 @@
     BOOST_TEST(fleet.engine(0).awaitCancel());
 }
 
-// F8: guards against one request that takes an engine after another down.
-BOOST_AUTO_TEST_CASE(requestThatCrashesTwoEnginesIsHeldEverywhere)
+// F8: guards against one request that crashes engine after engine because it is retried on the next
+// one.
+BOOST_AUTO_TEST_CASE(requestThatCrashesTwoEnginesIsQuarantinedAtAllEntries)
 {
     TestFleet fleet(2, 3);
     ScriptedEngine::Script script;
--- a/tests/entry/scriptedengine.cpp
+++ b/tests/entry/scriptedengine.cpp
@@ -69,10 +69,10 @@
     m_http->server.new_task_queue = [] { return new httplib::ThreadPool(serverThreads); };
     m_http->server.set_keep_alive_max_count(1);
     m_http->server.set_tcp_nodelay(true);
-    install();
+    addRoutes();
     m_http->port = m_http->server.bind_to_any_port("127.0.0.1");
     m_http->thread = std::thread([this] { m_http->server.listen_after_bind(); });
-    // The library ignores a stop that comes before its thread runs.
+    // httplib ignores stop() before its listening thread runs.
     while (!m_http->server.is_running())
         std::this_thread::yield();
 }
@@ -103,7 +103,8 @@
 {
     m_http->server.stop();
     {
-        // Only now: a stream that breaks while the engine still listens is no crash.
+        // Set only after the server has stopped listening: a stream that breaks while the engine
+        // still accepts connections does not count as a crash.
         absl::MutexLock lock(&m_mutex);
         m_stopped = true;
     }
@@ -111,10 +112,10 @@
         m_http->thread.join();
 }
 
-std::vector<SeenRequest> ScriptedEngine::seen() const
+std::vector<RecordedRequest> ScriptedEngine::requests() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_seen;
+    return m_requests;
 }
 
 std::size_t ScriptedEngine::runs() const
@@ -137,25 +138,26 @@
     return m_mutex.AwaitWithTimeout(absl::Condition(&any), waitLimit);
 }
 
-bool ScriptedEngine::mayGoOn(const Stream &stream) const
+bool ScriptedEngine::canContinue(const Stream &stream) const
 {
     return m_stopped || !m_script.holdAt || stream.next < *m_script.holdAt
            || m_cancelled.count(stream.requestId) > 0;
 }
 
-/// Next events of \a stream; false at its end.
+/// Sets \a events to the next events of \a stream; returns false when the connection must be
+/// closed.
 bool ScriptedEngine::next(Stream &stream, std::string &events)
 {
     absl::MutexLock lock(&m_mutex);
-    const auto ready = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) { return mayGoOn(stream); };
+    const auto ready = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) { return canContinue(stream); };
     m_mutex.AwaitWithTimeout(absl::Condition(&ready), waitLimit);
     if (m_stopped)
         return false;
     const bool cancelled = m_cancelled.count(stream.requestId) > 0;
     const bool last = cancelled || stream.next >= stream.end;
-    if (!last && m_script.cutAfter && m_script.cuts > 0
-        && stream.next - stream.first >= *m_script.cutAfter) {
-        --m_script.cuts;
+    if (!last && m_script.disconnectAfter && m_script.disconnects > 0
+        && stream.next - stream.first >= *m_script.disconnectAfter) {
+        --m_script.disconnects;
         return false;
     }
     const std::string text = last ? "" : expectedToken(stream.prompt, stream.next);
@@ -166,7 +168,7 @@
         choice["delta"] = {{"content", text}};
     else
         choice["text"] = text;
-    Json event = {{"request_id", m_script.crossAnswers ? "another" : stream.requestId},
+    Json event = {{"request_id", m_script.wrongRequestId ? "another" : stream.requestId},
                   {"index", stream.next},
                   {"choices", Json::array({choice})}};
     if (last)
@@ -180,23 +182,23 @@
     return true;
 }
 
-void ScriptedEngine::install()
+void ScriptedEngine::addRoutes()
 {
-    const auto note = [this](const httplib::Request &request, bool run) {
-        SeenRequest seen;
-        seen.path = request.path;
-        seen.everything = request.target + "\n" + request.body;
+    const auto recordRequest = [this](const httplib::Request &request, bool run) {
+        RecordedRequest recorded;
+        recorded.path = request.path;
+        recorded.rawText = request.target + "\n" + request.body;
         for (const auto &[name, value] : request.headers)
-            seen.everything += "\n" + name + ": " + value;
-        seen.body = Json::parse(request.body, nullptr, false);
+            recorded.rawText += "\n" + name + ": " + value;
+        recorded.body = Json::parse(request.body, nullptr, false);
         absl::MutexLock lock(&m_mutex);
-        m_seen.push_back(std::move(seen));
+        m_requests.push_back(std::move(recorded));
         m_runs += run && !m_script.refuse ? 1 : 0;
         return m_script;
     };
-    const auto complete = [this, note](const httplib::Request &request,
-                                       httplib::Response &response) {
-        const Script script = note(request, true);
+    const auto complete = [this, recordRequest](const httplib::Request &request,
+                                                httplib::Response &response) {
+        const Script script = recordRequest(request, true);
         if (script.refuse) {
             response.status = 503;
             response.set_content(R"({"error":{"code":"upstream_busy","run":"not_run"}})",
@@ -255,14 +257,15 @@
     server.Get("/healthz", [](const httplib::Request &, httplib::Response &response) {
         response.set_content("{}", "application/json");
     });
-    const auto serve = [note](const httplib::Request &request, httplib::Response &response) {
-        const Script script = note(request, true);
-        if (script.dropAnswers) {
+    const auto serve = [recordRequest](const httplib::Request &request,
+                                       httplib::Response &response) {
+        const Script script = recordRequest(request, true);
+        if (script.abortResponses) {
             response.set_chunked_content_provider(
                     "application/json", [](std::size_t, httplib::DataSink &) { return false; });
             return;
         }
-        const Json answer = {{"request_id", script.crossAnswers
+        const Json answer = {{"request_id", script.wrongRequestId
                                                     ? std::string("another")
                                                     : request.get_header_value("X-Request-Id")},
                              {"path", request.path}};
--- a/tests/entry/scriptedengine.h
+++ b/tests/entry/scriptedengine.h
@@ -13,37 +13,37 @@
 
 namespace rattanrill::entry {
 
-/// What an engine or service has seen.
-struct SeenRequest
+/// A request that a scripted engine or service has received.
+struct RecordedRequest
 {
     std::string path;
-    /// All headers, query and body as one text.
-    std::string everything;
+    /// Request target, body and all headers as one text.
+    std::string rawText;
     Json body;
 };
 
-/// Small HTTP server in this process that behaves as a model engine or plain service and fails on
-/// demand. Tokens are those of docs/upstream-protocol.md.
+/// HTTP server in the test process that behaves like a model engine or a plain service and injects
+/// the faults that its script selects. Tokens are those of docs/upstream-protocol.md.
 class ScriptedEngine
 {
 public:
     struct Script
     {
-        /// The connection of a stream ends after this many tokens of a try.
-        std::optional<std::uint64_t> cutAfter;
-        /// A stream stops before this token until release() or a cancel.
+        /// The server closes the connection of a stream after this many tokens of an attempt.
+        std::optional<std::uint64_t> disconnectAfter;
+        /// A stream pauses before the token with this index until release() or a cancellation.
         std::optional<std::uint64_t> holdAt;
-        /// The first this many tries are broken by the cut; then it is removed.
-        int cuts = 0;
-        /// Streams carry another request's id.
-        bool crossAnswers = false;
+        /// Number of attempts to which disconnectAfter still applies.
+        int disconnects = 0;
+        /// Responses carry the id of another request.
+        bool wrongRequestId = false;
         /// Each token is sent twice.
         bool repeatTokens = false;
-        /// Everything is refused as not run.
+        /// Completions are refused as not run.
         bool refuse = false;
-        /// Answers of the service are broken off after the request was read.
-        bool dropAnswers = false;
-        /// Batch capacity that load reports name.
+        /// The service breaks off its response after it has read the request.
+        bool abortResponses = false;
+        /// Batch capacity in load reports.
         int maxBatch = 8;
     };
 
@@ -53,10 +53,11 @@
     int port() const;
     void setScript(const Script &script) ABSL_LOCKS_EXCLUDED(m_mutex);
     void release() ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Crashes: nothing listens any more, then streams break.
+    /// Simulates a crash: stops listening first and then breaks the open streams.
     void stop() ABSL_LOCKS_EXCLUDED(m_mutex);
-    std::vector<SeenRequest> seen() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Completions and service calls seen, without load reports and the like.
+    std::vector<RecordedRequest> requests() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Number of completions and service calls received; excludes load reports, health checks and
+    /// cancellations.
     std::size_t runs() const ABSL_LOCKS_EXCLUDED(m_mutex);
     bool awaitRuns(std::size_t count) ABSL_LOCKS_EXCLUDED(m_mutex);
     bool awaitCancel() ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -65,13 +66,13 @@
     struct Http;
     struct Stream;
 
-    void install();
+    void addRoutes();
     bool next(Stream &stream, std::string &events);
-    bool mayGoOn(const Stream &stream) const ABSL_SHARED_LOCKS_REQUIRED(m_mutex);
+    bool canContinue(const Stream &stream) const ABSL_SHARED_LOCKS_REQUIRED(m_mutex);
 
     mutable absl::Mutex m_mutex;
     Script m_script ABSL_GUARDED_BY(m_mutex);
-    std::vector<SeenRequest> m_seen ABSL_GUARDED_BY(m_mutex);
+    std::vector<RecordedRequest> m_requests ABSL_GUARDED_BY(m_mutex);
     std::size_t m_runs ABSL_GUARDED_BY(m_mutex) = 0;
     std::int64_t m_running ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_stopped ABSL_GUARDED_BY(m_mutex) = false;
@@ -81,7 +82,7 @@
 
 /// Token \a index of the answer to \a prompt.
 std::string expectedToken(const std::string &prompt, std::uint64_t index);
-/// First \a tokens tokens of the answer.
+/// First \a tokens tokens of the answer to \a prompt.
 std::string expectedText(const std::string &prompt, std::uint64_t tokens);
 
 } // namespace rattanrill::entry
--- a/tests/entry/service_test.cpp
+++ b/tests/entry/service_test.cpp
@@ -11,8 +11,8 @@
     fleet.awaitInForce();
 }
 
-httplib::Result order(TestFleet &fleet, int entry, const std::string &key,
-                      const std::string &body = "{}")
+httplib::Result sendOrder(TestFleet &fleet, int entry, const std::string &key,
+                          const std::string &body = "{}")
 {
     httplib::Headers headers;
     if (!key.empty())
@@ -24,69 +24,72 @@
 
 BOOST_AUTO_TEST_SUITE(Services)
 
-// R10: guards against a resend through another entry that runs a second time.
+// R10: guards against running a call a second time when it is resent through another entry.
 BOOST_AUTO_TEST_CASE(resendIsAnsweredFromTheClaim)
 {
     TestFleet fleet(2, 0 + 1, 2);
     addRoute(fleet, false);
-    const auto first = order(fleet, 0, "order-1");
+    const auto first = sendOrder(fleet, 0, "order-1");
     BOOST_TEST(first->status == 200);
-    const auto again = order(fleet, 1, "order-1");
+    const auto again = sendOrder(fleet, 1, "order-1");
     BOOST_TEST(again->status == 200);
     BOOST_TEST(again->body == first->body);
     BOOST_TEST(again->get_header_value("Idempotent-Replayed") == "true");
     BOOST_TEST(fleet.service(0).runs() + fleet.service(1).runs() == 1u);
-    const auto other = order(fleet, 1, "order-1", R"({"other":1})");
+    const auto other = sendOrder(fleet, 1, "order-1", R"({"other":1})");
     BOOST_TEST(errorOf(other).value("code", "") == "conflict");
     BOOST_TEST(fleet.service(0).runs() + fleet.service(1).runs() == 1u);
 }
 
-// R9, R10: guards against a second run after an answer was lost, and against calling it not run.
+// R9, R10: guards against a second run after the response of the service was lost, and against
+// reporting the lost call as not run.
 BOOST_AUTO_TEST_CASE(callThatMayHaveRunIsNotRepeated)
 {
     TestFleet fleet(2, 1, 2);
     addRoute(fleet, false);
     ScriptedEngine::Script script;
-    script.dropAnswers = true;
+    script.abortResponses = true;
     fleet.service(0).setScript(script);
     fleet.service(1).setScript(script);
-    const auto lost = order(fleet, 0, "order-2");
+    const auto lost = sendOrder(fleet, 0, "order-2");
     BOOST_TEST(errorOf(lost).value("run", "") == "may_have_run");
-    const auto again = order(fleet, 1, "order-2");
+    const auto again = sendOrder(fleet, 1, "order-2");
     BOOST_TEST(errorOf(again).value("code", "") == "duplicate_request");
     BOOST_TEST(errorOf(again).value("run", "") == "may_have_run");
     BOOST_TEST(fleet.service(0).runs() + fleet.service(1).runs() == 1u);
-    const auto keyless = order(fleet, 0, "");
+    const auto keyless = sendOrder(fleet, 0, "");
     BOOST_TEST(errorOf(keyless).value("run", "") == "may_have_run");
     BOOST_TEST(fleet.service(0).runs() + fleet.service(1).runs() == 2u);
 }
 
-// R8: guards against the answer of another request.
-BOOST_AUTO_TEST_CASE(crossedAnswerOfAServiceIsDropped)
+// R8: guards against delivering the response of another request, which the service sent under the
+// wrong request id.
+BOOST_AUTO_TEST_CASE(serviceResponseToAnotherRequestIsDropped)
 {
     TestFleet fleet(1, 1, 1);
     addRoute(fleet, false);
     ScriptedEngine::Script script;
-    script.crossAnswers = true;
+    script.wrongRequestId = true;
     fleet.service(0).setScript(script);
-    const auto answer = order(fleet, 0, "");
+    const auto answer = sendOrder(fleet, 0, "");
     BOOST_TEST(errorOf(answer).value("code", "") == "upstream_failed");
     BOOST_TEST(errorOf(answer).value("run", "") == "may_have_run");
 }
 
-// R10: guards against an unclaimed run when the claims cannot be reached.
-BOOST_AUTO_TEST_CASE(withoutClaimsTheCallIsRefusedAsNotRun)
+// R10: guards against running a call without a claim while the groups that store claims do not
+// answer.
+BOOST_AUTO_TEST_CASE(callIsRefusedAsNotRunWhileClaimsAreUnreachable)
 {
     TestFleet fleet(1, 1, 1);
     addRoute(fleet, false);
-    fleet.control().setSilent("batch-0", true);
-    fleet.control().setSilent("batch-1", true);
-    const auto refused = order(fleet, 0, "order-3");
+    fleet.control().setUnresponsive("batch-0", true);
+    fleet.control().setUnresponsive("batch-1", true);
+    const auto refused = sendOrder(fleet, 0, "order-3");
     BOOST_TEST(errorOf(refused).value("run", "") == "not_run");
     BOOST_TEST(fleet.service(0).runs() == 0u);
 }
 
-// R4: guards against a path that reaches beyond an open route's prefix.
+// R4: guards against a path that matches the prefix of an open route but resolves to another path.
 BOOST_AUTO_TEST_CASE(ambiguousPathsAreRefused)
 {
     TestFleet fleet(1, 1, 1);
--- a/tests/entry/testfleet.cpp
+++ b/tests/entry/testfleet.cpp
@@ -35,7 +35,7 @@
     settings.batch.dispatchInterval = absl::Milliseconds(10);
     settings.timings.heartbeat = absl::Milliseconds(100);
     settings.timings.loadPoll = absl::Milliseconds(30);
-    // Short, so that buckets of new owners fill soon.
+    // Short, because the bucket of a new owner stays empty until the former owner's lease ends.
     settings.timings.ownerLease = absl::Milliseconds(300);
     settings.timings.drainNotice = absl::Milliseconds(100);
     settings.timings.controlTimeout = absl::Seconds(1);
@@ -90,12 +90,12 @@
         };
         request.content_receiver = [this](const char *data, std::size_t size, std::uint64_t,
                                           std::uint64_t) {
-            take(std::string_view(data, size));
+            appendBytes(std::string_view(data, size));
             return true;
         };
         (void)client.send(request);
         if (status != 200)
-            takeEvent(m_buffer);
+            handleEvent(m_buffer);
         absl::MutexLock lock(&m_mutex);
         m_ended = true;
     });
@@ -106,17 +106,17 @@
     join();
 }
 
-void StreamedCall::take(std::string_view bytes)
+void StreamedCall::appendBytes(std::string_view bytes)
 {
     m_buffer += bytes;
     for (std::size_t end = m_buffer.find("\n\n"); status == 200 && end != std::string::npos;
          end = m_buffer.find("\n\n")) {
-        takeEvent(std::string_view(m_buffer).substr(6, end - 6));
+        handleEvent(std::string_view(m_buffer).substr(6, end - 6));
         m_buffer.erase(0, end + 2);
     }
 }
 
-void StreamedCall::takeEvent(std::string_view data)
+void StreamedCall::handleEvent(std::string_view data)
 {
     if (data == "[DONE]") {
         complete = true;
@@ -221,7 +221,7 @@
         BOOST_REQUIRE(eventually([&] {
             return metric(static_cast<int>(i), "rattanrill_view_revision") >= revision;
         }));
-        // A new owner's bucket fills only after the former owner's lease.
+        // The bucket of a new owner fills only after the lease of the former owner has ended.
         BOOST_REQUIRE(eventually([&] {
             const auto result = complete(static_cast<int>(i), "acme", "warm up", 1);
             return result && result->status == 200;
@@ -261,10 +261,10 @@
     const auto result = get(entry, "/metrics", "");
     if (!result)
         return 0;
-    const std::size_t place = result->body.find("\n" + series + " ");
-    return place == std::string::npos
+    const std::size_t position = result->body.find("\n" + series + " ");
+    return position == std::string::npos
                    ? 0
-                   : std::strtod(result->body.c_str() + place + series.size() + 2, nullptr);
+                   : std::strtod(result->body.c_str() + position + series.size() + 2, nullptr);
 }
 
 } // namespace rattanrill::entry
--- a/tests/entry/testfleet.h
+++ b/tests/entry/testfleet.h
@@ -17,18 +17,19 @@
 constexpr const char *testSecret = "a secret of the tests";
 constexpr const char *testModel = "m";
 
-/// One streamed completion, read on a thread of its own.
+/// A streamed completion that is read on a separate thread.
 class StreamedCall
 {
 public:
     StreamedCall(int port, const std::string &key, const std::string &prompt, int tokens);
     ~StreamedCall();
 
-    /// Waits until \a text has arrived; false at the end or after the limit.
+    /// Waits until as many bytes as in \a text were received; returns false when they differ from
+    /// \a text, or when the stream ends or the time limit passes first.
     bool awaitText(const std::string &text);
     void join();
 
-    /// After join().
+    /// The results are valid after join().
     std::string text;
     std::string errorCode;
     std::string errorRun;
@@ -36,8 +37,8 @@
     bool complete = false;
 
 private:
-    void take(std::string_view bytes);
-    void takeEvent(std::string_view data);
+    void appendBytes(std::string_view bytes);
+    void handleEvent(std::string_view data);
 
     absl::Mutex m_mutex;
     std::string m_text ABSL_GUARDED_BY(m_mutex);
@@ -46,7 +47,7 @@
     std::thread m_thread;
 };
 
-/// Control, entries and upstreams in this process.
+/// Control, entries and upstreams in the test process.
 class TestFleet
 {
 public:
@@ -58,12 +59,12 @@
     ScriptedEngine &service(int i) { return *m_services.at(i); }
     Entry &entry(int i) { return *m_entries.at(i); }
     int port(int i) const { return m_entries.at(i)->httpPort(); }
-    /// Settings of the entries that start from now on.
+    /// Settings of entries that startEntry() starts later.
     EntrySettings &settings() { return m_settings; }
     void startEntry();
-    /// Gives \a workspace a contract; its key is "key-WORKSPACE".
+    /// Adds a contract for \a workspace and the API key "key-WORKSPACE".
     void addWorkspace(const std::string &workspace, double rate, double burst);
-    /// Waits until all entries have all that was written in force.
+    /// Waits until every entry has joined, applies all directory writes and serves requests.
     void awaitInForce();
 
     httplib::Result post(int entry, const std::string &path, const std::string &workspace,
@@ -82,9 +83,10 @@
     std::vector<std::unique_ptr<Entry>> m_entries;
 };
 
-/// Waits for \a condition within a generous limit; for states that another thread reaches.
+/// Polls \a condition, which another thread makes true; returns false when a generous time limit
+/// passes first.
 bool eventually(const std::function<bool()> &condition);
-/// Member "error" of an answer.
+/// Member "error" of the response body; an empty object when there is none.
 Json errorOf(const httplib::Result &result);
 std::string completionBody(const std::string &prompt, int tokens, bool stream);
 
