--- a/src/control/controlnode.cpp
+++ b/src/control/controlnode.cpp
@@ -5,7 +5,7 @@
 namespace rattanrill::control {
 namespace {
 
-/// Bound of the wait for new leaders at a graceful stop; an election takes some hundred
+/// Longest wait for new leaders during a graceful stop; an election takes some hundred
 /// milliseconds.
 constexpr absl::Duration transferTimeout = absl::Seconds(2);
 
@@ -19,7 +19,8 @@
 
 } // namespace
 
-ControlNode::ControlNode(ControlSettings settings, const Clock &clock, OpenGroup startRaftNode)
+ControlNode::ControlNode(ControlSettings settings, const Clock &clock,
+                         RaftNodeFactory startRaftNode)
     : m_settings(std::move(settings))
     , m_clock(clock)
     , m_timers(clock)
@@ -51,47 +52,47 @@
     m_peerService->install(m_peerServer);
     BOOST_LEAF_CHECK(m_peerServer.start(m_settings.peer.host, m_settings.peer.port));
     BOOST_LEAF_CHECK(m_operatorServer->start());
-    m_follow->start();
+    m_pollService->start();
     m_view->start();
-    m_members->start();
-    m_partitions->start();
+    m_memberWatch->start();
+    m_partitionClock->start();
     m_monitor.start();
     return {};
 }
 
 void ControlNode::makeServices()
 {
-    m_follow = std::make_shared<FollowService>(m_groups.directory(), m_timers, m_clock);
-    m_pollSource = std::make_unique<LocalPollSource>(m_follow);
+    m_pollService = std::make_shared<PollChangesService>(m_groups.directory(), m_timers, m_clock);
+    m_pollClient = std::make_unique<LocalPollClient>(m_pollService);
     directory::SubscriberOptions options;
     options.instance = m_settings.instance;
-    m_view = std::make_unique<directory::DirectorySubscriber>(options, *m_pollSource, m_timers,
+    m_view = std::make_unique<directory::DirectorySubscriber>(options, *m_pollClient, m_timers,
                                                               m_clock);
-    m_members = std::make_shared<MemberWatch>(m_settings, m_groups, *m_view, m_timers, m_clock);
-    m_partitions = std::make_shared<PartitionClock>(m_settings, m_groups, m_timers, m_clock);
-    m_peerService = std::make_unique<PeerService>(m_groups, m_follow, m_members, m_partitions,
-                                                  m_metrics, m_clock);
-    m_operatorApi = std::make_unique<OperatorApi>(m_settings, m_groups, *m_view, *m_members,
+    m_memberWatch = std::make_shared<MemberWatch>(m_settings, m_groups, *m_view, m_timers, m_clock);
+    m_partitionClock = std::make_shared<PartitionClock>(m_settings, m_groups, m_timers, m_clock);
+    m_peerService = std::make_unique<PeerService>(m_groups, m_pollService, m_memberWatch,
+                                                  m_partitionClock, m_metrics, m_clock);
+    m_operatorApi = std::make_unique<OperatorApi>(m_settings, m_groups, *m_view, *m_memberWatch,
                                                   m_client, m_clock);
     m_operatorServer =
             std::make_unique<OperatorServer>(m_settings, m_groups, *m_operatorApi, m_metrics);
 }
 
-/// Leadership goes first, while messages still flow. The peer server stays until the groups have
-/// answered or failed what they hold.
+/// Transfers leadership first, while Raft messages are still exchanged. Stops the peer server only
+/// after the groups have answered or failed their pending requests.
 void ControlNode::stop()
 {
     if (!m_running)
         return;
     m_running = false;
     m_groups.transferLeadership(transferTimeout);
-    m_members->stop();
-    m_partitions->stop();
+    m_memberWatch->stop();
+    m_partitionClock->stop();
     m_monitor.stop();
     m_client.stop();
     m_operatorServer->stop();
     m_view->stop();
-    m_follow->stop();
+    m_pollService->stop();
     m_peerService->stop();
     m_groups.stop();
     m_peerServer.stop();
--- a/src/control/controlnode.h
+++ b/src/control/controlnode.h
@@ -1,15 +1,15 @@
 #pragma once
 
 #include "controlsettings.h"
-#include "followservice.h"
 #include "grouphost.h"
 #include "groupmonitor.h"
-#include "localpollsource.h"
+#include "localpollclient.h"
 #include "memberwatch.h"
 #include "operatorapi.h"
 #include "operatorserver.h"
 #include "partitionclock.h"
 #include "peerservice.h"
+#include "pollchangesservice.h"
 
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/base/timerservice.h"
@@ -22,18 +22,18 @@
 
 namespace rattanrill::control {
 
-/// One control instance: its groups, the peer server and the operators' interface.
+/// A control instance: its replicas of all groups, the peer server and the operators' interface.
 class ControlNode
 {
 public:
-    ControlNode(ControlSettings settings, const Clock &clock, OpenGroup startRaftNode);
+    ControlNode(ControlSettings settings, const Clock &clock, RaftNodeFactory startRaftNode);
     ~ControlNode();
     ControlNode(const ControlNode &) = delete;
     ControlNode &operator=(const ControlNode &) = delete;
 
-    /// Opens the groups and serves. Fails as startRaftNode() or with AddressInUse.
+    /// Opens the groups and starts the servers. Fails as startRaftNode() or with AddressInUse.
     Result<void> start();
-    /// Hands leadership over, ends serving and closes the groups.
+    /// Transfers leadership, stops the servers and closes the groups.
     void stop();
 
     int peerPort() const { return m_peerServer.port(); }
@@ -53,12 +53,12 @@
     peer::Server m_peerServer;
     controlclient::ControlClient m_client;
     GroupMonitor m_monitor;
-    // Made by start(), when the groups are open.
-    std::shared_ptr<FollowService> m_follow;
-    std::unique_ptr<LocalPollSource> m_pollSource;
+    // Created by start() after the groups were opened.
+    std::shared_ptr<PollChangesService> m_pollService;
+    std::unique_ptr<LocalPollClient> m_pollClient;
     std::unique_ptr<directory::DirectorySubscriber> m_view;
-    std::shared_ptr<MemberWatch> m_members;
-    std::shared_ptr<PartitionClock> m_partitions;
+    std::shared_ptr<MemberWatch> m_memberWatch;
+    std::shared_ptr<PartitionClock> m_partitionClock;
     std::unique_ptr<PeerService> m_peerService;
     std::unique_ptr<OperatorApi> m_operatorApi;
     std::unique_ptr<OperatorServer> m_operatorServer;
--- a/src/control/controlsettings.cpp
+++ b/src/control/controlsettings.cpp
@@ -141,7 +141,7 @@
   }
 })";
 
-constexpr int heartbeatsPerElection = 3;
+constexpr int minHeartbeatsPerElectionTimeout = 3;
 
 Result<std::string> readSecretFile(const std::string &file)
 {
@@ -159,7 +159,7 @@
     return secret;
 }
 
-/// Secret in member \a key or in the file that member \a fileKey names.
+/// Returns the secret in member \a key or else in the file whose path is member \a fileKey.
 Result<std::string> secretOf(const Json &object, const char *key, const char *fileKey)
 {
     if (object.contains(key))
@@ -182,11 +182,12 @@
     for (const Json &replica : settings.at("replicas"))
         ids.insert(replica.at("id").get<std::string>());
     if (ids.size() != settings.at("replicas").size())
-        return fail(settingFailure(source, "replicas", "ids that differ"));
+        return fail(settingFailure(source, "replicas", "unique replica ids"));
     const std::string instance = settings.at("instance");
     if (ids.count(instance) == 0)
-        return fail(settingFailure(source, "replicas",
-                                   concat("a list with the instance \"", instance, "\" itself")));
+        return fail(
+                settingFailure(source, "replicas",
+                               concat("a list that contains this instance, \"", instance, "\"")));
     return {};
 }
 
@@ -202,7 +203,8 @@
         >= milliseconds(settings, "memberTimeoutMs", defaults.memberTimeout))
         return fail(settingFailure(source, "memberTimeoutMs", "more than \"ownerLeaseMs\""));
     if (milliseconds(settings, "electionTimeoutMs", defaults.electionTimeout)
-        < heartbeatsPerElection * milliseconds(settings, "raftHeartbeatMs", defaults.raftHeartbeat))
+        < minHeartbeatsPerElectionTimeout
+                  * milliseconds(settings, "raftHeartbeatMs", defaults.raftHeartbeat))
         return fail(settingFailure(source, "electionTimeoutMs",
                                    "at least three times \"raftHeartbeatMs\""));
     return {};
--- a/src/control/controlsettings.h
+++ b/src/control/controlsettings.h
@@ -16,7 +16,7 @@
 struct Replica
 {
     std::string id;
-    /// Both are "host:port".
+    /// Both addresses have the form "host:port".
     std::string peerAddress;
     std::string operatorAddress;
     std::string failureDomain;
@@ -28,10 +28,10 @@
     int port = 0;
 };
 
-/// Settings of rattanrill-control, with secrets already read from their files.
+/// Settings of rattanrill-control; secrets have been read from their files.
 struct ControlSettings
 {
-    /// Also the replica id in all groups.
+    /// Name of the instance and id of its replica in every group.
     std::string instance;
     std::string failureDomain;
     std::string dataFolder;
@@ -41,7 +41,7 @@
     std::string clusterSecret;
     std::vector<Replica> replicas;
     int partitions = 1;
-    /// The instance is added to groups that exist; its own groups start without voters.
+    /// True when the instance is added to existing groups: its replicas start without voters.
     bool join = false;
     std::size_t maxOperatorConnections = 64;
     absl::Duration memberTimeout = absl::Milliseconds(4000);
@@ -55,10 +55,11 @@
 /// JSON schema of the settings.
 std::string_view controlSettingsSchema();
 
-/// Checks what the schema cannot express: InvalidSetting.
+/// Checks the constraints that the schema cannot express. Fails with InvalidSetting.
 Result<void> checkControlSettings(const Json &settings, const std::string &source);
 
-/// Fills \a result from checked JSON. Fails with InvalidSetting when a secret file can't be read.
+/// Fills \a result from JSON that passed the checks. Fails with InvalidSetting when a secret file
+/// can't be read.
 Result<void> readControlSettings(const Json &settings, ControlSettings &result);
 
 } // namespace rattanrill::control
--- a/src/control/directorywrites.cpp
+++ b/src/control/directorywrites.cpp
@@ -10,16 +10,18 @@
 
 using Operation = wire::DirectoryOperation;
 
-/// Enumerator of \a Enum with this name; the enumerators are numbered from 0.
+/// Enumerator of \a Enum whose name is member \a key of \a body, or \a fallback without that
+/// member. The enumerators are numbered from 0 to \a last.
 template <typename Enum>
 Result<Enum> enumMember(const Json &body, std::string_view key, std::string fallback, Enum last)
 {
-    BOOST_LEAF_AUTO(word, jsonMemberOr<std::string>(body, key, std::move(fallback)));
+    BOOST_LEAF_AUTO(value, jsonMemberOr<std::string>(body, key, std::move(fallback)));
     for (int i = 0; i <= static_cast<int>(last); ++i) {
-        if (wire::name(static_cast<Enum>(i)) == word)
+        if (wire::name(static_cast<Enum>(i)) == value)
             return static_cast<Enum>(i);
     }
-    return fail(notRun(ErrorCode::InvalidRequest, concat("\"", key, "\" is \"", word, "\"")));
+    return fail(notRun(ErrorCode::InvalidRequest,
+                       concat("\"", key, "\" has the unknown value \"", value, "\"")));
 }
 
 Result<std::map<std::string, double>> regionShares(const Json &body)
@@ -58,7 +60,7 @@
     return Operation(wire::WithdrawContract{id});
 }
 
-Result<Operation> withdrawKey(const std::string &id, const Json &body)
+Result<Operation> revokeKey(const std::string &id, const Json &body)
 {
     BOOST_LEAF_CHECK(checkMembers(body, {}));
     return Operation(wire::RevokeKey{id});
@@ -118,7 +120,7 @@
     return Operation(wire::RemoveUpstream{id});
 }
 
-Result<Operation> releaseHeld(const std::string &id, const Json &body)
+Result<Operation> releaseQuarantined(const std::string &id, const Json &body)
 {
     BOOST_LEAF_CHECK(checkMembers(body, {}));
     return Operation(wire::ReleaseQuarantined{id});
@@ -139,11 +141,15 @@
 const std::vector<DirectoryWrite> &directoryWrites()
 {
     static const std::vector<DirectoryWrite> writes = {
-            {"PUT", "contracts", putContract}, {"DELETE", "contracts", withdrawContract},
-            {"DELETE", "keys", withdrawKey},   {"PUT", "configs", putConfig},
-            {"PUT", "routes", putRoute},       {"DELETE", "routes", removeRoute},
-            {"PUT", "upstreams", putUpstream}, {"DELETE", "upstreams", removeUpstream},
-            {"DELETE", "held", releaseHeld},
+            {"PUT", "contracts", putContract},
+            {"DELETE", "contracts", withdrawContract},
+            {"DELETE", "keys", revokeKey},
+            {"PUT", "configs", putConfig},
+            {"PUT", "routes", putRoute},
+            {"DELETE", "routes", removeRoute},
+            {"PUT", "upstreams", putUpstream},
+            {"DELETE", "upstreams", removeUpstream},
+            {"DELETE", "held", releaseQuarantined},
     };
     return writes;
 }
--- a/src/control/directorywrites.h
+++ b/src/control/directorywrites.h
@@ -9,22 +9,22 @@
 
 namespace rattanrill::control {
 
-/// One kind of write of the operators' interface that is a directory command.
+/// Maps a write request of the operators' interface to a directory operation.
 struct DirectoryWrite
 {
     std::string_view method;
-    /// Path after "/operator/v1/", up to the id of the record.
-    std::string_view folder;
-    /// The operation on record \a id; fails with InvalidRequest on a missing, unknown or wrong
-    /// member of \a body.
+    /// Path segment between "/operator/v1/" and the id of the record.
+    std::string_view collection;
+    /// Builds the operation on record \a id. Fails with InvalidRequest when a member of \a body is
+    /// missing, unknown or invalid.
     Result<wire::DirectoryOperation> (*build)(const std::string &id, const Json &body);
 };
 
-/// All of them but adding a key, whose answer differs.
+/// All directory writes except the creation of a key, whose response has more members.
 const std::vector<DirectoryWrite> &directoryWrites();
 
-/// Fails with InvalidRequest when \a body has a member that is neither request_id, base_revision
-/// nor in \a known.
+/// Fails with InvalidRequest when \a body has a member other than request_id, base_revision and the
+/// names in \a known.
 Result<void> checkMembers(const Json &body, std::initializer_list<std::string_view> known);
 
 } // namespace rattanrill::control
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -13,30 +13,30 @@
 namespace rattanrill::control {
 namespace {
 
-constexpr absl::Duration transferPoll = absl::Milliseconds(10);
+constexpr absl::Duration transferPollPeriod = absl::Milliseconds(10);
 
 } // namespace
 
 GroupHost::GroupHost(const ControlSettings &settings, peer::ChannelPool &channels,
-                     const Clock &clock, OpenGroup startRaftNode)
+                     const Clock &clock, RaftNodeFactory startRaftNode)
     : m_settings(settings)
     , m_channels(channels)
     , m_clock(clock)
-    , m_openGroup(std::move(startRaftNode))
+    , m_startRaftNode(std::move(startRaftNode))
 {}
 
 Result<void> GroupHost::open()
 {
     BOOST_LEAF_CHECK(
-            openOne(controlclient::directoryGroup, directory::makeDirectoryStateMachine()));
+            openReplica(controlclient::directoryGroup, directory::makeDirectoryStateMachine()));
     for (int partition = 0; partition < m_settings.partitions; ++partition)
         BOOST_LEAF_CHECK(
-                openOne(controlclient::batchGroup(partition), batch::makeBatchStateMachine()));
+                openReplica(controlclient::batchGroup(partition), batch::makeBatchStateMachine()));
     return {};
 }
 
-Result<void> GroupHost::openOne(const std::string &group,
-                                std::unique_ptr<replication::StateMachine> machine)
+Result<void> GroupHost::openReplica(const std::string &group,
+                                    std::unique_ptr<replication::StateMachine> machine)
 {
     replication::RaftNodeOptions options;
     options.group = group;
@@ -49,7 +49,7 @@
     options.heartbeatPeriod = m_settings.raftHeartbeat;
     options.electionTimeout = m_settings.electionTimeout;
     options.snapshotAfterBytes = m_settings.snapshotAfterBytes;
-    BOOST_LEAF_AUTO(opened, m_openGroup(options, std::move(machine), *this, m_clock));
+    BOOST_LEAF_AUTO(opened, m_startRaftNode(options, std::move(machine), *this, m_clock));
     m_groups[group] = std::move(opened);
     return {};
 }
@@ -73,7 +73,7 @@
     return names;
 }
 
-bool GroupHost::leads(const std::string &group) const
+bool GroupHost::isLeader(const std::string &group) const
 {
     const auto *found = find(group);
     return found != nullptr && found->status().role == replication::Role::Leader;
@@ -108,7 +108,7 @@
     return failure;
 }
 
-bool GroupHost::leadsAny() const
+bool GroupHost::isLeaderOfAny() const
 {
     for (const auto &[name, group] : m_groups) {
         if (group->status().role == replication::Role::Leader)
@@ -126,8 +126,8 @@
         if (group->status().role == replication::Role::Leader)
             group->transferLeadership();
     }
-    while (leadsAny() && m_clock.now() < end)
-        absl::SleepFor(transferPoll);
+    while (isLeaderOfAny() && m_clock.now() < end)
+        absl::SleepFor(transferPollPeriod);
 }
 
 void GroupHost::stop()
--- a/src/control/grouphost.h
+++ b/src/control/grouphost.h
@@ -13,50 +13,51 @@
 
 namespace rattanrill::control {
 
-/// Opens a group; replication::startRaftNode() except in tests.
-using OpenGroup = std::function<Result<std::unique_ptr<replication::RaftNode>>(
+/// Starts this instance's replica of a group: replication::startRaftNode() except in tests.
+using RaftNodeFactory = std::function<Result<std::unique_ptr<replication::RaftNode>>(
         const replication::RaftNodeOptions &options,
         std::unique_ptr<replication::StateMachine> machine, replication::RaftTransport &transport,
         const Clock &clock)>;
 
-/// The replicas of all groups on this instance, and the way of their messages.
+/// Owns this instance's replicas of all groups and sends their Raft messages.
 class GroupHost : public replication::RaftTransport
 {
 public:
     GroupHost(const ControlSettings &settings, peer::ChannelPool &channels, const Clock &clock,
-              OpenGroup startRaftNode);
+              RaftNodeFactory startRaftNode);
 
-    /// Opens the directory and all partitions; fails as startRaftNode().
+    /// Opens the replicas of the directory and of all partitions. Fails as startRaftNode().
     Result<void> open();
-    /// Null when there is no such group.
+    /// Returns null when there is no such group.
     replication::RaftNode *find(const std::string &group) const;
-    /// After open() only.
+    /// May be called only after open().
     replication::RaftNode &directory() const;
     std::vector<std::string> names() const;
-    bool leads(const std::string &group) const;
+    bool isLeader(const std::string &group) const;
 
     void send(const replication::ReplicaId &to, const std::string &group,
               std::string message) override;
 
-    /// Null when the settings list no such replica.
+    /// Returns null when the settings list no such replica.
     const Replica *replica(const replication::ReplicaId &id) const;
-    /// For a process that follows hints: a leader's id in the detail of NotLeader becomes the
-    /// leader's peer address.
+    /// Replaces the leader's id in the detail of a NotLeader failure by the leader's peer address,
+    /// at which the calling process repeats its request.
     Failure withPeerAddress(Failure failure) const;
 
-    /// Hands leadership of all groups over and waits until none is led here or \a timeout passes.
+    /// Transfers leadership of all groups and waits until this instance leads none of them or
+    /// \a timeout passes.
     void transferLeadership(absl::Duration timeout);
     void stop();
 
 private:
-    Result<void> openOne(const std::string &group,
-                         std::unique_ptr<replication::StateMachine> machine);
-    bool leadsAny() const;
+    Result<void> openReplica(const std::string &group,
+                             std::unique_ptr<replication::StateMachine> machine);
+    bool isLeaderOfAny() const;
 
     const ControlSettings &m_settings;
     peer::ChannelPool &m_channels;
     const Clock &m_clock;
-    const OpenGroup m_openGroup;
+    const RaftNodeFactory m_startRaftNode;
     /// Unchanged after open().
     std::map<std::string, std::unique_ptr<replication::RaftNode>> m_groups;
 };
--- a/src/control/groupmonitor.cpp
+++ b/src/control/groupmonitor.cpp
@@ -37,22 +37,22 @@
 void GroupMonitor::check()
 {
     for (const std::string &name : m_groups.names()) {
-        const replication::RaftNodeStatus now = m_groups.find(name)->status();
-        compare(m_last[name], now);
-        m_last[name] = now;
+        const replication::RaftNodeStatus current = m_groups.find(name)->status();
+        reportChanges(m_lastStatus[name], current);
+        m_lastStatus[name] = current;
     }
 }
 
-void GroupMonitor::compare(const replication::RaftNodeStatus &before,
-                           const replication::RaftNodeStatus &now)
+void GroupMonitor::reportChanges(const replication::RaftNodeStatus &previous,
+                                 const replication::RaftNodeStatus &current)
 {
-    if (now.leader != before.leader && !now.leader.empty())
-        m_metrics.count("rattanrill_control_leader_changes_total", {{"group", now.group}});
-    if (now.voters != before.voters || now.learners != before.learners)
+    if (current.leader != previous.leader && !current.leader.empty())
+        m_metrics.count("rattanrill_control_leader_changes_total", {{"group", current.group}});
+    if (current.voters != previous.voters || current.learners != previous.learners)
         log(LogLevel::Info, "replicas-changed",
-            {{"group", now.group},
-             {"voters", joined(now.voters)},
-             {"learners", joined(now.learners)}});
+            {{"group", current.group},
+             {"voters", joined(current.voters)},
+             {"learners", joined(current.learners)}});
 }
 
 } // namespace rattanrill::control
--- a/src/control/groupmonitor.h
+++ b/src/control/groupmonitor.h
@@ -10,8 +10,8 @@
 
 namespace rattanrill::control {
 
-/// Logs membership changes of this instance's groups and counts leader changes. The groups log
-/// elections and stopped replicas themselves.
+/// Logs membership changes of this instance's groups and counts their leader changes. RaftNode logs
+/// elections and stopped replicas.
 class GroupMonitor
 {
 public:
@@ -22,14 +22,15 @@
 
 private:
     void check();
-    void compare(const replication::RaftNodeStatus &before, const replication::RaftNodeStatus &now);
+    void reportChanges(const replication::RaftNodeStatus &previous,
+                       const replication::RaftNodeStatus &current);
 
     const GroupHost &m_groups;
     Metrics &m_metrics;
     TimerService &m_timers;
     TimerService::TimerId m_timer = 0;
-    /// Used by the timer thread only.
-    std::map<std::string, replication::RaftNodeStatus> m_last;
+    /// Accessed by the timer thread only.
+    std::map<std::string, replication::RaftNodeStatus> m_lastStatus;
 };
 
 } // namespace rattanrill::control
--- a/src/control/localpollsource.cpp
+++ b/src/control/localpollclient.cpp
@@ -1,4 +1,4 @@
-#include "localpollsource.h"
+#include "localpollclient.h"
 
 #include "rattanrill/wire/codec.h"
 
@@ -6,12 +6,12 @@
 
 namespace rattanrill::control {
 
-LocalPollSource::LocalPollSource(std::shared_ptr<FollowService> service)
+LocalPollClient::LocalPollClient(std::shared_ptr<PollChangesService> service)
     : m_service(std::move(service))
 {}
 
-/// The group answers or fails every read by itself, so \a timeout is not needed.
-void LocalPollSource::poll(const wire::PollChangesRequest &request, absl::Duration,
+/// Ignores the timeout, because the local replica answers or fails every read without one.
+void LocalPollClient::poll(const wire::PollChangesRequest &request, absl::Duration,
                            Callback callback)
 {
     m_service->poll(request, [callback = std::move(callback)](const Outcome<std::string> &outcome) {
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -32,8 +32,8 @@
         return reportFailure("start-failed", started.failure());
     log(LogLevel::Info, "started",
         {{"peerPort", node.peerPort()}, {"operatorPort", node.operatorPort()}});
-    const int number = signal.wait();
-    log(LogLevel::Info, "stopping", {{"signal", number}});
+    const int signalNumber = signal.wait();
+    log(LogLevel::Info, "stopping", {{"signal", signalNumber}});
     node.stop();
     log(LogLevel::Info, "stopped");
     return exitOk;
--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -10,21 +10,22 @@
 namespace {
 
 constexpr absl::Duration checkPeriod = absl::Milliseconds(200);
-/// After a longer pause between two checks this process was itself stopped, and its members'
-/// heartbeats may still wait in its sockets.
+/// A longer time between two checks means that this process itself was suspended; heartbeats of its
+/// members may then still be unread in its sockets.
 constexpr absl::Duration maxCheckGap = absl::Seconds(1);
-/// A view older than this may show members that have changed since.
+/// Members in an older view may have changed since; nothing is removed on its basis.
 constexpr absl::Duration maxViewAge = absl::Seconds(2);
-/// Bounds the memory of left incarnations; far more than leave within one member timeout.
-constexpr std::size_t maxLeft = 10000;
+/// Bounds the memory for incarnations that have left; far more than leave within one member
+/// timeout.
+constexpr std::size_t maxLeftIncarnations = 10000;
 
 std::string heartbeatAnswer(std::uint64_t revision)
 {
     return wire::encode(wire::HeartbeatResponse{revision});
 }
 
-/// The member is gone, or another incarnation has taken its place.
-bool isGone(const Outcome<std::string> &outcome)
+/// True when the member is no longer in the directory or was replaced by another incarnation.
+bool isRemoved(const Outcome<std::string> &outcome)
 {
     return outcome.ok() || outcome.failure().code == ErrorCode::NotFound
            || outcome.failure().code == ErrorCode::Conflict;
@@ -47,7 +48,7 @@
     , m_view(view)
     , m_timers(timers)
     , m_clock(clock)
-    , m_graceFrom(clock.now())
+    , m_graceStart(clock.now())
     , m_lastCheck(clock.now())
 {}
 
@@ -55,7 +56,7 @@
 {
     m_timer = m_timers.subscribeEvery(checkPeriod, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->removeSilent();
+            self->removeExpired();
     });
 }
 
@@ -70,7 +71,7 @@
     const replication::RaftNodeStatus status = m_groups.directory().status();
     if (status.role != replication::Role::Leader)
         return reply(m_groups.withPeerAddress(notRun(ErrorCode::NotLeader, status.leader)));
-    if (!note(request, status.term))
+    if (!recordHeartbeat(request, status.term))
         return reply(notRun(ErrorCode::NotMember, "this incarnation has left"));
     if (request.leaving)
         return leave(request.member, std::move(reply));
@@ -79,34 +80,36 @@
     join(request.member, std::move(reply));
 }
 
-/// Records the heartbeat; false for an incarnation that has left.
-bool MemberWatch::note(const wire::HeartbeatRequest &request, std::uint64_t term)
+/// Records the heartbeat. Returns false for an incarnation that has left.
+bool MemberWatch::recordHeartbeat(const wire::HeartbeatRequest &request, std::uint64_t term)
 {
     const wire::Member &member = request.member;
     absl::MutexLock lock(&m_mutex);
     observeTerm(term);
     if (request.leaving) {
-        if (m_left.size() >= maxLeft)
-            m_left.clear();
-        m_left.insert(member.incarnation);
-        m_seen.erase(member.instance);
+        if (m_leftIncarnations.size() >= maxLeftIncarnations)
+            m_leftIncarnations.clear();
+        m_leftIncarnations.insert(member.incarnation);
+        m_lastHeartbeats.erase(member.instance);
         return true;
     }
-    if (m_left.count(member.incarnation) > 0)
+    if (m_leftIncarnations.count(member.incarnation) > 0)
         return false;
-    m_seen[member.instance] = Seen{member.incarnation, m_clock.now(), request.revisionInForce};
+    m_lastHeartbeats[member.instance] =
+            LastHeartbeat{member.incarnation, m_clock.now(), request.revisionInForce};
     return true;
 }
 
 bool MemberWatch::isJoined(const wire::Member &member) const
 {
-    const auto known = m_view.view()->member(member.instance);
-    return known && known->incarnation == member.incarnation
-           && known->peerAddress == member.peerAddress && known->httpAddress == member.httpAddress
-           && known->failureDomain == member.failureDomain;
+    const auto current = m_view.view()->member(member.instance);
+    return current && current->incarnation == member.incarnation
+           && current->peerAddress == member.peerAddress
+           && current->httpAddress == member.httpAddress
+           && current->failureDomain == member.failureDomain;
 }
 
-std::string MemberWatch::command(wire::DirectoryOperation operation) const
+std::string MemberWatch::encodeCommand(wire::DirectoryOperation operation) const
 {
     wire::DirectoryCommand command;
     command.unconditional = true;
@@ -134,7 +137,7 @@
              {"revision", revision}});
         reply(heartbeatAnswer(revision));
     };
-    m_groups.directory().propose(command(wire::JoinMember{member}), done);
+    m_groups.directory().propose(encodeCommand(wire::JoinMember{member}), done);
 }
 
 void MemberWatch::leave(const wire::Member &member, peer::ResponseCallback reply)
@@ -142,7 +145,7 @@
     remove(member, "leaving",
            [self = shared_from_this(),
             reply = std::move(reply)](const Outcome<std::string> &outcome) {
-               if (!isGone(outcome))
+               if (!isRemoved(outcome))
                    return reply(self->m_groups.withPeerAddress(outcome.failure()));
                reply(heartbeatAnswer(outcome.ok() ? revisionOf(outcome.value()) : 0));
            });
@@ -153,7 +156,7 @@
 {
     const auto finished = [member, reason = std::string(reason),
                            done = std::move(done)](const Outcome<std::string> &outcome) {
-        log(isGone(outcome) ? LogLevel::Info : LogLevel::Warning, "member-removed",
+        log(isRemoved(outcome) ? LogLevel::Info : LogLevel::Warning, "member-removed",
             {{"member", member.instance},
              {"incarnation", member.incarnation},
              {"reason", reason},
@@ -161,7 +164,7 @@
         done(outcome);
     };
     const wire::RemoveMember operation{member.instance, member.incarnation};
-    m_groups.directory().propose(command(operation), finished);
+    m_groups.directory().propose(encodeCommand(operation), finished);
 }
 
 void MemberWatch::observeTerm(std::uint64_t term)
@@ -169,56 +172,57 @@
     if (term == m_term)
         return;
     m_term = term;
-    m_graceFrom = m_clock.now();
-    m_seen.clear();
+    m_graceStart = m_clock.now();
+    m_lastHeartbeats.clear();
 }
 
-void MemberWatch::removeSilent()
+void MemberWatch::removeExpired()
 {
     const replication::RaftNodeStatus status = m_groups.directory().status();
-    const bool leads = status.role == replication::Role::Leader && m_view.age() < maxViewAge;
-    const std::vector<wire::Member> silent = silentMembers(leads ? status.term : 0);
-    if (!leads)
+    const bool canRemove = status.role == replication::Role::Leader && m_view.age() < maxViewAge;
+    const std::vector<wire::Member> expired = expiredMembers(canRemove ? status.term : 0);
+    if (!canRemove)
         return;
-    for (const wire::Member &member : silent)
+    for (const wire::Member &member : expired)
         remove(member, "silent", [](const Outcome<std::string> &) {});
 }
 
-std::vector<wire::Member> MemberWatch::silentMembers(std::uint64_t term)
+std::vector<wire::Member> MemberWatch::expiredMembers(std::uint64_t term)
 {
     const auto view = m_view.view();
     const absl::Time now = m_clock.now();
-    std::vector<wire::Member> silent;
+    std::vector<wire::Member> expired;
     absl::MutexLock lock(&m_mutex);
     observeTerm(term);
     if (now - m_lastCheck > maxCheckGap)
-        m_graceFrom = now;
+        m_graceStart = now;
     m_lastCheck = now;
     for (const auto &row : view->members()) {
-        const auto seen = m_seen.find(row.id);
-        const bool heard =
-                seen != m_seen.end() && seen->second.incarnation == row.record->incarnation;
-        const absl::Time last = heard ? std::max(seen->second.at, m_graceFrom) : m_graceFrom;
+        const auto found = m_lastHeartbeats.find(row.id);
+        const bool hasHeartbeat = found != m_lastHeartbeats.end()
+                                  && found->second.incarnation == row.record->incarnation;
+        const absl::Time last =
+                hasHeartbeat ? std::max(found->second.receivedAt, m_graceStart) : m_graceStart;
         if (now - last > m_settings.memberTimeout)
-            silent.push_back(*row.record);
+            expired.push_back(*row.record);
     }
-    return silent;
+    return expired;
 }
 
-std::vector<std::string> MemberWatch::lacking(std::uint64_t revision,
-                                              const directory::DirectoryView &view)
+std::vector<std::string> MemberWatch::membersBehind(std::uint64_t revision,
+                                                    const directory::DirectoryView &view)
 {
-    std::vector<std::string> lacking;
+    std::vector<std::string> behind;
     absl::MutexLock lock(&m_mutex);
     for (const auto &row : view.members()) {
-        const auto seen = m_seen.find(row.id);
-        const bool reached = seen != m_seen.end()
-                             && seen->second.incarnation == row.record->incarnation
-                             && seen->second.revisionInForce >= revision;
-        if (!reached)
-            lacking.push_back(row.id);
+        const auto found = m_lastHeartbeats.find(row.id);
+        const bool hasRevision = found != m_lastHeartbeats.end()
+                                 && found->second.incarnation == row.record->incarnation
+                                 && found->second.revisionInForce >= revision;
+        if (!hasRevision)
+            behind.push_back(row.id);
     }
-    return lacking;
+    return behind;
 }
 
 } // namespace rattanrill::control
--- a/src/control/memberwatch.h
+++ b/src/control/memberwatch.h
@@ -20,9 +20,9 @@
 
 namespace rattanrill::control {
 
-/// Members of the directory by their heartbeats: joins new incarnations and removes silent ones.
-/// Works on the directory leader only; heartbeats are kept in its memory, so a new leader waits a
-/// full member timeout before it removes anybody.
+/// Maintains the members of the directory from their heartbeats: adds new incarnations and removes
+/// members whose heartbeats have stopped. Active only on the directory leader. Heartbeats are kept
+/// in the leader's memory, so a new leader waits a full member timeout before it removes a member.
 class MemberWatch : public std::enable_shared_from_this<MemberWatch>
 {
 public:
@@ -33,32 +33,34 @@
 
     void start();
     void stop();
-    /// Answers with an encoded wire::HeartbeatResponse. Fails with NotLeader, with the leader's
-    /// peer address as detail, with NotMember for an incarnation that has left or was replaced, or
-    /// as RaftNode::propose().
+    /// Replies with an encoded wire::HeartbeatResponse. Fails with NotLeader and the leader's peer
+    /// address as detail, with NotMember for an incarnation that has left or was replaced, or as
+    /// RaftNode::propose().
     void heartbeat(const wire::HeartbeatRequest &request, peer::ResponseCallback reply);
-    /// Members whose last heartbeat to this leader reported less than \a revision, or none.
-    std::vector<std::string> lacking(std::uint64_t revision, const directory::DirectoryView &view);
-    /// Removes members that have been silent; a timer calls it.
-    void removeSilent();
+    /// Members of \a view from which this leader has no heartbeat, or whose last heartbeat reported
+    /// a revision in force below \a revision.
+    std::vector<std::string> membersBehind(std::uint64_t revision,
+                                           const directory::DirectoryView &view);
+    /// Removes members without a heartbeat within the member timeout. Called by a timer.
+    void removeExpired();
 
 private:
-    struct Seen
+    struct LastHeartbeat
     {
         std::string incarnation;
-        absl::Time at;
+        absl::Time receivedAt;
         std::uint64_t revisionInForce = 0;
     };
 
     bool isJoined(const wire::Member &member) const;
-    bool note(const wire::HeartbeatRequest &request, std::uint64_t term);
+    bool recordHeartbeat(const wire::HeartbeatRequest &request, std::uint64_t term);
     void join(const wire::Member &member, peer::ResponseCallback reply);
     void leave(const wire::Member &member, peer::ResponseCallback reply);
     void remove(const wire::Member &member, std::string_view reason,
                 std::function<void(const Outcome<std::string> &)> done);
     void observeTerm(std::uint64_t term) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    std::vector<wire::Member> silentMembers(std::uint64_t term);
-    std::string command(wire::DirectoryOperation operation) const;
+    std::vector<wire::Member> expiredMembers(std::uint64_t term);
+    std::string encodeCommand(wire::DirectoryOperation operation) const;
 
     const ControlSettings &m_settings;
     const GroupHost &m_groups;
@@ -68,12 +70,12 @@
     TimerService::TimerId m_timer = 0;
 
     absl::Mutex m_mutex;
-    std::map<std::string, Seen> m_seen ABSL_GUARDED_BY(m_mutex);
-    /// Incarnations that have left, so that a late heartbeat does not join them again.
-    std::set<std::string> m_left ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, LastHeartbeat> m_lastHeartbeats ABSL_GUARDED_BY(m_mutex);
+    /// Incarnations that have left; a late heartbeat must not add them again.
+    std::set<std::string> m_leftIncarnations ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_term ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Silence counts from here at the earliest.
-    absl::Time m_graceFrom ABSL_GUARDED_BY(m_mutex);
+    /// Earliest time from which the member timeout of any member runs.
+    absl::Time m_graceStart ABSL_GUARDED_BY(m_mutex);
     absl::Time m_lastCheck ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -14,15 +14,16 @@
 namespace rattanrill::control {
 namespace {
 
-/// Longer than an election, shorter than an operator's patience.
+/// Longer than an election takes, but short enough for an operator who waits for the response.
 constexpr absl::Duration groupTimeout = absl::Seconds(5);
 constexpr absl::Duration statusTimeout = absl::Seconds(1);
-/// A membership change waits until the new replica has caught up.
+/// Longer than the other timeouts, because a membership change waits until the new replica has
+/// caught up.
 constexpr absl::Duration memberChangeTimeout = absl::Seconds(25);
 constexpr std::size_t keyBytes = 24;
 constexpr std::size_t keyIdBytes = 8;
 
-void logRefused(const OperatorRequest &request, const Failure &failure)
+void logRefusedWrite(const OperatorRequest &request, const Failure &failure)
 {
     if (failure.code == ErrorCode::NotLeader)
         return;
@@ -35,16 +36,16 @@
 }
 
 template <typename Operation>
-Outcome<Json> logged(const OperatorRequest &request, Operation &&operation)
+Outcome<Json> runAndLogFailure(const OperatorRequest &request, Operation &&operation)
 {
     Outcome<Json> outcome = outcomeOf(std::forward<Operation>(operation));
     if (!outcome.ok())
-        logRefused(request, outcome.failure());
+        logRefusedWrite(request, outcome.failure());
     return outcome;
 }
 
-/// Failure of a read: nothing can have run.
-Failure asRead(Failure failure)
+/// A read has no effect, so its failure always has the effect state NotRun.
+Failure readFailure(Failure failure)
 {
     failure.run = EffectState::NotRun;
     return failure;
@@ -58,7 +59,7 @@
     : m_settings(settings)
     , m_groups(groups)
     , m_view(view)
-    , m_members(members)
+    , m_memberWatch(members)
     , m_client(client)
     , m_clock(clock)
 {}
@@ -82,7 +83,7 @@
 
 Outcome<Json> OperatorApi::write(const DirectoryWrite &write, const OperatorRequest &request)
 {
-    return logged(request, [&]() -> Result<Json> {
+    return runAndLogFailure(request, [&]() -> Result<Json> {
         BOOST_LEAF_AUTO(operation, write.build(request.id, request.body));
         BOOST_LEAF_AUTO(result, propose(request, std::move(operation)));
         return Json{{"revision", result.revision}};
@@ -91,7 +92,7 @@
 
 Outcome<Json> OperatorApi::addKey(const OperatorRequest &request)
 {
-    return logged(request, [&] { return tryAddKey(request); });
+    return runAndLogFailure(request, [&] { return tryAddKey(request); });
 }
 
 Result<Json> OperatorApi::tryAddKey(const OperatorRequest &request)
@@ -105,7 +106,8 @@
     key.workspace = workspace;
     BOOST_LEAF_AUTO(result, propose(request, wire::AddKey{key}));
     Json answer = {{"key_id", result.id}, {"revision", result.revision}};
-    // A resend is answered with the first key's id; that key was shown once and is not stored.
+    // A resent request returns the id of the key that the first one created. That key was returned
+    // once and is stored only as a hash, so the response to a resend does not contain it.
     if (result.id == key.keyId)
         answer["key"] = text;
     return answer;
@@ -118,7 +120,7 @@
                               pending.callback());
     const auto bytes = pending.wait(groupTimeout);
     if (!bytes.ok())
-        return asRead(bytes.failure());
+        return readFailure(bytes.failure());
     return outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(bytes.value()); });
 }
 
@@ -155,13 +157,14 @@
     const std::uint64_t revision = std::strtoull(text.c_str(), &end, 10);
     if (text.empty() || *end != '\0' || text.front() == '-')
         return fail(notRun(ErrorCode::InvalidRequest, "\"revision\" must be a number"));
-    // The changes since this instance's own view make the list of members linearizable.
+    // The list of members is linearizable because the group returns the changes since this
+    // instance's view.
     const auto view = m_view.view();
     const auto response = readDirectory(view->revision());
     if (!response.ok())
         return fail(response.failure());
     BOOST_LEAF_AUTO(now, view->withChanges(response.value()));
-    const std::vector<std::string> lacking = m_members.lacking(revision, now);
+    const std::vector<std::string> lacking = m_memberWatch.membersBehind(revision, now);
     return Json{{"in_force", lacking.empty() && now.revision() >= revision}, {"lacking", lacking}};
 }
 
@@ -194,7 +197,7 @@
     for (const std::string &name : m_groups.names())
         groups.push_back(groupJson(name));
     Json members = Json::array();
-    directory::DirectoryView shown = *view;
+    directory::DirectoryView current = *view;
     Json status = {{"instance", m_settings.instance}, {"groups", std::move(groups)}};
     if (confirmed.ok()) {
         const auto now = outcomeOf([&]() -> Result<directory::DirectoryView> {
@@ -203,10 +206,10 @@
         });
         if (!now.ok())
             return now.failure();
-        shown = now.value();
-        status["revision"] = shown.revision();
+        current = now.value();
+        status["revision"] = current.revision();
     }
-    for (const auto &row : shown.members())
+    for (const auto &row : current.members())
         members.push_back(memberJson(*row.record));
     status["members"] = std::move(members);
     return status;
@@ -220,7 +223,7 @@
                   pending.callback());
     const auto bytes = pending.wait(groupTimeout * 2);
     if (!bytes.ok())
-        return fail(asRead(bytes.failure()));
+        return fail(readFailure(bytes.failure()));
     return wire::decode<wire::BatchQueryResult>(bytes.value());
 }
 
@@ -239,10 +242,10 @@
 
 Outcome<Json> OperatorApi::cancelBatch(const OperatorRequest &request)
 {
-    return logged(request, [&] { return tryCancel(request); });
+    return runAndLogFailure(request, [&] { return tryCancel(request); });
 }
 
-/// Asks all partitions, so that operators need not know how jobs are placed.
+/// Searches all partitions, so that operators need not know which one stores the job.
 Result<Json> OperatorApi::tryCancel(const OperatorRequest &request)
 {
     for (int partition = 0; partition < m_settings.partitions; ++partition) {
@@ -279,7 +282,7 @@
 
 Outcome<Json> OperatorApi::addReplica(const OperatorRequest &request)
 {
-    return logged(request, [&] { return tryAddReplica(request); });
+    return runAndLogFailure(request, [&] { return tryAddReplica(request); });
 }
 
 Result<Json> OperatorApi::tryAddReplica(const OperatorRequest &request)
@@ -300,7 +303,7 @@
 
 Outcome<Json> OperatorApi::removeReplica(const OperatorRequest &request)
 {
-    return logged(request, [&] { return tryRemoveReplica(request); });
+    return runAndLogFailure(request, [&] { return tryRemoveReplica(request); });
 }
 
 Result<Json> OperatorApi::tryRemoveReplica(const OperatorRequest &request)
@@ -313,7 +316,7 @@
     return Json{{"voters", group->status().voters}};
 }
 
-/// The own view was confirmed by a leader a moment ago.
+/// True when a leader has confirmed this instance's directory view within the last owner lease.
 bool OperatorApi::ready() const
 {
     return m_view.age() < m_settings.ownerLease;
--- a/src/control/operatorapi.h
+++ b/src/control/operatorapi.h
@@ -14,10 +14,10 @@
 
 namespace rattanrill::control {
 
-/// A request of an operator, with path and body already parsed.
+/// An operator's request whose path and body have been parsed.
 struct OperatorRequest
 {
-    /// Last part of the path: id of a record, job or replica.
+    /// Id of a record, job or replica, from the path.
     std::string id;
     /// Parameters of the query string.
     std::map<std::string, std::string> parameters;
@@ -26,8 +26,8 @@
     std::uint64_t baseRevision = 0;
 };
 
-/// What operators can do, without HTTP. A failure NotLeader carries the leader's replica id as
-/// detail; every function blocks its thread until the groups have answered.
+/// The operations of the operators' interface, without HTTP. A NotLeader failure has the leader's
+/// replica id as detail. Every operation blocks the calling thread until the groups have answered.
 class OperatorApi
 {
 public:
@@ -39,7 +39,7 @@
     Outcome<Json> addKey(const OperatorRequest &request);
     Outcome<Json> list(wire::RecordKind kind);
     Outcome<Json> inForce(const OperatorRequest &request);
-    /// Served by every instance; "revision" is missing when no leader confirms it.
+    /// Works on every instance. "revision" is missing when no leader confirms it.
     Outcome<Json> status(const OperatorRequest &request);
     Outcome<Json> batches(const OperatorRequest &request);
     Outcome<Json> cancelBatch(const OperatorRequest &request);
@@ -64,7 +64,7 @@
     const ControlSettings &m_settings;
     const GroupHost &m_groups;
     const directory::DirectorySubscriber &m_view;
-    MemberWatch &m_members;
+    MemberWatch &m_memberWatch;
     controlclient::ControlClient &m_client;
     const Clock &m_clock;
 };
--- a/src/control/operatorserver.cpp
+++ b/src/control/operatorserver.cpp
@@ -17,7 +17,7 @@
 
 struct ListRoute
 {
-    std::string_view folder;
+    std::string_view collection;
     wire::RecordKind kind;
 };
 
@@ -28,7 +28,7 @@
         {"held", wire::RecordKind::QuarantinedRequest},
 };
 
-/// Reads request_id and base_revision of a write's body.
+/// Reads the members request_id and base_revision, which every write has, from the body.
 Result<void> readWriteMembers(OperatorRequest &request)
 {
     BOOST_LEAF_ASSIGN(request.requestId, jsonMember<std::string>(request.body, "request_id"));
@@ -67,7 +67,7 @@
 {
     http::ServerOptions options;
     options.maxConnections = settings.maxOperatorConnections;
-    // Each idle connection holds a thread, and stop() waits for it.
+    // Each idle connection occupies a thread until this timeout, and stop() waits for the thread.
     options.keepAliveTimeout = absl::Seconds(2);
     http::configureServer(*m_server, options);
     addRoutes();
@@ -106,7 +106,7 @@
     m_thread.join();
 }
 
-OperatorServer::Handler OperatorServer::call(ApiCall function)
+OperatorServer::Handler OperatorServer::handlerFor(ApiCall function)
 {
     return [this, function](const OperatorRequest &request) { return (m_api.*function)(request); };
 }
@@ -114,24 +114,26 @@
 void OperatorServer::addRoutes()
 {
     addDirectoryRoutes();
-    add("POST", "keys", true, call(&OperatorApi::addKey));
-    add("GET", "in_force", false, call(&OperatorApi::inForce));
-    add("GET", "status", false, call(&OperatorApi::status));
-    add("GET", "batches", false, call(&OperatorApi::batches));
-    add("POST", "batches/([^/]+)/cancel", true, call(&OperatorApi::cancelBatch));
-    add("POST", "replicas", true, call(&OperatorApi::addReplica));
-    add("DELETE", "replicas/(.+)", true, call(&OperatorApi::removeReplica));
+    addRoute("POST", "keys", true, handlerFor(&OperatorApi::addKey));
+    addRoute("GET", "in_force", false, handlerFor(&OperatorApi::inForce));
+    addRoute("GET", "status", false, handlerFor(&OperatorApi::status));
+    addRoute("GET", "batches", false, handlerFor(&OperatorApi::batches));
+    addRoute("POST", "batches/([^/]+)/cancel", true, handlerFor(&OperatorApi::cancelBatch));
+    addRoute("POST", "replicas", true, handlerFor(&OperatorApi::addReplica));
+    addRoute("DELETE", "replicas/(.+)", true, handlerFor(&OperatorApi::removeReplica));
     addProbes();
 }
 
 void OperatorServer::addDirectoryRoutes()
 {
     for (const DirectoryWrite &write : directoryWrites())
-        add(std::string(write.method), concat(write.folder, "/(.+)"), true,
-            [this, &write](const OperatorRequest &request) { return m_api.write(write, request); });
+        addRoute(std::string(write.method), concat(write.collection, "/(.+)"), true,
+                 [this, &write](const OperatorRequest &request) {
+                     return m_api.write(write, request);
+                 });
     for (const ListRoute &route : listRoutes)
-        add("GET", std::string(route.folder), false,
-            [this, kind = route.kind](const OperatorRequest &) { return m_api.list(kind); });
+        addRoute("GET", std::string(route.collection), false,
+                 [this, kind = route.kind](const OperatorRequest &) { return m_api.list(kind); });
 }
 
 void OperatorServer::addProbes()
@@ -160,8 +162,8 @@
     });
 }
 
-void OperatorServer::add(const std::string &method, const std::string &path, bool isWrite,
-                         Handler handler)
+void OperatorServer::addRoute(const std::string &method, const std::string &path, bool isWrite,
+                              Handler handler)
 {
     using Register =
             httplib::Server &(httplib::Server::*)(const std::string &, httplib::Server::Handler);
@@ -224,8 +226,8 @@
     for (const std::string &group : m_groups.names()) {
         const replication::RaftNodeStatus status = m_groups.find(group)->status();
         const MetricLabels labels = {{"group", group}};
-        const bool leads = status.role == replication::Role::Leader;
-        m_metrics.set("rattanrill_control_group_leader", labels, leads ? 1 : 0);
+        const bool isLeader = status.role == replication::Role::Leader;
+        m_metrics.set("rattanrill_control_group_leader", labels, isLeader ? 1 : 0);
         m_metrics.set("rattanrill_control_group_term", labels, static_cast<double>(status.term));
         m_metrics.set("rattanrill_control_group_commit_index", labels,
                       static_cast<double>(status.commitIndex));
--- a/src/control/operatorserver.h
+++ b/src/control/operatorserver.h
@@ -16,7 +16,7 @@
 
 namespace rattanrill::control {
 
-/// HTTP of the operators' interface, see docs/operator-http.md.
+/// HTTP server of the operators' interface, see docs/operator-http.md.
 class OperatorServer
 {
 public:
@@ -24,7 +24,7 @@
                    Metrics &metrics);
     ~OperatorServer();
 
-    /// Listens and serves on threads of its own. Fails with AddressInUse.
+    /// Starts to listen and to serve on separate threads. Fails with AddressInUse.
     Result<void> start();
     int port() const { return m_port; }
     void stop();
@@ -36,8 +36,9 @@
     void addRoutes();
     void addDirectoryRoutes();
     void addProbes();
-    void add(const std::string &method, const std::string &path, bool isWrite, Handler handler);
-    Handler call(ApiCall function);
+    void addRoute(const std::string &method, const std::string &path, bool isWrite,
+                  Handler handler);
+    Handler handlerFor(ApiCall function);
     void serve(const httplib::Request &request, httplib::Response &response, bool isWrite,
                const Handler &handler);
     bool authorized(const httplib::Request &request) const;
--- a/src/control/partitionclock.cpp
+++ b/src/control/partitionclock.cpp
@@ -7,10 +7,11 @@
 namespace rattanrill::control {
 namespace {
 
-/// A partition counts as working for this long after its last command: longer than leases and
-/// backoff delays, so that none is left when it ends.
-constexpr absl::Duration workingTime = absl::Minutes(2);
-/// Retention is counted in days, so an idle partition needs few log entries.
+/// A partition counts as active for this time after its last command. The time is longer than
+/// leases and backoff delays, so that none of them is left when the partition becomes idle.
+constexpr absl::Duration activePeriod = absl::Minutes(2);
+/// Period of time commands in an idle partition. Retention periods last days, so a long period is
+/// enough and keeps the log short.
 constexpr absl::Duration idlePeriod = absl::Minutes(1);
 
 } // namespace
@@ -37,33 +38,33 @@
         m_timers.unsubscribe(m_timer);
 }
 
-void PartitionClock::noteWork(const std::string &group)
+void PartitionClock::recordCommand(const std::string &group)
 {
     absl::MutexLock lock(&m_mutex);
-    m_states[group].lastWork = m_clock.now();
+    m_states[group].lastCommand = m_clock.now();
 }
 
 void PartitionClock::tick()
 {
     for (int partition = 0; partition < m_settings.partitions; ++partition) {
         const std::string group = controlclient::batchGroup(partition);
-        if (isDue(group, m_groups.leads(group)))
+        if (isDue(group, m_groups.isLeader(group)))
             advance(group);
     }
 }
 
-bool PartitionClock::isDue(const std::string &group, bool leads)
+bool PartitionClock::isDue(const std::string &group, bool isLeader)
 {
     const absl::Time now = m_clock.now();
     absl::MutexLock lock(&m_mutex);
     State &state = m_states[group];
-    // A new leader does not know the work of the one before.
-    if (leads && !state.leads)
-        state.lastWork = now;
-    state.leads = leads;
-    const bool works = now - state.lastWork < workingTime;
-    const bool due = works || now - state.lastAdvance >= idlePeriod;
-    if (!leads || state.pending || !due)
+    // A new leader has no record of the commands that the previous leader received.
+    if (isLeader && !state.isLeader)
+        state.lastCommand = now;
+    state.isLeader = isLeader;
+    const bool isActive = now - state.lastCommand < activePeriod;
+    const bool due = isActive || now - state.lastAdvance >= idlePeriod;
+    if (!isLeader || state.pending || !due)
         return false;
     state.pending = true;
     state.lastAdvance = now;
--- a/src/control/partitionclock.h
+++ b/src/control/partitionclock.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::control {
 
-/// Advances the time of the partitions that this instance leads, so that leases, delays and
-/// retention also expire when no other command comes.
+/// Proposes time commands to the partitions that this instance leads, so that leases, backoff
+/// delays and retention periods also expire when no other command arrives.
 class PartitionClock : public std::enable_shared_from_this<PartitionClock>
 {
 public:
@@ -23,20 +23,20 @@
 
     void start();
     void stop();
-    /// A command was proposed to \a group.
-    void noteWork(const std::string &group);
+    /// Records that a command was proposed to \a group.
+    void recordCommand(const std::string &group);
 
 private:
     struct State
     {
-        absl::Time lastWork = absl::InfinitePast();
+        absl::Time lastCommand = absl::InfinitePast();
         absl::Time lastAdvance = absl::InfinitePast();
-        bool leads = false;
+        bool isLeader = false;
         bool pending = false;
     };
 
     void tick();
-    bool isDue(const std::string &group, bool leads);
+    bool isDue(const std::string &group, bool isLeader);
     void advance(const std::string &group);
 
     const ControlSettings &m_settings;
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -11,8 +11,8 @@
 namespace rattanrill::control {
 namespace {
 
-/// Commands are decoded and encoded again here, because a batch upload of some MiB would hold up
-/// the Raft messages on the network thread.
+/// Threads that decode, stamp and encode commands. On the network thread a batch upload of some MiB
+/// would delay the Raft messages.
 constexpr std::size_t workerThreads = 2;
 constexpr std::size_t workerQueue = 4096;
 
@@ -23,14 +23,14 @@
 
 } // namespace
 
-PeerService::PeerService(const GroupHost &groups, std::shared_ptr<FollowService> follow,
+PeerService::PeerService(const GroupHost &groups, std::shared_ptr<PollChangesService> pollService,
                          std::shared_ptr<MemberWatch> members,
                          std::shared_ptr<PartitionClock> partitions, Metrics &metrics,
                          const Clock &clock)
     : m_groups(groups)
-    , m_follow(std::move(follow))
-    , m_members(std::move(members))
-    , m_partitions(std::move(partitions))
+    , m_pollService(std::move(pollService))
+    , m_memberWatch(std::move(members))
+    , m_partitionClock(std::move(partitions))
     , m_metrics(metrics)
     , m_clock(clock)
     , m_workers(workerThreads, workerQueue)
@@ -55,7 +55,7 @@
                   });
     server.handle(wire::Method::PollChanges,
                   [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                      follow(body, reply);
+                      pollChanges(body, reply);
                   });
     server.handle(wire::Method::Heartbeat,
                   [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
@@ -84,7 +84,7 @@
 void PeerService::propose(const std::string &body, const peer::ResponseCallback &reply)
 {
     if (!m_workers.post([this, body, reply] { proposeNow(body, reply); }))
-        reply(notRun(ErrorCode::QueueFull, "too many proposals wait"));
+        reply(notRun(ErrorCode::QueueFull, "the queue of proposals is full"));
 }
 
 void PeerService::proposeNow(const std::string &body, const peer::ResponseCallback &reply)
@@ -103,7 +103,7 @@
         return fail(noGroup(request.group));
     BOOST_LEAF_AUTO(command, stampCommand(request.group, request.command,
                                           absl::ToUnixMillis(m_clock.wallNow())));
-    m_partitions->noteWork(request.group);
+    m_partitionClock->recordCommand(request.group);
     group->propose(std::move(command), [this, reply](const Outcome<std::string> &outcome) {
         answer("propose", outcome, reply);
     });
@@ -139,12 +139,12 @@
     reply(failure);
 }
 
-void PeerService::follow(const std::string &body, const peer::ResponseCallback &reply)
+void PeerService::pollChanges(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = outcomeOf([&] { return wire::decode<wire::PollChangesRequest>(body); });
     if (!request.ok())
         return reply(request.failure());
-    m_follow->poll(request.value(), reply);
+    m_pollService->poll(request.value(), reply);
 }
 
 void PeerService::heartbeat(const std::string &body, const peer::ResponseCallback &reply)
@@ -152,7 +152,7 @@
     const auto request = outcomeOf([&] { return wire::decode<wire::HeartbeatRequest>(body); });
     if (!request.ok())
         return reply(request.failure());
-    m_members->heartbeat(request.value(), reply);
+    m_memberWatch->heartbeat(request.value(), reply);
 }
 
 } // namespace rattanrill::control
--- a/src/control/peerservice.h
+++ b/src/control/peerservice.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "followservice.h"
 #include "grouphost.h"
 #include "memberwatch.h"
 #include "partitionclock.h"
+#include "pollchangesservice.h"
 
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/base/workerpool.h"
@@ -14,11 +14,12 @@
 
 namespace rattanrill::control {
 
-/// Serves the methods of other processes: raft, propose, read, follow and heartbeat.
+/// Handles the calls of other processes: the wire methods Raft, Propose, Read, PollChanges and
+/// Heartbeat.
 class PeerService
 {
 public:
-    PeerService(const GroupHost &groups, std::shared_ptr<FollowService> follow,
+    PeerService(const GroupHost &groups, std::shared_ptr<PollChangesService> pollService,
                 std::shared_ptr<MemberWatch> members, std::shared_ptr<PartitionClock> partitions,
                 Metrics &metrics, const Clock &clock);
 
@@ -32,15 +33,15 @@
     void proposeNow(const std::string &body, const peer::ResponseCallback &reply);
     Result<void> startProposal(const std::string &body, const peer::ResponseCallback &reply);
     void read(const std::string &body, const peer::ResponseCallback &reply);
-    void follow(const std::string &body, const peer::ResponseCallback &reply);
+    void pollChanges(const std::string &body, const peer::ResponseCallback &reply);
     void heartbeat(const std::string &body, const peer::ResponseCallback &reply);
     void answer(const char *method, const Outcome<std::string> &outcome,
                 const peer::ResponseCallback &reply);
 
     const GroupHost &m_groups;
-    const std::shared_ptr<FollowService> m_follow;
-    const std::shared_ptr<MemberWatch> m_members;
-    const std::shared_ptr<PartitionClock> m_partitions;
+    const std::shared_ptr<PollChangesService> m_pollService;
+    const std::shared_ptr<MemberWatch> m_memberWatch;
+    const std::shared_ptr<PartitionClock> m_partitionClock;
     Metrics &m_metrics;
     const Clock &m_clock;
     WorkerPool m_workers;
--- a/src/control/pendingoutcome.h
+++ b/src/control/pendingoutcome.h
@@ -10,15 +10,17 @@
 
 namespace rattanrill::control {
 
-/// Outcome of an asynchronous call that an HTTP thread waits for.
+/// Lets an HTTP thread wait for the outcome of an asynchronous call.
 class PendingOutcome
 {
 public:
     PendingOutcome();
 
-    /// To be called at most once, from any thread; may outlive this object.
+    /// Returns the callback that sets the outcome. It may be called at most once, from any thread,
+    /// and may outlive this object.
     std::function<void(const Outcome<std::string> &)> callback();
-    /// Fails with Timeout, MayHaveRun, when no outcome arrives.
+    /// Returns the outcome. Fails with Timeout and the effect state MayHaveRun when none arrives
+    /// within \a timeout.
     Outcome<std::string> wait(absl::Duration timeout);
 
 private:
--- a/src/control/followservice.cpp
+++ b/src/control/pollchangesservice.cpp
@@ -1,4 +1,4 @@
-#include "followservice.h"
+#include "pollchangesservice.h"
 
 #include "rattanrill/wire/codec.h"
 
@@ -8,12 +8,13 @@
 namespace rattanrill::control {
 namespace {
 
-/// Granularity of the polls' waits.
-constexpr absl::Duration duePeriod = absl::Milliseconds(20);
-/// Longest wait that a poll may ask for.
+/// Period of the check for polls whose deadline has passed.
+constexpr absl::Duration deadlineCheckPeriod = absl::Milliseconds(20);
+/// Upper bound of the wait that a poll requests.
 constexpr absl::Duration maxWait = absl::Seconds(60);
 
-/// Any instance can serve a poll, so a hint to the leader would only gather all entries there.
+/// Replaces NotLeader by NoQuorum: every instance can serve a poll, and with the leader's address
+/// all entries would poll the leader.
 Failure pollFailure(Failure failure)
 {
     if (failure.code == ErrorCode::NotLeader) {
@@ -33,26 +34,26 @@
 
 } // namespace
 
-FollowService::FollowService(replication::RaftNode &directory, TimerService &timers,
-                             const Clock &clock)
+PollChangesService::PollChangesService(replication::RaftNode &directory, TimerService &timers,
+                                       const Clock &clock)
     : m_directory(directory)
     , m_timers(timers)
     , m_clock(clock)
 {}
 
-void FollowService::start()
+void PollChangesService::start()
 {
     m_directory.onApplied([weak = weak_from_this()](std::uint64_t) {
         if (const auto self = weak.lock())
-            self->applied();
+            self->handleApplied();
     });
-    m_timer = m_timers.subscribeEvery(duePeriod, [weak = weak_from_this()] {
+    m_timer = m_timers.subscribeEvery(deadlineCheckPeriod, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->confirmDue();
+            self->confirmExpired();
     });
 }
 
-void FollowService::poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply)
+void PollChangesService::poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply)
 {
     const absl::Duration wait =
             std::clamp(absl::Milliseconds(request.waitMs), absl::ZeroDuration(), maxWait);
@@ -61,7 +62,7 @@
     confirm(request.afterRevision, polls);
 }
 
-void FollowService::confirm(std::uint64_t afterRevision, const Polls &polls)
+void PollChangesService::confirm(std::uint64_t afterRevision, const Polls &polls)
 {
     std::uint64_t appliedBatches = 0;
     bool stopped = false;
@@ -75,12 +76,12 @@
     const std::string query = wire::encode(wire::DirectoryQuery{afterRevision});
     m_directory.linearizableRead(query, [self = shared_from_this(), afterRevision, appliedBatches,
                                          polls](const Outcome<std::string> &outcome) {
-        self->confirmed(afterRevision, appliedBatches, polls, outcome);
+        self->handleConfirmed(afterRevision, appliedBatches, polls, outcome);
     });
 }
 
-void FollowService::confirmed(std::uint64_t afterRevision, std::uint64_t appliedBatches,
-                              Polls polls, const Outcome<std::string> &outcome)
+void PollChangesService::handleConfirmed(std::uint64_t afterRevision, std::uint64_t appliedBatches,
+                                         Polls polls, const Outcome<std::string> &outcome)
 {
     if (!outcome.ok())
         return answerAll(polls, pollFailure(outcome.failure()));
@@ -92,14 +93,15 @@
         return answerAll(polls, outcome);
     const absl::Time now = m_clock.now();
     const auto waiting = std::partition(polls.begin(), polls.end(),
-                                        [now](const Poll &poll) { return poll.due <= now; });
+                                        [now](const Poll &poll) { return poll.deadline <= now; });
     answerAll(Polls(polls.begin(), waiting), outcome);
     polls.erase(polls.begin(), waiting);
     if (!polls.empty())
-        wait(afterRevision, appliedBatches, std::move(polls));
+        enqueue(afterRevision, appliedBatches, std::move(polls));
 }
 
-void FollowService::wait(std::uint64_t afterRevision, std::uint64_t appliedBatches, Polls polls)
+void PollChangesService::enqueue(std::uint64_t afterRevision, std::uint64_t appliedBatches,
+                                 Polls polls)
 {
     {
         absl::MutexLock lock(&m_mutex);
@@ -112,7 +114,7 @@
     confirm(afterRevision, polls);
 }
 
-void FollowService::applied()
+void PollChangesService::handleApplied()
 {
     std::map<std::uint64_t, Polls> waiting;
     {
@@ -124,9 +126,9 @@
         confirm(afterRevision, polls);
 }
 
-/// Confirms again just before the answer, which then proves freshness as of now instead of as of
-/// the arrival of the poll.
-void FollowService::confirmDue()
+/// Confirms the polls whose deadline has passed once more before they are answered, so that the
+/// answer proves freshness as of now instead of as of the arrival of the poll.
+void PollChangesService::confirmExpired()
 {
     const absl::Time now = m_clock.now();
     std::map<std::uint64_t, Polls> due;
@@ -134,8 +136,9 @@
         absl::MutexLock lock(&m_mutex);
         for (auto entry = m_waiting.begin(); entry != m_waiting.end();) {
             Polls &polls = entry->second;
-            const auto expired = std::partition(polls.begin(), polls.end(),
-                                                [now](const Poll &poll) { return poll.due > now; });
+            const auto expired =
+                    std::partition(polls.begin(), polls.end(),
+                                   [now](const Poll &poll) { return poll.deadline > now; });
             if (expired != polls.end())
                 std::move(expired, polls.end(), std::back_inserter(due[entry->first]));
             polls.erase(expired, polls.end());
@@ -146,7 +149,7 @@
         confirm(afterRevision, polls);
 }
 
-void FollowService::stop()
+void PollChangesService::stop()
 {
     std::map<std::uint64_t, Polls> waiting;
     {
--- a/src/control/recordjson.cpp
+++ b/src/control/recordjson.cpp
@@ -19,7 +19,7 @@
                 {"revision", contract.revision}};
 }
 
-/// The hash stays inside: it is of no use to an operator.
+/// Omits the hash, which is of no use to an operator.
 Json toJson(const wire::ApiKey &key)
 {
     return Json{{"key_id", key.keyId},
@@ -61,19 +61,19 @@
     return memberJson(member);
 }
 
-Json toJson(const wire::FencingToken &fence)
+Json toJson(const wire::FencingToken &token)
 {
     return Json{
-            {"upstream", fence.upstream}, {"number", fence.number}, {"revision", fence.revision}};
+            {"upstream", token.upstream}, {"number", token.number}, {"revision", token.revision}};
 }
 
-Json toJson(const wire::QuarantinedRequest &held)
+Json toJson(const wire::QuarantinedRequest &quarantined)
 {
-    return Json{{"fingerprint", held.fingerprint},
-                {"crashed_upstreams", held.crashedUpstreams},
-                {"expires_at_ms", held.expiresAtMs},
-                {"held", held.held},
-                {"revision", held.revision}};
+    return Json{{"fingerprint", quarantined.fingerprint},
+                {"crashed_upstreams", quarantined.crashedUpstreams},
+                {"expires_at_ms", quarantined.expiresAtMs},
+                {"held", quarantined.held},
+                {"revision", quarantined.revision}};
 }
 
 template <typename Record>
@@ -88,7 +88,7 @@
 Result<Json> recordJson(const wire::RecordChange &change)
 {
     using Decoder = Result<Json> (*)(const std::string &);
-    // In order of wire::RecordKind.
+    // Indexed by wire::RecordKind.
     static constexpr std::array<Decoder, 8> decoders = {
             &decoded<wire::Contract>,     &decoded<wire::ApiKey>,
             &decoded<wire::Config>,       &decoded<wire::Route>,
--- a/src/control/recordjson.h
+++ b/src/control/recordjson.h
@@ -6,7 +6,8 @@
 
 namespace rattanrill::control {
 
-/// A record of the directory as operators see it. Fails with MalformedMessage.
+/// Converts a directory record to its JSON form in the operators' interface. Fails with
+/// MalformedMessage.
 Result<Json> recordJson(const wire::RecordChange &change);
 
 Json memberJson(const wire::Member &member);
--- a/tests/control/controlcluster.cpp
+++ b/tests/control/controlcluster.cpp
@@ -15,11 +15,11 @@
 namespace rattanrill::control {
 namespace {
 
-constexpr int leaderPolls = 1000;
+constexpr int maxLeaderPolls = 1000;
 constexpr absl::Duration leaderPollPeriod = absl::Milliseconds(10);
 
-/// Port that is free at \a host now. Each cluster has hosts of its own, so that nobody else takes
-/// it.
+/// Returns a port that is currently free at \a host. Each cluster uses its own loopback addresses,
+/// so that no other process binds the port before the cluster does.
 int freePort(const std::string &host)
 {
     boost::asio::io_context service;
@@ -82,14 +82,14 @@
 
 int ControlCluster::leader()
 {
-    for (int poll = 0; poll < leaderPolls; ++poll) {
+    for (int poll = 0; poll < maxLeaderPolls; ++poll) {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (m_nodes[i] && m_nodes[i]->groups().leads(controlclient::directoryGroup))
+            if (m_nodes[i] && m_nodes[i]->groups().isLeader(controlclient::directoryGroup))
                 return static_cast<int>(i);
         }
         absl::SleepFor(leaderPollPeriod);
     }
-    BOOST_FAIL("no leader within the test's bound");
+    BOOST_FAIL("no leader within 10 s");
     return 0;
 }
 
@@ -130,13 +130,13 @@
                   result->get_header_value("Location")};
 }
 
-ControlCluster::Answer ControlCluster::putContract(double rate, std::uint64_t base,
+ControlCluster::Answer ControlCluster::putContract(double rate, std::uint64_t baseRevision,
                                                    const std::string &requestId)
 {
     return request(leader(), "PUT", "contracts/w1",
                    Json{{"rate_per_second", rate},
                         {"burst", 5},
-                        {"base_revision", base},
+                        {"base_revision", baseRevision},
                         {"request_id", requestId}});
 }
 
--- a/tests/control/controlcluster.h
+++ b/tests/control/controlcluster.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::control {
 
-/// Control instances in one process, with real groups, data folders and sockets on loopback.
+/// Control instances in one process, with real Raft groups, data folders and loopback sockets.
 class ControlCluster
 {
 public:
@@ -19,7 +19,7 @@
 
     void start(int i);
     void stop(int i);
-    /// Index of the directory leader; waits for one.
+    /// Waits for a directory leader and returns its index.
     int leader();
     std::vector<std::string> peerAddresses() const;
     peer::TransportOptions transport(const std::string &secret = clusterSecret) const;
@@ -33,8 +33,8 @@
 
     Answer request(int i, const std::string &method, const std::string &path,
                    const Json &body = Json::object(), const std::string &token = operatorToken);
-    /// Writes a contract with \a rate at the leader.
-    Answer putContract(double rate, std::uint64_t base, const std::string &requestId);
+    /// Writes the contract of workspace "w1" with \a rate at the leader.
+    Answer putContract(double rate, std::uint64_t baseRevision, const std::string &requestId);
 
     static constexpr const char *clusterSecret = "secret-of-the-cluster";
     static constexpr const char *operatorToken = "token-of-the-operators";
--- a/tests/control/controlnode_test.cpp
+++ b/tests/control/controlnode_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Client of a cluster with its parts, in the order in which they are made.
+/// Control client with the objects that it uses, in the order of their construction.
 struct Client
 {
     explicit Client(const ControlCluster &cluster, std::vector<std::string> addresses)
@@ -24,7 +24,7 @@
         , control(channels, std::move(addresses), timers, SystemClock::instance())
     {}
 
-    Outcome<wire::PollChangesResponse> follow(std::uint64_t after, std::int64_t waitMs)
+    Outcome<wire::PollChangesResponse> poll(std::uint64_t after, std::int64_t waitMs)
     {
         absl::Notification done;
         std::optional<Outcome<wire::PollChangesResponse>> answer;
@@ -66,7 +66,9 @@
 
 BOOST_AUTO_TEST_SUITE(ControlNodeTest)
 
-BOOST_AUTO_TEST_CASE(operatorsRacingFromTheSameRevisionHaveOneWinner)
+// Guards against lost updates: of several concurrent writes with the same base revision more than
+// one is accepted, or a resend gets a different response.
+BOOST_AUTO_TEST_CASE(concurrentWritesFromTheSameRevisionHaveOneWinner)
 {
     ControlCluster cluster(3);
     BOOST_REQUIRE(codeOf(cluster.putContract(1, 0, "first")) == "ok");
@@ -83,15 +85,16 @@
         const std::string code = codeOf(answers[i]);
         winners += code == "ok" ? 1 : 0;
         BOOST_TEST((code == "ok" || code == "conflict"));
-        // A resend gets the first answer, whoever won.
+        // A resend gets the response to the first request, whether that was accepted or refused.
         const auto again = cluster.putContract(2 + static_cast<double>(i), 1, concat("race-", i));
         BOOST_TEST(again.body == answers[i].body);
     }
     BOOST_TEST(winners == 1u);
 }
 
-// Guards against a write that has its effect twice when the leader is lost with its answer.
-BOOST_AUTO_TEST_CASE(resendAfterTheLeadersLossGetsTheFirstAnswer)
+// Guards against applying a write twice when it is resent to a new leader because the old leader
+// failed before its response arrived.
+BOOST_AUTO_TEST_CASE(resendAfterLeaderFailureGetsTheFirstResponse)
 {
     ControlCluster cluster(3);
     const auto first = cluster.putContract(1, 0, "write-1");
@@ -107,20 +110,22 @@
                                        Json{{"workspace", "w1"}, {"request_id", "key-1"}});
     BOOST_TEST(again.body.at("key_id") == key.body.at("key_id"));
     BOOST_TEST(!again.body.contains("key"));
-    // A restart keeps what was accepted.
+    // The restarted replica still has the accepted writes.
     cluster.start(old);
     const auto listed = cluster.request(cluster.leader(), "GET", "keys");
     BOOST_TEST(listed.body.at("items").size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(otherInstancesNameTheLeaderAndRefuseWrongTokens)
+// Guards against a follower that serves stale records instead of redirecting to the leader, and
+// against accepting a wrong token, an unknown member or a write without a request id.
+BOOST_AUTO_TEST_CASE(followersRedirectToTheLeaderAndInvalidRequestsAreRefused)
 {
     ControlCluster cluster(3);
     const int leader = cluster.leader();
     BOOST_REQUIRE(codeOf(cluster.putContract(1, 0, "first")) == "ok");
     const int other = (leader + 1) % 3;
     ControlCluster::Answer redirect;
-    // A follower learns the leader with its first heartbeat.
+    // A follower cannot redirect before it has received the leader's first heartbeat.
     for (int poll = 0; poll < 500 && redirect.status != 307; ++poll) {
         redirect = cluster.request(other, "GET", "contracts");
         absl::SleepFor(absl::Milliseconds(10));
@@ -137,8 +142,8 @@
     BOOST_TEST(codeOf(anonymous) == "invalid_request");
 }
 
-// Guards against a control instance that is cut off from the others and still answers polls (R6,
-// R13): entries would keep a withdrawn key.
+// R6, R13: guards against a control instance without a quorum that still answers polls; entries
+// would continue to accept a withdrawn key.
 BOOST_AUTO_TEST_CASE(instanceWithoutQuorumAnswersNoPoll)
 {
     ControlCluster cluster(3);
@@ -146,22 +151,23 @@
     const int last = (cluster.leader() + 1) % 3;
     const auto lastAddress = cluster.peerAddresses()[static_cast<std::size_t>(last)];
     Client client(cluster, {lastAddress});
-    BOOST_REQUIRE(client.follow(0, 100).ok());
+    BOOST_REQUIRE(client.poll(0, 100).ok());
     cluster.stop((last + 1) % 3);
     cluster.stop((last + 2) % 3);
     for (int round = 0; round < 3; ++round)
-        BOOST_TEST(!client.follow(1, 100).ok());
+        BOOST_TEST(!client.poll(1, 100).ok());
     const auto status = cluster.request(last, "GET", "status");
     BOOST_TEST(status.status == 200);
     BOOST_TEST(!status.body.contains("revision"));
     cluster.start((last + 1) % 3);
     bool served = false;
     for (int round = 0; round < 10 && !served; ++round)
-        served = client.follow(0, 100).ok();
+        served = client.poll(0, 100).ok();
     BOOST_TEST(served);
 }
 
-BOOST_AUTO_TEST_CASE(clientFollowsTheLeadersOfAllGroupsThroughAStop)
+// Guards against a client that keeps calling a stopped leader or assumes one leader for all groups.
+BOOST_AUTO_TEST_CASE(clientReachesTheLeadersOfAllGroupsAfterAStop)
 {
     ControlCluster cluster(3);
     Client client(cluster, cluster.peerAddresses());
@@ -172,12 +178,13 @@
         const auto outcome = client.append(group, concat("file-2-", group));
         BOOST_TEST(outcome.ok(), (outcome.ok() ? "" : describe(outcome.failure())));
     }
-    BOOST_TEST(client.follow(0, 0).ok());
+    BOOST_TEST(client.poll(0, 0).ok());
     const auto unknown = client.append("batch-7", "file");
     BOOST_REQUIRE(!unknown.ok());
     BOOST_TEST(name(unknown.failure().code) == name(ErrorCode::NotFound));
 }
 
+// Guards against serving a process that does not have the cluster secret.
 BOOST_AUTO_TEST_CASE(processWithAnotherSecretIsRefused)
 {
     ControlCluster cluster(1);
--- a/tests/control/controlsettings_test.cpp
+++ b/tests/control/controlsettings_test.cpp
@@ -43,7 +43,9 @@
 
 BOOST_AUTO_TEST_SUITE(ControlSettingsTest)
 
-BOOST_AUTO_TEST_CASE(contradictionsNameTheKey)
+// Guards against starting with settings that contradict each other, which the schema cannot detect,
+// and against error messages that do not name the setting.
+BOOST_AUTO_TEST_CASE(contradictorySettingsAreRefusedAndNamed)
 {
     BOOST_TEST(refusalOf(validSettings()) == "");
     Json settings = validSettings();
@@ -63,7 +65,8 @@
     BOOST_TEST(mentions(refusalOf(settings), "electionTimeoutMs"));
 }
 
-BOOST_AUTO_TEST_CASE(missingSecretFileIsTyped)
+// Guards against starting with an empty secret when the secret file cannot be read.
+BOOST_AUTO_TEST_CASE(missingSecretFileFailsWithInvalidSetting)
 {
     Json settings = validSettings();
     settings.erase("clusterSecret");
@@ -75,7 +78,8 @@
     BOOST_TEST(mentions(outcome.failure().detail, "no-such-file"));
 }
 
-// Guards against a time that a caller chose, which could expire the leases of others.
+// Guards against accepting the time in a caller's command, with which a caller could expire the
+// leases of other callers.
 BOOST_AUTO_TEST_CASE(stampReplacesTheSendersTime)
 {
     wire::BatchCommand command;
--- a/tests/control/directoryfixture.cpp
+++ b/tests/control/directoryfixture.cpp
@@ -11,17 +11,17 @@
 constexpr absl::Duration step = absl::Milliseconds(100);
 
 Result<std::unique_ptr<replication::RaftNode>>
-openStub(const replication::RaftNodeOptions &options,
-         std::unique_ptr<replication::StateMachine> machine, replication::RaftTransport &,
-         const Clock &)
+startStub(const replication::RaftNodeOptions &options,
+          std::unique_ptr<replication::StateMachine> machine, replication::RaftTransport &,
+          const Clock &)
 {
-    auto group = std::make_unique<StubGroup>(std::move(machine));
-    group->now.group = options.group;
-    group->now.leader = options.self;
+    auto group = std::make_unique<StubRaftNode>(std::move(machine));
+    group->currentStatus.group = options.group;
+    group->currentStatus.leader = options.self;
     return std::unique_ptr<replication::RaftNode>(std::move(group));
 }
 
-ControlSettings settingsOfOne()
+ControlSettings testSettings()
 {
     ControlSettings settings;
     settings.instance = "control-1";
@@ -33,17 +33,17 @@
 } // namespace
 
 DirectoryFixture::DirectoryFixture()
-    : settings(settingsOfOne())
-    , groups(settings, channels, clock, openStub)
+    : settings(testSettings())
+    , groups(settings, channels, clock, startStub)
 {
     BOOST_REQUIRE(outcomeOf([&] { return groups.open(); }).ok());
-    follow = std::make_shared<FollowService>(groups.directory(), timers, clock);
-    source = std::make_unique<LocalPollSource>(follow);
-    view = std::make_unique<directory::DirectorySubscriber>(directory::SubscriberOptions{}, *source,
-                                                            timers, clock);
+    pollService = std::make_shared<PollChangesService>(groups.directory(), timers, clock);
+    pollClient = std::make_unique<LocalPollClient>(pollService);
+    view = std::make_unique<directory::DirectorySubscriber>(directory::SubscriberOptions{},
+                                                            *pollClient, timers, clock);
     members = std::make_shared<MemberWatch>(settings, groups, *view, timers, clock);
     partitions = std::make_shared<PartitionClock>(settings, groups, timers, clock);
-    follow->start();
+    pollService->start();
 }
 
 DirectoryFixture::~DirectoryFixture()
@@ -51,7 +51,7 @@
     members->stop();
     partitions->stop();
     view->stop();
-    follow->stop();
+    pollService->stop();
 }
 
 std::uint64_t DirectoryFixture::putConfig(const std::string &name)
@@ -72,11 +72,11 @@
                                                                             std::int64_t waitMs)
 {
     auto answer = std::make_shared<std::optional<Outcome<std::string>>>();
-    follow->poll(wire::PollChangesRequest{"entry-1", after, waitMs},
-                 [answer](const Outcome<std::string> &outcome) {
-                     BOOST_REQUIRE(!answer->has_value());
-                     *answer = outcome;
-                 });
+    pollService->poll(wire::PollChangesRequest{"entry-1", after, waitMs},
+                      [answer](const Outcome<std::string> &outcome) {
+                          BOOST_REQUIRE(!answer->has_value());
+                          *answer = outcome;
+                      });
     return answer;
 }
 
--- a/tests/control/directoryfixture.h
+++ b/tests/control/directoryfixture.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "followservice.h"
 #include "grouphost.h"
-#include "localpollsource.h"
+#include "localpollclient.h"
 #include "memberwatch.h"
 #include "partitionclock.h"
-#include "stubgroup.h"
+#include "pollchangesservice.h"
+#include "stubraftnode.h"
 
 #include "rattanrill/directory/directorysubscriber.h"
 
@@ -15,21 +15,22 @@
 
 namespace rattanrill::control {
 
-/// One control instance's parts around stand-in groups, in virtual time.
+/// The components of a control instance on stub groups and virtual time.
 struct DirectoryFixture
 {
     DirectoryFixture();
     ~DirectoryFixture();
 
-    StubGroup &directory() { return static_cast<StubGroup &>(groups.directory()); }
-    /// Writes a configuration value; returns the directory's revision.
+    StubRaftNode &directory() { return static_cast<StubRaftNode &>(groups.directory()); }
+    /// Writes a configuration value and returns the resulting directory revision.
     std::uint64_t putConfig(const std::string &name);
-    /// Long poll; empty while it waits.
+    /// Starts a long poll. The returned answer is empty while the poll waits.
     std::shared_ptr<std::optional<Outcome<std::string>>> poll(std::uint64_t after,
                                                               std::int64_t waitMs);
     Outcome<std::string> heartbeat(const std::string &instance, const std::string &incarnation,
                                    bool leaving = false, std::uint64_t revision = 0);
-    /// Advances in steps, with a heartbeat of each of \a instances (incarnation "1") in each.
+    /// Advances the time in steps of 100 ms and sends a heartbeat of each of \a instances, with
+    /// incarnation "1", in each step.
     void advance(absl::Duration time, const std::vector<std::string> &instances = {});
     bool hasMember(const std::string &instance);
 
@@ -38,8 +39,8 @@
     ControlSettings settings;
     peer::ChannelPool channels{peer::TransportOptions{}};
     GroupHost groups;
-    std::shared_ptr<FollowService> follow;
-    std::unique_ptr<LocalPollSource> source;
+    std::shared_ptr<PollChangesService> pollService;
+    std::unique_ptr<LocalPollClient> pollClient;
     std::unique_ptr<directory::DirectorySubscriber> view;
     std::shared_ptr<MemberWatch> members;
     std::shared_ptr<PartitionClock> partitions;
--- a/tests/control/followservice_test.cpp
+++ b/tests/control/pollchangesservice_test.cpp
@@ -20,9 +20,10 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(FollowServiceTest, DirectoryFixture)
+BOOST_FIXTURE_TEST_SUITE(PollChangesServiceTest, DirectoryFixture)
 
-BOOST_AUTO_TEST_CASE(changesAreAnsweredAtOnce)
+// Guards against delaying changes that already exist when the poll arrives.
+BOOST_AUTO_TEST_CASE(existingChangesAreAnsweredImmediately)
 {
     const std::uint64_t revision = putConfig("a");
     const auto answer = poll(revision - 1, 1000);
@@ -30,6 +31,8 @@
     BOOST_TEST(revisionOf(**answer) == revision);
 }
 
+// Guards against a waiting poll that is answered only at its deadline although a change was
+// applied.
 BOOST_AUTO_TEST_CASE(waitingPollIsAnsweredByTheNextChange)
 {
     const std::uint64_t revision = putConfig("a");
@@ -40,6 +43,8 @@
     BOOST_TEST(revisionOf(**answer) == revision + 1);
 }
 
+// Guards against an answer at the deadline that proves freshness only as of the arrival of the
+// poll.
 BOOST_AUTO_TEST_CASE(pollWithoutChangeIsConfirmedAgainBeforeItsAnswer)
 {
     const std::uint64_t revision = putConfig("a");
@@ -53,9 +58,9 @@
     BOOST_TEST(directory().confirmations == before + 1);
 }
 
-// Guards against a replica that is cut off from the leader and still proves freshness: a withdrawn
-// key would stay usable at its entries.
-BOOST_AUTO_TEST_CASE(replicaThatIsCutOffProvesNoFreshness)
+// Guards against a replica without a quorum that still proves freshness: a withdrawn key would stay
+// usable at the entries that poll it.
+BOOST_AUTO_TEST_CASE(replicaWithoutQuorumProvesNoFreshness)
 {
     const std::uint64_t revision = putConfig("a");
     const auto waiting = poll(revision, 400);
@@ -64,20 +69,20 @@
     BOOST_REQUIRE(waiting->has_value());
     BOOST_REQUIRE(!(*waiting)->ok());
     BOOST_TEST(name((*waiting)->failure().code) == name(ErrorCode::NoQuorum));
-    // Also when there are changes that this replica knows.
+    // The poll also fails when the replica has changes to report.
     const auto behind = poll(revision - 1, 400);
     BOOST_REQUIRE(behind->has_value());
     BOOST_TEST(!(*behind)->ok());
 }
 
-// Guards against a change that is applied after a poll's query and before the poll waits, and that
-// the poll then sleeps through.
+// Guards against a change that is applied after the query of a poll but before the poll is
+// enqueued: the poll would wait until its deadline.
 BOOST_AUTO_TEST_CASE(changeBetweenConfirmationAndWaitIsNotMissed)
 {
     const std::uint64_t revision = putConfig("a");
-    StubGroup &group = directory();
-    // The listener runs as if the change had been applied while the answer was on its way.
-    group.beforeAnswer = [&] { group.listener(group.now.appliedIndex); };
+    StubRaftNode &group = directory();
+    // Calls the listener as if a change were applied between the query and its answer.
+    group.beforeResponse = [&] { group.appliedListener(group.currentStatus.appliedIndex); };
     const auto answer = poll(revision, 400);
     BOOST_TEST(!answer->has_value());
     BOOST_TEST(group.confirmations >= 2);
@@ -85,6 +90,7 @@
     BOOST_TEST(answer->has_value());
 }
 
+// Guards against one round of quorum messages for each of many polls that wait for the same change.
 BOOST_AUTO_TEST_CASE(pollsFromTheSameRevisionShareOneConfirmation)
 {
     const std::uint64_t revision = putConfig("a");
@@ -95,7 +101,8 @@
     BOOST_TEST(directory().confirmations == before + 1);
 }
 
-BOOST_AUTO_TEST_CASE(followerAheadOfTheDirectoryIsRefused)
+// Guards against proving freshness to a poller whose revision is newer than the directory.
+BOOST_AUTO_TEST_CASE(pollAheadOfTheDirectoryIsRefused)
 {
     putConfig("a");
     const auto answer = poll(100, 400);
@@ -104,10 +111,11 @@
     BOOST_TEST(name((*answer)->failure().code) == name(ErrorCode::StaleRevision));
 }
 
+// Guards against polls that are never answered because the service stopped.
 BOOST_AUTO_TEST_CASE(stopFailsWaitingPolls)
 {
     const auto answer = poll(putConfig("a"), 400);
-    follow->stop();
+    pollService->stop();
     BOOST_REQUIRE(answer->has_value());
     BOOST_TEST(name((*answer)->failure().code) == name(ErrorCode::Stopped));
 }
--- a/tests/control/stubgroup.cpp
+++ b/tests/control/stubraftnode.cpp
@@ -1,11 +1,11 @@
-#include "stubgroup.h"
+#include "stubraftnode.h"
 
 #include "rattanrill/wire/codec.h"
 #include "rattanrill/wire/envelope.h"
 
 namespace rattanrill::control {
 
-Outcome<std::string> StubGroup::unpacked(const std::string &commandResult)
+Outcome<std::string> StubRaftNode::unwrap(const std::string &commandResult)
 {
     const auto result = outcomeOf([&] { return wire::decode<wire::CommandResult>(commandResult); });
     if (!result.ok())
--- a/tests/control/stubgroup.h
+++ b/tests/control/stubraftnode.h
@@ -10,25 +10,26 @@
 
 namespace rattanrill::control {
 
-/// Group of one replica whose role, term and quorum a test sets; answers on the caller's thread.
-class StubGroup : public replication::RaftNode
+/// RaftNode of a group with one replica. Tests set its role, term and quorum; it answers on the
+/// caller's thread.
+class StubRaftNode : public replication::RaftNode
 {
 public:
-    explicit StubGroup(std::unique_ptr<replication::StateMachine> stateMachine)
+    explicit StubRaftNode(std::unique_ptr<replication::StateMachine> stateMachine)
         : machine(std::move(stateMachine))
     {
-        now.role = replication::Role::Leader;
-        now.term = 1;
+        currentStatus.role = replication::Role::Leader;
+        currentStatus.term = 1;
     }
 
     void propose(std::string command, Callback callback) override
     {
         proposed.push_back(command);
-        if (now.role != replication::Role::Leader)
-            return callback(notRun(ErrorCode::NotLeader, now.leader));
-        callback(unpacked(machine->apply(++now.appliedIndex, command)));
-        if (listener)
-            listener(now.appliedIndex);
+        if (currentStatus.role != replication::Role::Leader)
+            return callback(notRun(ErrorCode::NotLeader, currentStatus.leader));
+        callback(unwrap(machine->apply(++currentStatus.appliedIndex, command)));
+        if (appliedListener)
+            appliedListener(currentStatus.appliedIndex);
     }
     void read(std::string query, Callback callback) override
     {
@@ -37,17 +38,17 @@
     void linearizableRead(std::string query, Callback callback) override
     {
         ++confirmations;
-        if (beforeAnswer)
-            std::exchange(beforeAnswer, nullptr)();
+        if (beforeResponse)
+            std::exchange(beforeResponse, nullptr)();
         if (!hasQuorum)
             return callback(notRun(ErrorCode::NotLeader, ""));
-        callback(unpacked(machine->query(query)));
+        callback(unwrap(machine->query(query)));
     }
     void receive(const replication::ReplicaId &, std::string) override {}
-    replication::RaftNodeStatus status() const override { return now; }
+    replication::RaftNodeStatus status() const override { return currentStatus; }
     void onApplied(std::function<void(std::uint64_t)> newListener) override
     {
-        listener = std::move(newListener);
+        appliedListener = std::move(newListener);
     }
     void addReplica(const replication::ReplicaId &, const replication::ReplicaId &,
                     Callback) override
@@ -57,16 +58,17 @@
     void stop() override {}
 
     std::unique_ptr<replication::StateMachine> machine;
-    replication::RaftNodeStatus now;
+    replication::RaftNodeStatus currentStatus;
     bool hasQuorum = true;
     int confirmations = 0;
     std::vector<std::string> proposed;
-    std::function<void(std::uint64_t)> listener;
-    /// Runs once, after a query was taken and before it is answered with the state of then.
-    std::function<void()> beforeAnswer;
+    std::function<void(std::uint64_t)> appliedListener;
+    /// Called once, after a query was received and before it is answered. The answer has the state
+    /// after the call.
+    std::function<void()> beforeResponse;
 
 private:
-    static Outcome<std::string> unpacked(const std::string &commandResult);
+    static Outcome<std::string> unwrap(const std::string &commandResult);
 };
 
 } // namespace rattanrill::control
