--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -80,9 +80,10 @@
 {
     Failure failure;
     failure.code = errorCodeFromName(message.code).value_or(ErrorCode::Internal);
-    // An unknown word must not become a false "not run".
-    const bool notRunWord = message.run == name(EffectState::NotRun);
-    failure.run = notRunWord ? EffectState::NotRun : EffectState::MayHaveRun;
+    // An unknown name counts as MayHaveRun: a false NotRun would let the caller send the request
+    // a second time.
+    const bool isNotRun = message.run == name(EffectState::NotRun);
+    failure.run = isNotRun ? EffectState::NotRun : EffectState::MayHaveRun;
     failure.detail = message.detail;
     return failure;
 }
--- a/src/wire/messagedefinition.h
+++ b/src/wire/messagedefinition.h
@@ -10,7 +10,8 @@
 #include <stdexcept>
 #include <variant>
 
-/// Templates behind codec.h; each source file of this library instantiates them for its messages.
+/// Definitions of the templates that codec.h declares. Each source file of this library
+/// instantiates them for its own messages.
 namespace rattanrill::wire {
 
 template <typename Message>
@@ -46,7 +47,8 @@
     }
 }
 
-/// Failure that the JSON library's own conversion functions understand.
+/// Throws the exception type of the JSON library, which decode() and fromJsonText() convert to a
+/// Failure. 302 is the library's number for a conversion from an unsuitable JSON value.
 [[noreturn]] inline void throwConversionError(const std::string &text, const Json &json)
 {
     throw Json::type_error::create(302, text, &json);
@@ -71,7 +73,7 @@
 
 namespace nlohmann {
 
-/// A variant is {"kind": name of the alternative, "value": {...}}.
+/// A variant is encoded as {"kind": name of the alternative, "value": {...}}.
 template <typename... Alternatives>
 struct adl_serializer<std::variant<Alternatives...>>
 {
@@ -93,11 +95,11 @@
 
 } // namespace nlohmann
 
-/// Conversions of a struct by its members.
+/// Defines the JSON conversions of a struct from the list of its members.
 #define RATTANRILL_WIRE_FIELDS(Type, ...) \
     NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(Type, __VA_ARGS__)
 
-/// Conversions of a struct without members.
+/// Defines the JSON conversions of a struct without members.
 #define RATTANRILL_WIRE_EMPTY(Type) \
     void to_json(Json &json, const Type &) \
     { \
@@ -105,7 +107,7 @@
     } \
     void from_json(const Json &, Type &) {}
 
-/// Conversions of an enum by its name table.
+/// Defines the JSON conversions of an enum from its table of names.
 #define RATTANRILL_WIRE_ENUM(Type, table) \
     void to_json(Json &json, Type value) \
     { \
@@ -119,7 +121,7 @@
         value = *known; \
     }
 
-/// Instantiates the codec for a message.
+/// Instantiates the templates of codec.h for a message.
 #define RATTANRILL_WIRE_MESSAGE(Type) \
     template std::string encode(const Type &); \
     template Result<Type> decode(std::string_view); \
