--- a/src/peer/channelcore.cpp
+++ b/src/peer/channelcore.cpp
@@ -17,8 +17,11 @@
 namespace {
 
 constexpr absl::Duration firstBackoff = absl::Milliseconds(20);
+/// The connection counts as lost when nothing was received in more than this many keep-alive
+/// periods.
 constexpr int maxSilentPeriods = 3;
-/// Pushes that wait for a connection that is being made; older ones have lost their use by then.
+/// Maximum number of pushes that are queued while a connection is being established. When there are
+/// more, the oldest are dropped, because they are out of date by the time the connection is ready.
 constexpr std::size_t maxWaitingPushes = 64;
 
 std::chrono::nanoseconds toChrono(absl::Duration duration)
@@ -49,17 +52,18 @@
     std::string frame = wire::encode(envelope);
     const std::size_t bytes = frame.size();
     if (bytes > m_options.maxMessageBytes)
-        return refuse(std::move(reply), notRun(ErrorCode::MessageTooLarge,
-                                               concat(bytes, " bytes to ", m_address, ", limit ",
-                                                      m_options.maxMessageBytes)));
+        return rejectCall(std::move(reply),
+                          notRun(ErrorCode::MessageTooLarge,
+                                 concat(bytes, " bytes to ", m_address, " exceed the limit of ",
+                                        m_options.maxMessageBytes)));
     const auto start = [self = shared_from_this(), id = envelope.id, frame = std::move(frame),
                         timeout, reply]() mutable {
         self->releasePosted(frame.size());
         self->startCall(id, std::move(frame), timeout, std::move(reply));
     };
     if (!post(bytes, start))
-        refuse(std::move(reply),
-               notRun(ErrorCode::QueueFull, concat("send queue to ", m_address, " is full")));
+        rejectCall(std::move(reply),
+                   notRun(ErrorCode::QueueFull, concat("send queue to ", m_address, " is full")));
 }
 
 void ChannelCore::sendOneWay(wire::Method method, std::string body)
@@ -98,8 +102,8 @@
         closed.WaitForNotification();
 }
 
-/// Posts \a task unless the queue is full. Nothing is posted after close() has begun, so that no
-/// reply can run after it returned.
+/// Posts \a task to the network thread unless the queue is full. Nothing is posted after close()
+/// has begun, so that no reply runs after close() has returned.
 bool ChannelCore::post(std::size_t bytes, std::function<void()> task)
 {
     absl::MutexLock lock(&m_mutex);
@@ -110,8 +114,9 @@
     return true;
 }
 
-/// Replies on the network thread, or here when the channel is closed.
-void ChannelCore::refuse(ResponseCallback reply, Failure failure)
+/// Replies with \a failure on the network thread. If the channel is closed, replies with Stopped on
+/// the calling thread.
+void ChannelCore::rejectCall(ResponseCallback reply, Failure failure)
 {
     {
         absl::MutexLock lock(&m_mutex);
@@ -137,7 +142,7 @@
         return reply(notRun(ErrorCode::Stopped, concat("channel to ", m_address, " is closed")));
     if (m_state == State::Backoff)
         return reply(notRun(m_lastFailure.code, m_lastFailure.detail));
-    if (!queueHasRoom(frame.size()))
+    if (!fitsInQueue(frame.size()))
         return reply(notRun(ErrorCode::QueueFull, concat("send queue to ", m_address, " is full")));
     Call &call = m_calls[id];
     call.reply = std::move(reply);
@@ -160,11 +165,12 @@
 {
     if (m_state == State::Idle)
         connect();
-    if (m_state == State::Ready && queueHasRoom(frame.size()))
+    if (m_state == State::Ready && fitsInQueue(frame.size()))
         sendFrame(frame);
-    if (m_state != State::Connecting || !queueHasRoom(frame.size()))
+    if (m_state != State::Connecting || !fitsInQueue(frame.size()))
         return;
-    // The first message to a process that has just started is often the one that elects a leader.
+    // Pushes are queued while connecting, because the first message to a process that has just
+    // started is often the one that elects a leader.
     m_waitingBytes += frame.size();
     m_waitingPushes.push_back(frame);
     if (m_waitingPushes.size() > maxWaitingPushes) {
@@ -176,11 +182,13 @@
 void ChannelCore::sendCall(std::uint64_t id)
 {
     Call &call = m_calls.at(id);
-    // A failed send may still have handed bytes over, so the call counts as sent before it.
+    // A failed send may still have passed bytes to the socket, so the call is marked as sent before
+    // the attempt.
     call.sent = true;
     const std::string frame = std::exchange(call.frame, std::string());
     if (!sendFrame(frame))
-        lose(notRun(ErrorCode::ConnectionLost, concat("sending to ", m_address, " failed")));
+        failConnection(
+                notRun(ErrorCode::ConnectionLost, concat("sending to ", m_address, " failed")));
 }
 
 void ChannelCore::expire(std::uint64_t id)
@@ -188,7 +196,7 @@
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
         return;
-    const std::string detail = concat("no answer from ", m_address);
+    const std::string detail = concat("no response from ", m_address);
     const bool sent = found->second.sent;
     finish(id, sent ? mayHaveRun(ErrorCode::Timeout, detail) : notRun(ErrorCode::Timeout, detail));
 }
@@ -206,7 +214,7 @@
     call.reply(outcome);
 }
 
-bool ChannelCore::queueHasRoom(std::size_t bytes) const
+bool ChannelCore::fitsInQueue(std::size_t bytes) const
 {
     const std::size_t buffered = m_connection ? m_connection->get_buffered_amount() : 0;
     return buffered + m_waitingBytes + bytes <= m_options.maxQueuedBytes;
@@ -225,8 +233,9 @@
     m_connection = m_network.endpoint().get_connection(concat("ws://", m_address, "/"), error);
     if (error) {
         m_connection.reset();
-        return lose(notRun(ErrorCode::ConnectionLost,
-                           concat("\"", m_address, "\" is not an address: ", error.message())));
+        return failConnection(
+                notRun(ErrorCode::ConnectionLost,
+                       concat("\"", m_address, "\" is not a valid address: ", error.message())));
     }
     m_hello.emplace(m_options.self, m_options.clusterSecret);
     m_connection->set_max_message_size(maxHelloBytes);
@@ -249,10 +258,10 @@
     const auto lost = [weak, epoch](const websocketpp::connection_hdl &) {
         const auto self = weak.lock();
         if (self && epoch == self->m_epoch && self->m_connection)
-            self->lose(notRun(ErrorCode::ConnectionLost,
-                              concat("connection to ", self->m_address,
-                                     " lost: ", self->m_connection->get_ec().message(), " ",
-                                     self->m_connection->get_remote_close_reason())));
+            self->failConnection(notRun(ErrorCode::ConnectionLost,
+                                        concat("connection to ", self->m_address, " lost: ",
+                                               self->m_connection->get_ec().message(), " ",
+                                               self->m_connection->get_remote_close_reason())));
     };
     m_connection->set_fail_handler(lost);
     m_connection->set_close_handler(lost);
@@ -273,11 +282,9 @@
 void ChannelCore::connectExpired()
 {
     if (m_state == State::Connecting)
-        lose(notRun(ErrorCode::ConnectionLost,
-                    concat("connecting to ", m_address,
-                           " took longer "
-                           "than ",
-                           absl::FormatDuration(m_options.connectTimeout))));
+        failConnection(notRun(ErrorCode::ConnectionLost,
+                              concat("connecting to ", m_address, " took longer than ",
+                                     absl::FormatDuration(m_options.connectTimeout))));
 }
 
 void ChannelCore::opened(std::uint64_t epoch)
@@ -296,7 +303,7 @@
     m_silentPeriods = 0;
     auto envelope = outcomeOf([&] { return wire::decode<wire::Envelope>(frame); });
     if (!envelope.ok())
-        return lose(envelope.failure());
+        return failConnection(envelope.failure());
     if (m_state == State::Connecting)
         return receivedHello(envelope.value());
     if (envelope.value().kind != wire::EnvelopeKind::Response)
@@ -309,18 +316,18 @@
 
 void ChannelCore::receivedHello(const wire::Envelope &envelope)
 {
-    const auto answer = outcomeOf([&] { return m_hello->receive(envelope); });
-    if (!answer.ok()) {
+    const auto nextFrame = outcomeOf([&] { return m_hello->receive(envelope); });
+    if (!nextFrame.ok()) {
         log(LogLevel::Warning, "peer-refused",
             {{"peer", m_address},
-             {"code", name(answer.failure().code)},
-             {"detail", answer.failure().detail}});
-        sendFrame(refusalFrame(answer.failure()));
+             {"code", name(nextFrame.failure().code)},
+             {"detail", nextFrame.failure().detail}});
+        sendFrame(refusalFrame(nextFrame.failure()));
         closeAfterRefusal();
-        return lose(notRun(answer.failure().code, answer.failure().detail));
+        return failConnection(notRun(nextFrame.failure().code, nextFrame.failure().detail));
     }
-    if (!answer.value().empty())
-        sendFrame(answer.value());
+    if (!nextFrame.value().empty())
+        sendFrame(nextFrame.value());
     if (m_hello->done())
         ready();
 }
@@ -352,13 +359,15 @@
     if (m_state != State::Ready)
         return;
     if (++m_silentPeriods > maxSilentPeriods)
-        return lose(notRun(ErrorCode::ConnectionLost, concat(m_address, " is silent")));
+        return failConnection(
+                notRun(ErrorCode::ConnectionLost,
+                       concat(m_address, " has sent nothing for several keep-alive periods")));
     websocketpp::lib::error_code ignored;
     m_connection->ping("", ignored);
     armTimer(m_keepAliveTimer, m_options.keepAlivePeriod, &ChannelCore::keepAlive);
 }
 
-/// Closes by the websocket handshake, so that the refusal still reaches the other side.
+/// Closes with the WebSocket closing handshake, so that the refusal still reaches the other side.
 void ChannelCore::closeAfterRefusal()
 {
     const Connection connection = std::exchange(m_connection, nullptr);
@@ -366,16 +375,16 @@
     connection->close(websocketpp::close::status::policy_violation, "refused", ignored);
 }
 
-/// Gives the connection up, fails all open calls and schedules the next attempt.
-void ChannelCore::lose(const Failure &failure)
+/// Drops the connection, fails all open calls and schedules the next attempt to connect.
+void ChannelCore::failConnection(const Failure &failure)
 {
     if (m_state == State::Closed)
         return;
     dropConnection();
     m_state = State::Backoff;
     m_lastFailure = failure;
-    // Spread over half the backoff, so that the channels of a restarted process do not come at
-    // once.
+    // The delay is random between half the backoff and the whole backoff, so that not all channels
+    // to a restarted process reconnect at the same time.
     const double spread = static_cast<double>(m_network.random() % 1000) / 1000;
     armTimer(m_backoffTimer, m_backoff * (0.5 + spread / 2), &ChannelCore::connect);
     m_backoff = std::min(m_backoff * 2, m_options.maxBackoff);
@@ -408,7 +417,7 @@
     if (!connection)
         return;
     connection->terminate(websocketpp::lib::error_code());
-    // While the connection is still being established terminate() leaves the socket open.
+    // terminate() leaves the socket open while the connection is still being established.
     boost::system::error_code ignored;
     connection->get_raw_socket().close(ignored);
 }
--- a/src/peer/channelcore.h
+++ b/src/peer/channelcore.h
@@ -17,7 +17,8 @@
 
 namespace rattanrill::peer {
 
-/// State of a Channel. Everything but what m_mutex guards belongs to the network thread.
+/// Implementation of a Channel. Members that are neither constant, atomic nor guarded by m_mutex
+/// are accessed on the network thread only.
 class ChannelCore : public std::enable_shared_from_this<ChannelCore>
 {
 public:
@@ -51,7 +52,7 @@
     };
 
     bool post(std::size_t bytes, std::function<void()> task);
-    void refuse(ResponseCallback reply, Failure failure);
+    void rejectCall(ResponseCallback reply, Failure failure);
     void releasePosted(std::size_t bytes);
     void startCall(std::uint64_t id, std::string frame, absl::Duration timeout,
                    ResponseCallback reply);
@@ -59,7 +60,7 @@
     void sendCall(std::uint64_t id);
     void expire(std::uint64_t id);
     void finish(std::uint64_t id, const Outcome<std::string> &outcome);
-    bool queueHasRoom(std::size_t bytes) const;
+    bool fitsInQueue(std::size_t bytes) const;
     bool sendFrame(const std::string &frame);
 
     void connect();
@@ -71,7 +72,7 @@
     void ready();
     void keepAlive();
     void closeAfterRefusal();
-    void lose(const Failure &failure);
+    void failConnection(const Failure &failure);
     void failCalls(const Failure &failure);
     void dropConnection();
     void closeNow();
@@ -83,17 +84,17 @@
     std::atomic<bool> m_connected{false};
 
     absl::Mutex m_mutex;
-    /// Bytes posted to the network thread that it has not taken yet.
+    /// Bytes of frames posted to the network thread that it has not processed yet.
     std::size_t m_postedBytes ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_closing ABSL_GUARDED_BY(m_mutex) = false;
 
     State m_state = State::Idle;
     Connection m_connection;
-    /// Counts connections, so that a late event of an earlier one is recognized.
+    /// Number of the current connection. It is used to ignore late events of an earlier connection.
     std::uint64_t m_epoch = 0;
     std::optional<ClientHello> m_hello;
     std::map<std::uint64_t, Call> m_calls;
-    /// Frames of calls and pushes that wait for the connection, in bytes.
+    /// Total size of the frames of calls and pushes that wait for the connection, in bytes.
     std::size_t m_waitingBytes = 0;
     std::deque<std::string> m_waitingPushes;
     Failure m_lastFailure;
--- a/src/peer/channelpool.cpp
+++ b/src/peer/channelpool.cpp
@@ -38,7 +38,7 @@
             return channel;
         }
     }
-    // A channel of a closed pool answers Stopped.
+    // Calls on a channel of a closed pool fail with Stopped.
     auto channel = std::make_shared<Channel>(m_impl->options, address);
     channel->close();
     return channel;
--- a/src/peer/clienthello.cpp
+++ b/src/peer/clienthello.cpp
@@ -9,12 +9,12 @@
 
 ClientHello::ClientHello(const PeerIdentity &self, const std::string &clusterSecret)
     : m_clusterSecret(clusterSecret)
-    , m_own(makeHello(self))
+    , m_ownHello(makeHello(self))
 {}
 
 std::string ClientHello::opening() const
 {
-    return helloFrame(m_own);
+    return helloFrame(m_ownHello);
 }
 
 Result<std::string> ClientHello::receive(const wire::Envelope &envelope)
@@ -29,14 +29,15 @@
 Result<std::string> ClientHello::prove(const wire::HelloMessage &challenge)
 {
     const std::string expected =
-            helloProof(m_clusterSecret, HelloSide::Server, m_own.nonce, challenge);
+            helloProof(m_clusterSecret, HelloSide::Server, m_ownHello.nonce, challenge);
     if (!constantTimeEquals(expected, challenge.proof))
-        return fail(notRun(ErrorCode::AuthenticationFailed,
-                           concat("instance \"", challenge.instance,
-                                  "\" did not prove the cluster secret to its client")));
-    m_own.proof = helloProof(m_clusterSecret, HelloSide::Client, challenge.nonce, m_own);
+        return fail(
+                notRun(ErrorCode::AuthenticationFailed,
+                       concat("instance \"", challenge.instance,
+                              "\" did not prove to the client that it has the cluster secret")));
+    m_ownHello.proof = helloProof(m_clusterSecret, HelloSide::Client, challenge.nonce, m_ownHello);
     m_state = State::AwaitingAcceptance;
-    return helloFrame(m_own);
+    return helloFrame(m_ownHello);
 }
 
 } // namespace rattanrill::peer
--- a/src/peer/clienthello.h
+++ b/src/peer/clienthello.h
@@ -12,10 +12,11 @@
 public:
     ClientHello(const PeerIdentity &self, const std::string &clusterSecret);
 
-    /// First frame, with the own nonce.
+    /// First frame to send. It contains the nonce of this process.
     std::string opening() const;
-    /// Takes the next hello envelope and returns the frame to send, which is empty at the end.
-    /// Fails with AuthenticationFailed, UnsupportedVersion or MalformedMessage.
+    /// Processes the next hello envelope and returns the frame to send, which is empty when the
+    /// exchange is complete. Fails with AuthenticationFailed, UnsupportedVersion or
+    /// MalformedMessage.
     Result<std::string> receive(const wire::Envelope &envelope);
     bool done() const { return m_state == State::Done; }
 
@@ -29,7 +30,7 @@
     Result<std::string> prove(const wire::HelloMessage &challenge);
 
     const std::string m_clusterSecret;
-    wire::HelloMessage m_own;
+    wire::HelloMessage m_ownHello;
     State m_state = State::AwaitingChallenge;
 };
 
--- a/src/peer/helloproof.cpp
+++ b/src/peer/helloproof.cpp
@@ -14,20 +14,23 @@
     if (version == wire::protocolVersion)
         return {};
     return fail(notRun(ErrorCode::UnsupportedVersion,
-                       concat("protocol version ", version, " of the other side, expected ",
+                       concat("protocol version ", version,
+                              " of the other side is not supported, expected ",
                               wire::protocolVersion)));
 }
 
 } // namespace
 
 std::string helloProof(const std::string &clusterSecret, HelloSide side,
-                       const std::string &otherNonce, const wire::HelloMessage &own)
+                       const std::string &receiverNonce, const wire::HelloMessage &senderHello)
 {
-    const std::string_view sideWord = side == HelloSide::Client ? "client" : "server";
-    // Each part is hashed by itself, so that no two lists of parts give the same text.
+    const std::string_view sideName = side == HelloSide::Client ? "client" : "server";
+    // Each part is hashed separately, so that two different lists of parts never give the same
+    // text.
     const std::string text =
-            concat(sideWord, sha256Hex(otherNonce), sha256Hex(own.nonce), sha256Hex(own.instance),
-                   sha256Hex(own.failureDomain), sha256Hex(own.role));
+            concat(sideName, sha256Hex(receiverNonce), sha256Hex(senderHello.nonce),
+                   sha256Hex(senderHello.instance), sha256Hex(senderHello.failureDomain),
+                   sha256Hex(senderHello.role));
     return hmacSha256Hex(clusterSecret, text);
 }
 
@@ -61,12 +64,14 @@
 
 Result<wire::HelloMessage> helloOf(const wire::Envelope &envelope)
 {
-    // The other side's refusal comes first: it says which version it expects.
+    // A refusal by the other side is returned before the version is checked, because its detail
+    // names the version that the other side expects.
     if (envelope.failure.failed)
         return fail(wire::fromMessage(envelope.failure));
     BOOST_LEAF_CHECK(checkVersion(envelope.version));
     if (envelope.kind != wire::EnvelopeKind::Hello)
-        return fail(notRun(ErrorCode::AuthenticationFailed, "message before the hello exchange"));
+        return fail(notRun(ErrorCode::AuthenticationFailed,
+                           "message received before the hello exchange was complete"));
     BOOST_LEAF_AUTO(message, wire::decode<wire::HelloMessage>(envelope.body));
     BOOST_LEAF_CHECK(checkVersion(message.version));
     return message;
--- a/src/peer/helloproof.h
+++ b/src/peer/helloproof.h
@@ -12,23 +12,24 @@
     Server,
 };
 
-/// HMAC-SHA256 under the cluster secret of the other side's nonce, the own nonce and the own
-/// identity. The side is part of it, so that a proof cannot be reflected to the process that
-/// computed it.
+/// HMAC-SHA256 under the cluster secret of the sender's side, the receiver's nonce, and the
+/// sender's nonce and identity. The side is included so that a proof cannot be reflected to the
+/// process that computed it.
 std::string helloProof(const std::string &clusterSecret, HelloSide side,
-                       const std::string &otherNonce, const wire::HelloMessage &own);
+                       const std::string &receiverNonce, const wire::HelloMessage &senderHello);
 
 /// Hello message with the identity of this process and a fresh nonce, without a proof.
 wire::HelloMessage makeHello(const PeerIdentity &self);
 
-/// Hello envelope as a frame.
+/// Encodes \a message as the frame of a hello envelope.
 std::string helloFrame(const wire::HelloMessage &message);
 
-/// Hello envelope that refuses the connection.
+/// Frame of a hello envelope that refuses the connection with \a failure.
 std::string refusalFrame(const Failure &failure);
 
-/// Message of a hello envelope. Fails with UnsupportedVersion, MalformedMessage, or the failure by
-/// which the other side refused the connection.
+/// Decodes the message of a hello envelope. Fails with UnsupportedVersion, with MalformedMessage,
+/// with AuthenticationFailed for an envelope of another kind, or with the failure by which the
+/// other side refused the connection.
 Result<wire::HelloMessage> helloOf(const wire::Envelope &envelope);
 
 } // namespace rattanrill::peer
--- a/src/peer/networkthread.cpp
+++ b/src/peer/networkthread.cpp
@@ -11,7 +11,7 @@
 }
 
 NetworkThread::NetworkThread()
-    : m_work(m_service)
+    : m_workGuard(m_service)
 {
     m_endpoint.clear_access_channels(websocketpp::log::alevel::all);
     m_endpoint.clear_error_channels(websocketpp::log::elevel::all);
--- a/src/peer/serverconnection.cpp
+++ b/src/peer/serverconnection.cpp
@@ -13,12 +13,12 @@
 namespace rattanrill::peer {
 namespace {
 
-/// Clients send a ping every second, so a connection that is silent for this long has lost its
-/// client.
+/// Clients send a ping every second, so a client from which nothing arrives for this long counts as
+/// lost.
 constexpr absl::Duration idleTimeout = absl::Seconds(10);
 
-/// Answers one request. A handler that drops its reply unanswered must not leave the caller
-/// waiting.
+/// Sends the response to one request. If the handler discards its reply callback without calling
+/// it, the destructor sends a failure, so that the caller does not wait.
 class PendingResponse
 {
 public:
@@ -30,14 +30,15 @@
     {}
     ~PendingResponse()
     {
-        answer(mayHaveRun(ErrorCode::Internal, "the request was dropped without an answer"));
+        send(mayHaveRun(ErrorCode::Internal,
+                        "the handler discarded the request without a response"));
     }
     PendingResponse(const PendingResponse &) = delete;
     PendingResponse &operator=(const PendingResponse &) = delete;
 
-    void answer(const Outcome<std::string> &outcome)
+    void send(const Outcome<std::string> &outcome)
     {
-        if (!m_answered.exchange(true))
+        if (!m_sent.exchange(true))
             m_connection->sendResponse(m_id, m_method, outcome);
     }
 
@@ -45,7 +46,7 @@
     const std::shared_ptr<ServerConnection> m_connection;
     const std::uint64_t m_id;
     const wire::Method m_method;
-    std::atomic<bool> m_answered{false};
+    std::atomic<bool> m_sent{false};
 };
 
 wire::Envelope responseEnvelope(std::uint64_t id, wire::Method method)
@@ -97,7 +98,7 @@
     });
     m_socket->set_ping_handler([weak](const websocketpp::connection_hdl &, const std::string &) {
         if (const auto self = weak.lock())
-            self->m_heard = true;
+            self->m_received = true;
         return true;
     });
     const auto ended = [weak](const websocketpp::connection_hdl &) {
@@ -117,7 +118,7 @@
 
 void ServerConnection::received(const std::string &frame)
 {
-    m_heard = true;
+    m_received = true;
     auto envelope = outcomeOf([&] { return wire::decode<wire::Envelope>(frame); });
     if (!envelope.ok())
         return refuse(envelope.failure());
@@ -128,10 +129,10 @@
 
 void ServerConnection::receivedHello(const wire::Envelope &envelope)
 {
-    const auto answer = outcomeOf([&] { return m_hello.receive(envelope); });
-    if (!answer.ok())
-        return refuse(answer.failure());
-    sendFrame(answer.value());
+    const auto nextFrame = outcomeOf([&] { return m_hello.receive(envelope); });
+    if (!nextFrame.ok())
+        return refuse(nextFrame.failure());
+    sendFrame(nextFrame.value());
     if (!m_hello.done())
         return;
     m_socket->set_max_message_size(m_server->options().maxMessageBytes);
@@ -171,7 +172,7 @@
     const auto response =
             std::make_shared<PendingResponse>(shared_from_this(), envelope.id, envelope.method);
     (*handler)(m_hello.peer(), std::move(envelope.body),
-               [response](const Outcome<std::string> &outcome) { response->answer(outcome); });
+               [response](const Outcome<std::string> &outcome) { response->send(outcome); });
 }
 
 void ServerConnection::sendResponse(std::uint64_t id, wire::Method method,
@@ -179,20 +180,22 @@
 {
     const TransportOptions &options = m_server->options();
     std::string frame = responseFrame(id, method, outcome);
-    // The request itself has run; only its answer is lost.
+    // The request has run; only its response cannot be sent.
     if (frame.size() > options.maxMessageBytes)
-        frame = failureFrame(id, method,
-                             mayHaveRun(ErrorCode::MessageTooLarge,
-                                        concat("answer of ", frame.size(), " bytes, limit ",
-                                               options.maxMessageBytes)));
+        frame = failureFrame(
+                id, method,
+                mayHaveRun(ErrorCode::MessageTooLarge,
+                           concat("response of ", frame.size(), " bytes exceeds the limit of ",
+                                  options.maxMessageBytes)));
     else if (m_socket->get_buffered_amount() + frame.size() > options.maxQueuedBytes)
         frame = failureFrame(id, method,
                              mayHaveRun(ErrorCode::QueueFull,
-                                        concat("queue of answers to ", m_remote, " is full")));
+                                        concat("response queue to ", m_remote, " is full")));
     sendFrame(frame);
 }
 
-/// websocketpp queues under a lock of its own and writes on the network thread.
+/// Can be called from any thread: websocketpp queues the frame under its own lock and writes it on
+/// the network thread.
 void ServerConnection::sendFrame(const std::string &frame)
 {
     m_socket->send(frame, websocketpp::frame::opcode::binary);
@@ -200,7 +203,7 @@
 
 void ServerConnection::armTimer(absl::Duration delay)
 {
-    m_heard = false;
+    m_received = false;
     m_timer.expires_after(absl::ToChronoNanoseconds(delay));
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
@@ -211,20 +214,22 @@
 
 void ServerConnection::expired()
 {
-    if (m_hello.done() && m_heard)
+    if (m_hello.done() && m_received)
         return armTimer(idleTimeout);
     log(LogLevel::Warning, "peer-dropped",
         {{"peer", m_remote},
          {"peerInstance", m_hello.peer().instance},
          {"code", name(ErrorCode::Timeout)},
-         {"detail", m_hello.done() ? "silent connection" : "hello exchange was not completed"}});
+         {"detail", m_hello.done()
+                            ? "nothing received within the idle timeout"
+                            : "hello exchange did not complete within the connect timeout"}});
     drop();
 }
 
 void ServerConnection::ended()
 {
     m_timer.cancel();
-    m_server->forget(this);
+    m_server->removeConnection(this);
 }
 
 } // namespace rattanrill::peer
--- a/src/peer/serverconnection.h
+++ b/src/peer/serverconnection.h
@@ -12,8 +12,8 @@
 
 class ServerCore;
 
-/// One accepted connection: hello exchange, then requests. Runs on the server's network thread;
-/// only sendResponse() is called from other threads.
+/// One accepted connection, which serves requests after the hello exchange. Runs on the server's
+/// network thread; only sendResponse() is called from other threads.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -40,7 +40,8 @@
     WebsocketServer::connection_ptr m_socket;
     ServerHello m_hello;
     std::string m_remote;
-    bool m_heard = false;
+    /// Set when a frame or a ping arrived since the timer was started.
+    bool m_received = false;
     Timer m_timer;
 };
 
--- a/src/peer/servercore.cpp
+++ b/src/peer/servercore.cpp
@@ -73,7 +73,7 @@
     return found == m_handlers.end() ? nullptr : &found->second;
 }
 
-void ServerCore::forget(const ServerConnection *connection)
+void ServerCore::removeConnection(const ServerConnection *connection)
 {
     m_connections.erase(connection);
 }
--- a/src/peer/servercore.h
+++ b/src/peer/servercore.h
@@ -13,7 +13,7 @@
 
 class ServerConnection;
 
-/// State of a Server: its network thread, the listening socket and the open connections.
+/// Implementation of a Server: its network thread, the listening socket and the open connections.
 class ServerCore : public std::enable_shared_from_this<ServerCore>
 {
 public:
@@ -27,10 +27,10 @@
 
     const TransportOptions &options() const { return m_options; }
     boost::asio::io_service &service() { return m_service; }
-    /// Handler of \a method; null when there is none.
+    /// Handler of \a method, or null if none is set.
     const MethodHandler *handlerOf(wire::Method method) const;
-    /// Called by a connection on the network thread when it has ended.
-    void forget(const ServerConnection *connection);
+    /// Removes a connection that has ended. Called by the connection on the network thread.
+    void removeConnection(const ServerConnection *connection);
 
 private:
     void setUpEndpoint();
--- a/src/peer/serverhello.cpp
+++ b/src/peer/serverhello.cpp
@@ -9,7 +9,7 @@
 
 ServerHello::ServerHello(const PeerIdentity &self, const std::string &clusterSecret)
     : m_clusterSecret(clusterSecret)
-    , m_own(makeHello(self))
+    , m_ownHello(makeHello(self))
 {}
 
 Result<std::string> ServerHello::receive(const wire::Envelope &envelope)
@@ -24,21 +24,21 @@
 {
     m_clientNonce = opening.nonce;
     m_peer = PeerIdentity{opening.instance, opening.failureDomain, opening.role};
-    m_own.proof = helloProof(m_clusterSecret, HelloSide::Server, opening.nonce, m_own);
+    m_ownHello.proof = helloProof(m_clusterSecret, HelloSide::Server, opening.nonce, m_ownHello);
     m_state = State::AwaitingProof;
-    return helloFrame(m_own);
+    return helloFrame(m_ownHello);
 }
 
-Result<std::string> ServerHello::accept(const wire::HelloMessage &proved)
+Result<std::string> ServerHello::accept(const wire::HelloMessage &clientHello)
 {
     const std::string expected =
-            helloProof(m_clusterSecret, HelloSide::Client, m_own.nonce, proved);
-    const bool sameNonce = proved.nonce == m_clientNonce;
-    if (!sameNonce || !constantTimeEquals(expected, proved.proof))
-        return fail(notRun(
-                ErrorCode::AuthenticationFailed,
-                concat("instance \"", proved.instance, "\" did not prove the cluster secret")));
-    m_peer = PeerIdentity{proved.instance, proved.failureDomain, proved.role};
+            helloProof(m_clusterSecret, HelloSide::Client, m_ownHello.nonce, clientHello);
+    const bool sameNonce = clientHello.nonce == m_clientNonce;
+    if (!sameNonce || !constantTimeEquals(expected, clientHello.proof))
+        return fail(notRun(ErrorCode::AuthenticationFailed,
+                           concat("instance \"", clientHello.instance,
+                                  "\" did not prove that it has the cluster secret")));
+    m_peer = PeerIdentity{clientHello.instance, clientHello.failureDomain, clientHello.role};
     m_state = State::Done;
     return helloFrame(wire::HelloMessage{});
 }
--- a/src/peer/serverhello.h
+++ b/src/peer/serverhello.h
@@ -6,17 +6,17 @@
 
 namespace rattanrill::peer {
 
-/// Server end of the hello exchange.
+/// Server end of the hello exchange (see ClientHello).
 class ServerHello
 {
 public:
     ServerHello(const PeerIdentity &self, const std::string &clusterSecret);
 
-    /// Takes the next hello envelope and returns the frame to send. Fails with
+    /// Processes the next hello envelope and returns the frame to send. Fails with
     /// AuthenticationFailed, UnsupportedVersion or MalformedMessage.
     Result<std::string> receive(const wire::Envelope &envelope);
     bool done() const { return m_state == State::Done; }
-    /// Who is at the other end; proved when done().
+    /// Identity of the other end. It is authenticated only when done() is true.
     const PeerIdentity &peer() const { return m_peer; }
 
 private:
@@ -27,10 +27,10 @@
     };
 
     std::string challenge(const wire::HelloMessage &opening);
-    Result<std::string> accept(const wire::HelloMessage &proved);
+    Result<std::string> accept(const wire::HelloMessage &clientHello);
 
     const std::string m_clusterSecret;
-    wire::HelloMessage m_own;
+    wire::HelloMessage m_ownHello;
     std::string m_clientNonce;
     PeerIdentity m_peer;
     State m_state = State::AwaitingOpening;
--- a/src/peer/websocket.h
+++ b/src/peer/websocket.h
@@ -10,7 +10,8 @@
 using WebsocketClient = websocketpp::client<websocketpp::config::asio_client>;
 using WebsocketServer = websocketpp::server<websocketpp::config::asio>;
 
-/// Limit of a message before the other side has proved that it knows the cluster secret.
+/// Maximum size of a message in bytes until the other side has proved that it has the cluster
+/// secret.
 constexpr std::size_t maxHelloBytes = 16u << 10;
 
 } // namespace rattanrill::peer
