--- a/src/settings/program.cpp
+++ b/src/settings/program.cpp
@@ -41,11 +41,11 @@
     }
 }
 
-LogLevel logLevelOf(const std::string &word)
+LogLevel logLevelOf(const std::string &levelName)
 {
     for (const LogLevel level :
          {LogLevel::Debug, LogLevel::Info, LogLevel::Warning, LogLevel::Error}) {
-        if (name(level) == word)
+        if (name(level) == levelName)
             return level;
     }
     return LogLevel::Info;
@@ -70,7 +70,7 @@
     return exitUsage;
 }
 
-Result<Json> loadChecked(const ServerProgram &program, const std::string &file)
+Result<Json> loadAndCheckSettings(const ServerProgram &program, const std::string &file)
 {
     BOOST_LEAF_AUTO(settings, loadSettings(file, program.settingsSchema));
     if (program.checkSettings)
@@ -78,7 +78,8 @@
     return settings;
 }
 
-/// Handles the options that print something and exit.
+/// Handles "--help", "--version" and "--schema". Returns true if one of them was given, so that the
+/// program exits.
 bool printInformation(const ServerProgram &program, const po::variables_map &values,
                       const po::options_description &options)
 {
@@ -113,7 +114,7 @@
         return reportUsage(program,
                            notRun(ErrorCode::InvalidArgument, "--settings FILE is missing"));
     const std::string file = values.value()["settings"].as<std::string>();
-    const auto settings = outcomeOf([&] { return loadChecked(program, file); });
+    const auto settings = outcomeOf([&] { return loadAndCheckSettings(program, file); });
     if (!settings.ok())
         return reportUsage(program, settings.failure());
     if (values.value().count("check") > 0) {
--- a/src/settings/settingsfile.cpp
+++ b/src/settings/settingsfile.cpp
@@ -16,13 +16,14 @@
 namespace rattanrill {
 namespace {
 
-/// valijson names a location as "<root>", "[key]", "[index]"; the last error is the most specific.
+/// Path of a setting and its value.
 struct Location
 {
     std::string path;
     std::string value;
 };
 
+/// Removes the brackets from an element of a valijson error context.
 std::string unbracketed(const std::string &step)
 {
     if (step.size() >= 2 && step.front() == '[' && step.back() == ']')
@@ -43,7 +44,7 @@
     return nullptr;
 }
 
-/// Schema of the member or element \a step, following "properties" and "items".
+/// Schema of the member or array element \a step, which is found under "properties" or "items".
 const Json *childSchema(const Json *schema, const std::string &step)
 {
     if (schema == nullptr)
@@ -80,6 +81,8 @@
     return dumpJson(shown);
 }
 
+/// Describes an error of valijson. Its context lists the path to the value as "<root>", "[key]" and
+/// "[index]". The last error is the most specific one.
 Failure describeError(const std::vector<std::string> &context, const Json &settings,
                       const Json &schemaJson, const std::string &source,
                       const std::string &description)
