--- a/src/http/serversetup.cpp
+++ b/src/http/serversetup.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t keepAliveMaxRequests = 1000000;
 
-/// Class of an error for client libraries that switch on it.
+/// Value of "type" in the error body. Client libraries select their error class by it.
 std::string_view errorType(int status)
 {
     if (status == 401)
