--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -12,7 +12,8 @@
 
 BOOST_AUTO_TEST_SUITE(CodecTest)
 
-// Guards against a command that comes out of the log as another operation than went in.
+// Guards against a command that is decoded from the log as another operation than the one that was
+// encoded, for example because two alternatives of the variant have the same kind.
 BOOST_AUTO_TEST_CASE(commandsSurviveARoundTrip)
 {
     DirectoryCommand command;
@@ -25,7 +26,7 @@
     BOOST_TEST(std::get<RevokeKey>(decoded.value().operation).keyId == "key-9");
 }
 
-// Guards against binary bodies that a text encoding would change.
+// Guards against binary bodies that are changed because the codec treats them as text.
 BOOST_AUTO_TEST_CASE(bodiesMayHoldAnyBytes)
 {
     Envelope envelope;
@@ -35,24 +36,26 @@
     BOOST_TEST(decoded.value().body == envelope.body);
 }
 
-// Guards against exceptions or crashes on truncated and changed messages from a peer.
-BOOST_AUTO_TEST_CASE(damagedMessagesAreTypedFailuresOrOtherValues)
+// Guards against exceptions and crashes on messages that a peer has truncated or corrupted. Such a
+// message either fails with MalformedMessage or decodes to another valid value.
+BOOST_AUTO_TEST_CASE(corruptMessageFailsAsMalformedOrDecodes)
 {
     BatchCommand command;
     command.operation = AppendItems{"f", "w", 3, {{"c", "/v1/completions", "{}"}}};
     const std::string bytes = encode(command);
     std::mt19937 random(1);
-    for (int round = 0; round < 20000; ++round) {
-        std::string damaged = bytes.substr(0, random() % (bytes.size() + 1));
-        if (!damaged.empty())
-            damaged[random() % damaged.size()] = static_cast<char>(random());
-        const auto decoded = outcomeOf([&] { return decode<BatchCommand>(damaged); });
+    for (int i = 0; i < 20000; ++i) {
+        std::string corrupt = bytes.substr(0, random() % (bytes.size() + 1));
+        if (!corrupt.empty())
+            corrupt[random() % corrupt.size()] = static_cast<char>(random());
+        const auto decoded = outcomeOf([&] { return decode<BatchCommand>(corrupt); });
         if (!decoded.ok())
             BOOST_REQUIRE((decoded.failure().code == ErrorCode::MalformedMessage));
     }
 }
 
-// Guards against an unknown word of a newer peer that would turn into a false "not run".
+// Guards against an unknown effect state from a newer peer that is read as NotRun, so that the
+// caller repeats a request that may have run.
 BOOST_AUTO_TEST_CASE(unknownRunStateCountsAsMayHaveRun)
 {
     FailureMessage message{true, "timeout", "perhaps", ""};
