--- a/tests/peer/callresult.h
+++ b/tests/peer/callresult.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::peer {
 
-/// Collects the replies of one call and counts them.
+/// Stores the last reply of one call and counts the replies.
 class CallResult
 {
 public:
@@ -28,7 +28,7 @@
         absl::MutexLock lock(&m_state->mutex);
         const auto arrived = [state = m_state.get()] { return state->outcome.has_value(); };
         if (!m_state->mutex.AwaitWithTimeout(absl::Condition(&arrived), absl::Seconds(20)))
-            return mayHaveRun(ErrorCode::Internal, "no reply within the test's bound");
+            return mayHaveRun(ErrorCode::Internal, "no reply within 20 s");
         return *m_state->outcome;
     }
 
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -31,8 +31,9 @@
     return concat("127.0.0.1:", port);
 }
 
-/// Server whose Read echoes, Raft answers with twice the body, Propose keeps its reply, Follow
-/// drops it, and Grant blocks the network thread.
+/// Server on which Read returns the instance of the caller and the body, Raft returns the body
+/// twice, Propose stores its reply callback, PollChanges discards it, Heartbeat fails with
+/// NotLeader, and Grant blocks the network thread.
 struct EchoServer
 {
     explicit EchoServer(TransportOptions options = optionsOf("server"), int port = 0)
@@ -46,7 +47,7 @@
         server.handle(wire::Method::Propose,
                       [this](const PeerIdentity &, std::string, ResponseCallback reply) {
                           absl::MutexLock lock(&mutex);
-                          kept.push_back(std::move(reply));
+                          pendingReplies.push_back(std::move(reply));
                       });
         server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body,
                                              ResponseCallback reply) { reply(body + body); });
@@ -58,29 +59,29 @@
                       });
         server.handle(wire::Method::Grant,
                       [this](const PeerIdentity &, std::string, ResponseCallback reply) {
-                          blocked.WaitForNotification();
+                          unblockGrant.WaitForNotification();
                           reply(std::string());
                       });
         BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", port); }).ok());
     }
     ~EchoServer()
     {
-        if (!blocked.HasBeenNotified())
-            blocked.Notify();
+        if (!unblockGrant.HasBeenNotified())
+            unblockGrant.Notify();
         server.stop();
     }
 
-    void awaitKept()
+    void awaitPendingReply()
     {
         absl::MutexLock lock(&mutex);
-        const auto some = [this] { return !kept.empty(); };
-        BOOST_REQUIRE(mutex.AwaitWithTimeout(absl::Condition(&some), absl::Seconds(10)));
+        const auto hasReply = [this] { return !pendingReplies.empty(); };
+        BOOST_REQUIRE(mutex.AwaitWithTimeout(absl::Condition(&hasReply), absl::Seconds(10)));
     }
 
     absl::Mutex mutex;
-    std::vector<ResponseCallback> kept;
+    std::vector<ResponseCallback> pendingReplies;
     std::atomic<int> calls{0};
-    absl::Notification blocked;
+    absl::Notification unblockGrant;
     Server server;
 };
 
@@ -95,7 +96,8 @@
 
 BOOST_AUTO_TEST_SUITE(ChannelTest)
 
-BOOST_AUTO_TEST_CASE(answersAndFailuresComeBackTyped)
+// Guards against a failure whose code, effect state or detail is lost between server and client.
+BOOST_AUTO_TEST_CASE(callReturnsTheResponseOrTheTypedFailure)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
@@ -108,7 +110,8 @@
                  ErrorCode::UnknownMethod, EffectState::NotRun);
 }
 
-BOOST_AUTO_TEST_CASE(wrongSecretFailsTypedAndRunsNothing)
+// Guards against a server that runs requests of a client without the cluster secret.
+BOOST_AUTO_TEST_CASE(wrongSecretFailsAuthenticationAndRunsNothing)
 {
     EchoServer echo;
     Channel channel(optionsOf("client", "guess"), addressOf(echo.server.port()));
@@ -118,6 +121,8 @@
     BOOST_TEST(echo.calls == 0);
 }
 
+// Guards against a request or response above the size limit that is sent, or that fails with the
+// wrong effect state.
 BOOST_AUTO_TEST_CASE(oversizeMessagesFailInBothDirections)
 {
     TransportOptions small = optionsOf("server");
@@ -127,7 +132,7 @@
     checkFailure(callAndWait(limited, std::string(70000, 'x')), ErrorCode::MessageTooLarge,
                  EffectState::NotRun);
     BOOST_TEST(echo.calls == 0);
-    // The request fits, its answer of twice the size does not: it has run.
+    // The request is within the limit and runs. Its response of twice the size is above the limit.
     checkFailure(
             callAndWait(limited, std::string(40000, 'x'), absl::Seconds(10), wire::Method::Raft),
             ErrorCode::MessageTooLarge, EffectState::MayHaveRun);
@@ -138,8 +143,9 @@
                  EffectState::MayHaveRun);
 }
 
-// Guards against a call that waits for ever on a process that accepts and says nothing.
-BOOST_AUTO_TEST_CASE(silentListenerDoesNotHoldACall)
+// Guards against a call that waits forever for a process that accepts the connection but never
+// answers the handshake.
+BOOST_AUTO_TEST_CASE(listenerWithoutHandshakeFailsTheCall)
 {
     boost::asio::io_context service;
     boost::asio::ip::tcp::acceptor listener(service,
@@ -149,6 +155,8 @@
                  EffectState::NotRun);
 }
 
+// Guards against a NotRun failure for a call that was sent: its handler does not reply in time, or
+// discards the reply callback.
 BOOST_AUTO_TEST_CASE(unansweredCallTimesOutAsMayHaveRun)
 {
     EchoServer echo;
@@ -160,7 +168,7 @@
                  ErrorCode::Internal, EffectState::MayHaveRun);
 }
 
-// Guards against a call with a long timeout that waits on a process that has frozen.
+// Guards against a call with a long timeout that waits for a process that no longer answers pings.
 BOOST_AUTO_TEST_CASE(frozenPeerIsRecognizedByKeepAlive)
 {
     EchoServer echo;
@@ -169,23 +177,25 @@
                  ErrorCode::ConnectionLost, EffectState::MayHaveRun);
 }
 
+// Guards against a call that never fails, or gets two replies, when its connection is lost.
 BOOST_AUTO_TEST_CASE(lostConnectionFailsTheCallInFlightOnce)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     CallResult result;
     channel.call(wire::Method::Propose, "", absl::Seconds(20), result.reply());
-    echo.awaitKept();
+    echo.awaitPendingReply();
     echo.server.stop();
     checkFailure(result.wait(), ErrorCode::ConnectionLost, EffectState::MayHaveRun);
-    // A late answer of the handler reaches nobody and does no harm.
-    echo.kept.front()(std::string("late"));
-    echo.kept.clear();
+    // A late reply of the handler is ignored.
+    echo.pendingReplies.front()(std::string("late"));
+    echo.pendingReplies.clear();
     checkFailure(callAndWait(channel, ""), ErrorCode::ConnectionLost, EffectState::NotRun);
     BOOST_TEST(result.count() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(channelReconnectsByItself)
+// Guards against a channel that stays disconnected after the server has restarted.
+BOOST_AUTO_TEST_CASE(channelReconnectsAfterTheServerRestarts)
 {
     auto first = std::make_unique<EchoServer>();
     const int port = first->server.port();
@@ -202,21 +212,21 @@
     BOOST_TEST(answered);
 }
 
-// Guards against replies that touch what their owner has already destroyed.
-BOOST_AUTO_TEST_CASE(closeFailsOpenCallsAndLaterOnesAnswerStopped)
+// Guards against a reply that runs after close() and uses objects that its owner has destroyed.
+BOOST_AUTO_TEST_CASE(closeFailsOpenAndLaterCallsWithStopped)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     CallResult result;
     channel.call(wire::Method::Propose, "", absl::Seconds(20), result.reply());
-    echo.awaitKept();
+    echo.awaitPendingReply();
     channel.close();
     BOOST_TEST(result.count() == 1);
     checkFailure(result.wait(), ErrorCode::Stopped, EffectState::MayHaveRun);
     checkFailure(callAndWait(channel, ""), ErrorCode::Stopped, EffectState::NotRun);
 }
 
-// Guards against memory that grows without bound while a peer takes nothing.
+// Guards against memory that grows without bound while a peer does not read.
 BOOST_AUTO_TEST_CASE(fullQueueFailsTheCall)
 {
     EchoServer echo;
@@ -227,7 +237,7 @@
     CallResult blocked;
     channel.call(wire::Method::Grant, "", absl::Seconds(20), blocked.reply());
     int full = 0;
-    // Socket buffers take a few MiB before the channel's own queue fills.
+    // The socket buffers hold a few MiB before the channel's own queue fills.
     for (int i = 0; i < 64 && full == 0; ++i) {
         const auto outcome =
                 callAndWait(channel, std::string(512 << 10, 'x'), absl::Milliseconds(20));
@@ -240,7 +250,8 @@
     BOOST_TEST(full == 1);
 }
 
-BOOST_AUTO_TEST_CASE(usedPortAndBadHostAreTyped)
+// Guards against an address in use and an invalid host that cannot be told apart by their codes.
+BOOST_AUTO_TEST_CASE(usedPortAndInvalidHostFailWithTheirCodes)
 {
     EchoServer echo;
     Server second(optionsOf("second"));
@@ -248,10 +259,12 @@
     BOOST_REQUIRE(!used.ok());
     BOOST_TEST((used.failure().code == ErrorCode::AddressInUse));
     Server third(optionsOf("third"));
-    const auto named = outcomeOf([&] { return third.start("somewhere", 0); });
-    BOOST_TEST((named.failure().code == ErrorCode::InvalidArgument));
+    const auto invalidHost = outcomeOf([&] { return third.start("somewhere", 0); });
+    BOOST_TEST((invalidHost.failure().code == ErrorCode::InvalidArgument));
 }
 
+// Guards against a second connection to the same address, and against channels that stay open after
+// they were removed or the pool was closed.
 BOOST_AUTO_TEST_CASE(poolKeepsOneChannelForEachAddress)
 {
     EchoServer echo;
--- a/tests/peer/hello_test.cpp
+++ b/tests/peer/hello_test.cpp
@@ -22,7 +22,7 @@
 }
 
 template <typename Hello>
-Outcome<std::string> give(Hello &hello, const std::string &frame)
+Outcome<std::string> receive(Hello &hello, const std::string &frame)
 {
     return outcomeOf([&] { return hello.receive(envelopeOf(frame)); });
 }
@@ -31,53 +31,57 @@
 
 BOOST_AUTO_TEST_SUITE(HelloTest)
 
+// Guards against an exchange that does not complete between two processes with the same secret.
 BOOST_AUTO_TEST_CASE(equalSecretsAuthenticateBothEnds)
 {
     ClientHello client(clientIdentity, "secret");
     ServerHello server(serverIdentity, "secret");
-    const auto challenge = give(server, client.opening());
-    const auto proof = give(client, challenge.value());
-    const auto acceptance = give(server, proof.value());
+    const auto challenge = receive(server, client.opening());
+    const auto proof = receive(client, challenge.value());
+    const auto acceptance = receive(server, proof.value());
     BOOST_REQUIRE(acceptance.ok());
     BOOST_TEST(server.done());
     BOOST_TEST(server.peer().instance == "entry-1");
-    BOOST_TEST(give(client, acceptance.value()).ok());
+    BOOST_TEST(receive(client, acceptance.value()).ok());
     BOOST_TEST(client.done());
 }
 
-// Guards against a client that accepts a server without the secret, and the reverse.
+// Guards against a client that accepts a server without the secret, and against a server that
+// accepts a client without it.
 BOOST_AUTO_TEST_CASE(eachEndRefusesAProofUnderAnotherSecret)
 {
     ClientHello client(clientIdentity, "secret");
     ServerHello wrongServer(serverIdentity, "other");
-    const auto challenge = give(wrongServer, client.opening());
-    const auto refused = give(client, challenge.value());
+    const auto challenge = receive(wrongServer, client.opening());
+    const auto refused = receive(client, challenge.value());
     BOOST_REQUIRE(!refused.ok());
     BOOST_TEST((refused.failure().code == ErrorCode::AuthenticationFailed));
 
     ServerHello server(serverIdentity, "secret");
     wire::HelloMessage forged = makeHello(clientIdentity);
-    BOOST_REQUIRE(give(server, helloFrame(forged)).ok());
+    BOOST_REQUIRE(receive(server, helloFrame(forged)).ok());
     forged.proof = helloProof("other", HelloSide::Client, "guess", forged);
-    const auto unproved = give(server, helloFrame(forged));
+    const auto unproved = receive(server, helloFrame(forged));
     BOOST_REQUIRE(!unproved.ok());
     BOOST_TEST((unproved.failure().code == ErrorCode::AuthenticationFailed));
     BOOST_TEST(!server.done());
 }
 
-// Guards against an attacker who lets a server prove its own nonce on a second connection and
-// sends that proof back as a client of the same name.
-BOOST_AUTO_TEST_CASE(aServersProofIsNoClientsProof)
+// Guards against reflection: an attacker obtains a proof that a server computed on a second
+// connection and sends it back as a client with that server's identity.
+BOOST_AUTO_TEST_CASE(serverProofIsRefusedAsAClientProof)
 {
     ServerHello server(serverIdentity, "secret");
     wire::HelloMessage attacker = makeHello(serverIdentity);
-    const auto challenge = give(server, helloFrame(attacker));
+    const auto challenge = receive(server, helloFrame(attacker));
     const auto nonce = outcomeOf([&] { return helloOf(envelopeOf(challenge.value())); });
     attacker.proof = helloProof("secret", HelloSide::Server, nonce.value().nonce, attacker);
-    BOOST_TEST(!give(server, helloFrame(attacker)).ok());
+    BOOST_TEST(!receive(server, helloFrame(attacker)).ok());
 }
 
-BOOST_AUTO_TEST_CASE(unknownVersionIsATypedRefusal)
+// Guards against a server that accepts an unknown protocol version, and against a client that does
+// not see this reason in the refusal.
+BOOST_AUTO_TEST_CASE(unknownVersionIsRefusedAsUnsupportedVersion)
 {
     ServerHello server(serverIdentity, "secret");
     wire::Envelope opening = envelopeOf(ClientHello(clientIdentity, "secret").opening());
@@ -86,11 +90,11 @@
     BOOST_REQUIRE(!refused.ok());
     BOOST_TEST((refused.failure().code == ErrorCode::UnsupportedVersion));
     ClientHello client(clientIdentity, "secret");
-    const auto told = give(client, refusalFrame(refused.failure()));
-    BOOST_TEST((told.failure().code == ErrorCode::UnsupportedVersion));
+    const auto received = receive(client, refusalFrame(refused.failure()));
+    BOOST_TEST((received.failure().code == ErrorCode::UnsupportedVersion));
 }
 
-// Guards against requests that are served before the caller is known.
+// Guards against requests that are served before the caller is authenticated.
 BOOST_AUTO_TEST_CASE(aRequestBeforeTheProofIsRefused)
 {
     ServerHello server(serverIdentity, "secret");
