--- a/tests/settings/settingsfile_test.cpp
+++ b/tests/settings/settingsfile_test.cpp
@@ -22,7 +22,7 @@
     return outcome.ok() ? std::string() : describe(outcome.failure());
 }
 
-bool mentions(const std::string &text, std::string_view part)
+bool contains(const std::string &text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -31,34 +31,38 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsFileTest)
 
-// Guards against messages that leave an operator searching: file, key path, value, what is allowed.
+// Guards against messages from which an operator cannot find the error: the message names the file,
+// the key path, the value and what is allowed.
 BOOST_AUTO_TEST_CASE(outOfRangeValueNamesFilePathValueAndRange)
 {
     const std::string text = failureOf(R"({"instance":"e1","listen":{"port":70000}})");
     for (const char *part : {"entry.json", "listen.port", "70000", "65535"})
-        BOOST_TEST(mentions(text, part), text);
+        BOOST_TEST(contains(text, part), text);
 }
 
-// Guards against a misspelt key that is silently ignored.
+// Guards against a misspelt key that is ignored without an error.
 BOOST_AUTO_TEST_CASE(unknownKeyIsRefused)
 {
     const std::string text = failureOf(R"({"instance":"e1","lisen":{}})");
-    BOOST_TEST(mentions(text, "lisen"), text);
-    BOOST_TEST(mentions(text, "listen"), text);
+    BOOST_TEST(contains(text, "lisen"), text);
+    BOOST_TEST(contains(text, "listen"), text);
 }
 
+// Guards against a message that names only the array and not the element that has the wrong type.
 BOOST_AUTO_TEST_CASE(wrongTypeInAnArrayNamesTheElement)
 {
     const std::string text = failureOf(R"({"instance":"e1","peers":["a",5]})");
-    BOOST_TEST(mentions(text, "peers.1"), text);
-    BOOST_TEST(mentions(text, "5"), text);
+    BOOST_TEST(contains(text, "peers.1"), text);
+    BOOST_TEST(contains(text, "5"), text);
 }
 
+// Guards against a message that does not name the required key that is missing.
 BOOST_AUTO_TEST_CASE(missingKeyIsNamed)
 {
-    BOOST_TEST(mentions(failureOf("{}"), "instance"));
+    BOOST_TEST(contains(failureOf("{}"), "instance"));
 }
 
+// Guards against a check that rejects valid settings.
 BOOST_AUTO_TEST_CASE(validSettingsPass)
 {
     BOOST_TEST(failureOf(R"({"instance":"e1","listen":{"port":8080}})") == "");
