--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -19,7 +19,7 @@
             return address;
     }
     return fail(notRun(ErrorCode::InvalidArgument,
-                       concat("\"", text, "\" is not an address and port")));
+                       concat("\"", text, "\" is not of the form host:port")));
 }
 
 std::string toString(const Address &address)
--- a/src/net/connectionpool.cpp
+++ b/src/net/connectionpool.cpp
@@ -14,7 +14,7 @@
 namespace rattanrill::net {
 namespace {
 
-constexpr std::array<EnumName<CallStatus>, 3> callEndNames = {{
+constexpr std::array<EnumName<CallStatus>, 3> callStatusNames = {{
         {CallStatus::Complete, "complete"},
         {CallStatus::NotConnected, "not_connected"},
         {CallStatus::Broken, "broken"},
@@ -26,7 +26,7 @@
 
 std::string_view name(CallStatus status)
 {
-    return nameOf(callEndNames, status);
+    return nameOf(callStatusNames, status);
 }
 
 struct ConnectionPool::Impl : std::enable_shared_from_this<ConnectionPool::Impl>
@@ -36,14 +36,15 @@
         , options(options)
     {}
 
-    /// The connection that was used last comes first: the others then age and are closed.
-    ConnectionPtr take(const std::string &address)
+    /// Returns the most recently used idle connection that is still usable, or null. Reusing the
+    /// most recent one lets the surplus connections expire and be closed.
+    ConnectionPtr takeIdle(const std::string &address)
     {
         const absl::Time now = SystemClock::instance().now();
-        auto &kept = idle[address];
-        while (!kept.empty()) {
-            ConnectionPtr connection = std::move(kept.back());
-            kept.pop_back();
+        auto &idleConnections = idle[address];
+        while (!idleConnections.empty()) {
+            ConnectionPtr connection = std::move(idleConnections.back());
+            idleConnections.pop_back();
             if (connection->isUsable(now))
                 return connection;
             connection->close();
@@ -51,27 +52,29 @@
         return nullptr;
     }
 
-    ConnectionPtr make(const std::string &address)
+    ConnectionPtr open(const std::string &address)
     {
-        ++made;
+        ++opened;
         return std::make_shared<UpstreamConnection>(
                 loop.context(), address, options,
                 [weak = weak_from_this()](const ConnectionPtr &connection, bool isIdle) {
                     if (const auto self = weak.lock())
-                        self->changed(connection, isIdle);
+                        self->handleStateChange(connection, isIdle);
                 });
     }
 
-    void changed(const ConnectionPtr &connection, bool isIdle)
+    void handleStateChange(const ConnectionPtr &connection, bool isIdle)
     {
-        auto &kept = idle[connection->address()];
+        auto &idleConnections = idle[connection->address()];
         if (!isIdle) {
-            kept.erase(std::remove(kept.begin(), kept.end(), connection), kept.end());
+            idleConnections.erase(
+                    std::remove(idleConnections.begin(), idleConnections.end(), connection),
+                    idleConnections.end());
             return;
         }
-        kept.push_back(connection);
-        if (kept.size() > options.maxIdle) {
-            const ConnectionPtr oldest = kept.front();
+        idleConnections.push_back(connection);
+        if (idleConnections.size() > options.maxIdle) {
+            const ConnectionPtr oldest = idleConnections.front();
             oldest->close();
         }
     }
@@ -81,7 +84,7 @@
     std::map<std::string, std::vector<ConnectionPtr>> idle;
     std::map<CallId, ConnectionPtr> calls;
     CallId nextId = 1;
-    std::uint64_t made = 0;
+    std::uint64_t opened = 0;
 };
 
 ConnectionPool::ConnectionPool(EventLoop &loop, ConnectionPoolOptions options)
@@ -97,9 +100,9 @@
                                             CallHandlers handlers)
 {
     const CallId id = m_impl->nextId++;
-    ConnectionPtr connection = m_impl->take(address);
+    ConnectionPtr connection = m_impl->takeIdle(address);
     if (!connection)
-        connection = m_impl->make(address);
+        connection = m_impl->open(address);
     m_impl->calls[id] = connection;
     handlers.onEnd = [weak = std::weak_ptr<Impl>(m_impl), id,
                       onEnd = std::move(handlers.onEnd)](CallStatus result) {
@@ -123,15 +126,15 @@
 
 void ConnectionPool::closeIdleConnections(const std::string &address)
 {
-    const auto kept = std::exchange(m_impl->idle[address], {});
-    for (const ConnectionPtr &connection : kept)
+    const auto idleConnections = std::exchange(m_impl->idle[address], {});
+    for (const ConnectionPtr &connection : idleConnections)
         connection->close();
     m_impl->idle.erase(address);
 }
 
 std::uint64_t ConnectionPool::connectionsOpened() const
 {
-    return m_impl->made;
+    return m_impl->opened;
 }
 
 void ConnectionPool::stop()
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -76,8 +76,8 @@
         timer->callback();
         if (m_timers.count(id) == 0)
             return;
-        // From now rather than from the last due time: after a pause of the machine no series of
-        // overdue calls follows.
+        // The next expiry counts from the current time rather than from the previous expiry, so
+        // that a pause of the machine is not followed by a series of overdue calls.
         timer->timer.expires_after(absl::ToChronoNanoseconds(timer->period));
         wait(id, timer);
     }
@@ -93,7 +93,7 @@
 {
     Impl()
         : context(1)
-        , work(asio::make_work_guard(context))
+        , workGuard(asio::make_work_guard(context))
         , timers(context)
         , signals(context)
     {}
@@ -109,7 +109,7 @@
     }
 
     asio::io_context context;
-    asio::executor_work_guard<asio::io_context::executor_type> work;
+    asio::executor_work_guard<asio::io_context::executor_type> workGuard;
     LoopTimerService timers;
     asio::signal_set signals;
     std::function<void(int)> signalHandler;
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <utility>
 
-// Boost's string view needs the complete stream types.
+// Uses Boost's string view, which needs the complete stream types of <ostream>.
 #include <boost/beast/http/status.hpp>
 
 namespace rattanrill::net {
@@ -28,7 +28,7 @@
     return text;
 }
 
-std::vector<std::string> namedByConnection(const Headers &headers)
+std::vector<std::string> namesInConnectionHeader(const Headers &headers)
 {
     std::vector<std::string> names;
     for (const Header &header : headers.all()) {
@@ -108,7 +108,7 @@
 
 void removeConnectionHeaders(Headers &headers)
 {
-    for (const std::string &name : namedByConnection(headers))
+    for (const std::string &name : namesInConnectionHeader(headers))
         headers.remove(name);
     for (const char *name : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
                              "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"})
@@ -122,9 +122,9 @@
 
 std::string_view Request::query() const
 {
-    const std::size_t mark = target.find('?');
-    return mark == std::string::npos ? std::string_view()
-                                     : std::string_view(target).substr(mark + 1);
+    const std::size_t queryMark = target.find('?');
+    return queryMark == std::string::npos ? std::string_view()
+                                          : std::string_view(target).substr(queryMark + 1);
 }
 
 std::string_view reasonOf(int status)
--- a/src/net/requestparser.cpp
+++ b/src/net/requestparser.cpp
@@ -85,16 +85,17 @@
     }
 }
 
-/// Refuses what two readers could frame or route differently.
+/// Refuses headers that two HTTP implementations could frame or route differently, because such
+/// differences allow request smuggling.
 void RequestParser::checkHeader()
 {
     m_headerChecked = true;
     const auto &message = m_parser->parser.get();
-    const bool hasCoding = message.count(http::field::transfer_encoding) > 0;
-    const bool hasLength = message.count(http::field::content_length) > 0;
+    const bool hasTransferEncoding = message.count(http::field::transfer_encoding) > 0;
+    const bool hasContentLength = message.count(http::field::content_length) > 0;
     if (message.version() != 11 && message.version() != 10)
         return refuse(400);
-    if (hasCoding && (hasLength || !m_parser->parser.chunked()))
+    if (hasTransferEncoding && (hasContentLength || !m_parser->parser.chunked()))
         return refuse(400);
     if (message.count(http::field::content_length) > 1)
         return refuse(400);
@@ -108,9 +109,9 @@
 
 bool RequestParser::takeExpectContinue()
 {
-    const bool wants = m_wantsContinue && m_state == State::Body;
-    m_wantsContinue = m_wantsContinue && !wants;
-    return wants;
+    const bool expectsContinue = m_wantsContinue && m_state == State::Body;
+    m_wantsContinue = m_wantsContinue && !expectsContinue;
+    return expectsContinue;
 }
 
 void RequestParser::refuse(int status)
--- a/src/net/responseparser.cpp
+++ b/src/net/responseparser.cpp
@@ -40,7 +40,7 @@
     m_parser = std::make_unique<Parser>();
     m_parser->parser.eager(true);
     m_parser->parser.header_limit(maxHeaderBytes);
-    // Streams are passed on piece by piece, so that their length needs no limit.
+    // The body is passed on as it arrives and not collected, so its length needs no limit.
     m_parser->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     m_headerSeen = false;
     m_isOwn = true;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns false when more bytes are needed.
+/// Parses the pending bytes. Returns false when more bytes are needed or the response is broken.
 bool ResponseParser::step()
 {
     auto &parser = m_parser->parser;
@@ -93,10 +93,10 @@
 
 void ResponseParser::forwardBody()
 {
-    std::string piece;
-    piece.swap(m_parser->parser.get().body());
-    if (!piece.empty() && m_isOwn && m_handlers.body)
-        m_handlers.body(piece);
+    std::string part;
+    part.swap(m_parser->parser.get().body());
+    if (!part.empty() && m_isOwn && m_handlers.body)
+        m_handlers.body(part);
 }
 
 void ResponseParser::handleComplete()
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -16,8 +16,8 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// Wait after a failed accept, when descriptors are short.
-constexpr absl::Duration acceptRetry = absl::Milliseconds(50);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+constexpr absl::Duration acceptRetryDelay = absl::Milliseconds(50);
 
 } // namespace
 
@@ -37,8 +37,9 @@
         boost::system::error_code error;
         const auto host = boost::asio::ip::make_address(address.host, error);
         if (error)
-            return fail(notRun(ErrorCode::InvalidArgument,
-                               concat("\"", text, "\" has no numeric host")));
+            return fail(
+                    notRun(ErrorCode::InvalidArgument,
+                           concat("\"", text, "\" does not have a numeric IP address as host")));
         const Tcp::endpoint endpoint(host, address.port);
         acceptor.open(endpoint.protocol(), error);
         if (!error)
@@ -58,17 +59,17 @@
     {
         acceptor.async_accept([self = shared_from_this()](const boost::system::error_code &error,
                                                           Tcp::socket socket) {
-            self->accepted(error, std::move(socket));
+            self->handleAccept(error, std::move(socket));
         });
     }
 
-    void accepted(const boost::system::error_code &error, Tcp::socket socket)
+    void handleAccept(const boost::system::error_code &error, Tcp::socket socket)
     {
         if (error == boost::asio::error::operation_aborted || !acceptor.is_open())
             return;
         if (error) {
             log(LogLevel::Warning, "accept-failed", {{"detail", error.message()}});
-            loop.timers().subscribeOnce(acceptRetry,
+            loop.timers().subscribeOnce(acceptRetryDelay,
                                         [self = shared_from_this()] { self->accept(); });
             return;
         }
@@ -80,7 +81,8 @@
         accept();
     }
 
-    std::vector<std::shared_ptr<ServerConnection>> all() const
+    /// Copy that stays valid while connections are closed, which removes them from the set.
+    std::vector<std::shared_ptr<ServerConnection>> copyConnections() const
     {
         return {shared->connections.begin(), shared->connections.end()};
     }
@@ -122,7 +124,7 @@
 
 void Server::closeIdle()
 {
-    for (const auto &connection : m_impl->all()) {
+    for (const auto &connection : m_impl->copyConnections()) {
         if (connection->isIdle())
             connection->close();
     }
@@ -142,7 +144,7 @@
 {
     boost::system::error_code ignored;
     m_impl->acceptor.close(ignored);
-    for (const auto &connection : m_impl->all())
+    for (const auto &connection : m_impl->copyConnections())
         connection->close();
 }
 
--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -16,11 +16,11 @@
 namespace rattanrill::net {
 namespace {
 
-/// Bytes of following requests that are read ahead while one is served.
+/// Maximum number of bytes of following requests that are buffered while a request is served.
 constexpr std::size_t maxReadAhead = 64 * 1024;
-/// Time for the last bytes of an answer after which the connection closes.
+/// Maximum time for sending the rest of the last response, and for the client to close afterwards.
 constexpr absl::Duration closeTimeout = absl::Seconds(2);
-/// A client that takes nothing of a running answer for this long has left.
+/// A client that accepts no bytes of a response for this long is treated as disconnected.
 constexpr absl::Duration sendTimeout = absl::Seconds(15);
 
 constexpr std::string_view lastChunk = "0\r\n\r\n";
@@ -32,7 +32,7 @@
     : m_socket(std::move(socket))
     , m_timer(m_socket.get_executor())
     , m_shared(std::move(shared))
-    , m_reader(RequestLimits{m_shared->limits.maxHeaderBytes, m_shared->limits.maxBodyBytes})
+    , m_parser(RequestLimits{m_shared->limits.maxHeaderBytes, m_shared->limits.maxBodyBytes})
 {}
 
 void ServerConnection::start()
@@ -44,57 +44,57 @@
 
 bool ServerConnection::isIdle() const
 {
-    return m_phase == Phase::Idle && m_reader.state() == RequestParser::State::Idle;
+    return m_phase == Phase::Idle && m_parser.state() == RequestParser::State::Idle;
 }
 
 void ServerConnection::read()
 {
-    if (m_reading || m_phase == Phase::Closed || m_reader.pendingBytes() > maxReadAhead)
+    if (m_reading || m_phase == Phase::Closed || m_parser.pendingBytes() > maxReadAhead)
         return;
     m_reading = true;
     m_socket.async_read_some(
             boost::asio::buffer(m_buffer),
             [self = shared_from_this()](const boost::system::error_code &error, std::size_t bytes) {
                 self->m_reading = false;
-                self->received(error, bytes);
+                self->handleRead(error, bytes);
             });
 }
 
-void ServerConnection::received(const boost::system::error_code &error, std::size_t bytes)
+void ServerConnection::handleRead(const boost::system::error_code &error, std::size_t bytes)
 {
     if (m_phase == Phase::Closed)
         return;
     if (error)
-        return clientGone();
+        return handleDisconnect();
     if (m_phase != Phase::Closing)
-        m_reader.feed(std::string_view(m_buffer.data(), bytes));
+        m_parser.feed(std::string_view(m_buffer.data(), bytes));
     if (m_phase != Phase::Serving && m_phase != Phase::Closing)
-        advance();
+        handleParserState();
     read();
 }
 
-/// Goes on with the request that the reader holds.
-void ServerConnection::advance()
+/// Continues with the current request according to the state of the parser.
+void ServerConnection::handleParserState()
 {
-    const Phase before = m_phase;
-    switch (m_reader.state()) {
+    const Phase previousPhase = m_phase;
+    switch (m_parser.state()) {
     case RequestParser::State::Idle:
         return;
     case RequestParser::State::Header:
         m_phase = Phase::Header;
-        if (before == Phase::Idle)
+        if (previousPhase == Phase::Idle)
             armTimer(m_shared->limits.headerTimeout);
         return;
     case RequestParser::State::Body:
         m_phase = Phase::Body;
         armTimer(m_shared->limits.idleTimeout);
-        if (m_reader.takeExpectContinue())
+        if (m_parser.takeExpectContinue())
             send("HTTP/1.1 100 Continue\r\n\r\n");
         return;
     case RequestParser::State::Complete:
         return serve();
     case RequestParser::State::Refused:
-        return refuse(m_reader.status());
+        return refuse(m_parser.status());
     }
 }
 
@@ -102,11 +102,11 @@
 {
     m_phase = Phase::Serving;
     m_timer.cancel();
-    m_keepAlive = m_reader.isKeepAlive();
+    m_keepAlive = m_parser.isKeepAlive();
     m_isStream = false;
-    m_answered = false;
+    m_responseComplete = false;
     ++m_shared->openRequests;
-    auto exchange = std::make_shared<ServerExchange>(shared_from_this(), m_reader.take(),
+    auto exchange = std::make_shared<ServerExchange>(shared_from_this(), m_parser.take(),
                                                      SystemClock::instance().now());
     m_exchange = exchange;
     m_shared->handler(std::move(exchange));
@@ -145,7 +145,7 @@
     std::string bytes =
             framedHead(std::move(response.head), concat("Content-Length: ", response.body.size()));
     bytes += response.body;
-    m_answered = true;
+    m_responseComplete = true;
     endExchange();
     send(bytes);
 }
@@ -169,7 +169,7 @@
 {
     if (m_phase != Phase::Serving)
         return;
-    m_answered = true;
+    m_responseComplete = true;
     endExchange();
     send(std::string(lastChunk));
 }
@@ -194,14 +194,14 @@
         flush();
 }
 
-/// Writes at once what the socket takes; the loop is asked only for the rest.
+/// Writes what the socket accepts immediately, and waits on the event loop only for the rest.
 void ServerConnection::flush()
 {
     const boost::system::error_code error = sendAvailable(m_socket, m_output);
     if (m_output.empty())
-        return flushed();
+        return handleFlushed();
     if (error != boost::asio::error::would_block)
-        return clientGone();
+        return handleDisconnect();
     m_writing = true;
     armTimer(sendTimeout);
     m_socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
@@ -210,38 +210,39 @@
                             if (self->m_phase == Phase::Closed)
                                 return;
                             if (waitError)
-                                return self->clientGone();
+                                return self->handleDisconnect();
                             self->flush();
                         });
 }
 
-void ServerConnection::flushed()
+void ServerConnection::handleFlushed()
 {
-    if (m_phase == Phase::Serving && !m_answered)
+    if (m_phase == Phase::Serving && !m_responseComplete)
         m_timer.cancel();
     if (m_phase == Phase::Closing)
-        return endSending();
-    if (m_phase == Phase::Serving && m_answered)
-        requestDone();
+        return shutdownSend();
+    if (m_phase == Phase::Serving && m_responseComplete)
+        endRequest();
 }
 
-/// The client closes when it has read all; closing first could reset bytes that it has not read.
-void ServerConnection::endSending()
+/// Closes only the sending direction; the client closes the connection when it has read everything.
+/// A full close could reset the connection and lose bytes that the client has not read yet.
+void ServerConnection::shutdownSend()
 {
     boost::system::error_code ignored;
     m_socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     armTimer(closeTimeout);
 }
 
-void ServerConnection::requestDone()
+void ServerConnection::endRequest()
 {
     if (!m_keepAlive) {
         m_phase = Phase::Closing;
-        return endSending();
+        return shutdownSend();
     }
     m_phase = Phase::Idle;
     armTimer(m_shared->limits.idleTimeout);
-    advance();
+    handleParserState();
     read();
 }
 
@@ -250,32 +251,32 @@
     m_timer.expires_after(absl::ToChronoNanoseconds(delay));
     m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error && self->m_timer.expiry() <= std::chrono::steady_clock::now())
-            self->expired();
+            self->handleTimeout();
     });
 }
 
-void ServerConnection::expired()
+void ServerConnection::handleTimeout()
 {
     if (m_phase == Phase::Header || m_phase == Phase::Body)
         return refuse(408);
     if (m_phase == Phase::Serving)
-        return clientGone();
+        return handleDisconnect();
     close();
 }
 
-void ServerConnection::clientGone()
+void ServerConnection::handleDisconnect()
 {
     const auto exchange = m_exchange.lock();
     close();
     if (exchange)
-        exchange->gone();
+        exchange->handleDisconnect();
 }
 
 void ServerConnection::close()
 {
     if (m_phase == Phase::Closed)
         return;
-    if (m_phase == Phase::Serving && !m_answered)
+    if (m_phase == Phase::Serving && !m_responseComplete)
         endExchange();
     m_phase = Phase::Closed;
     m_timer.cancel();
--- a/src/net/serverconnection.h
+++ b/src/net/serverconnection.h
@@ -15,7 +15,7 @@
 
 class ServerConnection;
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 struct ServerShared
 {
     Server::Handler handler;
@@ -25,7 +25,7 @@
     bool draining = false;
 };
 
-/// One client's connection; also the Exchange of its current request.
+/// Connection of a client. ServerExchange is the Exchange of its current request.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -50,33 +50,33 @@
         Idle,
         Header,
         Body,
-        /// The handler has the request.
+        /// The handler is processing the request.
         Serving,
-        /// The last bytes are on their way; then the connection closes.
+        /// The last bytes are being sent; then the connection is closed.
         Closing,
         Closed,
     };
 
     void read();
-    void received(const boost::system::error_code &error, std::size_t bytes);
-    void advance();
+    void handleRead(const boost::system::error_code &error, std::size_t bytes);
+    void handleParserState();
     void serve();
     void refuse(int status);
     void send(const std::string &bytes);
     void flush();
-    void flushed();
-    void requestDone();
-    void endSending();
+    void handleFlushed();
+    void endRequest();
+    void shutdownSend();
     void armTimer(absl::Duration delay);
-    void expired();
-    void clientGone();
+    void handleTimeout();
+    void handleDisconnect();
     void endExchange();
     std::string framedHead(ResponseHead head, std::string_view framing);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     std::shared_ptr<ServerShared> m_shared;
-    RequestParser m_reader;
+    RequestParser m_parser;
     std::array<char, 8192> m_buffer;
     Phase m_phase = Phase::Idle;
     std::string m_output;
@@ -84,8 +84,8 @@
     bool m_reading = false;
     bool m_keepAlive = true;
     bool m_isStream = false;
-    /// The answer is complete but not all of it has been sent.
-    bool m_answered = false;
+    /// The handler has completed the response, but some of it may not have been sent yet.
+    bool m_responseComplete = false;
     std::weak_ptr<class ServerExchange> m_exchange;
 };
 
--- a/src/net/serverexchange.h
+++ b/src/net/serverexchange.h
@@ -6,20 +6,21 @@
 
 namespace rattanrill::net {
 
-/// Exchange of the current request of a connection. After its end or the loss of the connection
-/// its calls do nothing.
+/// Exchange of the current request of a connection. Calls have no effect after the exchange has
+/// ended or the connection was lost.
 class ServerExchange : public Exchange
 {
 public:
-    ServerExchange(std::shared_ptr<ServerConnection> connection, Request request, absl::Time at)
+    ServerExchange(std::shared_ptr<ServerConnection> connection, Request request,
+                   absl::Time receivedTime)
         : m_connection(std::move(connection))
         , m_request(std::move(request))
-        , m_receivedAt(at)
+        , m_receivedAt(receivedTime)
     {}
 
     ~ServerExchange() override
     {
-        // A handler that drops the exchange must not leave the client waiting.
+        // A handler that releases the exchange without ending it must not leave the client waiting.
         if (m_connection)
             m_connection->abort();
     }
@@ -28,19 +29,19 @@
     absl::Time receivedAt() const override { return m_receivedAt; }
     void onClientDisconnected(std::function<void()> handler) override
     {
-        m_gone = std::move(handler);
+        m_disconnectHandler = std::move(handler);
     }
 
     void respond(Response response) override
     {
-        m_gone = nullptr;
+        m_disconnectHandler = nullptr;
         if (const auto connection = std::exchange(m_connection, nullptr))
             connection->respond(std::move(response));
     }
 
     void startStream(ResponseHead head) override
     {
-        m_started = true;
+        m_streamStarted = true;
         if (m_connection)
             m_connection->startStream(std::move(head));
     }
@@ -53,29 +54,29 @@
 
     void finish() override
     {
-        m_gone = nullptr;
+        m_disconnectHandler = nullptr;
         if (const auto connection = std::exchange(m_connection, nullptr))
             connection->finish();
     }
 
     void abort() override
     {
-        m_gone = nullptr;
+        m_disconnectHandler = nullptr;
         if (const auto connection = std::exchange(m_connection, nullptr))
             connection->abort();
     }
 
-    bool streamStarted() const override { return m_started; }
+    bool streamStarted() const override { return m_streamStarted; }
     std::size_t unsentBytes() const override
     {
         return m_connection ? m_connection->unsentBytes() : 0;
     }
 
-    /// The client left.
-    void gone()
+    /// Called by the connection when the client has disconnected.
+    void handleDisconnect()
     {
         m_connection.reset();
-        if (const auto handler = std::exchange(m_gone, nullptr))
+        if (const auto handler = std::exchange(m_disconnectHandler, nullptr))
             handler();
     }
 
@@ -83,9 +84,10 @@
     std::shared_ptr<ServerConnection> m_connection;
     Request m_request;
     absl::Time m_receivedAt;
-    /// Forgotten with the end of the answer: it holds its owner, which holds this exchange.
-    std::function<void()> m_gone;
-    bool m_started = false;
+    /// Released when the response ends: the handler holds its owner, which holds this exchange, and
+    /// the reference cycle would keep all of them in memory.
+    std::function<void()> m_disconnectHandler;
+    bool m_streamStarted = false;
 };
 
 } // namespace rattanrill::net
--- a/src/net/socketoptions.cpp
+++ b/src/net/socketoptions.cpp
@@ -12,12 +12,13 @@
 constexpr int keepAliveIdleSeconds = 2;
 constexpr int keepAliveIntervalSeconds = 1;
 constexpr int keepAliveProbes = 2;
-/// Unacknowledged data closes the connection after this long.
+/// The connection is closed when sent data stays unacknowledged for this long.
 constexpr int userTimeoutMs = 4000;
 
 void setOption(int socket, int level, int option, int value)
 {
-    // A missing option only makes the loss of a peer visible later; the timeouts of requests hold.
+    // Errors are ignored: without an option the loss of a peer is only detected later, and the
+    // timeouts of requests still apply.
     (void)setsockopt(socket, level, option, &value, sizeof(value));
 }
 
--- a/src/net/socketoptions.h
+++ b/src/net/socketoptions.h
@@ -6,12 +6,12 @@
 
 namespace rattanrill::net {
 
-/// Sends small pieces at once, and notices within a few seconds when the other side is gone
-/// without a word.
+/// Makes \a socket non-blocking, disables the delay of small writes, and lets TCP detect within a
+/// few seconds that the peer has disappeared without closing the connection.
 void prepareSocket(boost::asio::ip::tcp::socket &socket);
 
-/// Writes what the non-blocking \a socket takes at once and removes it from \a output. The error is
-/// would_block when the rest has to wait.
+/// Writes what the non-blocking \a socket accepts immediately and removes it from \a output. The
+/// error is would_block when the rest has to wait.
 boost::system::error_code sendAvailable(boost::asio::ip::tcp::socket &socket, std::string &output);
 
 } // namespace rattanrill::net
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -16,13 +16,13 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// Seconds of "timeout=" in a Keep-Alive header; nothing when it has none.
+/// Returns the seconds after "timeout=" in a Keep-Alive header, or nothing if there are none.
 std::optional<int> keepAliveSeconds(std::string_view value)
 {
-    const std::size_t at = value.find("timeout=");
-    if (at == std::string_view::npos)
+    const std::size_t position = value.find("timeout=");
+    if (position == std::string_view::npos)
         return std::nullopt;
-    const std::string_view digits = value.substr(at + std::string_view("timeout=").size());
+    const std::string_view digits = value.substr(position + std::string_view("timeout=").size());
     int seconds = 0;
     const auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
     if (parsed.ec != std::errc())
@@ -39,12 +39,12 @@
     , m_address(std::move(address))
     , m_options(options)
     , m_listener(std::move(listener))
-    , m_keep(options.defaultKeepAlive)
+    , m_keepAlive(options.defaultKeepAlive)
 {}
 
 bool UpstreamConnection::isUsable(absl::Time now) const
 {
-    return m_state == State::Idle && now - m_idleSince < m_keep * m_options.keepAliveFraction;
+    return m_state == State::Idle && now - m_idleSince < m_keepAlive * m_options.keepAliveFraction;
 }
 
 void UpstreamConnection::call(std::string request, CallHandlers handlers)
@@ -52,15 +52,15 @@
     m_output = std::move(request);
     m_handlers = std::make_shared<CallHandlers>(std::move(handlers));
     const bool isNew = m_state == State::New;
-    ResponseParser::Handlers reading;
-    reading.head = [this](const ResponseHead &head) { return noteHead(head); };
-    reading.body = [this](std::string_view bytes) {
+    ResponseParser::Handlers parserHandlers;
+    parserHandlers.head = [this](const ResponseHead &head) { return handleHead(head); };
+    parserHandlers.body = [this](std::string_view bytes) {
         // A handler may close the connection while it runs.
         const auto current = m_handlers;
         if (current && current->body)
             current->body(bytes);
     };
-    m_reader.emplace(std::move(reading));
+    m_parser.emplace(std::move(parserHandlers));
     m_state = isNew ? State::Connecting : State::Calling;
     if (isNew)
         connect();
@@ -91,11 +91,11 @@
     });
     m_socket.async_connect(endpoint,
                            [self = shared_from_this()](const boost::system::error_code &result) {
-                               self->connected(result);
+                               self->handleConnect(result);
                            });
 }
 
-void UpstreamConnection::connected(const boost::system::error_code &error)
+void UpstreamConnection::handleConnect(const boost::system::error_code &error)
 {
     if (m_state != State::Connecting)
         return;
@@ -113,7 +113,8 @@
     if (m_output.empty())
         return;
     if (error != boost::asio::error::would_block) {
-        // The answer may already be on its way, so the read decides; it fails as well if not.
+        // The upstream may have sent its response before the connection failed, so the result of
+        // the pending read decides; without a response the read fails as well.
         m_output.clear();
         return;
     }
@@ -129,44 +130,45 @@
     m_socket.async_read_some(
             boost::asio::buffer(m_buffer),
             [self = shared_from_this()](const boost::system::error_code &error, std::size_t bytes) {
-                self->received(error, bytes);
+                self->handleRead(error, bytes);
             });
 }
 
-void UpstreamConnection::received(const boost::system::error_code &error, std::size_t bytes)
+void UpstreamConnection::handleRead(const boost::system::error_code &error, std::size_t bytes)
 {
     if (m_state == State::Closed)
         return;
-    // Bytes on an idle connection belong to no request.
+    // Bytes that arrive on an idle connection belong to no request.
     if (m_state == State::Idle)
         return close();
     if (error == boost::asio::error::eof)
-        m_reader->handleEof();
+        m_parser->handleEof();
     else if (!error)
-        m_reader->feed(std::string_view(m_buffer.data(), bytes));
+        m_parser->feed(std::string_view(m_buffer.data(), bytes));
     if (m_state != State::Calling)
         return;
-    if (m_reader->state() == ResponseParser::State::Complete)
+    if (m_parser->state() == ResponseParser::State::Complete)
         return finish();
-    if (error || m_reader->state() == ResponseParser::State::Broken)
+    if (error || m_parser->state() == ResponseParser::State::Broken)
         return fail(CallStatus::Broken);
     read();
 }
 
-bool UpstreamConnection::noteHead(const ResponseHead &head)
+bool UpstreamConnection::handleHead(const ResponseHead &head)
 {
     const std::optional<int> seconds = keepAliveSeconds(head.headers.value("Keep-Alive"));
-    m_keep = seconds ? absl::Seconds(*seconds) : m_options.defaultKeepAlive;
+    m_keepAlive = seconds ? absl::Seconds(*seconds) : m_options.defaultKeepAlive;
     const auto current = m_handlers;
     return current && current->head(head);
 }
 
 void UpstreamConnection::finish()
 {
-    // A connection whose request body is not sent in full would carry its rest into the next one.
-    const bool isClean = m_reader->isKeepAlive() && !m_reader->hasExtraBytes() && m_output.empty();
+    // If the request was not sent completely, the rest would become part of the next request.
+    const bool isReusable =
+            m_parser->isKeepAlive() && !m_parser->hasExtraBytes() && m_output.empty();
     const auto handlers = std::exchange(m_handlers, nullptr);
-    if (isClean) {
+    if (isReusable) {
         m_state = State::Idle;
         m_idleSince = SystemClock::instance().now();
         read();
--- a/src/net/upstreamconnection.h
+++ b/src/net/upstreamconnection.h
@@ -19,17 +19,17 @@
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection>
 {
 public:
-    /// Called with this connection when it is idle again, or is closed.
+    /// Called with this connection when it becomes idle again or is closed.
     using Listener = std::function<void(const std::shared_ptr<UpstreamConnection> &, bool idle)>;
 
     UpstreamConnection(boost::asio::io_context &context, std::string address,
                        ConnectionPoolOptions options, Listener listener);
 
-    /// Only on a new or idle connection.
+    /// Sends \a request. Requires a new or idle connection.
     void call(std::string request, CallHandlers handlers);
     void close();
     const std::string &address() const { return m_address; }
-    /// The kept connection may be used for another request.
+    /// Whether the connection is idle and can carry another request.
     bool isUsable(absl::Time now) const;
 
 private:
@@ -42,11 +42,11 @@
     };
 
     void connect();
-    void connected(const boost::system::error_code &error);
+    void handleConnect(const boost::system::error_code &error);
     void send();
     void read();
-    void received(const boost::system::error_code &error, std::size_t bytes);
-    bool noteHead(const ResponseHead &head);
+    void handleRead(const boost::system::error_code &error, std::size_t bytes);
+    bool handleHead(const ResponseHead &head);
     void finish();
     void fail(CallStatus status);
 
@@ -57,10 +57,10 @@
     Listener m_listener;
     State m_state = State::New;
     std::string m_output;
-    std::optional<ResponseParser> m_reader;
+    std::optional<ResponseParser> m_parser;
     std::shared_ptr<CallHandlers> m_handlers;
     std::array<char, 16384> m_buffer;
-    absl::Duration m_keep;
+    absl::Duration m_keepAlive;
     absl::Time m_idleSince;
 };
 
