--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -36,11 +36,11 @@
 {
     const std::uint64_t keyHash = stableHash(key);
     std::size_t owner = 0;
-    std::uint64_t best = 0;
+    std::uint64_t highestWeight = 0;
     for (std::size_t i = 0; i < members.size(); ++i) {
         const std::uint64_t weight = stableHash(members[i], keyHash);
-        if (i == 0 || weight > best) {
-            best = weight;
+        if (i == 0 || weight > highestWeight) {
+            highestWeight = weight;
             owner = i;
         }
     }
@@ -74,7 +74,8 @@
 {
     std::string buffer(bytes, '\0');
     auto *data = reinterpret_cast<unsigned char *>(buffer.data());
-    // Without random numbers keys and nonces would be predictable, so there is no way on.
+    // Without random numbers, keys and nonces would be predictable, so the process must not
+    // continue.
     if (RAND_bytes(data, static_cast<int>(bytes)) != 1)
         std::abort();
     return toHex(data, bytes);
--- a/src/base/logger.cpp
+++ b/src/base/logger.cpp
@@ -23,11 +23,12 @@
 namespace rattanrill {
 namespace {
 
-/// Lines that wait for the writer at most.
+/// Maximum number of lines queued for the writing thread.
 constexpr int maxQueuedLines = 2048;
-/// Lines below the level of a warning that a process writes over time, and at once.
-constexpr double linesPerSecond = 300;
-constexpr double burstLines = 1200;
+/// Limits on the lines below Warning that a process writes: the sustained rate, and the number of
+/// lines in a burst.
+constexpr double maxLinesPerSecond = 300;
+constexpr double maxBurstLines = 1200;
 
 constexpr std::array<EnumName<LogLevel>, 4> levelNames = {{
         {LogLevel::Debug, "debug"},
@@ -42,9 +43,10 @@
     return settings;
 }
 
-log4cxx::LoggerPtr sink()
+log4cxx::LoggerPtr outputLogger()
 {
-    // log4cxx destroys its own statics at exit, while timers and pools may still log.
+    // Never destroyed: timers and pools may still log at exit, after log4cxx has destroyed its own
+    // static objects.
     static const auto *logger = new log4cxx::LoggerPtr(log4cxx::Logger::getLogger("rattanrill"));
     return *logger;
 }
@@ -62,8 +64,9 @@
     return console;
 }
 
-/// A reader that falls behind costs lines, never time: the appender counts and reports them.
-log4cxx::AppenderPtr withoutBlocking(const log4cxx::AppenderPtr &appender)
+/// Wraps \a appender so that logging never blocks. When the reader of the output falls behind,
+/// lines are dropped; the asynchronous appender counts and reports them.
+log4cxx::AppenderPtr makeNonBlocking(const log4cxx::AppenderPtr &appender)
 {
     auto queue = std::make_shared<log4cxx::AsyncAppender>();
     queue->setBufferSize(maxQueuedLines);
@@ -74,49 +77,50 @@
 
 void closeAppenders()
 {
-    sink()->removeAllAppenders();
+    outputLogger()->removeAllAppenders();
 }
 
-/// Bounds the lines of a process over time. Errors and warnings always pass.
-class LineBudget
+/// Limits the rate of the lines of a process with a token bucket. Warnings and errors always pass.
+class LogRateLimiter
 {
 public:
-    /// Returns false for a line that goes without being written.
-    bool take(LogLevel level)
+    /// Returns false when the line exceeds the rate and must be dropped.
+    bool tryAcquire(LogLevel level)
     {
         if (level >= LogLevel::Warning)
             return true;
         const absl::Time now = absl::Now();
         absl::MutexLock lock(&m_mutex);
-        const double earned = absl::ToDoubleSeconds(now - m_at) * linesPerSecond;
-        m_lines = std::min(burstLines, m_lines + std::max(earned, 0.0));
-        m_at = now;
-        if (m_lines < 1) {
+        const double refill = absl::ToDoubleSeconds(now - m_refilledAt) * maxLinesPerSecond;
+        m_availableLines = std::min(maxBurstLines, m_availableLines + std::max(refill, 0.0));
+        m_refilledAt = now;
+        if (m_availableLines < 1) {
             ++m_dropped;
             return false;
         }
-        m_lines -= 1;
+        m_availableLines -= 1;
         return true;
     }
 
-    /// Lines that were not written since the last call.
+    /// Returns the number of lines dropped since it was last reported, or 0 while at most half of
+    /// the burst is available: the report waits until the load has fallen.
     std::int64_t takeDropped()
     {
         absl::MutexLock lock(&m_mutex);
-        return m_lines > burstLines / 2 ? std::exchange(m_dropped, 0) : 0;
+        return m_availableLines > maxBurstLines / 2 ? std::exchange(m_dropped, 0) : 0;
     }
 
 private:
     absl::Mutex m_mutex;
-    double m_lines ABSL_GUARDED_BY(m_mutex) = burstLines;
-    absl::Time m_at ABSL_GUARDED_BY(m_mutex) = absl::Now();
+    double m_availableLines ABSL_GUARDED_BY(m_mutex) = maxBurstLines;
+    absl::Time m_refilledAt ABSL_GUARDED_BY(m_mutex) = absl::Now();
     std::int64_t m_dropped ABSL_GUARDED_BY(m_mutex) = 0;
 };
 
-LineBudget &lineBudget()
+LogRateLimiter &rateLimiter()
 {
-    static auto *budget = new LineBudget;
-    return *budget;
+    static auto *limiter = new LogRateLimiter;
+    return *limiter;
 }
 
 Json fieldValue(const LogField &field)
@@ -134,10 +138,10 @@
 void initLogging(const LogSettings &settings)
 {
     currentSettings() = settings;
-    const log4cxx::LoggerPtr logger = sink();
+    const log4cxx::LoggerPtr logger = outputLogger();
     logger->removeAllAppenders();
     logger->setAdditivity(false);
-    logger->addAppender(withoutBlocking(makeAppender(settings)));
+    logger->addAppender(makeNonBlocking(makeAppender(settings)));
     std::atexit(closeAppenders);
     logger->setLevel(log4cxx::Level::getAll());
 }
@@ -145,9 +149,9 @@
 void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
 {
     const LogSettings &settings = currentSettings();
-    if (level < settings.level || settings.program.empty() || !lineBudget().take(level))
+    if (level < settings.level || settings.program.empty() || !rateLimiter().tryAcquire(level))
         return;
-    if (const std::int64_t dropped = lineBudget().takeDropped(); dropped > 0)
+    if (const std::int64_t dropped = rateLimiter().takeDropped(); dropped > 0)
         log(LogLevel::Warning, "log-lines-dropped", {{"lines", dropped}});
     nlohmann::ordered_json line;
     line["time"] = absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", absl::Now(), absl::UTCTimeZone());
@@ -160,7 +164,7 @@
         line[std::string(field.key)] = fieldValue(field);
     const std::string text =
             line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
-    sink()->info(text);
+    outputLogger()->info(text);
 }
 
 } // namespace rattanrill
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -58,13 +58,13 @@
     return escaped;
 }
 
-std::string renderLabels(const MetricLabels &labels, std::string_view extra = {})
+std::string renderLabels(const MetricLabels &labels, std::string_view extraLabel = {})
 {
     std::string text;
     for (const auto &[key, value] : labels)
         text += concat(text.empty() ? "" : ",", key, "=\"", escapeLabel(value), "\"");
-    if (!extra.empty())
-        text += concat(text.empty() ? "" : ",", extra);
+    if (!extraLabel.empty())
+        text += concat(text.empty() ? "" : ",", extraLabel);
     return text.empty() ? text : "{" + text + "}";
 }
 
@@ -72,8 +72,8 @@
                      const HistogramSeries &series)
 {
     const std::vector<double> &bounds = histogramBounds();
-    // Underflow counts belong to the first bucket: buckets are cumulative.
-    // A double holds whole counts exactly up to 2^53.
+    // Buckets are cumulative, so the first one includes the values below the lowest bound (the
+    // underflow bin). The bins are doubles, which represent counts exactly up to 2^53.
     auto cumulative = static_cast<std::uint64_t>(series.histogram.at(-1));
     text += concat(name, "_bucket", renderLabels(labels, concat("le=\"", bounds[0], "\"")), " ",
                    cumulative, "\n");
--- a/src/base/timerservice.cpp
+++ b/src/base/timerservice.cpp
@@ -34,13 +34,13 @@
     {
         absl::MutexLock lock(&mutex);
         while (!stopping) {
-            waitForDue();
+            waitForNextTimer();
             if (!stopping)
                 fireFirst();
         }
     }
 
-    void waitForDue() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
+    void waitForNextTimer() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
     {
         while (!stopping) {
             if (entries.empty()) {
@@ -61,7 +61,8 @@
         Entry entry = first->second;
         entries.erase(first);
         if (entry.period > absl::ZeroDuration()) {
-            // A late service skips missed periods instead of firing them in a row.
+            // A timer that is late skips the missed periods instead of firing once for each of
+            // them.
             const absl::Time next = std::max(due + entry.period, clock.now());
             entries.emplace(next, entry);
         }
