--- a/tests/net/connectionpool_test.cpp
+++ b/tests/net/connectionpool_test.cpp
@@ -19,16 +19,16 @@
 
 const std::string address = "127.0.0.1:38472";
 
-struct Answer
+struct CallResult
 {
-    std::optional<CallStatus> end;
+    std::optional<CallStatus> callStatus;
     int status = 0;
     std::string body;
 };
 
-struct Fixture
+struct ConnectionPoolFixture
 {
-    Fixture()
+    ConnectionPoolFixture()
     {
         thread.run([this] {
             server = std::make_unique<Server>(
@@ -39,22 +39,22 @@
             pool = std::make_unique<ConnectionPool>(thread.loop(), options);
         });
     }
-    ~Fixture()
+    ~ConnectionPoolFixture()
     {
         thread.run([this] {
             pool.reset();
-            kept.reset();
+            openExchange.reset();
             server.reset();
         });
     }
 
     void serve(const std::shared_ptr<Exchange> &exchange)
     {
-        ++served;
+        ++requestCount;
         const std::string path(exchange->request().path());
         if (path == "/wait") {
-            kept = exchange;
-            exchange->onClientDisconnected([this] { ++gone; });
+            openExchange = exchange;
+            exchange->onClientDisconnected([this] { ++disconnectCount; });
             return;
         }
         if (path == "/cut") {
@@ -79,20 +79,20 @@
         handlers.body = [this](std::string_view bytes) { result.body.append(bytes); };
         handlers.onEnd = [this](CallStatus status) {
             absl::MutexLock lock(&mutex);
-            result.end = status;
+            result.callStatus = status;
         };
         ConnectionPool::CallId id = 0;
         thread.run([&] {
-            result = Answer();
+            result = CallResult();
             id = pool->call(target, serialize(request), std::move(handlers));
         });
         return id;
     }
 
-    Answer wait()
+    CallResult wait()
     {
         absl::MutexLock lock(&mutex);
-        const auto ended = [this] { return result.end.has_value(); };
+        const auto ended = [this] { return result.callStatus.has_value(); };
         BOOST_REQUIRE(mutex.AwaitWithTimeout(absl::Condition(&ended), absl::Seconds(10)));
         return result;
     }
@@ -100,56 +100,61 @@
     LoopThread thread;
     std::unique_ptr<Server> server;
     std::unique_ptr<ConnectionPool> pool;
-    std::shared_ptr<Exchange> kept;
-    std::atomic<int> served{0};
-    std::atomic<int> gone{0};
+    std::shared_ptr<Exchange> openExchange;
+    std::atomic<int> requestCount{0};
+    std::atomic<int> disconnectCount{0};
     absl::Mutex mutex;
-    Answer result;
+    CallResult result;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ConnectionPoolTest)
 
-BOOST_AUTO_TEST_CASE(connectionIsUsedAgain)
+// Guards against a pool that opens a new connection for each call instead of reusing the idle one.
+BOOST_AUTO_TEST_CASE(connectionIsReused)
 {
-    Fixture fixture;
+    ConnectionPoolFixture fixture;
     for (int i = 0; i < 3; ++i) {
         fixture.start(address, "/whole");
-        const Answer result = fixture.wait();
-        BOOST_TEST((result.end == CallStatus::Complete));
+        const CallResult result = fixture.wait();
+        BOOST_TEST((result.callStatus == CallStatus::Complete));
         BOOST_TEST(result.body == "whole");
     }
     fixture.thread.run([&] { BOOST_TEST(fixture.pool->connectionsOpened() == 1u); });
 }
 
-BOOST_AUTO_TEST_CASE(cutAnswerIsBroken)
+// Guards against an incomplete response that is reported as complete: the server closes the
+// connection in the middle of a stream.
+BOOST_AUTO_TEST_CASE(abortedResponseIsBroken)
 {
-    Fixture fixture;
+    ConnectionPoolFixture fixture;
     fixture.start(address, "/cut");
-    BOOST_TEST((fixture.wait().end == CallStatus::Broken));
+    BOOST_TEST((fixture.wait().callStatus == CallStatus::Broken));
 }
 
-// Guards against "may have run" for a request that was never sent.
-BOOST_AUTO_TEST_CASE(noListenerMeansNotConnected)
+// Guards against reporting that a request may have run although it was never sent, because nothing
+// listens on the address.
+BOOST_AUTO_TEST_CASE(callWithoutListenerIsNotConnected)
 {
-    Fixture fixture;
+    ConnectionPoolFixture fixture;
     fixture.start("127.0.0.1:9", "/whole");
-    BOOST_TEST((fixture.wait().end == CallStatus::NotConnected));
+    BOOST_TEST((fixture.wait().callStatus == CallStatus::NotConnected));
 }
 
-// Guards against an upstream that works on after the call was given up.
+// Guards against an upstream that continues to process a cancelled call: it detects the
+// cancellation only by the closed connection.
 BOOST_AUTO_TEST_CASE(cancelledCallClosesItsConnection)
 {
-    Fixture fixture;
+    ConnectionPoolFixture fixture;
     const auto id = fixture.start(address, "/wait");
-    for (int i = 0; i < 200 && fixture.served == 0; ++i)
+    for (int i = 0; i < 200 && fixture.requestCount == 0; ++i)
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     fixture.thread.run([&] { fixture.pool->cancel(id); });
-    for (int i = 0; i < 200 && fixture.gone == 0; ++i)
+    for (int i = 0; i < 200 && fixture.disconnectCount == 0; ++i)
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    BOOST_TEST(fixture.gone == 1);
-    BOOST_TEST(!fixture.result.end.has_value());
+    BOOST_TEST(fixture.disconnectCount == 1);
+    BOOST_TEST(!fixture.result.callStatus.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/net/loopthread.h
+++ b/tests/net/loopthread.h
@@ -9,7 +9,7 @@
 
 namespace rattanrill::net {
 
-/// An event loop on a thread of its own.
+/// Runs an event loop on its own thread.
 class LoopThread
 {
 public:
@@ -24,7 +24,7 @@
 
     EventLoop &loop() { return m_loop; }
 
-    /// Runs \a task on the loop and waits for its end.
+    /// Runs \a task on the loop and returns when it has finished.
     void run(const std::function<void()> &task)
     {
         absl::Notification done;
--- a/tests/net/rawcall.h
+++ b/tests/net/rawcall.h
@@ -6,21 +6,22 @@
 
 namespace rattanrill::net {
 
-/// Sends \a request to a port of this machine and reads until the other side closes.
+/// Sends \a request to \a port on the loopback address and returns everything received until the
+/// server closes the connection.
 inline std::string rawCall(unsigned short port, const std::string &request)
 {
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket socket(context);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"), port});
     boost::asio::write(socket, boost::asio::buffer(request));
-    std::string answer;
+    std::string response;
     boost::system::error_code error;
     while (!error) {
         char buffer[4096];
         const std::size_t size = socket.read_some(boost::asio::buffer(buffer), error);
-        answer.append(buffer, size);
+        response.append(buffer, size);
     }
-    return answer;
+    return response;
 }
 
 } // namespace rattanrill::net
--- a/tests/net/rawsocket.h
+++ b/tests/net/rawsocket.h
@@ -7,7 +7,7 @@
 
 namespace rattanrill::net {
 
-/// A client that sends exactly the bytes that it is given.
+/// Client socket that sends bytes unchanged, so that tests can send malformed requests.
 class RawSocket
 {
 public:
@@ -23,7 +23,8 @@
         boost::asio::write(m_socket, boost::asio::buffer(bytes.data(), bytes.size()));
     }
 
-    /// Reads until \a end stands in what was received, or the other side closes.
+    /// Reads until the received bytes contain \a end or the server closes the connection. Returns
+    /// all bytes received so far.
     std::string readUntil(std::string_view end)
     {
         while (m_received.find(end) == std::string::npos && readSome()) {
@@ -31,7 +32,7 @@
         return m_received;
     }
 
-    /// Reads until the other side closes.
+    /// Reads until the server closes the connection. Returns all bytes received so far.
     std::string readAll()
     {
         while (readSome()) {
--- a/tests/net/responseparser_test.cpp
+++ b/tests/net/responseparser_test.cpp
@@ -12,10 +12,10 @@
 /// Collects the response to the request "own".
 struct Collector
 {
-    ResponseParser reader{{[this](const ResponseHead &answer) {
-                               const bool isOwn = answer.headers.value("Id") == "own";
+    ResponseParser parser{{[this](const ResponseHead &received) {
+                               const bool isOwn = received.headers.value("Id") == "own";
                                if (isOwn)
-                                   head = answer;
+                                   head = received;
                                return isOwn;
                            },
                            [this](std::string_view bytes) { body.append(bytes); }}};
@@ -23,7 +23,7 @@
     std::string body;
 };
 
-std::string response(const std::string &id, const std::string &body)
+std::string makeResponse(const std::string &id, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + std::to_string(body.size())
            + "\r\n\r\n" + body;
@@ -33,77 +33,84 @@
 
 BOOST_AUTO_TEST_SUITE(ResponseParserTest)
 
-BOOST_AUTO_TEST_CASE(answerIsTheSameByteByByte)
+// Guards against a parse result that depends on how the bytes are split over reads.
+BOOST_AUTO_TEST_CASE(responseIsTheSameByteByByte)
 {
     Collector collector;
-    for (const char c : response("own", "hello"))
-        collector.reader.feed(std::string_view(&c, 1));
-    BOOST_TEST((collector.reader.state() == State::Complete));
+    for (const char c : makeResponse("own", "hello"))
+        collector.parser.feed(std::string_view(&c, 1));
+    BOOST_TEST((collector.parser.state() == State::Complete));
     BOOST_TEST(collector.head.status == 200);
     BOOST_TEST(collector.body == "hello");
-    BOOST_TEST(collector.reader.isKeepAlive());
-    BOOST_TEST(!collector.reader.hasExtraBytes());
+    BOOST_TEST(collector.parser.isKeepAlive());
+    BOOST_TEST(!collector.parser.hasExtraBytes());
 }
 
-// Guards against a late answer of an earlier request that is delivered to the next caller.
-BOOST_AUTO_TEST_CASE(foreignAnswerIsPassedOver)
+// Guards against delivering the late response to an earlier request to the next caller.
+BOOST_AUTO_TEST_CASE(responseToAnotherRequestIsSkipped)
 {
     Collector collector;
-    collector.reader.feed(response("other", "foreign bytes") + response("own", "mine"));
-    BOOST_TEST((collector.reader.state() == State::Complete));
+    collector.parser.feed(makeResponse("other", "foreign bytes") + makeResponse("own", "mine"));
+    BOOST_TEST((collector.parser.state() == State::Complete));
     BOOST_TEST(collector.body == "mine");
 }
 
-BOOST_AUTO_TEST_CASE(interimAnswerIsPassedOver)
+// Guards against a 1xx response that is delivered as the final one.
+BOOST_AUTO_TEST_CASE(interimResponseIsSkipped)
 {
     Collector collector;
-    collector.reader.feed("HTTP/1.1 100 Continue\r\n\r\n" + response("own", "x"));
-    BOOST_TEST((collector.reader.state() == State::Complete));
+    collector.parser.feed("HTTP/1.1 100 Continue\r\n\r\n" + makeResponse("own", "x"));
+    BOOST_TEST((collector.parser.state() == State::Complete));
     BOOST_TEST(collector.body == "x");
 }
 
-// Guards against bytes behind an answer that become part of the next one.
-BOOST_AUTO_TEST_CASE(extraBytesAreNoticed)
+// Guards against reusing a connection on which bytes follow the response: they would become part of
+// the next response.
+BOOST_AUTO_TEST_CASE(extraBytesAreReported)
 {
     Collector collector;
-    collector.reader.feed(response("own", "x") + "HTTP/1.1 200");
-    BOOST_TEST((collector.reader.state() == State::Complete));
-    BOOST_TEST(collector.reader.hasExtraBytes());
+    collector.parser.feed(makeResponse("own", "x") + "HTTP/1.1 200");
+    BOOST_TEST((collector.parser.state() == State::Complete));
+    BOOST_TEST(collector.parser.hasExtraBytes());
 }
 
-// Guards against a cut answer that looks complete.
-BOOST_AUTO_TEST_CASE(cutAnswerIsBroken)
+// Guards against a truncated response that is reported as complete: the connection closes before
+// the announced length, before the last chunk, or before the first byte.
+BOOST_AUTO_TEST_CASE(truncatedResponseIsBroken)
 {
     Collector sized;
-    sized.reader.feed("HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 9\r\n\r\nhalf");
-    sized.reader.handleEof();
-    BOOST_TEST((sized.reader.state() == State::Broken));
+    sized.parser.feed("HTTP/1.1 200 OK\r\nId: own\r\nContent-Length: 9\r\n\r\nhalf");
+    sized.parser.handleEof();
+    BOOST_TEST((sized.parser.state() == State::Broken));
     Collector chunked;
-    chunked.reader.feed(
+    chunked.parser.feed(
             "HTTP/1.1 200 OK\r\nId: own\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
-    chunked.reader.handleEof();
-    BOOST_TEST((chunked.reader.state() == State::Broken));
+    chunked.parser.handleEof();
+    BOOST_TEST((chunked.parser.state() == State::Broken));
     Collector empty;
-    empty.reader.handleEof();
-    BOOST_TEST((empty.reader.state() == State::Broken));
+    empty.parser.handleEof();
+    BOOST_TEST((empty.parser.state() == State::Broken));
 }
 
-BOOST_AUTO_TEST_CASE(answerWithoutLengthEndsWithItsConnection)
+// Guards against a response without Content-Length or chunks that never completes, or whose closed
+// connection is reused.
+BOOST_AUTO_TEST_CASE(responseWithoutLengthEndsWhenTheConnectionCloses)
 {
     Collector collector;
-    collector.reader.feed("HTTP/1.1 200 OK\r\nId: own\r\n\r\nall of it");
-    BOOST_TEST((collector.reader.state() == State::Reading));
-    collector.reader.handleEof();
-    BOOST_TEST((collector.reader.state() == State::Complete));
+    collector.parser.feed("HTTP/1.1 200 OK\r\nId: own\r\n\r\nall of it");
+    BOOST_TEST((collector.parser.state() == State::Reading));
+    collector.parser.handleEof();
+    BOOST_TEST((collector.parser.state() == State::Complete));
     BOOST_TEST(collector.body == "all of it");
-    BOOST_TEST(!collector.reader.isKeepAlive());
+    BOOST_TEST(!collector.parser.isKeepAlive());
 }
 
-BOOST_AUTO_TEST_CASE(noiseIsBroken)
+// Guards against waiting for more bytes after input that is not HTTP.
+BOOST_AUTO_TEST_CASE(malformedResponseIsBroken)
 {
     Collector collector;
-    collector.reader.feed("\x01\x02 no answer at all\r\n\r\n");
-    BOOST_TEST((collector.reader.state() == State::Broken));
+    collector.parser.feed("\x01\x02 no answer at all\r\n\r\n");
+    BOOST_TEST((collector.parser.state() == State::Broken));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -14,8 +14,9 @@
 
 namespace {
 
-/// Serves by path: /echo answers the body, /stream two pieces, /cut breaks a stream off, /wait
-/// never answers.
+/// Server whose behavior depends on the path: /echo returns the request body, /stream sends a
+/// stream of two parts, /cut aborts a stream, /wait never responds, and /held registers a
+/// disconnect handler that holds the exchange before it responds.
 struct TestServer
 {
     TestServer()
@@ -35,7 +36,7 @@
     ~TestServer()
     {
         thread.run([this] {
-            kept.reset();
+            openExchange.reset();
             server.reset();
         });
     }
@@ -44,8 +45,8 @@
     {
         const std::string path(exchange->request().path());
         if (path == "/wait") {
-            kept = exchange;
-            exchange->onClientDisconnected([this] { ++gone; });
+            openExchange = exchange;
+            exchange->onClientDisconnected([this] { ++disconnectCount; });
             return;
         }
         if (path == "/held") {
@@ -68,16 +69,16 @@
 
     LoopThread thread;
     std::unique_ptr<Server> server;
-    std::shared_ptr<Exchange> kept;
+    std::shared_ptr<Exchange> openExchange;
     std::weak_ptr<int> handlerOwner;
-    std::atomic<int> gone{0};
+    std::atomic<int> disconnectCount{0};
 };
 
 constexpr int port = 38471;
 
-std::string statusLine(const std::string &answer)
+std::string statusLine(const std::string &response)
 {
-    return answer.substr(0, answer.find("\r\n"));
+    return response.substr(0, response.find("\r\n"));
 }
 
 bool waitFor(const std::function<bool()> &condition)
@@ -91,6 +92,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServerTest)
 
+// Guards against a connection that is closed or stops reading after its first response.
 BOOST_AUTO_TEST_CASE(connectionServesOneRequestAfterAnother)
 {
     TestServer server;
@@ -101,22 +103,23 @@
     BOOST_TEST(client.readUntil("xyz").find("xyz") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(badInputIsAnsweredWithItsStatus)
+// Guards against malformed or oversized requests that reach the handler or get no response.
+BOOST_AUTO_TEST_CASE(invalidRequestIsAnsweredWithAnErrorStatus)
 {
     TestServer server;
-    const auto answerTo = [](const std::string &bytes) {
+    const auto statusLineFor = [](const std::string &bytes) {
         RawSocket client(port);
         client.send(bytes);
         return statusLine(client.readAll());
     };
-    BOOST_TEST(answerTo("nonsense\r\n\r\n") == "HTTP/1.1 400 Bad Request");
-    BOOST_TEST(answerTo("POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n")
+    BOOST_TEST(statusLineFor("nonsense\r\n\r\n") == "HTTP/1.1 400 Bad Request");
+    BOOST_TEST(statusLineFor("POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n")
                == "HTTP/1.1 413 Payload Too Large");
-    BOOST_TEST(answerTo("GET /" + std::string(600, 'x') + " HTTP/1.1\r\nHost: h\r\n\r\n")
+    BOOST_TEST(statusLineFor("GET /" + std::string(600, 'x') + " HTTP/1.1\r\nHost: h\r\n\r\n")
                == "HTTP/1.1 431 Request Header Fields Too Large");
 }
 
-// Guards against a client that holds a connection by sending its header slowly.
+// Guards against a client that occupies a connection by sending its header slowly.
 BOOST_AUTO_TEST_CASE(slowHeaderEndsWithATimeout)
 {
     TestServer server;
@@ -125,6 +128,7 @@
     BOOST_TEST(statusLine(client.readAll()) == "HTTP/1.1 408 Request Timeout");
 }
 
+// Guards against clients that occupy connections without sending a request.
 BOOST_AUTO_TEST_CASE(idleConnectionIsClosed)
 {
     TestServer server;
@@ -132,17 +136,19 @@
     BOOST_TEST(client.readAll().empty());
 }
 
+// Guards against streams that a client cannot frame: each write is one chunk, and the last chunk
+// ends the stream.
 BOOST_AUTO_TEST_CASE(streamIsChunked)
 {
     TestServer server;
     RawSocket client(port);
     client.send("GET /stream HTTP/1.1\r\nHost: h\r\n\r\n");
-    const std::string answer = client.readUntil("0\r\n\r\n");
-    BOOST_TEST(answer.find("3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n") != std::string::npos);
+    const std::string response = client.readUntil("0\r\n\r\n");
+    BOOST_TEST(response.find("3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n") != std::string::npos);
 }
 
-// Guards against a stream that was broken off and looks complete.
-BOOST_AUTO_TEST_CASE(brokenStreamHasNoEnd)
+// Guards against an aborted stream that the client takes for a complete one.
+BOOST_AUTO_TEST_CASE(abortedStreamHasNoLastChunk)
 {
     TestServer server;
     RawSocket client(port);
@@ -150,20 +156,20 @@
     BOOST_TEST(client.readAll().find("0\r\n\r\n") == std::string::npos);
 }
 
-// Guards against work that goes on after its caller has left.
-BOOST_AUTO_TEST_CASE(handlerLearnsThatTheClientLeft)
+// Guards against processing that continues after the client has disconnected.
+BOOST_AUTO_TEST_CASE(handlerIsNotifiedWhenTheClientDisconnects)
 {
     TestServer server;
     RawSocket client(port);
     client.send("GET /wait HTTP/1.1\r\nHost: h\r\n\r\n");
-    BOOST_TEST(waitFor([&] { return server.kept != nullptr; }));
+    BOOST_TEST(waitFor([&] { return server.openExchange != nullptr; }));
     client.close();
-    BOOST_TEST(waitFor([&] { return server.gone == 1; }));
+    BOOST_TEST(waitFor([&] { return server.disconnectCount == 1; }));
 }
 
-// Guards against requests that stay in memory after their answer: the handler holds the request,
-// which holds the exchange.
-BOOST_AUTO_TEST_CASE(answeredExchangeForgetsItsHandler)
+// Guards against a memory leak: the disconnect handler holds its owner and the exchange, which
+// holds the handler, so an exchange that keeps the handler after the end is never freed.
+BOOST_AUTO_TEST_CASE(answeredExchangeReleasesItsHandler)
 {
     TestServer server;
     RawSocket client(port);
@@ -172,16 +178,17 @@
     BOOST_TEST(waitFor([&] { return server.handlerOwner.expired(); }));
 }
 
-// Guards against a graceful stop that cuts an answer: it closes the connection behind the answer.
-BOOST_AUTO_TEST_CASE(drainingServerAnswersAndCloses)
+// Guards against a graceful stop that truncates a response: the connection must be closed only
+// after the response is sent.
+BOOST_AUTO_TEST_CASE(drainingServerRespondsBeforeItCloses)
 {
     TestServer server;
     RawSocket client(port);
     server.thread.run([&] { server.server->drain(); });
     client.send("POST /echo HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
-    const std::string answer = client.readAll();
-    BOOST_TEST(answer.find("Connection: close") != std::string::npos);
-    BOOST_TEST(answer.find("abc") != std::string::npos);
+    const std::string response = client.readAll();
+    BOOST_TEST(response.find("Connection: close") != std::string::npos);
+    BOOST_TEST(response.find("abc") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
