--- a/tests/base/hash_test.cpp
+++ b/tests/base/hash_test.cpp
@@ -6,7 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(HashTest)
 
-// Guards against a change of hash function or seed: processes of two versions must agree on owners.
+// Guards against a change of the hash function or its seed: processes of two versions would choose
+// different owners for the same key.
 BOOST_AUTO_TEST_CASE(stableHashHasFixedValues)
 {
     BOOST_TEST(stableHash("") == 0x2d06800538d394c2ULL);
@@ -14,12 +15,13 @@
                == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-// Guards against moving more keys than those of the member that left.
+// Guards against a rendezvous hash that reassigns keys of the remaining members when one member
+// leaves.
 BOOST_AUTO_TEST_CASE(rendezvousMovesOnlyKeysOfTheLostMember)
 {
     const std::vector<std::string> before = {"a", "b", "c", "d"};
     const std::vector<std::string> after = {"a", "b", "d"};
-    int moved = 0;
+    int movedKeys = 0;
     for (int i = 0; i < 1000; ++i) {
         const std::string key = "workspace-" + std::to_string(i);
         const std::string &oldOwner = before[rendezvousOwner(key, before)];
@@ -27,10 +29,10 @@
         if (oldOwner != "c")
             BOOST_TEST(oldOwner == newOwner);
         else
-            ++moved;
+            ++movedKeys;
     }
-    BOOST_TEST(moved > 180);
-    BOOST_TEST(moved < 320);
+    BOOST_TEST(movedKeys > 180);
+    BOOST_TEST(movedKeys < 320);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -6,7 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(MetricsTest)
 
-// Guards against exposition text that a scraper rejects or that loses counts below the first bound.
+// Guards against exposition text that a scraper rejects because a label is not escaped, and against
+// buckets that omit the values below the first or above the last bound.
 BOOST_AUTO_TEST_CASE(expositionIsCumulative)
 {
     Metrics metrics;
@@ -21,7 +22,8 @@
     BOOST_TEST(text.find("ttft_seconds_bucket{le=\"+Inf\"} 3\n") != std::string::npos);
 }
 
-// Guards against bucket counts that lose digits: burn rates are differences of large counts.
+// Guards against large bucket counts that are written with six digits only: burn rates are
+// differences of such counts and would be wrong.
 BOOST_AUTO_TEST_CASE(largeCountsKeepAllDigits)
 {
     Metrics metrics;
--- a/tests/base/result_test.cpp
+++ b/tests/base/result_test.cpp
@@ -7,7 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(ResultTest)
 
-// Guards against a failure that loses its type on the way to another thread.
+// Guards against a failure that loses its error code or effect state when a Result is converted to
+// an Outcome, which is passed to other threads.
 BOOST_AUTO_TEST_CASE(outcomeKeepsTheTypedFailure)
 {
     const auto outcome = outcomeOf([]() -> Result<int> {
@@ -18,7 +19,7 @@
     BOOST_TEST((outcome.failure().run == EffectState::MayHaveRun));
 }
 
-// Guards against exceptions of the JSON library that leave the parser on bad input.
+// Guards against exceptions of the JSON library that escape from parseJson() on malformed input.
 BOOST_AUTO_TEST_CASE(malformedJsonIsATypedFailure)
 {
     for (const char *text : {"", "{", "{\"a\":\"\xff\"}", "[1,]", "nul"}) {
@@ -28,7 +29,8 @@
     }
 }
 
-// Guards against two codes with one name: a peer would decode another failure than was sent.
+// Guards against two codes with the same name: a peer would decode a different failure than was
+// sent.
 BOOST_AUTO_TEST_CASE(errorNamesAreUnique)
 {
     for (int i = 0; i <= static_cast<int>(ErrorCode::Internal); ++i) {
--- a/tests/base/timerservice_test.cpp
+++ b/tests/base/timerservice_test.cpp
@@ -21,20 +21,21 @@
     BOOST_TEST(order == "abcb");
 }
 
-// Guards against a use after free: the owner of a callback goes away right after unsubscribe().
+// Guards against a use after free: owners may be destroyed as soon as unsubscribe() returns, so no
+// callback may be running or start after that.
 BOOST_AUTO_TEST_CASE(callbackDoesNotRunAfterUnsubscribe)
 {
     ThreadTimerService timers;
     for (int round = 0; round < 50; ++round) {
-        std::atomic<bool> alive = true;
-        std::atomic<bool> ranAfterEnd = false;
+        std::atomic<bool> subscribed = true;
+        std::atomic<bool> ranAfterUnsubscribe = false;
         const auto id = timers.subscribeEvery(absl::Microseconds(50), [&] {
-            if (!alive)
-                ranAfterEnd = true;
+            if (!subscribed)
+                ranAfterUnsubscribe = true;
         });
         timers.unsubscribe(id);
-        alive = false;
-        BOOST_TEST(!ranAfterEnd);
+        subscribed = false;
+        BOOST_TEST(!ranAfterUnsubscribe);
     }
 }
 
