--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -31,12 +31,12 @@
     }
     if (!decision.value().granted) {
         exchange.sendFailure(
-                notRun(ErrorCode::RateLimited,
-                       concat("workspace \"", caller.workspace, "\" has used its rate and burst")),
+                notRun(ErrorCode::RateLimited, concat("workspace \"", caller.workspace,
+                                                      "\" has exhausted its rate and burst")),
                 decision.value().wait);
         return false;
     }
-    // The grant counts from the end of the wait; nothing ends it earlier.
+    // The grant may be used only at the end of the wait; nothing can end the wait earlier.
     if (decision.value().wait > absl::ZeroDuration())
         absl::Notification().WaitForNotificationWithTimeout(decision.value().wait);
     return true;
--- a/src/entry/admission.h
+++ b/src/entry/admission.h
@@ -13,15 +13,17 @@
 
 namespace rattanrill::entry {
 
-/// Key check and rate grant, common to all routes.
+/// Authenticates callers and obtains rate grants, for all routes that require an API key.
 class Admission
 {
 public:
     Admission(const KeyAuthenticator &keys, RateAdmission &rate);
 
-    /// Caller of a keyed route; otherwise the refusal has been sent.
+    /// Authenticates the caller by its API key. Returns nothing after it has sent a failure
+    /// response.
     std::optional<Caller> authenticate(Exchange &exchange) const;
-    /// Takes a grant and waits for its turn. False: the refusal has been sent.
+    /// Obtains a rate grant and waits until it may be used. Returns false after it has sent a
+    /// failure response.
     bool admit(Exchange &exchange, const Caller &caller) const;
     const KeyAuthenticator &keys() const { return m_keys; }
 
--- a/src/entry/answerstream.cpp
+++ b/src/entry/answerstream.cpp
@@ -7,7 +7,7 @@
 
 } // namespace
 
-bool AnswerStream::hasRoom() const
+bool AnswerStream::hasCapacity() const
 {
     return m_closed || m_items.size() < maxQueuedTokens;
 }
@@ -15,15 +15,15 @@
 void AnswerStream::onToken(const engine::Token &token)
 {
     absl::MutexLock lock(&m_mutex);
-    m_mutex.Await(absl::Condition(this, &AnswerStream::hasRoom));
+    m_mutex.Await(absl::Condition(this, &AnswerStream::hasCapacity));
     if (!m_closed)
         m_items.emplace_back(token);
 }
 
-void AnswerStream::onFinished(const engine::StreamSummary &end)
+void AnswerStream::onFinished(const engine::StreamSummary &summary)
 {
     absl::MutexLock lock(&m_mutex);
-    m_items.emplace_back(end);
+    m_items.emplace_back(summary);
 }
 
 void AnswerStream::onFailed(const Failure &failure, absl::Duration retryAfter)
--- a/src/entry/answerstream.h
+++ b/src/entry/answerstream.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "worklistener.h"
+#include "tasklistener.h"
 
 #include "absl/base/thread_annotations.h"
 #include "absl/synchronization/mutex.h"
@@ -11,32 +11,32 @@
 
 namespace rattanrill::entry {
 
-/// End of an answer that is not whole.
+/// End of an answer that failed.
 struct AnswerFailure
 {
     Failure failure;
     absl::Duration retryAfter;
 };
 
-/// Queue between the thread that reads an engine's stream and the caller's thread. When the caller
-/// reads slowly, the queue fills and the engine's stream is read as slowly.
-class AnswerStream : public WorkListener
+/// Queue between the thread that reads an engine's stream and the thread that serves the caller.
+/// Applies backpressure: while the queue is full, nothing more is read from the engine.
+class AnswerStream : public TaskListener
 {
 public:
     using Item = std::variant<engine::Token, engine::StreamSummary, AnswerFailure>;
 
     void onToken(const engine::Token &token) override ABSL_LOCKS_EXCLUDED(m_mutex);
-    void onFinished(const engine::StreamSummary &end) override ABSL_LOCKS_EXCLUDED(m_mutex);
+    void onFinished(const engine::StreamSummary &summary) override ABSL_LOCKS_EXCLUDED(m_mutex);
     void onFailed(const Failure &failure, absl::Duration retryAfter) override
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Next item; nothing when none came within \a timeout.
+    /// Returns the next item, or nothing when none arrives within \a timeout.
     std::optional<Item> next(absl::Duration timeout) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// The reader has gone; items are dropped from now on.
+    /// Drops all items, including later ones, because the reader has ended.
     void close() ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    bool hasRoom() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    bool hasCapacity() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     bool hasItem() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) { return !m_items.empty(); }
 
     absl::Mutex m_mutex;
--- a/src/entry/batchdispatcher.cpp
+++ b/src/entry/batchdispatcher.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t poolThreads = 3;
-constexpr std::size_t poolQueue = 16;
+constexpr std::size_t poolQueueLimit = 16;
 /// Two renewals may be lost before a lease expires.
 constexpr int renewalsPerLease = 3;
 constexpr absl::Duration releaseBackoff = absl::Milliseconds(200);
@@ -17,22 +17,22 @@
 
 } // namespace
 
-BatchDispatcher::BatchDispatcher(Parts parts, const BatchSettings &settings, std::string holder)
-    : m_parts(std::move(parts))
+BatchDispatcher::BatchDispatcher(Context context, const BatchSettings &settings, std::string holder)
+    : m_context(std::move(context))
     , m_settings(settings)
     , m_holder(std::move(holder))
-    , m_pool(poolThreads, poolQueue)
+    , m_pool(poolThreads, poolQueueLimit)
 {}
 
 BatchDispatcher::~BatchDispatcher()
 {
-    stopSteps();
+    stopPeriodicSteps();
 }
 
-void BatchDispatcher::stopSteps()
+void BatchDispatcher::stopPeriodicSteps()
 {
     for (const TimerService::TimerId timer : m_timers)
-        m_parts.timers.unsubscribe(timer);
+        m_context.timers.unsubscribe(timer);
     m_timers.clear();
     m_pool.stop();
 }
@@ -41,11 +41,11 @@
 {
     const absl::Duration interval = m_settings.dispatchInterval;
     m_timers = {
-            m_parts.timers.subscribeEvery(
+            m_context.timers.subscribeEvery(
                     interval, [this] { schedule(m_leasing, &BatchDispatcher::leaseStep); }),
-            m_parts.timers.subscribeEvery(
+            m_context.timers.subscribeEvery(
                     interval, [this] { schedule(m_reporting, &BatchDispatcher::reportStep); }),
-            m_parts.timers.subscribeEvery(
+            m_context.timers.subscribeEvery(
                     m_settings.lease / renewalsPerLease,
                     [this] { schedule(m_renewing, &BatchDispatcher::renewStep); }),
     };
@@ -63,10 +63,10 @@
         busy = false;
 }
 
-std::size_t BatchDispatcher::held() const
+std::size_t BatchDispatcher::heldItems() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_held.size();
+    return m_heldItems.size();
 }
 
 BatchDispatcher::ItemKey BatchDispatcher::keyOf(int partition, const wire::ItemRef &item)
@@ -78,31 +78,32 @@
 
 void BatchDispatcher::leaseStep()
 {
-    std::size_t room = 0;
+    std::size_t capacity = 0;
     {
         absl::MutexLock lock(&m_mutex);
-        if (m_draining || m_held.size() >= m_settings.maxRunning)
+        if (m_draining || m_heldItems.size() >= m_settings.maxRunning)
             return;
-        room = m_settings.maxRunning - m_held.size();
+        capacity = m_settings.maxRunning - m_heldItems.size();
     }
-    room = std::min(room, m_parts.dispatcher.batchCapacity());
-    const int count = m_parts.partitions.count();
-    for (int i = 0; i < count && room > 0; ++i) {
+    capacity = std::min(capacity, m_context.dispatcher.batchCapacity());
+    const int count = m_context.partitions.count();
+    for (int i = 0; i < count && capacity > 0; ++i) {
         std::size_t leased = 0;
-        leaseFrom((m_nextPartition + i) % count, room, leased);
-        room -= std::min(room, leased);
+        leaseFrom((m_nextPartition + i) % count, capacity, leased);
+        capacity -= std::min(capacity, leased);
     }
     m_nextPartition = (m_nextPartition + 1) % count;
 }
 
-void BatchDispatcher::leaseFrom(int partition, std::size_t room, std::size_t &leased)
+void BatchDispatcher::leaseFrom(int partition, std::size_t capacity, std::size_t &leased)
 {
     wire::LeaseItems command;
     command.holder = m_holder;
-    command.maxItems = static_cast<std::int64_t>(room);
+    command.maxItems = static_cast<std::int64_t>(capacity);
     command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
-    // Not repeatable: a second lease would hold items that nobody works on until they expire.
-    const auto answer = m_parts.partitions.propose(partition, command, false);
+    // Not idempotent: a resend would lease further items, while the items of the lost response
+    // would stay unprocessed until their leases expire.
+    const auto answer = m_context.partitions.propose(partition, command, false);
     if (!answer.ok())
         return;
     leased = answer.value().leased.size();
@@ -115,122 +116,124 @@
     const auto request = outcomeOf([&] { return parseCompletion(item.spec.url, item.spec.body); });
     const ItemKey key = keyOf(partition, item.item);
     if (!request.ok()) {
-        ItemEnd end;
-        end.result = BatchItem::failedResult(item.item, request.failure());
-        endItem(partition, std::move(end));
+        ItemOutcome outcome;
+        outcome.result = BatchItem::failedResult(item.item, request.failure());
+        queueOutcome(partition, std::move(outcome));
         return;
     }
-    m_parts.noteWorkspace(item.workspace);
-    WorkOrder order;
-    order.task = taskOf(item.workspace, request.value(), policy::TaskKind::Batch);
-    const absl::Duration untilDue = absl::FromUnixMillis(item.dueAtMs) - m_parts.clock.wallNow();
-    order.task.deadline = m_parts.clock.now() + untilDue;
-    order.path = request.value().path;
-    order.body = request.value().body;
-    order.requestId =
+    m_context.registerWorkspace(item.workspace);
+    TaskSubmission submission;
+    submission.task = taskOf(item.workspace, request.value(), policy::TaskKind::Batch);
+    const absl::Duration untilDue = absl::FromUnixMillis(item.dueAtMs) - m_context.clock.wallNow();
+    submission.task.deadline = m_context.clock.now() + untilDue;
+    submission.path = request.value().path;
+    submission.body = request.value().body;
+    submission.requestId =
             concat(item.item.jobId, "-", item.item.index, "-", item.item.lease, "-", m_holder);
-    order.listener = std::make_shared<BatchItem>(
+    submission.listener = std::make_shared<BatchItem>(
             item, request.value(), concat(item.item.jobId, "-", item.item.index),
-            absl::ToUnixSeconds(m_parts.clock.wallNow()),
-            [this, partition, workspace = item.workspace, dueAtMs = item.dueAtMs](ItemEnd end) {
-                noteEnd(workspace, dueAtMs, end);
-                endItem(partition, std::move(end));
+            absl::ToUnixSeconds(m_context.clock.wallNow()),
+            [this, partition, workspace = item.workspace,
+             dueAtMs = item.dueAtMs](ItemOutcome outcome) {
+                countOutcome(workspace, dueAtMs, outcome);
+                queueOutcome(partition, std::move(outcome));
             });
     {
-        // Before the work can end.
+        // The item must be registered before its task can end.
         absl::MutexLock lock(&m_mutex);
-        m_held[key] = 0;
+        m_heldItems[key] = 0;
     }
-    const policy::TaskId task = m_parts.dispatcher.submit(std::move(order));
+    const policy::TaskId task = m_context.dispatcher.submit(std::move(submission));
     absl::MutexLock lock(&m_mutex);
-    const auto held = m_held.find(key);
-    if (held != m_held.end())
+    const auto held = m_heldItems.find(key);
+    if (held != m_heldItems.end())
         held->second = task;
 }
 
 // Results
 
-void BatchDispatcher::noteEnd(const std::string &workspace, std::int64_t dueAtMs,
-                              const ItemEnd &end) const
+void BatchDispatcher::countOutcome(const std::string &workspace, std::int64_t dueAtMs,
+                                   const ItemOutcome &outcome) const
 {
-    if (end.kind != ItemEnd::Kind::Result)
+    if (outcome.kind != ItemOutcome::Kind::Result)
         return;
-    const bool pastDue = absl::ToUnixMillis(m_parts.clock.wallNow()) > dueAtMs;
-    m_parts.requestMetrics.itemEnded(workspace, end.result.failed, pastDue);
+    const bool pastDue = absl::ToUnixMillis(m_context.clock.wallNow()) > dueAtMs;
+    m_context.requestMetrics.itemEnded(workspace, outcome.result.failed, pastDue);
 }
 
-void BatchDispatcher::endItem(int partition, ItemEnd end)
+void BatchDispatcher::queueOutcome(int partition, ItemOutcome outcome)
 {
     absl::MutexLock lock(&m_mutex);
-    m_ended[partition].push_back(std::move(end));
+    m_outcomes[partition].push_back(std::move(outcome));
 }
 
 void BatchDispatcher::reportStep()
 {
-    Groups ended;
+    OutcomesByPartition outcomesByPartition;
     {
         absl::MutexLock lock(&m_mutex);
-        ended.swap(m_ended);
+        outcomesByPartition.swap(m_outcomes);
     }
-    for (auto &[partition, ends] : ended)
-        report(partition, std::move(ends));
+    for (auto &[partition, outcomes] : outcomesByPartition)
+        report(partition, std::move(outcomes));
 }
 
-void BatchDispatcher::report(int partition, std::vector<ItemEnd> ends)
+void BatchDispatcher::report(int partition, std::vector<ItemOutcome> outcomes)
 {
     wire::CompleteItems command;
-    std::vector<ItemEnd> results;
-    std::vector<ItemEnd> later;
-    for (ItemEnd &end : ends) {
-        if (end.kind == ItemEnd::Kind::Release) {
-            release(partition, {end.result.item}, end.failedTry, end.reason);
+    std::vector<ItemOutcome> results;
+    std::vector<ItemOutcome> deferred;
+    for (ItemOutcome &outcome : outcomes) {
+        if (outcome.kind == ItemOutcome::Kind::Release) {
+            release(partition, {outcome.result.item}, outcome.failedAttempt, outcome.reason);
         } else if (command.results.size() < maxResultsPerCommand) {
-            command.results.push_back(end.result);
-            results.push_back(std::move(end));
+            command.results.push_back(outcome.result);
+            results.push_back(std::move(outcome));
         } else {
-            later.push_back(std::move(end));
+            deferred.push_back(std::move(outcome));
         }
     }
-    keepForLater(partition, std::move(later));
+    requeue(partition, std::move(deferred));
     if (command.results.empty())
         return;
-    const auto answer = m_parts.partitions.propose(partition, std::move(command), true);
+    const auto answer = m_context.partitions.propose(partition, std::move(command), true);
     if (!answer.ok()) {
-        // Repeated until the leases are lost: a second report of the same result is dropped there.
-        keepForLater(partition, std::move(results));
+        // Retried until the leases are lost. The partition drops a second report of the same
+        // result.
+        requeue(partition, std::move(results));
         return;
     }
-    m_parts.metrics.count("rattanrill_batch_results_total", {{"outcome", "accepted"}},
-                          answer.value().accepted);
-    m_parts.metrics.count("rattanrill_batch_results_total", {{"outcome", "dropped"}},
-                          answer.value().dropped);
+    m_context.metrics.count("rattanrill_batch_results_total", {{"outcome", "accepted"}},
+                            answer.value().accepted);
+    m_context.metrics.count("rattanrill_batch_results_total", {{"outcome", "dropped"}},
+                            answer.value().dropped);
     absl::MutexLock lock(&m_mutex);
-    for (const ItemEnd &end : results)
-        m_held.erase(keyOf(partition, end.result.item));
+    for (const ItemOutcome &outcome : results)
+        m_heldItems.erase(keyOf(partition, outcome.result.item));
 }
 
-void BatchDispatcher::keepForLater(int partition, std::vector<ItemEnd> ends)
+void BatchDispatcher::requeue(int partition, std::vector<ItemOutcome> outcomes)
 {
     absl::MutexLock lock(&m_mutex);
-    std::vector<ItemEnd> &waiting = m_ended[partition];
-    std::move(ends.begin(), ends.end(), std::back_inserter(waiting));
+    std::vector<ItemOutcome> &queued = m_outcomes[partition];
+    std::move(outcomes.begin(), outcomes.end(), std::back_inserter(queued));
 }
 
-void BatchDispatcher::release(int partition, std::vector<wire::ItemRef> items, bool failedTry,
+void BatchDispatcher::release(int partition, std::vector<wire::ItemRef> items, bool failedAttempt,
                               const std::string &reason)
 {
     {
         absl::MutexLock lock(&m_mutex);
         for (const wire::ItemRef &item : items)
-            m_held.erase(keyOf(partition, item));
+            m_heldItems.erase(keyOf(partition, item));
     }
     wire::ReleaseItems command;
     command.items = std::move(items);
-    command.failedTry = failedTry;
+    command.failedTry = failedAttempt;
     command.reason = reason;
-    command.backoffMs = failedTry ? absl::ToInt64Milliseconds(releaseBackoff) : 0;
-    // When this fails, the leases expire.
-    (void)m_parts.partitions.propose(partition, std::move(command), true);
+    command.backoffMs = failedAttempt ? absl::ToInt64Milliseconds(releaseBackoff) : 0;
+    // If this fails, the leases expire on their own.
+    (void)m_context.partitions.propose(partition, std::move(command), true);
 }
 
 // Renewal
@@ -240,7 +243,7 @@
     std::map<int, std::vector<wire::ItemRef>> held;
     {
         absl::MutexLock lock(&m_mutex);
-        for (const auto &[key, task] : m_held)
+        for (const auto &[key, task] : m_heldItems)
             held[std::get<0>(key)].push_back(
                     {std::get<1>(key), std::get<2>(key), std::get<3>(key)});
     }
@@ -249,28 +252,28 @@
         command.holder = m_holder;
         command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
         command.items = std::move(items);
-        const auto answer = m_parts.partitions.propose(partition, std::move(command), true);
+        const auto answer = m_context.partitions.propose(partition, std::move(command), true);
         if (answer.ok())
-            dropLost(partition, answer.value().lost);
+            cancelLost(partition, answer.value().lost);
     }
 }
 
-void BatchDispatcher::dropLost(int partition, const std::vector<wire::ItemRef> &lost)
+void BatchDispatcher::cancelLost(int partition, const std::vector<wire::ItemRef> &lost)
 {
     std::vector<policy::TaskId> tasks;
     {
         absl::MutexLock lock(&m_mutex);
         for (const wire::ItemRef &item : lost) {
-            const auto held = m_held.find(keyOf(partition, item));
-            // An item whose work is being submitted is found at the next renewal.
-            if (held == m_held.end() || held->second == 0)
+            const auto held = m_heldItems.find(keyOf(partition, item));
+            // An item whose task is still being submitted is handled at the next renewal.
+            if (held == m_heldItems.end() || held->second == 0)
                 continue;
             tasks.push_back(held->second);
-            m_held.erase(held);
+            m_heldItems.erase(held);
         }
     }
     for (const policy::TaskId task : tasks)
-        m_parts.dispatcher.withdraw(task);
+        m_context.dispatcher.cancel(task);
     if (!tasks.empty())
         log(LogLevel::Info, "batch-items-lost",
             {{"partition", partition}, {"items", static_cast<std::int64_t>(tasks.size())}});
@@ -282,19 +285,19 @@
         absl::MutexLock lock(&m_mutex);
         m_draining = true;
     }
-    stopSteps();
+    stopPeriodicSteps();
     std::map<ItemKey, policy::TaskId> held;
     {
         absl::MutexLock lock(&m_mutex);
-        held = m_held;
+        held = m_heldItems;
     }
     for (const auto &[key, task] : held)
-        m_parts.dispatcher.withdraw(task);
+        m_context.dispatcher.cancel(task);
     reportStep();
     std::map<int, std::vector<wire::ItemRef>> unfinished;
     {
         absl::MutexLock lock(&m_mutex);
-        for (const auto &[key, task] : m_held)
+        for (const auto &[key, task] : m_heldItems)
             unfinished[std::get<0>(key)].push_back(
                     {std::get<1>(key), std::get<2>(key), std::get<3>(key)});
     }
--- a/src/entry/batchdispatcher.h
+++ b/src/entry/batchdispatcher.h
@@ -4,7 +4,7 @@
 #include "entrysettings.h"
 #include "partitions.h"
 #include "requestmetrics.h"
-#include "workdispatcher.h"
+#include "taskdispatcher.h"
 
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/base/timerservice.h"
@@ -23,62 +23,65 @@
 
 namespace rattanrill::entry {
 
-/// Leases batch items from all partitions as engines have room, runs them through the dispatcher,
-/// renews leases and reports results in groups.
+/// Leases batch items from all partitions while the engines have capacity, runs them through the
+/// TaskDispatcher, renews their leases and reports results in groups.
 ///
-/// Lock order: m_mutex is never held over a call to the dispatcher or to a partition.
+/// m_mutex is never held during a call to the dispatcher or to a partition.
 class BatchDispatcher
 {
 public:
-    struct Parts
+    struct Context
     {
         Partitions &partitions;
-        WorkDispatcher &dispatcher;
+        TaskDispatcher &dispatcher;
         TimerService &timers;
         const Clock &clock;
         Metrics &metrics;
         RequestMetrics &requestMetrics;
-        /// Tells the scheduler the share of a workspace before its first item.
-        std::function<void(const std::string &workspace)> noteWorkspace;
+        /// Ensures that the scheduler has the shares of a workspace; called before each item is
+        /// submitted.
+        std::function<void(const std::string &workspace)> registerWorkspace;
     };
 
-    /// \a holder names this run of this instance.
-    BatchDispatcher(Parts parts, const BatchSettings &settings, std::string holder);
+    /// \a holder identifies this incarnation of the instance as the holder of its leases.
+    BatchDispatcher(Context context, const BatchSettings &settings, std::string holder);
     ~BatchDispatcher();
 
     void start();
-    /// Leases nothing more, gives running items back and reports what has finished. Blocks for
-    /// calls to the partitions.
+    /// Stops leasing, releases running items and reports finished ones. Blocks while it calls the
+    /// partitions.
     void drain() ABSL_LOCKS_EXCLUDED(m_mutex);
-    std::size_t held() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Number of leased items.
+    std::size_t heldItems() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    /// Partition, job, index and lease number of a held item.
+    /// Partition, job, index and lease number of a leased item.
     using ItemKey = std::tuple<int, std::string, std::uint64_t, std::uint64_t>;
-    using Groups = std::map<int, std::vector<ItemEnd>>;
+    using OutcomesByPartition = std::map<int, std::vector<ItemOutcome>>;
 
-    void stopSteps();
+    void stopPeriodicSteps();
     void schedule(std::atomic<bool> &busy, void (BatchDispatcher::*step)());
     void leaseStep() ABSL_LOCKS_EXCLUDED(m_mutex);
     void reportStep() ABSL_LOCKS_EXCLUDED(m_mutex);
     void renewStep() ABSL_LOCKS_EXCLUDED(m_mutex);
-    void leaseFrom(int partition, std::size_t room, std::size_t &leased);
+    void leaseFrom(int partition, std::size_t capacity, std::size_t &leased);
     void startItem(int partition, const wire::LeasedItem &item);
-    void noteEnd(const std::string &workspace, std::int64_t dueAtMs, const ItemEnd &end) const;
-    void endItem(int partition, ItemEnd end) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void report(int partition, std::vector<ItemEnd> ends);
-    void keepForLater(int partition, std::vector<ItemEnd> ends) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void release(int partition, std::vector<wire::ItemRef> items, bool failedTry,
+    void countOutcome(const std::string &workspace, std::int64_t dueAtMs,
+                      const ItemOutcome &outcome) const;
+    void queueOutcome(int partition, ItemOutcome outcome) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void report(int partition, std::vector<ItemOutcome> outcomes);
+    void requeue(int partition, std::vector<ItemOutcome> outcomes) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void release(int partition, std::vector<wire::ItemRef> items, bool failedAttempt,
                  const std::string &reason);
-    void dropLost(int partition, const std::vector<wire::ItemRef> &lost)
+    void cancelLost(int partition, const std::vector<wire::ItemRef> &lost)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     static ItemKey keyOf(int partition, const wire::ItemRef &item);
 
-    Parts m_parts;
+    Context m_context;
     BatchSettings m_settings;
     std::string m_holder;
-    /// One thread each for leases, reports and renewals: a partition that does not answer must not
-    /// let the leases of others expire.
+    /// One thread each for leasing, reporting and renewing, so that a partition that does not
+    /// answer cannot make the leases of other partitions expire.
     WorkerPool m_pool;
     std::atomic<bool> m_leasing{false};
     std::atomic<bool> m_reporting{false};
@@ -87,8 +90,8 @@
     int m_nextPartition = 0;
     mutable absl::Mutex m_mutex;
     bool m_draining ABSL_GUARDED_BY(m_mutex) = false;
-    std::map<ItemKey, policy::TaskId> m_held ABSL_GUARDED_BY(m_mutex);
-    Groups m_ended ABSL_GUARDED_BY(m_mutex);
+    std::map<ItemKey, policy::TaskId> m_heldItems ABSL_GUARDED_BY(m_mutex);
+    OutcomesByPartition m_outcomes ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/batchformat.cpp
+++ b/src/entry/batchformat.cpp
@@ -14,16 +14,16 @@
     return ms > 0 ? Json(ms / msPerSecond) : Json();
 }
 
-Json endedWhen(const wire::JobStatus &job, wire::JobState state)
+Json endTimeIfState(const wire::JobStatus &job, wire::JobState state)
 {
     return job.state == state ? secondsOrNull(job.endedAtMs) : Json();
 }
 
-/// Metadata as stored by batch creation.
+/// Metadata that was stored with the job when it was created; an empty object when it is malformed.
 Json storedMetadata(const wire::JobStatus &job)
 {
-    Json stored = Json::parse(job.metadata, nullptr, false);
-    return stored.is_object() ? stored : Json::object();
+    Json metadata = Json::parse(job.metadata, nullptr, false);
+    return metadata.is_object() ? metadata : Json::object();
 }
 
 std::string codeOf(const wire::ResultLine &line)
@@ -60,29 +60,29 @@
 
 Json batchObject(const wire::JobStatus &job)
 {
-    const Json stored = storedMetadata(job);
+    const Json metadata = storedMetadata(job);
     return {
             {"id", job.jobId},
             {"object", "batch"},
-            {"endpoint", stored.value("endpoint", std::string())},
+            {"endpoint", metadata.value("endpoint", std::string())},
             {"errors", nullptr},
             {"input_file_id", job.fileId},
-            {"completion_window", stored.value("completion_window", std::string())},
+            {"completion_window", metadata.value("completion_window", std::string())},
             {"status", name(job.state)},
             {"output_file_id", resultFileId(job.jobId)},
             {"error_file_id", nullptr},
             {"created_at", job.createdAtMs / msPerSecond},
             {"in_progress_at", job.createdAtMs / msPerSecond},
             {"expires_at", secondsOrNull(job.dueAtMs)},
-            {"completed_at", endedWhen(job, wire::JobState::Completed)},
-            {"cancelled_at", endedWhen(job, wire::JobState::Cancelled)},
+            {"completed_at", endTimeIfState(job, wire::JobState::Completed)},
+            {"cancelled_at", endTimeIfState(job, wire::JobState::Cancelled)},
             {"request_counts",
              {{"total", job.counts.total},
               {"completed", job.counts.completed},
               {"failed", job.counts.failed},
               {"cancelled", job.counts.cancelled},
               {"open", job.counts.open}}},
-            {"metadata", stored.value("metadata", Json())},
+            {"metadata", metadata.value("metadata", Json())},
     };
 }
 
--- a/src/entry/batchhandler.cpp
+++ b/src/entry/batchhandler.cpp
@@ -19,14 +19,14 @@
 
 } // namespace
 
-BatchHandler::BatchHandler(Parts parts, std::size_t maxBodyBytes)
-    : m_parts(parts)
+BatchHandler::BatchHandler(Context context, std::size_t maxBodyBytes)
+    : m_context(context)
     , m_maxBodyBytes(maxBodyBytes)
 {}
 
 void BatchHandler::create(Exchange &exchange)
 {
-    const std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
+    const std::optional<Caller> caller = m_context.admission.authenticate(exchange);
     if (!caller)
         return;
     const Outcome<std::string> batch = createBatch(exchange, *caller);
@@ -42,7 +42,7 @@
     if (!body.ok())
         return body.failure();
     const Outcome<BatchRequest> request =
-            outcomeOf([&] { return parseBatchRequest(body.value(), m_parts.clock.wallNow()); });
+            outcomeOf([&] { return parseBatchRequest(body.value(), m_context.clock.wallNow()); });
     if (!request.ok())
         return request.failure();
     const std::string key = exchange.header("Idempotency-Key");
@@ -50,7 +50,7 @@
         return notRun(ErrorCode::InvalidRequest, "\"Idempotency-Key\" is longer than 255 bytes");
     if (key.empty())
         return createJob(caller, request.value(), "");
-    // The prefix keeps the keys of batches and of service calls apart.
+    // The prefix separates the idempotency keys of batches from those of service calls.
     const std::string hash = sha256Hex(concat("POST /v1/batches\n", body.value()));
     return createClaimed(caller, request.value(),
                          {caller.workspace, "batches/" + key, hash, exchange.requestId()});
@@ -59,21 +59,21 @@
 Outcome<std::string> BatchHandler::createClaimed(const Caller &caller, const BatchRequest &request,
                                                  const ClaimKey &key)
 {
-    const Outcome<wire::ClaimStatus> claim = m_parts.claims.claim(key);
+    const Outcome<wire::ClaimStatus> claim = m_context.claims.claim(key);
     if (!claim.ok())
         return claim.failure();
     const bool finished = claim.value().state == wire::ClaimState::Finished;
     if (!claim.value().won && finished)
         return claim.value().body;
-    // A claim that still runs may be of an entry that died. Its job carries the same idempotency
-    // key in the file's partition, so that creating it again gives the same job.
+    // A claim that is still running may belong to an entry that crashed. The job carries the same
+    // idempotency key in the partition of the file, so that creating it again returns the same job.
     Outcome<std::string> batch = createJob(caller, request, key.idempotencyKey);
     if (!claim.value().won)
         return batch;
     if (batch.ok())
-        (void)m_parts.claims.finish(key, statusOk, std::string(jsonType), batch.value());
+        (void)m_context.claims.finish(key, statusOk, std::string(jsonType), batch.value());
     else
-        m_parts.claims.abandon(key);
+        m_context.claims.abandon(key);
     return batch;
 }
 
@@ -81,11 +81,11 @@
                                              const std::string &idempotencyKey)
 {
     const Outcome<ObjectId> file =
-            outcomeOf([&] { return parseObjectId(request.fileId, m_parts.partitions.count()); });
+            outcomeOf([&] { return parseObjectId(request.fileId, m_context.partitions.count()); });
     if (!file.ok() || file.value().kind != ObjectKind::File)
         return notRun(ErrorCode::NotFound, concat("no input file \"", request.fileId, "\""));
-    ObjectId job = newObjectId(ObjectKind::Batch, m_parts.partitions.count());
-    // Items are leased where their file is.
+    ObjectId job = newObjectId(ObjectKind::Batch, m_context.partitions.count());
+    // A job belongs to the partition of its file, from which its items are leased.
     job.partition = file.value().partition;
     wire::CreateJob command;
     command.jobId = job.text();
@@ -93,11 +93,11 @@
     command.fileId = request.fileId;
     command.idempotencyKey = idempotencyKey;
     command.dueAtMs = absl::ToUnixMillis(request.due);
-    const auto contract = m_parts.directory.view()->contract(caller.workspace);
+    const auto contract = m_context.directory.view()->contract(caller.workspace);
     if (contract)
         command.retentionMs = contract->retentionSeconds * msPerSecond;
-    command.metadata = request.stored;
-    const auto answer = m_parts.partitions.propose(job.partition, std::move(command), true);
+    command.metadata = request.jobMetadata;
+    const auto answer = m_context.partitions.propose(job.partition, std::move(command), true);
     if (!answer.ok())
         return answer.failure();
     return dumpJson(batchObject(answer.value().job));
@@ -105,12 +105,12 @@
 
 void BatchHandler::list(Exchange &exchange)
 {
-    const std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
+    const std::optional<Caller> caller = m_context.admission.authenticate(exchange);
     if (!caller)
         return;
     std::vector<wire::JobStatus> jobs;
-    for (int partition = 0; partition < m_parts.partitions.count(); ++partition) {
-        auto answer = m_parts.partitions.query(partition, wire::ListJobs{caller->workspace});
+    for (int partition = 0; partition < m_context.partitions.count(); ++partition) {
+        auto answer = m_context.partitions.query(partition, wire::ListJobs{caller->workspace});
         if (!answer.ok()) {
             exchange.sendFailure(answer.failure());
             return;
@@ -128,17 +128,17 @@
 
 void BatchHandler::describe(Exchange &exchange, const std::string &id)
 {
-    const std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
+    const std::optional<Caller> caller = m_context.admission.authenticate(exchange);
     if (!caller)
         return;
     const Outcome<ObjectId> job =
-            outcomeOf([&] { return parseObjectId(id, m_parts.partitions.count()); });
+            outcomeOf([&] { return parseObjectId(id, m_context.partitions.count()); });
     if (!job.ok() || job.value().kind != ObjectKind::Batch) {
         exchange.sendFailure(notRun(ErrorCode::NotFound, concat("no batch \"", id, "\"")));
         return;
     }
     const auto answer =
-            m_parts.partitions.query(job.value().partition, wire::ReadJob{id, caller->workspace});
+            m_context.partitions.query(job.value().partition, wire::ReadJob{id, caller->workspace});
     if (answer.ok())
         exchange.sendJson(dumpJson(batchObject(answer.value().job)));
     else
@@ -147,18 +147,18 @@
 
 void BatchHandler::cancel(Exchange &exchange, const std::string &id)
 {
-    const std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
+    const std::optional<Caller> caller = m_context.admission.authenticate(exchange);
     if (!caller)
         return;
     (void)exchange.readBody(m_maxBodyBytes);
     const Outcome<ObjectId> job =
-            outcomeOf([&] { return parseObjectId(id, m_parts.partitions.count()); });
+            outcomeOf([&] { return parseObjectId(id, m_context.partitions.count()); });
     if (!job.ok() || job.value().kind != ObjectKind::Batch) {
         exchange.sendFailure(notRun(ErrorCode::NotFound, concat("no batch \"", id, "\"")));
         return;
     }
-    const auto answer = m_parts.partitions.propose(job.value().partition,
-                                                   wire::CancelJob{id, caller->workspace}, true);
+    const auto answer = m_context.partitions.propose(job.value().partition,
+                                                     wire::CancelJob{id, caller->workspace}, true);
     if (answer.ok())
         exchange.sendJson(dumpJson(batchObject(answer.value().job)));
     else
--- a/src/entry/batchhandler.h
+++ b/src/entry/batchhandler.h
@@ -16,7 +16,7 @@
 class BatchHandler
 {
 public:
-    struct Parts
+    struct Context
     {
         const Admission &admission;
         const directory::DirectorySubscriber &directory;
@@ -25,7 +25,7 @@
         const Clock &clock;
     };
 
-    BatchHandler(Parts parts, std::size_t maxBodyBytes);
+    BatchHandler(Context context, std::size_t maxBodyBytes);
 
     void create(Exchange &exchange);
     void list(Exchange &exchange);
@@ -39,7 +39,7 @@
     Outcome<std::string> createJob(const Caller &caller, const BatchRequest &request,
                                    const std::string &idempotencyKey);
 
-    Parts m_parts;
+    Context m_context;
     std::size_t m_maxBodyBytes;
 };
 
--- a/src/entry/batchitem.cpp
+++ b/src/entry/batchitem.cpp
@@ -7,8 +7,8 @@
 
 constexpr int statusOk = 200;
 
-/// Failures that another try would meet again.
-bool isFinal(ErrorCode code)
+/// Whether another attempt would fail in the same way.
+bool isPermanent(ErrorCode code)
 {
     return code == ErrorCode::InvalidRequest || code == ErrorCode::RequestQuarantined
            || code == ErrorCode::ItemFailed;
@@ -17,12 +17,12 @@
 } // namespace
 
 BatchItem::BatchItem(const wire::LeasedItem &item, const CompletionRequest &request,
-                     std::string requestId, std::int64_t createdSeconds, EndHandler onEnd)
+                     std::string requestId, std::int64_t createdSeconds, OutcomeHandler onOutcome)
     : m_item(item.item)
     , m_request(request)
     , m_requestId(std::move(requestId))
     , m_createdSeconds(createdSeconds)
-    , m_onEnd(std::move(onEnd))
+    , m_onOutcome(std::move(onOutcome))
 {}
 
 void BatchItem::onToken(const engine::Token &token)
@@ -30,26 +30,26 @@
     m_text += token.text;
 }
 
-void BatchItem::onFinished(const engine::StreamSummary &end)
+void BatchItem::onFinished(const engine::StreamSummary &summary)
 {
     const CompletionFormat format(m_request, m_requestId, m_createdSeconds);
-    ItemEnd itemEnd;
-    itemEnd.result.item = m_item;
-    itemEnd.result.status = statusOk;
-    itemEnd.result.body = format.whole(m_text, end);
-    m_onEnd(std::move(itemEnd));
+    ItemOutcome outcome;
+    outcome.result.item = m_item;
+    outcome.result.status = statusOk;
+    outcome.result.body = format.answerJson(m_text, summary);
+    m_onOutcome(std::move(outcome));
 }
 
 void BatchItem::onFailed(const Failure &failure, absl::Duration)
 {
-    ItemEnd end;
-    end.result = failedResult(m_item, failure);
-    if (!isFinal(failure.code)) {
-        end.kind = ItemEnd::Kind::Release;
-        end.failedTry = failure.run == EffectState::MayHaveRun;
-        end.reason = name(failure.code);
+    ItemOutcome outcome;
+    outcome.result = failedResult(m_item, failure);
+    if (!isPermanent(failure.code)) {
+        outcome.kind = ItemOutcome::Kind::Release;
+        outcome.failedAttempt = failure.run == EffectState::MayHaveRun;
+        outcome.reason = name(failure.code);
     }
-    m_onEnd(std::move(end));
+    m_onOutcome(std::move(outcome));
 }
 
 wire::ItemResult BatchItem::failedResult(const wire::ItemRef &item, const Failure &failure)
--- a/src/entry/batchitem.h
+++ b/src/entry/batchitem.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "completionrequest.h"
-#include "worklistener.h"
+#include "tasklistener.h"
 
 #include "rattanrill/wire/batchmessages.h"
 
@@ -10,34 +10,35 @@
 
 namespace rattanrill::entry {
 
-/// How the work on a leased item ended.
-struct ItemEnd
+/// Outcome of running a leased item.
+struct ItemOutcome
 {
     enum class Kind {
-        /// A result, also that the item can never be completed.
+        /// The item has a result, which may be a permanent failure.
         Result,
-        /// The item goes back to its partition.
+        /// The lease is released, so that the item can be leased again.
         Release,
     };
 
     Kind kind = Kind::Result;
     wire::ItemResult result;
-    /// Release: the try counts against the item, with this error code name.
-    bool failedTry = false;
+    /// Release: whether the attempt counts towards the maximum number of failed attempts, and the
+    /// name of its error code.
+    bool failedAttempt = false;
     std::string reason;
 };
 
-/// Collects the answer to one leased item.
-class BatchItem : public WorkListener
+/// Collects the answer for one leased item and reports the outcome.
+class BatchItem : public TaskListener
 {
 public:
-    using EndHandler = std::function<void(ItemEnd)>;
+    using OutcomeHandler = std::function<void(ItemOutcome)>;
 
     BatchItem(const wire::LeasedItem &item, const CompletionRequest &request, std::string requestId,
-              std::int64_t createdSeconds, EndHandler onEnd);
+              std::int64_t createdSeconds, OutcomeHandler onOutcome);
 
     void onToken(const engine::Token &token) override;
-    void onFinished(const engine::StreamSummary &end) override;
+    void onFinished(const engine::StreamSummary &summary) override;
     void onFailed(const Failure &failure, absl::Duration retryAfter) override;
 
     /// Result of an item that cannot be completed.
@@ -48,7 +49,7 @@
     CompletionRequest m_request;
     std::string m_requestId;
     std::int64_t m_createdSeconds;
-    EndHandler m_onEnd;
+    OutcomeHandler m_onOutcome;
     std::string m_text;
 };
 
--- a/src/entry/batchrequest.cpp
+++ b/src/entry/batchrequest.cpp
@@ -10,17 +10,17 @@
 namespace rattanrill::entry {
 namespace {
 
-constexpr std::int64_t longestWindowDays = 365;
+constexpr std::int64_t maxWindowDays = 365;
 
 boost::leaf::error_id invalid(std::string detail)
 {
     return fail(notRun(ErrorCode::InvalidRequest, std::move(detail)));
 }
 
-/// Unit of a window; zero for an unknown letter.
-absl::Duration unitOf(char letter)
+/// Duration of the time unit \a suffix; zero when the unit is unknown.
+absl::Duration unitOf(char suffix)
 {
-    switch (letter) {
+    switch (suffix) {
     case 's':
         return absl::Seconds(1);
     case 'm':
@@ -34,13 +34,14 @@
     }
 }
 
-/// Metadata "due_at": RFC 3339 text or seconds since the epoch.
-Result<absl::Time> parseDue(const Json &value)
+/// Parses the metadata member "due_at": RFC 3339 text or seconds since the Unix epoch.
+Result<absl::Time> parseDueTime(const Json &value)
 {
     if (value.is_number_integer())
         return absl::FromUnixSeconds(value.get<std::int64_t>());
     if (!value.is_string())
-        return invalid("metadata \"due_at\" must be a time");
+        return invalid(
+                "metadata \"due_at\" must be an RFC 3339 time or seconds since the Unix epoch");
     const auto text = value.get<std::string>();
     std::int64_t seconds = 0;
     const auto number = std::from_chars(text.data(), text.data() + text.size(), seconds);
@@ -49,7 +50,7 @@
     absl::Time due;
     std::string error;
     if (!absl::ParseTime(absl::RFC3339_full, text, &due, &error))
-        return invalid(concat("metadata \"due_at\" is no RFC 3339 time: ", text));
+        return invalid(concat("metadata \"due_at\" is not an RFC 3339 time: ", text));
     return due;
 }
 
@@ -62,9 +63,9 @@
     const bool hasUnit = parsed.ec == std::errc() && parsed.ptr + 1 == text.data() + text.size();
     const absl::Duration unit = hasUnit ? unitOf(*parsed.ptr) : absl::ZeroDuration();
     const absl::Duration window = unit * count;
-    if (window <= absl::ZeroDuration() || window > absl::Hours(24) * longestWindowDays)
-        return invalid(
-                concat("\"completion_window\" must be a time such as \"24h\", not \"", text, "\""));
+    if (window <= absl::ZeroDuration() || window > absl::Hours(24) * maxWindowDays)
+        return invalid(concat("\"completion_window\" must be a duration such as \"24h\", not \"",
+                              text, "\""));
     return window;
 }
 
@@ -83,9 +84,9 @@
     if (!metadata.is_null() && !metadata.is_object())
         return invalid("\"metadata\" must be an object");
     if (metadata.is_object() && metadata.contains("due_at")) {
-        BOOST_LEAF_ASSIGN(request.due, parseDue(metadata.at("due_at")));
+        BOOST_LEAF_ASSIGN(request.due, parseDueTime(metadata.at("due_at")));
     }
-    request.stored = dumpJson(
+    request.jobMetadata = dumpJson(
             {{"endpoint", endpoint}, {"completion_window", window}, {"metadata", metadata}});
     return request;
 }
--- a/src/entry/batchrequest.h
+++ b/src/entry/batchrequest.h
@@ -13,16 +13,17 @@
 struct BatchRequest
 {
     std::string fileId;
-    /// Wall-clock time.
+    /// Due time by the wall clock.
     absl::Time due;
-    /// What the batch object repeats: endpoint, completion window and the caller's metadata.
-    std::string stored;
+    /// JSON text that is stored with the job and repeated in the batch object: endpoint, completion
+    /// window and the caller's metadata.
+    std::string jobMetadata;
 };
 
 /// Fails with InvalidRequest.
 Result<BatchRequest> parseBatchRequest(std::string_view body, absl::Time wallNow);
 
-/// "24h", "90m", "30s", "2d". Fails with InvalidRequest.
+/// Parses a duration such as "24h", "90m", "30s" or "2d". Fails with InvalidRequest.
 Result<absl::Duration> parseWindow(std::string_view text);
 
 } // namespace rattanrill::entry
--- a/src/entry/caller.h
+++ b/src/entry/caller.h
@@ -4,14 +4,14 @@
 
 namespace rattanrill::entry {
 
-/// Who sent a request.
+/// Identity of the sender of a request.
 struct Caller
 {
     /// Empty on an open route.
     std::string workspace;
-    /// SHA-256 of the presented key, hexadecimal; empty on an open route.
+    /// SHA-256 of the presented API key, hexadecimal; empty on an open route.
     std::string keyHash;
-    /// The key as presented, kept only to make sure that it is not forwarded.
+    /// API key as presented, kept only to ensure that it is not forwarded.
     std::string key;
 };
 
--- a/src/entry/callerroutes.cpp
+++ b/src/entry/callerroutes.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::string_view anyPath = ".*";
 
-/// The segment that "*" in \a pattern stands for (empty without one), or nothing when \a path does
-/// not match.
+/// Matches \a path against \a pattern. Returns the segment at the position of "*" (empty when the
+/// pattern has none), or nothing when \a path does not match.
 std::optional<std::string> matchPattern(std::string_view pattern, std::string_view path)
 {
     const std::size_t star = pattern.find('*');
@@ -35,8 +35,8 @@
 
 } // namespace
 
-CallerRoutes::CallerRoutes(Parts parts)
-    : m_parts(std::move(parts))
+CallerRoutes::CallerRoutes(Context context)
+    : m_context(std::move(context))
 {}
 
 const std::vector<CallerRoutes::Row> &CallerRoutes::rows()
@@ -61,7 +61,7 @@
 
 void CallerRoutes::install(httplib::Server &server)
 {
-    const auto plain = [this](const httplib::Request &request, httplib::Response &response) {
+    const auto withoutBody = [this](const httplib::Request &request, httplib::Response &response) {
         handle(request, response, nullptr);
     };
     const auto withBody = [this](const httplib::Request &request, httplib::Response &response,
@@ -69,8 +69,8 @@
         handle(request, response, &reader);
     };
     const std::string pattern(anyPath);
-    server.Get(pattern, plain);
-    server.Options(pattern, plain);
+    server.Get(pattern, withoutBody);
+    server.Options(pattern, withoutBody);
     server.Post(pattern, withBody);
     server.Put(pattern, withBody);
     server.Patch(pattern, withBody);
@@ -83,12 +83,13 @@
     Exchange exchange(request, response, reader);
     dispatch(exchange);
     exchange.closeUnlessRead();
-    // Health checks and scrapes belong to no workspace and do not fail.
-    const bool counted = exchange.failure() || !exchange.labels().workspace.empty();
-    if (counted && !exchange.isStreamed())
-        m_parts.requestMetrics.ended(exchange.labels(), exchange.failure());
-    m_parts.metrics.count("rattanrill_http_responses_total",
-                          {{"status", std::to_string(response.status)}});
+    // Successful requests without a workspace, such as health checks and scrapes of the metrics,
+    // are not counted.
+    const bool isCounted = exchange.failure() || !exchange.labels().workspace.empty();
+    if (isCounted && !exchange.isStreamed())
+        m_context.requestMetrics.ended(exchange.labels(), exchange.failure());
+    m_context.metrics.count("rattanrill_http_responses_total",
+                            {{"status", std::to_string(response.status)}});
     log(LogLevel::Debug, "request",
         {{"requestId", exchange.requestId()},
          {"method", request.method},
@@ -113,22 +114,22 @@
         exchange.sendFailure(
                 notRun(ErrorCode::MethodNotAllowed,
                        concat(exchange.request().method, " is not served at ", exchange.path())));
-    else if (!m_parts.services.handle(exchange))
+    else if (!m_context.services.handle(exchange))
         exchange.sendFailure(
                 notRun(ErrorCode::UnknownRoute, concat("no route for ", exchange.path())));
 }
 
 void CallerRoutes::complete(Exchange &exchange, const std::string &)
 {
-    m_parts.completions.handle(exchange);
+    m_context.completions.handle(exchange);
 }
 
 void CallerRoutes::listModels(Exchange &exchange, const std::string &)
 {
-    if (!m_parts.admission.authenticate(exchange))
+    if (!m_context.admission.authenticate(exchange))
         return;
     Json data = Json::array();
-    for (const std::string &model : models(*m_parts.directory.view()))
+    for (const std::string &model : models(*m_context.directory.view()))
         data.push_back(
                 {{"id", model}, {"object", "model"}, {"created", 0}, {"owned_by", "rattanrill"}});
     exchange.sendJson(dumpJson({{"object", "list"}, {"data", data}}));
@@ -136,37 +137,37 @@
 
 void CallerRoutes::upload(Exchange &exchange, const std::string &)
 {
-    m_parts.files.upload(exchange);
+    m_context.files.upload(exchange);
 }
 
 void CallerRoutes::describeFile(Exchange &exchange, const std::string &id)
 {
-    m_parts.files.describe(exchange, id);
+    m_context.files.describe(exchange, id);
 }
 
 void CallerRoutes::fileContent(Exchange &exchange, const std::string &id)
 {
-    m_parts.files.content(exchange, id);
+    m_context.files.content(exchange, id);
 }
 
 void CallerRoutes::createBatch(Exchange &exchange, const std::string &)
 {
-    m_parts.batches.create(exchange);
+    m_context.batches.create(exchange);
 }
 
 void CallerRoutes::listBatches(Exchange &exchange, const std::string &)
 {
-    m_parts.batches.list(exchange);
+    m_context.batches.list(exchange);
 }
 
 void CallerRoutes::describeBatch(Exchange &exchange, const std::string &id)
 {
-    m_parts.batches.describe(exchange, id);
+    m_context.batches.describe(exchange, id);
 }
 
 void CallerRoutes::cancelBatch(Exchange &exchange, const std::string &id)
 {
-    m_parts.batches.cancel(exchange, id);
+    m_context.batches.cancel(exchange, id);
 }
 
 void CallerRoutes::health(Exchange &exchange, const std::string &)
@@ -176,7 +177,7 @@
 
 void CallerRoutes::ready(Exchange &exchange, const std::string &)
 {
-    const std::string reason = m_parts.notReady();
+    const std::string reason = m_context.unreadyReason();
     if (reason.empty())
         exchange.sendJson(R"({"status":"ready"})");
     else
@@ -185,8 +186,8 @@
 
 void CallerRoutes::metrics(Exchange &exchange, const std::string &)
 {
-    m_parts.refreshMetrics();
-    exchange.response().set_content(m_parts.metrics.exposition(), "text/plain; version=0.0.4");
+    m_context.refreshMetrics();
+    exchange.response().set_content(m_context.metrics.exposition(), "text/plain; version=0.0.4");
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/callerroutes.h
+++ b/src/entry/callerroutes.h
@@ -18,7 +18,7 @@
 class CallerRoutes
 {
 public:
-    struct Parts
+    struct Context
     {
         CompletionHandler &completions;
         FileHandler &files;
@@ -28,15 +28,15 @@
         const directory::DirectorySubscriber &directory;
         Metrics &metrics;
         RequestMetrics &requestMetrics;
-        /// Why this instance is not ready; empty when it is.
-        std::function<std::string()> notReady;
+        /// Reason why this instance is not ready; empty when it is ready.
+        std::function<std::string()> unreadyReason;
         /// Called before metrics are rendered.
         std::function<void()> refreshMetrics;
     };
 
-    explicit CallerRoutes(Parts parts);
+    explicit CallerRoutes(Context context);
 
-    /// Sets the handlers of \a server; before it starts.
+    /// Registers the handlers on \a server. To be called before the server starts.
     void install(httplib::Server &server);
 
 private:
@@ -65,7 +65,7 @@
     void ready(Exchange &exchange, const std::string &id);
     void metrics(Exchange &exchange, const std::string &id);
 
-    Parts m_parts;
+    Context m_context;
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -14,9 +14,10 @@
 namespace rattanrill::entry {
 namespace {
 
-/// The library listens with a backlog of 5; a burst of connections would wait for repeated SYNs.
+/// httplib listens with a backlog of 5. In a burst, connections beyond the backlog would be delayed
+/// until the client repeats its SYN.
 constexpr int listenBacklog = 512;
-constexpr absl::Duration lastRequestWait = absl::Seconds(1);
+constexpr absl::Duration lateRequestTimeout = absl::Seconds(1);
 constexpr std::size_t requestIdBytes = 12;
 constexpr int statusBadRequest = 400;
 
@@ -51,7 +52,8 @@
     set_post_routing_handler([](const httplib::Request &, httplib::Response &response) {
         response.set_header("X-Request-Id", currentRequestId);
     });
-    // Reached for answers without a body, made by the library itself.
+    // Failures that the handlers send have a body; only responses that httplib itself generated are
+    // completed here.
     set_error_handler([](const httplib::Request &, httplib::Response &response) {
         if (!response.body.empty() || response.content_provider_)
             return;
@@ -73,7 +75,7 @@
 {
     if (!m_thread.joinable())
         return;
-    announceEnd();
+    closeAfterAnswers();
     closeListener();
     finish(absl::ZeroDuration());
 }
@@ -91,15 +93,15 @@
     return {};
 }
 
-void CallerServer::announceEnd()
+void CallerServer::closeAfterAnswers()
 {
-    m_connections.endAfterAnswers();
+    m_connections.closeAfterAnswers();
 }
 
 void CallerServer::closeListener()
 {
-    // The library's stop() would also cut running streams. Without it the accepting thread sees
-    // the end of the listening socket and closes it.
+    // httplib's stop() would also abort running streams. The shutdown of the listening socket makes
+    // the accepting thread end, which closes the socket.
     ::shutdown(svr_sock_, SHUT_RDWR);
 }
 
@@ -108,7 +110,7 @@
     const absl::Time end = absl::Now() + timeout;
     m_connections.closeIdle();
     const bool finished = m_connections.waitUntilNoneBusy(end - absl::Now());
-    // The library's streams end when they see this.
+    // httplib ends running streams when the listening socket is invalid.
     svr_sock_ = INVALID_SOCKET;
     m_connections.closeIdle();
     if (m_thread.joinable())
@@ -143,13 +145,14 @@
 void CallerServer::serve(ConnectionStream &stream)
 {
     const int socket = stream.socket();
-    // A connection that was accepted just before the listener closed gets a short time to send.
+    // A connection that was accepted just before the listener closed has only a short time to send
+    // a request.
     const bool open = m_connections.add(socket);
-    const absl::Duration wait = open ? m_options.keepAliveTimeout : lastRequestWait;
+    const absl::Duration wait = open ? m_options.keepAliveTimeout : lateRequestTimeout;
     while (stream.waitForRequest(wait)) {
         m_connections.markBusy(socket);
-        const bool again = serveOne(stream);
-        if (!m_connections.markIdle(socket) || !again)
+        const bool keepAlive = serveOne(stream);
+        if (!m_connections.markIdle(socket) || !keepAlive)
             break;
     }
     m_connections.remove(socket);
@@ -160,7 +163,7 @@
     currentRequestId = "req-" + randomHex(requestIdBytes);
     bool closed = false;
     const bool answered =
-            process_request(stream, m_connections.endingAfterAnswers(), closed, nullptr);
+            process_request(stream, m_connections.closingAfterAnswers(), closed, nullptr);
     return answered && !closed && !stream.closing();
 }
 
@@ -168,7 +171,7 @@
 {
     const std::string requestId = "req-" + randomHex(requestIdBytes);
     const Failure failure =
-            notRun(ErrorCode::Overloaded, concat("this instance serves its limit of ",
+            notRun(ErrorCode::Overloaded, concat("this instance already serves its limit of ",
                                                  m_options.maxConnections, " connections"));
     const std::string body = http::failureBody(failure, requestId);
     stream.write(concat("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n",
--- a/src/entry/callerserver.h
+++ b/src/entry/callerserver.h
@@ -13,29 +13,29 @@
 
 namespace rattanrill::entry {
 
-/// HTTP server for callers. It serves each connection with a loop of its own instead of the
-/// library's, because the library cuts running streams when it stops, keeps idle connections until
-/// their timeout, and gives handlers no way to notice that the caller has gone.
+/// HTTP server for callers. It replaces the connection loop of httplib, which aborts running
+/// streams when the server stops, keeps idle connections open until their timeout, and does not let
+/// handlers detect that the caller has disconnected.
 class CallerServer : public httplib::Server
 {
 public:
     explicit CallerServer(http::ServerOptions options);
     ~CallerServer() override;
 
-    /// Listens; port 0 takes a free one. Fails with AddressInUse.
+    /// Starts listening; port 0 selects a free port. Fails with AddressInUse.
     Result<void> start(const std::string &host, int port);
     int port() const { return m_port; }
 
-    /// Answers from now on say that the connection will be closed.
-    void announceEnd();
-    /// Accepts no more connections; running requests go on.
+    /// From now on, connections are closed after the current answer, and answers announce that.
+    void closeAfterAnswers();
+    /// Stops accepting connections; running requests continue.
     void closeListener();
-    /// Waits for running requests, closes idle connections and ends all threads. Returns false
-    /// when requests still ran after \a timeout; these are cut off.
+    /// Waits for running requests, closes idle connections and ends all threads. Returns false when
+    /// requests were still running after \a timeout; these are aborted.
     bool finish(absl::Duration timeout);
     std::size_t busyConnections() const { return m_connections.busy(); }
 
-    /// Connection that the calling thread serves. For handlers.
+    /// Connection that the calling thread serves; for use by handlers.
     static ConnectionStream &connection();
     /// Id of the request that the calling thread serves.
     static const std::string &requestId();
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -6,9 +6,9 @@
 
 namespace rattanrill::entry {
 
-Claims::Claims(Partitions &partitions, absl::Duration keep)
+Claims::Claims(Partitions &partitions, absl::Duration retention)
     : m_partitions(partitions)
-    , m_keep(keep)
+    , m_retention(retention)
 {}
 
 int Claims::partition(const ClaimKey &key) const
@@ -23,11 +23,11 @@
     command.idempotencyKey = key.idempotencyKey;
     command.requestHash = key.requestHash;
     command.holder = key.holder;
-    command.keepMs = absl::ToInt64Milliseconds(m_keep);
+    command.keepMs = absl::ToInt64Milliseconds(m_retention);
     const auto answer = m_partitions.propose(partition(key), command, true);
     if (answer.ok())
         return answer.value().claim;
-    // The claim may exist, but the request that it stands for was not sent.
+    // The claim may have been recorded, but its request was not sent.
     if (answer.failure().run == EffectState::MayHaveRun)
         abandon(key);
     return notRun(answer.failure().code, answer.failure().detail);
--- a/src/entry/claims.h
+++ b/src/entry/claims.h
@@ -10,37 +10,40 @@
 
 namespace rattanrill::entry {
 
-/// A claim of a workspace's idempotency key.
+/// Identifies the claim of a workspace's idempotency key.
 struct ClaimKey
 {
     std::string workspace;
     std::string idempotencyKey;
     /// Hash of method, path and body.
     std::string requestHash;
-    /// Unique per try to claim, so that a repeated command of the same try wins again.
+    /// Unique for each attempt to run the request, so that a resent claim of the same holder wins
+    /// again.
     std::string holder;
 };
 
-/// Claims of requests that must run at most once. All entries agree on the partition of a claim.
+/// Claims of requests that must run at most once. All entries compute the same partition for a
+/// claim.
 class Claims
 {
 public:
-    Claims(Partitions &partitions, absl::Duration keep);
+    Claims(Partitions &partitions, absl::Duration retention);
 
-    /// Fails with Conflict when the key was used for another request, or as not run when the
-    /// partition cannot be reached.
+    /// Fails with Conflict when the key was used for another request, or with a NotRun failure when
+    /// the partition cannot be reached.
     Outcome<wire::ClaimStatus> claim(const ClaimKey &key);
-    /// Stores the answer for resends. Without it a resend is told that the request may have run.
+    /// Stores the answer for later requests with the same key. Without it, such requests fail with
+    /// a failure that says that the request may have run.
     Outcome<Done> finish(const ClaimKey &key, int status, const std::string &contentType,
                          const std::string &body);
-    /// Gives the claim back; only when the request certainly did not run.
+    /// Releases the claim. To be called only when the request certainly did not run.
     void abandon(const ClaimKey &key);
 
 private:
     int partition(const ClaimKey &key) const;
 
     Partitions &m_partitions;
-    absl::Duration m_keep;
+    absl::Duration m_retention;
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/completionformat.cpp
+++ b/src/entry/completionformat.cpp
@@ -5,15 +5,16 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Usage of the whole answer. The engine's own figures count one try only.
-Json usageOf(const engine::StreamSummary &end)
+/// Token usage of the whole answer. The engine's own count of completion tokens covers one attempt
+/// only.
+Json usageOf(const engine::StreamSummary &summary)
 {
-    const Json reported = Json::parse(end.usage, nullptr, false);
+    const Json reported = Json::parse(summary.usage, nullptr, false);
     std::int64_t promptTokens = 0;
     if (reported.is_object() && reported.contains("prompt_tokens")
         && reported.at("prompt_tokens").is_number_integer())
         promptTokens = reported.at("prompt_tokens").get<std::int64_t>();
-    const auto completionTokens = static_cast<std::int64_t>(end.tokens);
+    const auto completionTokens = static_cast<std::int64_t>(summary.tokens);
     return {{"prompt_tokens", promptTokens},
             {"completion_tokens", completionTokens},
             {"total_tokens", promptTokens + completionTokens}};
@@ -35,27 +36,28 @@
     , m_createdSeconds(createdSeconds)
 {}
 
-Json CompletionFormat::head(std::string_view object) const
+Json CompletionFormat::commonMembers(std::string_view object) const
 {
     return {{"id", m_id}, {"object", object}, {"created", m_createdSeconds}, {"model", m_model}};
 }
 
-std::string CompletionFormat::whole(const std::string &text, const engine::StreamSummary &end) const
+std::string CompletionFormat::answerJson(const std::string &text,
+                                         const engine::StreamSummary &summary) const
 {
-    Json answer = head(m_chat ? "chat.completion" : "text_completion");
-    Json choice = {{"index", 0}, {"logprobs", nullptr}, {"finish_reason", end.finishReason}};
+    Json answer = commonMembers(m_chat ? "chat.completion" : "text_completion");
+    Json choice = {{"index", 0}, {"logprobs", nullptr}, {"finish_reason", summary.finishReason}};
     if (m_chat)
         choice["message"] = {{"role", "assistant"}, {"content", text}};
     else
         choice["text"] = text;
     answer["choices"] = Json::array({std::move(choice)});
-    answer["usage"] = usageOf(end);
+    answer["usage"] = usageOf(summary);
     return dumpJson(answer);
 }
 
 Json CompletionFormat::chunk(Json choice) const
 {
-    Json event = head(m_chat ? "chat.completion.chunk" : "text_completion");
+    Json event = commonMembers(m_chat ? "chat.completion.chunk" : "text_completion");
     choice["index"] = 0;
     choice["logprobs"] = nullptr;
     event["choices"] = Json::array({std::move(choice)});
@@ -75,9 +77,9 @@
     return sseEvent(dumpJson(chunk(std::move(choice))));
 }
 
-std::string CompletionFormat::endEvents(const engine::StreamSummary &end) const
+std::string CompletionFormat::endEvents(const engine::StreamSummary &summary) const
 {
-    Json choice = {{"finish_reason", end.finishReason}};
+    Json choice = {{"finish_reason", summary.finishReason}};
     if (m_chat)
         choice["delta"] = Json::object();
     else
@@ -86,7 +88,7 @@
     if (m_streamUsage) {
         Json usage = chunk(Json::object());
         usage["choices"] = Json::array();
-        usage["usage"] = usageOf(end);
+        usage["usage"] = usageOf(summary);
         events += sseEvent(dumpJson(usage));
     }
     return events + sseEvent("[DONE]");
--- a/src/entry/completionformat.h
+++ b/src/entry/completionformat.h
@@ -10,22 +10,22 @@
 
 namespace rattanrill::entry {
 
-/// Writes answers in the form of the usual completions interface.
+/// Formats answers according to the callers' completions and chat completions interfaces.
 class CompletionFormat
 {
 public:
-    /// \a createdSeconds is wall-clock time since the epoch.
+    /// \a createdSeconds is the wall-clock time in seconds since the Unix epoch.
     CompletionFormat(const CompletionRequest &request, std::string_view requestId,
                      std::int64_t createdSeconds);
 
-    /// JSON text of a whole answer.
-    std::string whole(const std::string &text, const engine::StreamSummary &end) const;
-    /// Server-sent events of a streamed answer.
+    /// Returns the complete answer as JSON text.
+    std::string answerJson(const std::string &text, const engine::StreamSummary &summary) const;
+    /// Return the server-sent events for one token and for the end of a streamed answer.
     std::string tokenEvent(const engine::Token &token) const;
-    std::string endEvents(const engine::StreamSummary &end) const;
+    std::string endEvents(const engine::StreamSummary &summary) const;
 
 private:
-    Json head(std::string_view object) const;
+    Json commonMembers(std::string_view object) const;
     Json chunk(Json choice) const;
 
     bool m_chat;
@@ -35,7 +35,7 @@
     std::int64_t m_createdSeconds;
 };
 
-/// One server-sent event.
+/// Formats \a data as one server-sent event.
 std::string sseEvent(std::string_view data);
 
 } // namespace rattanrill::entry
--- a/src/entry/completionhandler.cpp
+++ b/src/entry/completionhandler.cpp
@@ -12,16 +12,18 @@
 namespace rattanrill::entry {
 namespace {
 
-/// How often a waiting answer looks whether its caller has gone or its key was withdrawn.
+/// Interval at which a request that waits for its answer checks whether the caller has disconnected
+/// or the key was withdrawn.
 constexpr absl::Duration checkInterval = absl::Milliseconds(100);
 
 } // namespace
 
-/// An answer on its way to a caller. Its end withdraws the work if that still runs.
-struct CompletionHandler::Running
+/// A request whose answer is being sent. The destructor cancels the task if it is still running.
+struct CompletionHandler::RunningRequest
 {
-    Running(WorkDispatcher &dispatcher, const Caller &caller, const CompletionRequest &request,
-            const std::string &requestId, const Clock &clock)
+    RunningRequest(TaskDispatcher &dispatcher, const Caller &caller,
+                   const CompletionRequest &request, const std::string &requestId,
+                   const Clock &clock)
         : dispatcher(dispatcher)
         , caller(caller)
         , labels{caller.workspace, request.model}
@@ -31,14 +33,14 @@
         , answer(std::make_shared<AnswerStream>())
     {}
 
-    ~Running()
+    ~RunningRequest()
     {
         answer->close();
         if (!ended)
-            dispatcher.withdraw(task);
+            dispatcher.cancel(task);
     }
 
-    WorkDispatcher &dispatcher;
+    TaskDispatcher &dispatcher;
     Caller caller;
     RequestLabels labels;
     std::string requestId;
@@ -52,16 +54,16 @@
     bool ended = false;
 };
 
-CompletionHandler::CompletionHandler(Parts parts, std::size_t maxBodyBytes,
+CompletionHandler::CompletionHandler(Context context, std::size_t maxBodyBytes,
                                      absl::Duration requestTimeout)
-    : m_parts(parts)
+    : m_context(context)
     , m_maxBodyBytes(maxBodyBytes)
     , m_requestTimeout(requestTimeout)
 {}
 
 void CompletionHandler::handle(Exchange &exchange)
 {
-    const std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
+    const std::optional<Caller> caller = m_context.admission.authenticate(exchange);
     if (!caller)
         return;
     const Outcome<CompletionRequest> request = readRequest(exchange, *caller);
@@ -70,13 +72,13 @@
         return;
     }
     exchange.labels().model = request.value().model;
-    if (!m_parts.admission.admit(exchange, *caller))
+    if (!m_context.admission.admit(exchange, *caller))
         return;
-    const std::shared_ptr<Running> running = start(exchange, *caller, request.value());
+    const std::shared_ptr<RunningRequest> running = start(exchange, *caller, request.value());
     if (request.value().stream)
         sendStream(exchange, running);
     else
-        sendWhole(exchange, *running);
+        sendAnswer(exchange, *running);
 }
 
 Outcome<CompletionRequest> CompletionHandler::readRequest(Exchange &exchange,
@@ -98,98 +100,102 @@
 Outcome<Done> CompletionHandler::check(const CompletionRequest &request, const Caller &caller) const
 {
     if (service::containsApiKey(request.body, caller.key))
-        return notRun(ErrorCode::InvalidRequest, "the request body contains the key");
-    const auto view = m_parts.directory.view();
+        return notRun(ErrorCode::InvalidRequest, "the request body contains the API key");
+    const auto view = m_context.directory.view();
     if (!servesModel(*view, request.model))
         return notRun(ErrorCode::UnknownModel, concat("no engine serves \"", request.model, "\""));
-    const std::int64_t nowMs = absl::ToUnixMillis(m_parts.clock.wallNow());
+    const std::int64_t nowMs = absl::ToUnixMillis(m_context.clock.wallNow());
     if (view->quarantinedRequest(fingerprintOf(caller.workspace, request), nowMs))
         return notRun(ErrorCode::RequestQuarantined,
                       "the request crashed the upstreams that ran it");
     return Done{};
 }
 
-std::shared_ptr<CompletionHandler::Running>
+std::shared_ptr<CompletionHandler::RunningRequest>
 CompletionHandler::start(Exchange &exchange, const Caller &caller, const CompletionRequest &request)
 {
-    auto running = std::make_shared<Running>(m_parts.dispatcher, caller, request,
-                                             exchange.requestId(), m_parts.clock);
-    m_parts.shares.note(caller.workspace);
-    WorkOrder order;
-    order.task = taskOf(caller.workspace, request, policy::TaskKind::Online);
-    order.deadline = m_parts.clock.now() + m_requestTimeout;
-    order.task.deadline = order.deadline;
-    order.path = request.path;
-    order.body = request.body;
-    order.requestId = running->requestId;
-    order.listener = running->answer;
-    running->task = m_parts.dispatcher.submit(std::move(order));
+    auto running = std::make_shared<RunningRequest>(m_context.dispatcher, caller, request,
+                                                    exchange.requestId(), m_context.clock);
+    m_context.shares.registerWorkspace(caller.workspace);
+    TaskSubmission submission;
+    submission.task = taskOf(caller.workspace, request, policy::TaskKind::Online);
+    submission.deadline = m_context.clock.now() + m_requestTimeout;
+    submission.task.deadline = submission.deadline;
+    submission.path = request.path;
+    submission.body = request.body;
+    submission.requestId = running->requestId;
+    submission.listener = running->answer;
+    running->task = m_context.dispatcher.submit(std::move(submission));
     return running;
 }
 
-AnswerStream::Item CompletionHandler::next(Running &running,
+AnswerStream::Item CompletionHandler::next(RunningRequest &running,
                                            const std::function<bool()> &callerGone) const
 {
     std::optional<AnswerStream::Item> item;
     while (!item) {
         item = running.answer->next(checkInterval);
-        const std::optional<Failure> revoked = m_parts.admission.keys().revoked(running.caller);
+        const std::optional<Failure> revoked = m_context.admission.keys().revoked(running.caller);
         if (revoked)
             return AnswerFailure{*revoked, absl::ZeroDuration()};
         if (!item && callerGone())
-            return AnswerFailure{mayHaveRun(ErrorCode::ClientDisconnected, "the caller has gone"),
-                                 {}};
+            return AnswerFailure{
+                    mayHaveRun(ErrorCode::ClientDisconnected, "the client closed the connection"),
+                    {}};
     }
     running.ended = !std::holds_alternative<engine::Token>(*item);
     if (running.ended)
-        m_parts.metrics.tokens(running.labels, policy::TaskKind::Online, running.tokens);
+        m_context.metrics.tokens(running.labels, policy::TaskKind::Online, running.tokens);
     else
-        noteToken(running);
+        recordToken(running);
     return std::move(*item);
 }
 
-void CompletionHandler::noteToken(Running &running) const
+void CompletionHandler::recordToken(RunningRequest &running) const
 {
-    const absl::Time now = m_parts.clock.now();
+    const absl::Time now = m_context.clock.now();
     if (running.tokens == 0)
-        m_parts.metrics.firstToken(running.labels, now - running.startedAt);
+        m_context.metrics.firstToken(running.labels, now - running.startedAt);
     else
-        m_parts.metrics.nextToken(running.labels, now - running.lastTokenAt);
+        m_context.metrics.nextToken(running.labels, now - running.lastTokenAt);
     running.lastTokenAt = now;
     ++running.tokens;
 }
 
-void CompletionHandler::noteStreamEnd(const Running &running, const AnswerStream::Item &item) const
+void CompletionHandler::recordStreamEnd(const RunningRequest &running,
+                                        const AnswerStream::Item &item) const
 {
     std::optional<Failure> failure;
     if (const auto *failed = std::get_if<AnswerFailure>(&item))
         failure = failed->failure;
-    m_parts.metrics.ended(running.labels, failure);
+    m_context.metrics.ended(running.labels, failure);
 }
 
-void CompletionHandler::sendWhole(Exchange &exchange, Running &running)
+void CompletionHandler::sendAnswer(Exchange &exchange, RunningRequest &running)
 {
-    const auto gone = [] { return CallerServer::connection().callerGone(); };
+    const auto callerGone = [] { return CallerServer::connection().callerGone(); };
     std::string text;
     for (;;) {
-        const AnswerStream::Item item = next(running, gone);
+        const AnswerStream::Item item = next(running, callerGone);
         if (const auto *token = std::get_if<engine::Token>(&item)) {
             text += token->text;
             continue;
         }
         if (const auto *end = std::get_if<engine::StreamSummary>(&item))
-            exchange.sendJson(running.format.whole(text, *end));
+            exchange.sendJson(running.format.answerJson(text, *end));
         else if (const auto *failed = std::get_if<AnswerFailure>(&item))
             exchange.sendFailure(failed->failure, failed->retryAfter);
         return;
     }
 }
 
-void CompletionHandler::sendStream(Exchange &exchange, const std::shared_ptr<Running> &running)
+void CompletionHandler::sendStream(Exchange &exchange,
+                                   const std::shared_ptr<RunningRequest> &running)
 {
-    // The status line waits for the first item, so that a refusal has its own status.
-    const auto gone = [] { return CallerServer::connection().callerGone(); };
-    running->first = next(*running, gone);
+    // The status code is sent only when the first item is known, so that a failure can have its own
+    // status code.
+    const auto callerGone = [] { return CallerServer::connection().callerGone(); };
+    running->first = next(*running, callerGone);
     if (const auto *failed = std::get_if<AnswerFailure>(&*running->first)) {
         exchange.sendFailure(failed->failure, failed->retryAfter);
         return;
@@ -197,12 +203,12 @@
     exchange.setStreamed();
     exchange.response().set_header("Cache-Control", "no-cache");
     exchange.response().set_chunked_content_provider(
-            "text/event-stream", [this, running, gone](std::size_t, httplib::DataSink &sink) {
+            "text/event-stream", [this, running, callerGone](std::size_t, httplib::DataSink &sink) {
                 AnswerStream::Item item =
-                        running->first ? std::move(*running->first) : next(*running, gone);
+                        running->first ? std::move(*running->first) : next(*running, callerGone);
                 running->first.reset();
                 if (!std::holds_alternative<engine::Token>(item))
-                    noteStreamEnd(*running, item);
+                    recordStreamEnd(*running, item);
                 std::string events;
                 if (const auto *token = std::get_if<engine::Token>(&item))
                     events = running->format.tokenEvent(*token);
--- a/src/entry/completionhandler.h
+++ b/src/entry/completionhandler.h
@@ -5,7 +5,7 @@
 #include "completionrequest.h"
 #include "exchange.h"
 #include "requestmetrics.h"
-#include "workdispatcher.h"
+#include "taskdispatcher.h"
 #include "workspaceshares.h"
 
 #include "rattanrill/base/clock.h"
@@ -18,40 +18,42 @@
 
 namespace rattanrill::entry {
 
-/// Serves POST /v1/completions and /v1/chat/completions, whole and as server-sent events.
+/// Serves POST /v1/completions and /v1/chat/completions, with a single JSON response or with
+/// server-sent events.
 class CompletionHandler
 {
 public:
-    struct Parts
+    struct Context
     {
         const Admission &admission;
         const directory::DirectorySubscriber &directory;
-        WorkDispatcher &dispatcher;
+        TaskDispatcher &dispatcher;
         WorkspaceShares &shares;
         const Clock &clock;
         RequestMetrics &metrics;
     };
 
-    CompletionHandler(Parts parts, std::size_t maxBodyBytes, absl::Duration requestTimeout);
+    CompletionHandler(Context context, std::size_t maxBodyBytes, absl::Duration requestTimeout);
 
     void handle(Exchange &exchange);
 
 private:
-    struct Running;
+    struct RunningRequest;
 
     Outcome<CompletionRequest> readRequest(Exchange &exchange, const Caller &caller) const;
     Outcome<Done> check(const CompletionRequest &request, const Caller &caller) const;
-    std::shared_ptr<Running> start(Exchange &exchange, const Caller &caller,
-                                   const CompletionRequest &request);
-    /// Next item of the answer, or why the answer ends without one.
-    AnswerStream::Item next(Running &running, const std::function<bool()> &callerGone) const;
-    void sendWhole(Exchange &exchange, Running &running);
-    void sendStream(Exchange &exchange, const std::shared_ptr<Running> &running);
-    void noteToken(Running &running) const;
+    std::shared_ptr<RunningRequest> start(Exchange &exchange, const Caller &caller,
+                                          const CompletionRequest &request);
+    /// Waits for the next item of the answer. Returns an AnswerFailure when the key was withdrawn
+    /// or the caller has disconnected.
+    AnswerStream::Item next(RunningRequest &running, const std::function<bool()> &callerGone) const;
+    void sendAnswer(Exchange &exchange, RunningRequest &running);
+    void sendStream(Exchange &exchange, const std::shared_ptr<RunningRequest> &running);
+    void recordToken(RunningRequest &running) const;
     /// Counts the end of a streamed answer.
-    void noteStreamEnd(const Running &running, const AnswerStream::Item &item) const;
+    void recordStreamEnd(const RunningRequest &running, const AnswerStream::Item &item) const;
 
-    Parts m_parts;
+    Context m_context;
     std::size_t m_maxBodyBytes;
     absl::Duration m_requestTimeout;
 };
--- a/src/entry/completionrequest.cpp
+++ b/src/entry/completionrequest.cpp
@@ -6,10 +6,11 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Estimates for admission when the caller names no limit; the engine applies its own.
-constexpr std::int64_t completionTokensGuess = 16;
-constexpr std::int64_t chatTokensGuess = 256;
-constexpr std::int64_t bytesPerToken = 4;
+/// Estimated numbers of tokens, used for admission when the caller sets no limit; the engine
+/// applies its own limit.
+constexpr std::int64_t defaultCompletionTokens = 16;
+constexpr std::int64_t defaultChatTokens = 256;
+constexpr std::int64_t estimatedBytesPerToken = 4;
 constexpr std::size_t firstPrefixBytes = 64;
 constexpr std::size_t fingerprintDigits = 32;
 
@@ -22,7 +23,7 @@
 {
     if (value.is_string())
         return value.get<std::string>();
-    // Some client libraries send a list of parts.
+    // Some client libraries send a list of text parts.
     if (!value.is_array())
         return invalid(concat(what, " must be a string"));
     std::string text;
@@ -77,22 +78,23 @@
 
 Result<std::int64_t> maxTokensOf(const Json &body, bool chat)
 {
-    const std::int64_t guess = chat ? chatTokensGuess : completionTokensGuess;
-    BOOST_LEAF_AUTO(newer, jsonMemberOr<std::int64_t>(body, "max_completion_tokens", guess));
-    BOOST_LEAF_AUTO(limit, jsonMemberOr<std::int64_t>(body, "max_tokens", newer));
+    const std::int64_t defaultTokens = chat ? defaultChatTokens : defaultCompletionTokens;
+    BOOST_LEAF_AUTO(maxCompletionTokens,
+                    jsonMemberOr<std::int64_t>(body, "max_completion_tokens", defaultTokens));
+    BOOST_LEAF_AUTO(limit, jsonMemberOr<std::int64_t>(body, "max_tokens", maxCompletionTokens));
     if (limit < 1)
         return invalid("\"max_tokens\" must be at least 1");
     return limit;
 }
 
-bool wantsStreamUsage(const Json &body)
+bool requestsStreamUsage(const Json &body)
 {
     const auto options = body.find("stream_options");
     return options != body.end() && options->is_object()
            && options->value("include_usage", Json()) == Json(true);
 }
 
-/// Body as it goes to engines. Engines stream always, so that a broken answer can be continued.
+/// Request body for engines. Engines always stream, so that a broken answer can be resumed.
 std::string engineBody(Json body, const std::string &prompt, bool chat, std::int64_t maxTokens)
 {
     for (const char *key : {"stream", "stream_options", "request_id", "resume_after", "kv_handle"})
@@ -117,7 +119,7 @@
     BOOST_LEAF_CHECK(checkChoices(body));
     BOOST_LEAF_ASSIGN(request.maxTokens, maxTokensOf(body, request.chat));
     BOOST_LEAF_ASSIGN(request.stream, jsonMemberOr<bool>(body, "stream", false));
-    request.streamUsage = wantsStreamUsage(body);
+    request.streamUsage = requestsStreamUsage(body);
     request.body = engineBody(std::move(body), request.prompt, request.chat, request.maxTokens);
     return request;
 }
@@ -135,7 +137,8 @@
     task.workspace = workspace;
     task.kind = kind;
     task.model = request.model;
-    task.promptTokens = 1 + static_cast<std::int64_t>(request.prompt.size()) / bytesPerToken;
+    task.promptTokens =
+            1 + static_cast<std::int64_t>(request.prompt.size()) / estimatedBytesPerToken;
     task.maxTokens = request.maxTokens;
     task.fingerprint = fingerprintOf(workspace, request);
     const std::string_view prompt = request.prompt;
--- a/src/entry/completionrequest.h
+++ b/src/entry/completionrequest.h
@@ -12,7 +12,7 @@
 constexpr std::string_view completionsPath = "/v1/completions";
 constexpr std::string_view chatPath = "/v1/chat/completions";
 
-/// A caller's completion request, checked.
+/// A caller's completion request after validation.
 struct CompletionRequest
 {
     bool chat = false;
@@ -22,20 +22,21 @@
     std::string prompt;
     std::int64_t maxTokens = 0;
     bool stream = false;
-    /// The caller asked for a usage event at the end of the stream.
+    /// The caller requested a usage event at the end of the stream.
     bool streamUsage = false;
-    /// JSON object without members of the transport, as it goes to engines.
+    /// JSON object to send to engines, without the members that control how the answer is
+    /// delivered.
     std::string body;
 };
 
 /// Fails with InvalidRequest.
 Result<CompletionRequest> parseCompletion(std::string_view path, std::string_view body);
 
-/// Hash of workspace, path and body by which a request that crashes upstreams is recognized. How
-/// the answer is delivered does not count.
+/// Hash of workspace, path and body that identifies a request that crashes upstreams. It does not
+/// depend on how the answer is delivered.
 std::string fingerprintOf(const std::string &workspace, const CompletionRequest &request);
 
-/// \a request as the scheduler needs to know it; id and due time are left to the caller.
+/// Converts \a request to a task for the scheduler. The caller sets its id and deadline.
 policy::Task taskOf(const std::string &workspace, const CompletionRequest &request,
                     policy::TaskKind kind);
 
--- a/src/entry/connectionqueue.cpp
+++ b/src/entry/connectionqueue.cpp
@@ -16,7 +16,8 @@
 
 void ConnectionQueue::enqueue(std::function<void()> task)
 {
-    // Only the listening thread adds, so that the check and the increment need no common lock.
+    // Only the listening thread adds connections, so that the check and the increment need no
+    // common lock.
     if (m_active >= m_limit) {
         m_refusing.enqueue([task = std::move(task)] {
             refusingThread = true;
--- a/src/entry/connectionqueue.h
+++ b/src/entry/connectionqueue.h
@@ -7,8 +7,9 @@
 
 namespace rattanrill::entry {
 
-/// Threads for caller connections, one for each. Connections above the limit run on a few threads
-/// of their own that only refuse; in the library's own pool they would wait without an answer.
+/// Thread pool with one thread for each caller connection. Connections above the limit are passed
+/// to a small second pool that only refuses them; in httplib's own pool they would wait without an
+/// answer.
 class ConnectionQueue : public httplib::TaskQueue
 {
 public:
@@ -17,7 +18,7 @@
     void enqueue(std::function<void()> task) override;
     void shutdown() override;
 
-    /// Whether the calling thread is one that refuses its connection.
+    /// Whether the calling thread belongs to the pool that refuses connections.
     static bool refusing();
 
 private:
--- a/src/entry/connectionregistry.cpp
+++ b/src/entry/connectionregistry.cpp
@@ -8,7 +8,7 @@
 {
     absl::MutexLock lock(&m_mutex);
     m_idle.insert(socket);
-    return !m_ending;
+    return !m_closing;
 }
 
 void ConnectionRegistry::remove(int socket)
@@ -30,19 +30,19 @@
     absl::MutexLock lock(&m_mutex);
     m_busy.erase(socket);
     m_idle.insert(socket);
-    return !m_ending;
+    return !m_closing;
 }
 
-void ConnectionRegistry::endAfterAnswers()
+void ConnectionRegistry::closeAfterAnswers()
 {
     absl::MutexLock lock(&m_mutex);
-    m_ending = true;
+    m_closing = true;
 }
 
-bool ConnectionRegistry::endingAfterAnswers() const
+bool ConnectionRegistry::closingAfterAnswers() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_ending;
+    return m_closing;
 }
 
 void ConnectionRegistry::closeIdle()
--- a/src/entry/connectionregistry.h
+++ b/src/entry/connectionregistry.h
@@ -9,25 +9,25 @@
 
 namespace rattanrill::entry {
 
-/// Open caller connections and which of them work on a request. It lets a graceful stop close idle
-/// connections at once and wait for the others.
+/// Tracks the open caller connections and which of them are processing a request. A graceful
+/// shutdown closes idle connections at once and waits for the others.
 class ConnectionRegistry
 {
 public:
-    /// An idle connection; false when the process no longer takes requests.
+    /// Adds an idle connection. Returns false when the process is shutting down.
     bool add(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
     void remove(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
     void markBusy(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// The answer is sent; false when the connection is to be closed.
+    /// To be called after the answer was sent. Returns false when the connection must be closed.
     bool markIdle(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// From now on answers end their connection.
-    void endAfterAnswers() ABSL_LOCKS_EXCLUDED(m_mutex);
-    bool endingAfterAnswers() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Ends the receiving side of idle connections, which wakes their threads. A request that has
-    /// already arrived is still read and answered.
+    /// From now on, connections are closed after the current answer.
+    void closeAfterAnswers() ABSL_LOCKS_EXCLUDED(m_mutex);
+    bool closingAfterAnswers() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Shuts down the receiving side of idle connections, which wakes their threads. A request that
+    /// has already arrived is still read and answered.
     void closeIdle() ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Waits until no request runs; false after \a timeout.
+    /// Waits until no request is running; returns false after \a timeout.
     bool waitUntilNoneBusy(absl::Duration timeout) ABSL_LOCKS_EXCLUDED(m_mutex);
     std::size_t busy() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
@@ -37,7 +37,7 @@
     mutable absl::Mutex m_mutex;
     std::set<int> m_idle ABSL_GUARDED_BY(m_mutex);
     std::set<int> m_busy ABSL_GUARDED_BY(m_mutex);
-    bool m_ending ABSL_GUARDED_BY(m_mutex) = false;
+    bool m_closing ABSL_GUARDED_BY(m_mutex) = false;
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/connectionstream.cpp
+++ b/src/entry/connectionstream.cpp
@@ -17,15 +17,16 @@
 namespace {
 
 constexpr std::size_t bufferBytes = 16u << 10;
-/// What is discarded after the last answer; a caller that sends more is cut off.
-constexpr std::size_t drainBytes = 64u << 20;
-constexpr absl::Duration drainTime = absl::Seconds(2);
+/// Limits for the data that is discarded after the last answer; a caller that sends more is
+/// disconnected.
+constexpr std::size_t maxDrainBytes = 64u << 20;
+constexpr absl::Duration drainTimeout = absl::Seconds(2);
 
-/// Waits for \a events; false on a timeout or error.
+/// Waits for \a events; returns false on a timeout or error.
 bool waitFor(int socket, short events, absl::Duration timeout)
 {
-    pollfd entry{socket, events, 0};
-    const int result = poll(&entry, 1, static_cast<int>(absl::ToInt64Milliseconds(timeout)));
+    pollfd descriptor{socket, events, 0};
+    const int result = poll(&descriptor, 1, static_cast<int>(absl::ToInt64Milliseconds(timeout)));
     return result > 0;
 }
 
@@ -128,8 +129,8 @@
 {
     shutdown(m_socket, SHUT_WR);
     std::array<char, bufferBytes> discarded{};
-    const absl::Time end = absl::Now() + drainTime;
-    for (std::size_t total = 0; total < drainBytes;) {
+    const absl::Time end = absl::Now() + drainTimeout;
+    for (std::size_t total = 0; total < maxDrainBytes;) {
         const absl::Duration remaining = end - absl::Now();
         if (remaining <= absl::ZeroDuration() || !waitFor(m_socket, POLLIN, remaining))
             break;
--- a/src/entry/connectionstream.h
+++ b/src/entry/connectionstream.h
@@ -8,7 +8,8 @@
 
 namespace rattanrill::entry {
 
-/// Buffered socket of one caller connection. Used by the connection's own thread only.
+/// Buffered stream on the socket of one caller connection. Used only by the thread that serves the
+/// connection.
 class ConnectionStream : public httplib::Stream
 {
 public:
@@ -23,16 +24,18 @@
     socket_t socket() const override { return m_socket; }
     using httplib::Stream::write;
 
-    /// Waits for the first byte of a request; false on the end of the stream or a timeout.
+    /// Waits for the first byte of a request; returns false at the end of the stream or on a
+    /// timeout.
     bool waitForRequest(absl::Duration timeout);
-    /// The caller has closed its end and sends nothing more.
+    /// Whether the caller has closed its side of the connection.
     bool callerGone() const;
-    /// The connection is closed after the current answer, for instance because the body of the
-    /// request was not read.
+    /// Closes the connection after the current answer, for instance because the body of the request
+    /// was not read.
     void closeAfterAnswer() { m_closing = true; }
     bool closing() const { return m_closing; }
-    /// Ends the sending side and discards what the caller still sends, within bounds. Closing at
-    /// once would make the system reset the connection, and the caller could lose the answer.
+    /// Shuts down the sending side, discards data that the caller still sends, up to a limit of
+    /// size and time, and closes the socket. Closing at once would make the system reset the
+    /// connection, and the caller could lose the answer.
     void drainAndClose();
 
 private:
--- a/src/entry/crashrecords.cpp
+++ b/src/entry/crashrecords.cpp
@@ -2,22 +2,22 @@
 
 namespace rattanrill::entry {
 
-void CrashRecords::begin(const std::string &fingerprint)
+void CrashRecords::beginReport(const std::string &fingerprint)
 {
     absl::MutexLock lock(&m_mutex);
     ++m_pending[fingerprint];
 }
 
-void CrashRecords::end(const std::string &fingerprint, const Outcome<bool> &held)
+void CrashRecords::endReport(const std::string &fingerprint, const Outcome<bool> &quarantined)
 {
     absl::MutexLock lock(&m_mutex);
     const auto pending = m_pending.find(fingerprint);
     if (pending != m_pending.end() && --pending->second == 0)
         m_pending.erase(pending);
-    if (!held.ok())
+    if (!quarantined.ok())
         m_states[fingerprint] = State::Unrecorded;
-    else if (held.value())
-        m_states[fingerprint] = State::Held;
+    else if (quarantined.value())
+        m_states[fingerprint] = State::Quarantined;
     else
         m_states.erase(fingerprint);
 }
@@ -40,7 +40,7 @@
     if (state == m_states.end())
         return State::Recorded;
     const State result = state->second;
-    // A held fingerprint stays so in the view of the directory; the record here has served.
+    // The directory view keeps the quarantined fingerprint, so its state is no longer needed here.
     m_states.erase(state);
     return result;
 }
--- a/src/entry/crashreporter.cpp
+++ b/src/entry/crashreporter.cpp
@@ -16,7 +16,7 @@
                                                absl::Duration blockTime, absl::Duration timeout,
                                                const Clock &clock)
     : m_control(control)
-    , m_holdTime(blockTime)
+    , m_blockTime(blockTime)
     , m_timeout(timeout)
     , m_clock(clock)
 {}
@@ -29,7 +29,7 @@
     command.unconditional = true;
     command.nowMs = absl::ToUnixMillis(m_clock.wallNow());
     command.operation =
-            wire::ReportCrash{fingerprint, upstream, absl::ToInt64Milliseconds(m_holdTime)};
+            wire::ReportCrash{fingerprint, upstream, absl::ToInt64Milliseconds(m_blockTime)};
     m_control.propose(controlclient::directoryGroup, wire::encode(command), true, m_timeout,
                       [callback = std::move(callback)](const Outcome<std::string> &answer) {
                           if (!answer.ok()) {
--- a/src/entry/crashreporter.h
+++ b/src/entry/crashreporter.h
@@ -18,7 +18,7 @@
 class CrashReporter
 {
 public:
-    /// Whether the request is held from now on.
+    /// Receives whether the request is quarantined from now on.
     using Callback = std::function<void(Outcome<bool>)>;
 
     virtual ~CrashReporter() = default;
@@ -38,7 +38,7 @@
 
 private:
     controlclient::ControlClient &m_control;
-    absl::Duration m_holdTime;
+    absl::Duration m_blockTime;
     absl::Duration m_timeout;
     const Clock &m_clock;
 };
--- a/src/entry/enginetry.cpp
+++ b/src/entry/engineattempt.cpp
@@ -1,33 +1,33 @@
-#include "enginetry.h"
+#include "engineattempt.h"
 
 namespace rattanrill::entry {
 
-EngineTry::EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
-                     std::string requestId)
+EngineAttempt::EngineAttempt(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
+                             std::string requestId)
     : m_client(std::move(client))
     , m_start(std::move(start))
     , m_requestId(std::move(requestId))
 {}
 
-void EngineTry::markPreempting()
+void EngineAttempt::markPreempting()
 {
     absl::MutexLock lock(&m_mutex);
     m_preempting = true;
 }
 
-bool EngineTry::preempting() const
+bool EngineAttempt::preempting() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_preempting;
 }
 
-bool EngineTry::cancelOnEngine()
+bool EngineAttempt::cancelOnEngine()
 {
     const Outcome<bool> answer = m_client->cancel(m_requestId);
     return answer.ok() && answer.value();
 }
 
-void EngineTry::preempt(policy::PreemptMethod method)
+void EngineAttempt::preempt(policy::PreemptMethod method)
 {
     std::string handle;
     if (method == policy::PreemptMethod::ExportKv) {
@@ -35,25 +35,27 @@
         if (exported.ok())
             handle = exported.value().handle;
     }
-    // An engine that does not know the request yet or no longer answers cannot end the stream.
+    // An engine that has not received the request yet, or that no longer responds, cannot end the
+    // stream.
     if (handle.empty() && !cancelOnEngine())
-        m_cancellation.abort();
+        m_abortSignal.abort();
     absl::MutexLock lock(&m_mutex);
     m_kvHandle = std::move(handle);
 }
 
-std::string EngineTry::awaitPreemption(absl::Duration timeout)
+std::string EngineAttempt::awaitPreemption(absl::Duration timeout)
 {
     absl::MutexLock lock(&m_mutex);
-    m_mutex.AwaitWithTimeout(absl::Condition(this, &EngineTry::preempted), timeout);
+    m_mutex.AwaitWithTimeout(absl::Condition(this, &EngineAttempt::preempted), timeout);
     return m_kvHandle.value_or(std::string());
 }
 
-void EngineTry::giveUp()
+void EngineAttempt::abandon()
 {
-    // The engine is told first: it may not notice a closed connection until its next write.
+    // The request is cancelled on the engine first, because the engine may not detect a closed
+    // connection before its next write.
     cancelOnEngine();
-    m_cancellation.abort();
+    m_abortSignal.abort();
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/enginetry.h
+++ b/src/entry/engineattempt.h
@@ -14,27 +14,28 @@
 
 namespace rattanrill::entry {
 
-/// One try of a work on one engine, and how it is ended from outside.
-class EngineTry
+/// One attempt to run a task on one engine. Other threads can preempt or abandon it.
+class EngineAttempt
 {
 public:
-    EngineTry(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
-              std::string requestId);
+    EngineAttempt(std::shared_ptr<engine::EngineClient> client, policy::StartTask start,
+                  std::string requestId);
 
     engine::EngineClient &client() const { return *m_client; }
     const policy::StartTask &start() const { return m_start; }
     const std::string &requestId() const { return m_requestId; }
-    engine::AbortSignal &cancellation() { return m_cancellation; }
+    engine::AbortSignal &abortSignal() { return m_abortSignal; }
 
-    /// Marks the try as preempted before the engine is told.
+    /// Marks the attempt as preempted; to be called before preempt().
     void markPreempting() ABSL_LOCKS_EXCLUDED(m_mutex);
     bool preempting() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Ends the engine's stream by \a method. Blocks for two engine calls at most.
+    /// Ends the engine's stream by \a method. Blocks for at most two engine calls.
     void preempt(policy::PreemptMethod method) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Waits for preempt() to end; returns the exported handle or an empty text.
+    /// Waits until preempt() has finished; returns the handle of the exported KV cache, or an empty
+    /// string.
     std::string awaitPreemption(absl::Duration timeout) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Ends the try without interest in its answer.
-    void giveUp();
+    /// Cancels the attempt; its answer is no longer needed.
+    void abandon();
 
 private:
     bool cancelOnEngine();
@@ -43,7 +44,7 @@
     std::shared_ptr<engine::EngineClient> m_client;
     policy::StartTask m_start;
     std::string m_requestId;
-    engine::AbortSignal m_cancellation;
+    engine::AbortSignal m_abortSignal;
     mutable absl::Mutex m_mutex;
     bool m_preempting ABSL_GUARDED_BY(m_mutex) = false;
     std::optional<std::string> m_kvHandle ABSL_GUARDED_BY(m_mutex);
--- a/src/entry/enginetable.h
+++ b/src/entry/enginetable.h
@@ -23,8 +23,8 @@
 
     explicit EngineTable(absl::Duration idleTimeout);
 
-    /// Adopts the engines of \a view and returns them for the scheduler. A client in use outlives
-    /// its engine's removal.
+    /// Replaces the engines by those of \a view and returns them for the scheduler. A client that
+    /// is in use stays valid after its engine was removed.
     std::vector<policy::EngineInfo> update(const directory::DirectoryView &view)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Null for an unknown engine.
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -31,9 +31,9 @@
 
 constexpr std::size_t incarnationBytes = 8;
 constexpr std::size_t callThreads = 16;
-constexpr std::size_t callQueue = 4096;
-constexpr std::size_t tryQueue = 8192;
-constexpr absl::Duration observeInterval = absl::Milliseconds(50);
+constexpr std::size_t callQueueLimit = 4096;
+constexpr std::size_t attemptQueueLimit = 8192;
+constexpr absl::Duration ownershipCheckInterval = absl::Milliseconds(50);
 
 peer::TransportOptions transportOptions(const EntrySettings &settings)
 {
@@ -43,7 +43,7 @@
     return options;
 }
 
-directory::SubscriberOptions followerOptions(const EntrySettings &settings)
+directory::SubscriberOptions subscriberOptions(const EntrySettings &settings)
 {
     directory::SubscriberOptions options;
     options.instance = settings.instance;
@@ -64,84 +64,85 @@
 
 } // namespace
 
-/// Members in order of construction; each uses only those before it.
-struct Entry::Parts
+/// Members are declared in order of construction; each one uses only those before it.
+struct Entry::Impl
 {
-    explicit Parts(EntrySettings given)
-        : settings(std::move(given))
+    explicit Impl(EntrySettings entrySettings)
+        : settings(std::move(entrySettings))
         , clock(SystemClock::instance())
         , incarnation(randomHex(incarnationBytes))
         , channels(transportOptions(settings))
         , peers(transportOptions(settings))
         , control(channels, settings.control, timers, clock)
-        , pollSource(control)
-        , follower(followerOptions(settings), pollSource, timers, clock)
+        , pollClient(control)
+        , subscriber(subscriberOptions(settings), pollClient, timers, clock)
         , engines(settings.timings.engineIdle)
         , services(settings.failureDomain, clock)
-        , crashes(control, settings.scheduler.quarantine.blockTime, settings.timings.controlTimeout,
-                  clock)
-        , tries(settings.http.maxConnections + settings.batch.maxRunning, tryQueue)
-        , calls(callThreads, callQueue)
+        , crashReporter(control, settings.scheduler.quarantine.blockTime,
+                        settings.timings.controlTimeout, clock)
+        , attemptPool(settings.http.maxConnections + settings.batch.maxRunning, attemptQueueLimit)
+        , callPool(callThreads, callQueueLimit)
         , dispatcher(settings.scheduler, stableHash(settings.instance + incarnation),
-                     {engines, crashes, timers, tries, calls, clock, metrics,
+                     {engines, crashReporter, timers, attemptPool, callPool, clock, metrics,
                       settings.timings.keyFreshness})
-        , shares(follower, dispatcher)
+        , shares(subscriber, dispatcher)
         , partitions(control, settings.partitions, settings.timings.controlTimeout, clock)
         , batch({partitions, dispatcher, timers, clock, metrics, requestMetrics,
-                 [this](const std::string &workspace) { shares.note(workspace); }},
+                 [this](const std::string &workspace) { shares.registerWorkspace(workspace); }},
                 settings.batch, concat(settings.instance, ".", incarnation))
         , rateOwner(
                   {settings.instance, incarnation, settings.timings.ownerLease,
                    settings.timings.rateWait},
-                  follower,
-                  [this](const std::string &address, const wire::RateBucketTransfer &handOver) {
+                  subscriber,
+                  [this](const std::string &address, const wire::RateBucketTransfer &transfer) {
                       channels.channel(address)->sendOneWay(wire::Method::TransferRateBuckets,
-                                                            wire::encode(handOver));
+                                                            wire::encode(transfer));
                   },
                   clock)
         , rateBroker({settings.instance, settings.timings.rateWait, settings.timings.grantTimeout},
-                     follower, rateOwner, channels, clock)
-        , keys(follower, settings.timings.keyFreshness, settings.timings.staleStreamLimit)
+                     subscriber, rateOwner, channels, clock)
+        , keys(subscriber, settings.timings.keyFreshness, settings.timings.staleStreamLimit)
         , admission(keys, rateBroker)
         , claims(partitions, settings.timings.claimKeep)
-        , completions({admission, follower, dispatcher, shares, clock, requestMetrics},
+        , completions({admission, subscriber, dispatcher, shares, clock, requestMetrics},
                       settings.maxRequestBytes, settings.timings.requestTimeout)
-        , files(admission, follower, partitions, settings.batch, clock)
-        , batches({admission, follower, partitions, claims, clock}, settings.maxRequestBytes)
-        , serviceHandler({admission, follower, services, claims, crashes, clock, metrics},
+        , files(admission, subscriber, partitions, settings.batch, clock)
+        , batches({admission, subscriber, partitions, claims, clock}, settings.maxRequestBytes)
+        , serviceHandler({admission, subscriber, services, claims, crashReporter, clock, metrics},
                          settings.maxRequestBytes, settings.timings.requestTimeout)
         , loads(engines, services, dispatcher, timers, settings.timings.loadPoll, clock)
-        , heartbeat(control, follower, timers, settings.timings.heartbeat)
-        , routes({completions, files, batches, serviceHandler, admission, follower, metrics,
-                  requestMetrics, [this] { return notReady(); }, [this] { refreshMetrics(); }})
+        , heartbeat(control, subscriber, timers, settings.timings.heartbeat)
+        , routes({completions, files, batches, serviceHandler, admission, subscriber, metrics,
+                  requestMetrics, [this] { return unreadyReason(); }, [this] { refreshMetrics(); }})
         , server(settings.http)
     {
         routes.install(server);
-        follower.onChange([this](const std::shared_ptr<const directory::DirectoryView> &view) {
-            adopt(*view);
+        subscriber.onChange([this](const std::shared_ptr<const directory::DirectoryView> &view) {
+            applyView(*view);
         });
         peers.handle(wire::Method::Grant,
                      [this](const peer::PeerIdentity &, const std::string &body,
                             const peer::ResponseCallback &reply) { reply(grant(body)); });
         peers.handle(wire::Method::TransferRateBuckets,
                      [this](const peer::PeerIdentity &, const std::string &body,
-                            const peer::ResponseCallback &reply) { reply(acceptRates(body)); });
+                            const peer::ResponseCallback &reply) { reply(acceptTransfer(body)); });
     }
 
-    void adopt(const directory::DirectoryView &view)
+    void applyView(const directory::DirectoryView &view)
     {
         const std::vector<policy::EngineInfo> infos = engines.update(view);
         services.update(view);
         std::vector<std::string> members = memberNames(view);
-        // The scheduler wants this instance in the list also before it is acknowledged.
+        // The scheduler requires this instance in the list, even before the directory lists it as a
+        // member.
         if (!view.member(settings.instance))
             members.push_back(settings.instance);
-        dispatcher.inform([&](policy::Scheduler &scheduler, absl::Time now) {
+        dispatcher.updateScheduler([&](policy::Scheduler &scheduler, absl::Time now) {
             scheduler.setEngines(now, infos);
             scheduler.setEntries(settings.instance, members);
         });
         shares.refresh(view);
-        rateOwner.observe();
+        rateOwner.updateOwnership();
     }
 
     Outcome<std::string> grant(const std::string &body)
@@ -155,33 +156,33 @@
         return wire::encode(response.value());
     }
 
-    Outcome<std::string> acceptRates(const std::string &body)
+    Outcome<std::string> acceptTransfer(const std::string &body)
     {
-        const auto handOver =
+        const auto transfer =
                 outcomeOf([&] { return wire::decode<wire::RateBucketTransfer>(body); });
-        if (!handOver.ok()) {
+        if (!transfer.ok()) {
             log(LogLevel::Warning, "rates-unreadable",
-                {{"code", name(handOver.failure().code)}, {"detail", handOver.failure().detail}});
-            return handOver.failure();
+                {{"code", name(transfer.failure().code)}, {"detail", transfer.failure().detail}});
+            return transfer.failure();
         }
-        rateOwner.accept(handOver.value());
+        rateOwner.accept(transfer.value());
         return std::string();
     }
 
-    std::string notReady() const
+    std::string unreadyReason() const
     {
         if (draining)
             return "this instance is stopping";
-        if (follower.age() > settings.timings.keyFreshness)
-            return "the view of the directory is not fresh";
+        if (subscriber.age() > settings.timings.keyFreshness)
+            return "the directory view is too old";
         return {};
     }
 
     void refreshMetrics()
     {
-        metrics.set("rattanrill_view_age_seconds", {}, absl::ToDoubleSeconds(follower.age()));
+        metrics.set("rattanrill_view_age_seconds", {}, absl::ToDoubleSeconds(subscriber.age()));
         metrics.set("rattanrill_view_revision", {},
-                    static_cast<double>(follower.view()->revision()));
+                    static_cast<double>(subscriber.view()->revision()));
         for (const policy::TaskKind kind : {policy::TaskKind::Online, policy::TaskKind::Batch}) {
             const MetricLabels labels = {{"kind", std::string(name(kind))}};
             metrics.set("rattanrill_works_running", labels,
@@ -189,25 +190,25 @@
             metrics.set("rattanrill_works_waiting", labels,
                         static_cast<double>(dispatcher.waiting(kind)));
         }
-        metrics.set("rattanrill_batch_items_held", {}, static_cast<double>(batch.held()));
+        metrics.set("rattanrill_batch_items_held", {}, static_cast<double>(batch.heldItems()));
         metrics.set("rattanrill_busy_connections", {},
                     static_cast<double>(server.busyConnections()));
     }
 
-    void stopParts()
+    void stopComponents()
     {
-        if (observeTimer != 0)
-            timers.unsubscribe(observeTimer);
-        observeTimer = 0;
+        if (ownershipTimer != 0)
+            timers.unsubscribe(ownershipTimer);
+        ownershipTimer = 0;
         heartbeat.stop();
         loads.stop();
         peers.stop();
-        follower.stop();
+        subscriber.stop();
         control.stop();
         channels.close();
         dispatcher.stop();
-        calls.stop();
-        tries.stop();
+        callPool.stop();
+        attemptPool.stop();
         timers.stop();
     }
 
@@ -220,14 +221,14 @@
     peer::ChannelPool channels;
     peer::Server peers;
     controlclient::ControlClient control;
-    directory::ControlPollClient pollSource;
-    directory::DirectorySubscriber follower;
+    directory::ControlPollClient pollClient;
+    directory::DirectorySubscriber subscriber;
     EngineTable engines;
     ServiceTable services;
-    DirectoryCrashReporter crashes;
-    WorkerPool tries;
-    WorkerPool calls;
-    WorkDispatcher dispatcher;
+    DirectoryCrashReporter crashReporter;
+    WorkerPool attemptPool;
+    WorkerPool callPool;
+    TaskDispatcher dispatcher;
     WorkspaceShares shares;
     ControlPartitions partitions;
     BatchDispatcher batch;
@@ -244,61 +245,61 @@
     Heartbeat heartbeat;
     CallerRoutes routes;
     CallerServer server;
-    TimerService::TimerId observeTimer = 0;
+    TimerService::TimerId ownershipTimer = 0;
     std::atomic<bool> draining{false};
     bool stopped = false;
 };
 
 Entry::Entry(EntrySettings settings)
-    : m_parts(new Parts(std::move(settings)))
+    : m_impl(new Impl(std::move(settings)))
 {}
 
 Entry::~Entry()
 {
-    if (m_parts->stopped)
+    if (m_impl->stopped)
         return;
-    m_parts->server.announceEnd();
-    m_parts->server.closeListener();
-    m_parts->server.finish(absl::ZeroDuration());
-    m_parts->stopParts();
+    m_impl->server.closeAfterAnswers();
+    m_impl->server.closeListener();
+    m_impl->server.finish(absl::ZeroDuration());
+    m_impl->stopComponents();
 }
 
 Result<void> Entry::start()
 {
-    Parts &parts = *m_parts;
-    BOOST_LEAF_CHECK(parts.peers.start(parts.settings.peerHost, parts.settings.peerPort));
-    BOOST_LEAF_CHECK(parts.server.start(parts.settings.httpHost, parts.settings.httpPort));
-    parts.follower.start();
-    parts.heartbeat.start(
-            memberOf(parts.settings, parts.incarnation, parts.peers.port(), parts.server.port()));
-    parts.loads.start();
-    parts.batch.start();
-    parts.observeTimer =
-            parts.timers.subscribeEvery(observeInterval, [&parts] { parts.rateOwner.observe(); });
+    Impl &impl = *m_impl;
+    BOOST_LEAF_CHECK(impl.peers.start(impl.settings.peerHost, impl.settings.peerPort));
+    BOOST_LEAF_CHECK(impl.server.start(impl.settings.httpHost, impl.settings.httpPort));
+    impl.subscriber.start();
+    impl.heartbeat.start(
+            memberOf(impl.settings, impl.incarnation, impl.peers.port(), impl.server.port()));
+    impl.loads.start();
+    impl.batch.start();
+    impl.ownershipTimer = impl.timers.subscribeEvery(ownershipCheckInterval,
+                                                     [&impl] { impl.rateOwner.updateOwnership(); });
     log(LogLevel::Info, "started",
-        {{"incarnation", parts.incarnation}, {"port", parts.server.port()}});
+        {{"incarnation", impl.incarnation}, {"port", impl.server.port()}});
     return {};
 }
 
 int Entry::httpPort() const
 {
-    return m_parts->server.port();
+    return m_impl->server.port();
 }
 
 bool Entry::drain()
 {
-    Parts &parts = *m_parts;
-    const Timings &timings = parts.settings.timings;
+    Impl &impl = *m_impl;
+    const Timings &timings = impl.settings.timings;
     log(LogLevel::Info, "drain-started");
-    parts.draining = true;
-    parts.heartbeat.leave();
-    parts.server.announceEnd();
-    parts.batch.drain();
+    impl.draining = true;
+    impl.heartbeat.leave();
+    impl.server.closeAfterAnswers();
+    impl.batch.drain();
     absl::Notification().WaitForNotificationWithTimeout(timings.drainNotice);
-    parts.server.closeListener();
-    const bool finished = parts.server.finish(timings.drainLimit);
-    parts.stopParts();
-    parts.stopped = true;
+    impl.server.closeListener();
+    const bool finished = impl.server.finish(timings.drainLimit);
+    impl.stopComponents();
+    impl.stopped = true;
     log(LogLevel::Info, "drain-finished", {{"cutOff", !finished}});
     return finished;
 }
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -8,7 +8,7 @@
 
 namespace rattanrill::entry {
 
-/// One entry instance with all its parts.
+/// One entry instance with all its components.
 class Entry
 {
 public:
@@ -17,19 +17,19 @@
     Entry(const Entry &) = delete;
     Entry &operator=(const Entry &) = delete;
 
-    /// Listens for peers and callers. Fails with AddressInUse or InvalidArgument.
+    /// Starts the servers for peers and callers. Fails with AddressInUse or InvalidArgument.
     Result<void> start();
-    /// Graceful stop: readiness ends at once, new requests are served for a notice time, then the
-    /// listener closes, running requests finish and batch leases are released. False when a
-    /// request had to be cut off after the limit.
+    /// Shuts down gracefully: readiness ends and batch leases are released at once, new requests
+    /// are still accepted for the drain notice time, then the listener closes and running requests
+    /// finish. Returns false when requests had to be aborted after the drain limit.
     bool drain();
     /// Port of the caller interface.
     int httpPort() const;
 
 private:
-    struct Parts;
+    struct Impl;
 
-    std::unique_ptr<Parts> m_parts;
+    std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/entrysettings.cpp
+++ b/src/entry/entrysettings.cpp
@@ -79,7 +79,8 @@
   }
 })";
 
-/// Member \a key of \a settings in milliseconds, or the default that \a duration holds.
+/// Sets \a duration from member \a key of \a settings, in milliseconds. Keeps the default when the
+/// member is missing.
 void readDuration(const Json &settings, const char *key, absl::Duration &duration)
 {
     if (settings.contains(key))
@@ -168,9 +169,10 @@
     Timings timings;
     readTimings(section(settings, "timings"), timings);
     if (timings.ownerLease >= timings.keyFreshness + absl::Seconds(2))
-        return fail(settingFailure(source, "timings.ownerLeaseMs",
-                                   "less than keyFreshnessMs + 2000, so that a lost member's rate "
-                                   "buckets move only after its lease"));
+        return fail(settingFailure(
+                source, "timings.ownerLeaseMs",
+                "less than keyFreshnessMs + 2000, so that the rate buckets of a lost "
+                "member are reassigned only after its lease"));
     return {};
 }
 
@@ -190,7 +192,8 @@
     entry.partitions = settings.at("partitions").get<int>();
     readBatch(section(settings, "batch"), entry.batch);
     readTimings(section(settings, "timings"), entry.timings);
-    // Larger bodies than requests have are allowed for files only; handlers check their own limit.
+    // The server accepts bodies up to the size limit of files. Handlers of other requests check
+    // their own, lower limit.
     entry.http.maxBodyBytes = entry.batch.maxFileBytes;
     entry.scheduler.failureDomain = entry.failureDomain;
     entry.scheduler.onlineTailWeight = settings.value("onlineTailWeight", 0.5);
--- a/src/entry/entrysettings.h
+++ b/src/entry/entrysettings.h
@@ -21,33 +21,36 @@
     std::size_t maxFileBytes = 1u << 30;
     absl::Duration lease = absl::Seconds(5);
     absl::Duration dispatchInterval = absl::Milliseconds(50);
-    /// Items held at once; bounds threads and what another entry has to repeat after a crash.
+    /// Maximum number of items leased at the same time. Limits the number of threads and the work
+    /// that another entry must repeat after a crash.
     std::size_t maxRunning = 128;
 };
 
 struct Timings
 {
-    /// Keyed requests are refused when the view is older.
+    /// Requests with an API key are refused when the directory view is older than this.
     absl::Duration keyFreshness = absl::Seconds(3);
-    /// Running streams end when the view has been stale for this long.
+    /// Running streams are aborted when the directory view has been older than keyFreshness for
+    /// this long.
     absl::Duration staleStreamLimit = absl::Seconds(10);
-    /// A rate owner grants only while its view is younger.
+    /// A rate owner grants requests only while its directory view is younger than this.
     absl::Duration ownerLease = absl::Seconds(2);
     absl::Duration heartbeat = absl::Seconds(1);
     absl::Duration loadPoll = absl::Milliseconds(200);
-    /// Longest wait for a rate grant before a refusal; part of the first-token budget of 410 ms.
+    /// Longest time that a request may wait for a rate grant; a request that would wait longer is
+    /// refused. Part of the first-token budget of 410 ms.
     absl::Duration rateWait = absl::Milliseconds(150);
-    /// Time for one call to the rate owner or the control instances.
+    /// Timeouts of one call to the rate owner and to the control instances.
     absl::Duration grantTimeout = absl::Milliseconds(300);
     absl::Duration controlTimeout = absl::Seconds(5);
-    /// Longest run of one request, all tries included.
+    /// Longest run time of one request, including all attempts.
     absl::Duration requestTimeout = absl::Minutes(10);
-    /// A stream of an engine without any event for this long is broken.
+    /// An engine stream that receives no event for this long counts as broken.
     absl::Duration engineIdle = absl::Seconds(10);
-    /// After SIGTERM new requests are still served for this long, so that the load balancer
-    /// notices first.
+    /// After SIGTERM, new requests are still served for this long, so that the load balancer can
+    /// first stop sending requests to this instance.
     absl::Duration drainNotice = absl::Milliseconds(500);
-    /// Running requests get this long to finish.
+    /// Time that running requests have to finish during shutdown.
     absl::Duration drainLimit = absl::Minutes(10);
     /// How long the claim of a non-idempotent request is kept.
     absl::Duration claimKeep = absl::Hours(24);
@@ -75,11 +78,11 @@
 /// JSON schema of the settings file.
 std::string_view entrySettingsSchema();
 
-/// Checks what the schema cannot express. Fails with InvalidSetting.
+/// Checks constraints that the schema cannot express. Fails with InvalidSetting.
 Result<void> checkEntrySettings(const Json &settings, const std::string &source);
 
-/// Requires settings that passed the schema. Fails with InvalidSetting when the secret's file
-/// cannot be read.
+/// Converts settings that passed the schema. Fails with InvalidSetting when the file of the cluster
+/// secret cannot be read.
 Outcome<EntrySettings> readEntrySettings(const Json &settings);
 
 } // namespace rattanrill::entry
--- a/src/entry/exchange.cpp
+++ b/src/entry/exchange.cpp
@@ -32,8 +32,9 @@
 
 std::string Exchange::query() const
 {
-    const std::size_t mark = m_request.target.find('?');
-    return mark == std::string::npos ? std::string() : m_request.target.substr(mark + 1);
+    const std::size_t questionMark = m_request.target.find('?');
+    return questionMark == std::string::npos ? std::string()
+                                             : m_request.target.substr(questionMark + 1);
 }
 
 std::string Exchange::header(const std::string &name) const
@@ -43,8 +44,7 @@
 
 bool Exchange::hasBody() const
 {
-    // Without either header a request has no body; the library would read until the connection
-    // ends.
+    // A request without either header has no body; httplib would read until the connection ends.
     const bool hasLength = m_request.has_header("Content-Length")
                            && m_request.get_header_value("Content-Length") != "0";
     return m_reader != nullptr && (hasLength || m_request.has_header("Transfer-Encoding"));
@@ -62,9 +62,10 @@
     if (!hasBody())
         return body;
     if (m_request.is_multipart_form_data())
-        return notRun(ErrorCode::InvalidRequest, "form data is accepted for files only");
+        return notRun(ErrorCode::InvalidRequest,
+                      "multipart form data is accepted for file uploads only");
     bool tooLarge = false;
-    const bool whole = (*m_reader)([&](const char *data, std::size_t size) {
+    const bool complete = (*m_reader)([&](const char *data, std::size_t size) {
         tooLarge = body.size() + size > limit;
         if (!tooLarge)
             body.append(data, size);
@@ -73,7 +74,7 @@
     if (tooLarge)
         return notRun(ErrorCode::BodyTooLarge,
                       concat("the request body is longer than ", limit, " bytes"));
-    if (!whole)
+    if (!complete)
         return notRun(ErrorCode::ClientDisconnected, "the request body ended early");
     m_bodyRead = true;
     return body;
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -13,7 +13,7 @@
 
 namespace rattanrill::entry {
 
-/// One request of a caller and its answer.
+/// One request of a caller and the response to it.
 class Exchange
 {
 public:
@@ -30,22 +30,25 @@
     std::string query() const;
     std::string header(const std::string &name) const;
 
-    /// Whole body. Fails with BodyTooLarge or ClientDisconnected.
+    /// Reads the whole body. Fails with InvalidRequest for form data, BodyTooLarge or
+    /// ClientDisconnected.
     Outcome<std::string> readBody(std::size_t limit);
     bool hasBody() const;
     const httplib::ContentReader &reader();
 
     void sendJson(const std::string &body);
-    /// Adds Retry-After to 429 and 503; \a retryAfter of zero stands for the shortest.
+    /// Sends \a failure. Responses with status 429 and 503 have a Retry-After header: the value
+    /// of \a retryAfter, limited to the range from 1 s to 1 h.
     void sendFailure(const Failure &failure, absl::Duration retryAfter = absl::ZeroDuration());
-    /// What the answer is counted for.
+    /// Labels under which the request is counted.
     RequestLabels &labels() { return m_labels; }
-    /// Failure that was sent.
+    /// Failure that was sent, if any.
     const std::optional<Failure> &failure() const { return m_failure; }
-    /// The answer goes on after its handler has returned; its end is counted there.
+    /// Marks the answer as one that continues after the handler has returned; the end of such an
+    /// answer is counted separately.
     void setStreamed() { m_streamed = true; }
     bool isStreamed() const { return m_streamed; }
-    /// The connection ends with this answer when the body was not read.
+    /// Closes the connection after this answer when the request body was not read.
     void closeUnlessRead();
 
 private:
--- a/src/entry/filehandler.cpp
+++ b/src/entry/filehandler.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::entry {
 namespace {
 
-constexpr std::uint64_t pageItems = 500;
+constexpr std::uint64_t maxPageItems = 500;
 constexpr std::size_t maxFieldBytes = 1024;
 
 } // namespace
@@ -29,8 +29,8 @@
 ItemChecker FileHandler::makeChecker(const Caller &caller) const
 {
     const auto view = m_directory.view();
-    const auto knowsModel = [view](const std::string &model) { return servesModel(*view, model); };
-    return ItemChecker(knowsModel, m_settings.maxItems, caller.key);
+    const auto isServed = [view](const std::string &model) { return servesModel(*view, model); };
+    return ItemChecker(isServed, m_settings.maxItems, caller.key);
 }
 
 void FileHandler::upload(Exchange &exchange)
@@ -63,20 +63,20 @@
 
 void FileHandler::readRaw(Exchange &exchange, FileUpload &upload, Form &form)
 {
-    // After a failure the rest is read and dropped: most clients read the answer only after they
-    // have sent everything.
-    const bool whole = exchange.reader()([&](const char *data, std::size_t size) {
+    // After a failure the rest of the body is read and discarded, because most clients read the
+    // answer only after they have sent everything.
+    const bool complete = exchange.reader()([&](const char *data, std::size_t size) {
         upload.feed(std::string_view(data, size));
         return true;
     });
     form.hasFile = true;
-    if (!whole)
+    if (!complete)
         upload.refuse(notRun(ErrorCode::ClientDisconnected, "the request body ended early"));
 }
 
 void FileHandler::readForm(Exchange &exchange, FileUpload &upload, Form &form)
 {
-    const bool whole = exchange.reader()(
+    const bool complete = exchange.reader()(
             [&](const httplib::MultipartFormData &part) {
                 form.field = part.name;
                 if (part.name == "file") {
@@ -94,7 +94,7 @@
                     form.purpose.append(data, size);
                 return true;
             });
-    if (!whole) {
+    if (!complete) {
         CallerServer::connection().closeAfterAnswer();
         upload.refuse(notRun(ErrorCode::InvalidRequest, "the form data is malformed"));
     } else if (!form.hasFile) {
@@ -104,7 +104,7 @@
 
 Outcome<wire::JobStatus> FileHandler::readJob(const Caller &caller, const ObjectId &result)
 {
-    const wire::ReadJob query{result.as(ObjectKind::Batch).text(), caller.workspace};
+    const wire::ReadJob query{result.withKind(ObjectKind::Batch).text(), caller.workspace};
     const auto answer = m_partitions.query(result.partition, query);
     if (!answer.ok())
         return answer.failure();
@@ -144,7 +144,7 @@
                                                       const ObjectId &job, std::uint64_t firstIndex)
 {
     return m_partitions.query(job.partition,
-                              wire::ReadResults{job.text(), workspace, firstIndex, pageItems});
+                              wire::ReadResults{job.text(), workspace, firstIndex, maxPageItems});
 }
 
 void FileHandler::content(Exchange &exchange, const std::string &id)
@@ -163,7 +163,7 @@
         exchange.sendFailure(job.failure());
         return;
     }
-    const ObjectId jobId = file.value().as(ObjectKind::Batch);
+    const ObjectId jobId = file.value().withKind(ObjectKind::Batch);
     const auto firstPage = readPage(caller->workspace, jobId, 0);
     if (!firstPage.ok())
         exchange.sendFailure(firstPage.failure());
@@ -188,8 +188,8 @@
                     sink.done();
                     return true;
                 }
-                // A failure in the middle breaks the transfer off: the caller must not take a part
-                // for the whole.
+                // A failure between two pages aborts the transfer, so that the caller does not
+                // mistake a part for the whole.
                 if (m_admission.keys().revoked(caller))
                     return false;
                 const auto answer = readPage(caller.workspace, job, next);
--- a/src/entry/fileupload.cpp
+++ b/src/entry/fileupload.cpp
@@ -5,9 +5,10 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Size of one command to the partition; small enough that leases do not wait long behind it.
-constexpr std::size_t groupItems = 1000;
-constexpr std::size_t groupBytes = 1u << 20;
+/// Maximum size of one command to the partition; small enough that lease commands do not wait long
+/// behind it.
+constexpr std::size_t maxCommandItems = 1000;
+constexpr std::size_t maxCommandBytes = 1u << 20;
 
 } // namespace
 
@@ -56,7 +57,7 @@
         return Done{};
     m_pendingBytes += line.size();
     m_pending.push_back(std::move(*item.value()));
-    if (m_pending.size() < groupItems && m_pendingBytes < groupBytes)
+    if (m_pending.size() < maxCommandItems && m_pendingBytes < maxCommandBytes)
         return Done{};
     return append();
 }
@@ -73,11 +74,11 @@
     m_pending.clear();
     m_pendingBytes = 0;
     m_appended += command.items.size();
-    m_sent = true;
+    m_commandSent = true;
     const auto answer = m_partitions.propose(m_id.partition, std::move(command), true);
     if (answer.ok())
         return Done{};
-    // An upload that is not sealed has no effect.
+    // An upload that is not sealed has no effect, so the failure is NotRun.
     return notRun(answer.failure().code, answer.failure().detail);
 }
 
@@ -88,7 +89,7 @@
     if (!failed())
         m_outcome = append();
     if (!failed() && m_appended == 0)
-        refuse(notRun(ErrorCode::InvalidItem, "the file has no item"));
+        refuse(notRun(ErrorCode::InvalidItem, "the file has no items"));
     if (failed())
         return m_outcome.failure();
     wire::SealFile seal;
@@ -107,9 +108,9 @@
 
 void FileUpload::drop()
 {
-    if (!m_sent)
+    if (!m_commandSent)
         return;
-    // When this fails too, the partition drops the upload after a time, because it is not sealed.
+    // If this fails too, the partition removes the upload later, because it is not sealed.
     (void)m_partitions.propose(m_id.partition, wire::DropFile{m_id.text()}, true);
 }
 
--- a/src/entry/fileupload.h
+++ b/src/entry/fileupload.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::entry {
 
-/// One upload on its way to a partition: lines are checked as they arrive and appended in groups.
-/// An upload that does not end well is dropped there.
+/// Streams one uploaded file to a partition: checks lines as they arrive and appends them in
+/// groups. The partition drops an upload that does not complete.
 class FileUpload
 {
 public:
@@ -30,11 +30,12 @@
     FileUpload(const FileUpload &) = delete;
     FileUpload &operator=(const FileUpload &) = delete;
 
-    /// Takes the next bytes; does nothing after a failure.
+    /// Processes the next bytes; does nothing after a failure.
     void feed(std::string_view bytes);
-    /// The caller's data cannot be used, for instance because it ended early.
+    /// Marks the upload as failed, for instance because the caller's data ended early. An earlier
+    /// failure is kept.
     void refuse(Failure failure);
-    /// Seals the file, or drops it and fails with the first failure.
+    /// Seals the file. Fails with the first failure; the destructor then drops the file.
     Outcome<wire::FileStatus> finish();
     bool failed() const { return !m_outcome.ok(); }
 
@@ -54,7 +55,7 @@
     std::size_t m_pendingBytes = 0;
     std::uint64_t m_appended = 0;
     std::size_t m_bytes = 0;
-    bool m_sent = false;
+    bool m_commandSent = false;
     bool m_sealed = false;
 };
 
--- a/src/entry/heartbeat.h
+++ b/src/entry/heartbeat.h
@@ -14,8 +14,8 @@
 
 namespace rattanrill::entry {
 
-/// Tells the control instances that this process lives, which revision it has in force and whether
-/// it is leaving.
+/// Sends heartbeats to the control instances. They contain the directory revision that this process
+/// applies and whether it is leaving.
 class Heartbeat
 {
 public:
@@ -25,7 +25,7 @@
     ~Heartbeat();
 
     void start(wire::Member member);
-    /// Sends at once that this process leaves, and goes on saying so.
+    /// Sends a heartbeat at once that marks this process as leaving; later heartbeats do the same.
     void leave();
     void stop();
 
--- a/src/entry/itemchecker.cpp
+++ b/src/entry/itemchecker.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::entry {
 namespace {
 
-constexpr std::uint64_t secondSeed = 0x9E3779B97F4A7C15u;
+constexpr std::uint64_t secondHashSeed = 0x9E3779B97F4A7C15u;
 
 boost::leaf::error_id invalid(std::string detail)
 {
@@ -23,7 +23,7 @@
     return line.find_first_not_of(" \t") == std::string_view::npos;
 }
 
-Failure atLine(std::size_t number, const Failure &failure)
+Failure withLineNumber(std::size_t number, const Failure &failure)
 {
     const ErrorCode code =
             failure.code == ErrorCode::DuplicateItem ? failure.code : ErrorCode::InvalidItem;
@@ -32,8 +32,8 @@
 
 } // namespace
 
-ItemChecker::ItemChecker(ModelCheck knowsModel, std::size_t maxItems, std::string key)
-    : m_knowsModel(std::move(knowsModel))
+ItemChecker::ItemChecker(ModelCheck isServed, std::size_t maxItems, std::string key)
+    : m_isServed(std::move(isServed))
     , m_maxItems(maxItems)
     , m_key(std::move(key))
 {}
@@ -58,11 +58,11 @@
     if (!json.contains("body") || !json.at("body").is_object())
         return invalid("\"body\" must be an object");
     BOOST_LEAF_AUTO(model, jsonMember<std::string>(json.at("body"), "model"));
-    if (!m_knowsModel(model))
+    if (!m_isServed(model))
         return invalid(concat("no engine serves model \"", model, "\""));
     item.body = dumpJson(json.at("body"));
     if (service::containsApiKey(item.body, m_key))
-        return invalid("the body contains the key");
+        return invalid("the body contains the API key");
     return item;
 }
 
@@ -72,14 +72,14 @@
         return std::optional<wire::ItemSpec>();
     const Outcome<wire::ItemSpec> item = outcomeOf([&] { return parse(line); });
     if (!item.ok())
-        return atLine(number, item.failure());
+        return withLineNumber(number, item.failure());
     const std::string &customId = item.value().customId;
-    if (!m_customIds.insert({stableHash(customId), stableHash(customId, secondSeed)}).second)
-        return atLine(number, notRun(ErrorCode::DuplicateItem,
-                                     concat("custom_id \"", customId, "\" is used twice")));
+    if (!m_customIds.insert({stableHash(customId), stableHash(customId, secondHashSeed)}).second)
+        return withLineNumber(number, notRun(ErrorCode::DuplicateItem,
+                                             concat("custom_id \"", customId, "\" is used twice")));
     if (m_customIds.size() > m_maxItems)
-        return atLine(number, notRun(ErrorCode::InvalidItem,
-                                     concat("a file has at most ", m_maxItems, " items")));
+        return withLineNumber(number, notRun(ErrorCode::InvalidItem,
+                                             concat("a file has at most ", m_maxItems, " items")));
     return std::optional<wire::ItemSpec>(item.value());
 }
 
--- a/src/entry/keyauthenticator.cpp
+++ b/src/entry/keyauthenticator.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view bearerScheme = "bearer ";
 
-/// Token of an Authorization header; empty when it is of another scheme.
+/// Bearer token of an Authorization header; empty for another scheme.
 std::string_view bearerToken(std::string_view header)
 {
     if (header.size() <= bearerScheme.size())
@@ -25,7 +25,7 @@
     return header;
 }
 
-bool isGranted(const directory::DirectoryView &view, const wire::ApiKey &key)
+bool isValid(const directory::DirectoryView &view, const wire::ApiKey &key)
 {
     if (key.withdrawn)
         return false;
@@ -48,17 +48,18 @@
     if (token.empty())
         return notRun(ErrorCode::MissingKey,
                       "the request has no \"Authorization: Bearer\" header with a key");
-    // The age is read before the view: a view that arrives in between is only newer.
+    // The age is read before the view: if a new view arrives in between, it is younger than this
+    // age.
     const absl::Duration age = m_directory.age();
     if (age > m_keyFreshness)
         return notRun(ErrorCode::KeysNotFresh,
-                      "this instance cannot tell at present whether the key is still valid");
+                      "this instance cannot currently verify that the key is still valid");
     const auto view = m_directory.view();
     const std::string hash = sha256Hex(token);
     const auto key = view->apiKeyByHash(hash);
     if (!key)
         return notRun(ErrorCode::InvalidKey, "the key is unknown");
-    if (!isGranted(*view, *key))
+    if (!isValid(*view, *key))
         return notRun(ErrorCode::KeyRevoked, "the key or its workspace's contract is withdrawn");
     return Caller{key->workspace, hash, std::string(token)};
 }
@@ -70,7 +71,7 @@
     const absl::Duration age = m_directory.age();
     const auto view = m_directory.view();
     const auto key = view->apiKeyByHash(caller.keyHash);
-    if (!key || !isGranted(*view, *key))
+    if (!key || !isValid(*view, *key))
         return mayHaveRun(ErrorCode::KeyRevoked, "the key was withdrawn while the request ran");
     if (age > m_keyFreshness + m_staleStreamLimit)
         return mayHaveRun(ErrorCode::KeysNotFresh,
--- a/src/entry/keyauthenticator.h
+++ b/src/entry/keyauthenticator.h
@@ -13,19 +13,19 @@
 
 namespace rattanrill::entry {
 
-/// Checks callers' keys against the view of the directory. Fails closed: when the view is too old
-/// to know of a withdrawn key, keyed requests are refused.
+/// Checks callers' API keys against the directory view. Fails closed: when the view is so old that
+/// it may lack the withdrawal of a key, requests with a key are refused.
 class KeyAuthenticator
 {
 public:
     KeyAuthenticator(const directory::DirectorySubscriber &directory, absl::Duration keyFreshness,
                      absl::Duration staleStreamLimit);
 
-    /// \a authorization is the header's value. Fails with MissingKey, InvalidKey, KeyRevoked or
-    /// KeysNotFresh, all NotRun.
+    /// \a authorization is the value of the Authorization header. Fails with MissingKey,
+    /// InvalidKey, KeyRevoked or KeysNotFresh, all NotRun.
     Outcome<Caller> authenticate(std::string_view authorization) const;
-    /// Why a running request of \a caller must end now: KeyRevoked, or KeysNotFresh when the view
-    /// has been stale for longer than running streams are allowed. Both MayHaveRun.
+    /// Reason why a running request of \a caller must end now: KeyRevoked, or KeysNotFresh when the
+    /// view has been stale for longer than running streams are allowed. Both MayHaveRun.
     std::optional<Failure> revoked(const Caller &caller) const;
 
 private:
--- a/src/entry/linesplitter.cpp
+++ b/src/entry/linesplitter.cpp
@@ -19,9 +19,9 @@
 
 Outcome<Done> LineSplitter::emit(std::string_view line)
 {
-    Outcome<Done> fits = checkLength(line.size());
-    if (!fits.ok())
-        return fits;
+    Outcome<Done> checked = checkLength(line.size());
+    if (!checked.ok())
+        return checked;
     ++m_number;
     if (!line.empty() && line.back() == '\r')
         line.remove_suffix(1);
--- a/src/entry/linesplitter.h
+++ b/src/entry/linesplitter.h
@@ -9,18 +9,18 @@
 
 namespace rattanrill::entry {
 
-/// Splits a byte stream into lines without keeping more than one of them.
+/// Splits a byte stream into lines; buffers at most one line.
 class LineSplitter
 {
 public:
-    /// Number of the line from 1, and its text without line end.
+    /// Receives the number of the line, from 1, and its text without line ending.
     using Handler = std::function<Outcome<Done>(std::size_t number, std::string_view line)>;
 
     LineSplitter(std::size_t maxLineBytes, Handler handler);
 
-    /// Fails with what the handler failed with, or with InvalidItem for a line that is too long.
+    /// Fails with the handler's failure, or with InvalidItem for a line that is too long.
     Outcome<Done> feed(std::string_view bytes);
-    /// Passes the last line when it has no line end.
+    /// Passes the last line to the handler when it has no line ending.
     Outcome<Done> finish();
 
 private:
--- a/src/entry/loadpoller.cpp
+++ b/src/entry/loadpoller.cpp
@@ -4,17 +4,17 @@
 namespace {
 
 constexpr std::size_t pollThreads = 8;
-constexpr std::size_t pollQueue = 4096;
+constexpr std::size_t pollQueueLimit = 4096;
 
-policy::EngineLoad toPolicy(const engine::EngineLoadReport &load, absl::Duration travel)
+policy::EngineLoad toPolicyLoad(const engine::EngineLoadReport &load, absl::Duration roundTrip)
 {
     return {load.running,          load.waiting,  load.kvTokens,
-            load.kvCapacityTokens, load.maxBatch, load.ageWhenSent + travel};
+            load.kvCapacityTokens, load.maxBatch, load.ageWhenSent + roundTrip};
 }
 
 } // namespace
 
-LoadPoller::LoadPoller(EngineTable &engines, ServiceTable &services, WorkDispatcher &dispatcher,
+LoadPoller::LoadPoller(EngineTable &engines, ServiceTable &services, TaskDispatcher &dispatcher,
                        TimerService &timers, absl::Duration period, const Clock &clock)
     : m_engines(engines)
     , m_services(services)
@@ -22,7 +22,7 @@
     , m_timers(timers)
     , m_period(period)
     , m_clock(clock)
-    , m_pool(pollThreads, pollQueue)
+    , m_pool(pollThreads, pollQueueLimit)
 {}
 
 LoadPoller::~LoadPoller()
@@ -43,13 +43,13 @@
     m_pool.stop();
 }
 
-bool LoadPoller::begin(const std::string &upstream)
+bool LoadPoller::beginPoll(const std::string &upstream)
 {
     absl::MutexLock lock(&m_mutex);
     return m_polling.insert(upstream).second;
 }
 
-void LoadPoller::end(const std::string &upstream)
+void LoadPoller::endPoll(const std::string &upstream)
 {
     absl::MutexLock lock(&m_mutex);
     m_polling.erase(upstream);
@@ -59,27 +59,27 @@
 {
     for (const EngineTable::Client &client : m_engines.all()) {
         const std::string &name = client->options().name;
-        if (!begin(name))
+        if (!beginPoll(name))
             continue;
         const bool posted = m_pool.post([this, client] {
             pollEngine(*client);
-            end(client->options().name);
+            endPoll(client->options().name);
         });
         if (!posted)
-            end(name);
+            endPoll(name);
     }
     for (const ServiceTable::Client &client : m_services.all()) {
         const std::string &name = client->options().name;
-        if (!begin(name))
+        if (!beginPoll(name))
             continue;
         const bool posted = m_pool.post([this, client] {
             const auto load = client->load();
             if (load.ok())
                 m_services.loadReported(client->options().name, load.value());
-            end(client->options().name);
+            endPoll(client->options().name);
         });
         if (!posted)
-            end(name);
+            endPoll(name);
     }
 }
 
@@ -89,9 +89,9 @@
     const auto load = client.load();
     if (!load.ok())
         return;
-    const absl::Duration travel = m_clock.now() - sent;
-    m_dispatcher.inform([&](policy::Scheduler &scheduler, absl::Time now) {
-        scheduler.loadReported(now, client.options().name, toPolicy(load.value(), travel));
+    const absl::Duration roundTrip = m_clock.now() - sent;
+    m_dispatcher.updateScheduler([&](policy::Scheduler &scheduler, absl::Time now) {
+        scheduler.loadReported(now, client.options().name, toPolicyLoad(load.value(), roundTrip));
     });
     pollCacheEvents(client);
 }
@@ -113,7 +113,7 @@
                 event.stored ? policy::CacheEvent::Kind::Stored : policy::CacheEvent::Kind::Evicted;
         events.push_back({event.sequence, kind, event.prefixHash, event.tokens});
     }
-    m_dispatcher.inform([&](policy::Scheduler &scheduler, absl::Time now) {
+    m_dispatcher.updateScheduler([&](policy::Scheduler &scheduler, absl::Time now) {
         scheduler.cacheEvents(now, name, events);
     });
     absl::MutexLock lock(&m_mutex);
--- a/src/entry/loadpoller.h
+++ b/src/entry/loadpoller.h
@@ -2,7 +2,7 @@
 
 #include "enginetable.h"
 #include "servicetable.h"
-#include "workdispatcher.h"
+#include "taskdispatcher.h"
 
 #include "rattanrill/base/timerservice.h"
 #include "rattanrill/base/workerpool.h"
@@ -18,12 +18,12 @@
 
 namespace rattanrill::entry {
 
-/// Asks all upstreams for their load and engines for their cache events, each at most once at a
-/// time, so that one that does not answer holds a single thread.
+/// Polls all upstreams for their load and engines for their cache events. Each upstream has at most
+/// one open poll, so that one that does not answer occupies a single thread.
 class LoadPoller
 {
 public:
-    LoadPoller(EngineTable &engines, ServiceTable &services, WorkDispatcher &dispatcher,
+    LoadPoller(EngineTable &engines, ServiceTable &services, TaskDispatcher &dispatcher,
                TimerService &timers, absl::Duration period, const Clock &clock);
     ~LoadPoller();
 
@@ -32,14 +32,14 @@
 
 private:
     void poll() ABSL_LOCKS_EXCLUDED(m_mutex);
-    bool begin(const std::string &upstream) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void end(const std::string &upstream) ABSL_LOCKS_EXCLUDED(m_mutex);
+    bool beginPoll(const std::string &upstream) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void endPoll(const std::string &upstream) ABSL_LOCKS_EXCLUDED(m_mutex);
     void pollEngine(engine::EngineClient &client);
     void pollCacheEvents(engine::EngineClient &client) ABSL_LOCKS_EXCLUDED(m_mutex);
 
     EngineTable &m_engines;
     ServiceTable &m_services;
-    WorkDispatcher &m_dispatcher;
+    TaskDispatcher &m_dispatcher;
     TimerService &m_timers;
     absl::Duration m_period;
     const Clock &m_clock;
@@ -47,7 +47,7 @@
     TimerService::TimerId m_timer = 0;
     absl::Mutex m_mutex;
     std::set<std::string> m_polling ABSL_GUARDED_BY(m_mutex);
-    /// Number of the last cache event seen of each engine.
+    /// Sequence number of the last cache event received from each engine.
     std::map<std::string, std::uint64_t> m_lastEvent ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/src/entry/objectid.cpp
+++ b/src/entry/objectid.cpp
@@ -59,7 +59,7 @@
 
 int partitionOf(std::string_view workspace, std::string_view key, int partitions)
 {
-    // The length keeps ("a", "bc") and ("ab", "c") apart.
+    // The length distinguishes ("a", "bc") from ("ab", "c").
     const std::string text = concat(workspace.size(), ":", workspace, key);
     return static_cast<int>(stableHash(text) % static_cast<unsigned>(partitions));
 }
--- a/src/entry/objectid.h
+++ b/src/entry/objectid.h
@@ -10,11 +10,11 @@
 enum class ObjectKind {
     File,
     Batch,
-    /// Results of a job; shares the job's number.
+    /// Result file of a job; has the job's number.
     Result,
 };
 
-/// Id of a file or job, "batch-3-9f2c...": kind, partition and a random number.
+/// Id of a file or job, such as "batch-3-9f2c...": kind, partition and a random hexadecimal number.
 struct ObjectId
 {
     ObjectKind kind = ObjectKind::File;
@@ -22,15 +22,16 @@
     std::string number;
 
     std::string text() const;
-    /// Same partition and number, other kind.
-    ObjectId as(ObjectKind other) const { return {other, partition, number}; }
+    /// Id with the same partition and number, but another kind.
+    ObjectId withKind(ObjectKind other) const { return {other, partition, number}; }
 };
 
-/// Draws a number and derives the partition from it.
+/// Generates a random number and derives the partition from it.
 ObjectId newObjectId(ObjectKind kind, int partitions);
-/// Fails with NotFound on anything that is not an id of one of \a partitions partitions.
+/// Fails with NotFound when \a text is not an id or its partition is not one of \a partitions
+/// partitions.
 Result<ObjectId> parseObjectId(std::string_view text, int partitions);
-/// Partition that all entries agree on for \a key of \a workspace.
+/// Partition for \a key of \a workspace; all entries compute the same one.
 int partitionOf(std::string_view workspace, std::string_view key, int partitions);
 
 } // namespace rattanrill::entry
--- a/src/entry/partitions.cpp
+++ b/src/entry/partitions.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <typename Message>
-Outcome<Message> decoded(const Outcome<std::string> &answer)
+Outcome<Message> decodeAnswer(const Outcome<std::string> &answer)
 {
     if (!answer.ok())
         return answer.failure();
@@ -36,7 +36,7 @@
         m_control.propose(controlclient::batchGroup(partition), wire::encode(command), idempotent,
                           m_timeout, callback);
     });
-    return decoded<wire::BatchResult>(answer);
+    return decodeAnswer<wire::BatchResult>(answer);
 }
 
 Outcome<wire::BatchQueryResult> ControlPartitions::query(int partition, wire::BatchQuery query)
@@ -46,7 +46,7 @@
         m_control.read(controlclient::batchGroup(partition), wire::encode(message), m_timeout,
                        callback);
     });
-    return decoded<wire::BatchQueryResult>(answer);
+    return decodeAnswer<wire::BatchQueryResult>(answer);
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/rateadmission.h
+++ b/src/entry/rateadmission.h
@@ -8,22 +8,23 @@
 
 namespace rattanrill::entry {
 
-/// Answer to a request for rate.
+/// Result of a request for a rate grant.
 struct RateDecision
 {
     bool granted = false;
-    /// Granted: wait before the request may run. Refused: earliest time for another try.
+    /// Granted: time to wait before the request may run. Refused: time after which a retry can
+    /// succeed.
     absl::Duration wait;
 };
 
-/// Counts requests of a workspace against its contract.
+/// Counts the requests of a workspace against its contract.
 class RateAdmission
 {
 public:
     virtual ~RateAdmission() = default;
-    /// Blocks for a call to the workspace's owner, or, while the ownership moves, for the longest
-    /// wait of a grant; does not wait for the grant itself.
-    /// Fails with RateUnknown (NotRun) when the owner cannot be reached.
+    /// Requests a grant for one request. Blocks for a call to the owner of the workspace or, while
+    /// ownership is being transferred, for the longest wait of a grant; does not wait until the
+    /// grant may be used. Fails with RateUnknown (NotRun) when the owner cannot be reached.
     virtual Outcome<RateDecision> take(const std::string &workspace) = 0;
 };
 
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -12,14 +12,15 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Membership reaches all entries within a few tens of milliseconds.
-constexpr absl::Duration askAgainAfter = absl::Milliseconds(20);
+/// A membership change reaches all entries within a few tens of milliseconds.
+constexpr absl::Duration ownerRetryInterval = absl::Milliseconds(20);
 
-/// An owner that is a different process, answers late, or has another view grants nothing; in all
-/// these cases the request has not run.
+/// Failure for a request without a grant. The owner grants nothing when it is another process by
+/// now, answers late or has another view; in all these cases the request has not run.
 Failure rateUnknown(const std::string &detail)
 {
-    return notRun(ErrorCode::RateUnknown, concat("the rate owner gave no grant: ", detail));
+    return notRun(ErrorCode::RateUnknown,
+                  concat("the rate owner did not grant the request: ", detail));
 }
 
 } // namespace
@@ -35,34 +36,34 @@
 
 Outcome<RateDecision> RateBroker::take(const std::string &workspace)
 {
-    const absl::Time until = m_clock.now() + m_options.maxWait;
+    const absl::Time deadline = m_clock.now() + m_options.maxWait;
     for (;;) {
         Outcome<RateDecision> decision = awaitOutcome<RateDecision>(
-                [&](Callback callback) { ask(workspace, std::move(callback)); });
+                [&](Callback callback) { requestGrant(workspace, std::move(callback)); });
         if (decision.ok())
             return decision;
-        // The ownership is on its way from one entry to another.
+        // Ownership of the workspace is being transferred to another entry.
         const bool isMoving = decision.failure().code == ErrorCode::NotMember;
-        if (!isMoving || m_clock.now() + askAgainAfter > until)
+        if (!isMoving || m_clock.now() + ownerRetryInterval > deadline)
             return rateUnknown(describe(decision.failure()));
-        absl::Notification().WaitForNotificationWithTimeout(askAgainAfter);
+        absl::Notification().WaitForNotificationWithTimeout(ownerRetryInterval);
     }
 }
 
-void RateBroker::ask(const std::string &workspace, Callback callback)
+void RateBroker::requestGrant(const std::string &workspace, Callback callback)
 {
     {
         absl::MutexLock lock(&m_mutex);
         Queue &queue = m_queues[workspace];
         queue.waiting.push_back(std::move(callback));
-        if (queue.calling)
+        if (queue.callOpen)
             return;
-        queue.calling = true;
+        queue.callOpen = true;
     }
-    callNext(workspace);
+    sendNext(workspace);
 }
 
-void RateBroker::callNext(const std::string &workspace)
+void RateBroker::sendNext(const std::string &workspace)
 {
     std::vector<Callback> callers;
     {
@@ -85,7 +86,7 @@
     const auto view = m_directory.view();
     const std::vector<std::string> members = memberNames(*view);
     if (members.empty())
-        return notRun(ErrorCode::RateUnknown, "no entry is a member yet");
+        return notRun(ErrorCode::RateUnknown, "no entry has joined the directory yet");
     request.memberRevision = view->memberRevision();
     const std::string &owner = members[rendezvousOwner(workspace, members)];
     if (owner == m_options.instance)
@@ -104,8 +105,8 @@
         const Outcome<wire::RateGrantResponse> response =
                 address.ok() ? m_owner.grant(request)
                              : Outcome<wire::RateGrantResponse>(address.failure());
-        answer(callers, response);
-        callNext(workspace);
+        respond(callers, response);
+        sendNext(workspace);
         return;
     }
     const auto channel = m_channels.channel(address.value());
@@ -118,13 +119,13 @@
                           });
                       else
                           response = reply.failure();
-                      answer(callers, response);
-                      callNext(workspace);
+                      respond(callers, response);
+                      sendNext(workspace);
                   });
 }
 
-void RateBroker::answer(const std::vector<Callback> &callers,
-                        const Outcome<wire::RateGrantResponse> &response)
+void RateBroker::respond(const std::vector<Callback> &callers,
+                         const Outcome<wire::RateGrantResponse> &response)
 {
     for (std::size_t i = 0; i < callers.size(); ++i) {
         if (!response.ok()) {
--- a/src/entry/ratebroker.h
+++ b/src/entry/ratebroker.h
@@ -18,8 +18,8 @@
 
 namespace rattanrill::entry {
 
-/// Asks the owner of a workspace for rate grants. Requests for one workspace that arrive while a
-/// call is on its way go together with the next call.
+/// Requests rate grants from the owner of a workspace. Requests for one workspace that arrive while
+/// a call is open are combined into the next call.
 class RateBroker : public RateAdmission
 {
 public:
@@ -40,16 +40,16 @@
     struct Queue
     {
         std::deque<Callback> waiting;
-        bool calling = false;
+        bool callOpen = false;
     };
 
-    void ask(const std::string &workspace, Callback callback) ABSL_LOCKS_EXCLUDED(m_mutex);
-    void callNext(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void requestGrant(const std::string &workspace, Callback callback) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void sendNext(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
     void send(const std::string &workspace, std::vector<Callback> callers);
     Outcome<std::string> ownerAddress(const std::string &workspace,
                                       wire::RateGrantRequest &request) const;
-    static void answer(const std::vector<Callback> &callers,
-                       const Outcome<wire::RateGrantResponse> &response);
+    static void respond(const std::vector<Callback> &callers,
+                        const Outcome<wire::RateGrantResponse> &response);
 
     Options m_options;
     const directory::DirectorySubscriber &m_directory;
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -11,12 +11,12 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Membership changes that are remembered. A workspace that was owned for longer than they reach
-/// back counts as owned since the oldest one.
-constexpr std::size_t historyLength = 16;
-/// How long a handed-over bucket is kept for its first request. Without a request, its level grows
-/// all the same.
-constexpr absl::Duration arrivalKeep = absl::Minutes(10);
+/// Maximum number of membership changes in the history. A workspace that was owned before the
+/// oldest one counts as owned since the oldest one.
+constexpr std::size_t maxHistoryLength = 16;
+/// How long a received bucket is kept until its first request. Its level also grows without a
+/// request.
+constexpr absl::Duration receivedBucketRetention = absl::Minutes(10);
 
 bool owns(const std::string &instance, const std::vector<std::string> &members,
           const std::string &workspace)
@@ -27,55 +27,56 @@
 } // namespace
 
 RateOwner::RateOwner(Options options, const directory::DirectorySubscriber &directory,
-                     HandOverSender sender, const Clock &clock)
+                     TransferSender sender, const Clock &clock)
     : m_options(std::move(options))
     , m_directory(directory)
     , m_sender(std::move(sender))
     , m_clock(clock)
 {}
 
-void RateOwner::observe()
+void RateOwner::updateOwnership()
 {
     const absl::Duration age = m_directory.age();
     const auto view = m_directory.view();
     {
         absl::MutexLock lock(&m_mutex);
-        follow(*view, age);
+        applyView(*view, age);
     }
-    sendDepartures();
+    sendTransfers();
 }
 
-void RateOwner::lapse()
+void RateOwner::expireLease()
 {
-    m_lapsed = true;
+    m_leaseExpired = true;
     m_buckets.clear();
     m_history.clear();
-    m_arrivals.clear();
+    m_receivedBuckets.clear();
 }
 
-void RateOwner::follow(const directory::DirectoryView &view, absl::Duration age)
+void RateOwner::applyView(const directory::DirectoryView &view, absl::Duration age)
 {
     const absl::Time now = m_clock.now();
     if (age >= m_options.lease)
-        return lapse();
-    // A process that was suspended for longer than the lease may see its next view first.
+        return expireLease();
+    // A process that was suspended for longer than the lease may receive its next view before it
+    // detects that the lease has expired.
     const absl::Time confirmedAt = now - age;
     if (confirmedAt - m_confirmedAt >= m_options.lease)
-        lapse();
+        expireLease();
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
-    if (m_lapsed) {
-        m_lapsed = false;
+    if (m_leaseExpired) {
+        m_leaseExpired = false;
     } else if (view.memberRevision() == m_memberRevision) {
         return;
     }
-    depart(view, now);
+    releaseBuckets(view, now);
     m_memberRevision = view.memberRevision();
     m_history.push_front({now, memberNames(view), view});
-    if (m_history.size() > historyLength)
+    if (m_history.size() > maxHistoryLength)
         m_history.pop_back();
 }
 
-void RateOwner::depart(const directory::DirectoryView &view, absl::Time now)
+void RateOwner::releaseBuckets(const directory::DirectoryView &view, absl::Time now)
 {
     const std::vector<std::string> members = memberNames(view);
     for (auto it = m_buckets.begin(); it != m_buckets.end();) {
@@ -84,53 +85,55 @@
             ++it;
             continue;
         }
-        // A bucket that has not begun says nothing about what its former owner granted.
+        // A bucket before its start contains no information about what its former owner granted.
         if (!members.empty() && now >= it->second.start) {
             const std::string &owner = members[rendezvousOwner(workspace, members)];
-            wire::RateBucketTransfer &handOver = m_departures[view.member(owner)->peerAddress];
-            handOver.instance = m_options.instance;
-            handOver.memberRevision = view.memberRevision();
-            handOver.levels.push_back({workspace, it->second.tokens.level(now)});
+            wire::RateBucketTransfer &transfer =
+                    m_pendingTransfers[view.member(owner)->peerAddress];
+            transfer.instance = m_options.instance;
+            transfer.memberRevision = view.memberRevision();
+            transfer.levels.push_back({workspace, it->second.tokens.level(now)});
         }
         it = m_buckets.erase(it);
     }
 }
 
-void RateOwner::sendDepartures()
+void RateOwner::sendTransfers()
 {
-    Departures departures;
+    PendingTransfers transfers;
     {
         absl::MutexLock lock(&m_mutex);
-        departures.swap(m_departures);
+        transfers.swap(m_pendingTransfers);
     }
-    for (const auto &[address, handOver] : departures) {
+    for (const auto &[address, transfer] : transfers) {
         log(LogLevel::Info, "rates-handed-over",
             {{"peerAddress", address},
-             {"memberRevision", handOver.memberRevision},
-             {"workspaces", handOver.levels.size()}});
-        m_sender(address, handOver);
+             {"memberRevision", transfer.memberRevision},
+             {"workspaces", transfer.levels.size()}});
+        m_sender(address, transfer);
     }
 }
 
-void RateOwner::accept(const wire::RateBucketTransfer &handOver)
+void RateOwner::accept(const wire::RateBucketTransfer &transfer)
 {
     log(LogLevel::Info, "rates-received",
-        {{"formerOwner", handOver.instance},
-         {"memberRevision", handOver.memberRevision},
-         {"workspaces", handOver.levels.size()}});
+        {{"formerOwner", transfer.instance},
+         {"memberRevision", transfer.memberRevision},
+         {"workspaces", transfer.levels.size()}});
     absl::MutexLock lock(&m_mutex);
     const absl::Time now = m_clock.now();
-    for (auto it = m_arrivals.begin(); it != m_arrivals.end();) {
-        const bool isOld = now - it->second.receivedAt > arrivalKeep;
-        it = isOld ? m_arrivals.erase(it) : std::next(it);
+    for (auto it = m_receivedBuckets.begin(); it != m_receivedBuckets.end();) {
+        const bool isOld = now - it->second.receivedAt > receivedBucketRetention;
+        it = isOld ? m_receivedBuckets.erase(it) : std::next(it);
     }
-    for (const wire::RateBucketLevel &rate : handOver.levels) {
-        m_arrivals[rate.workspace] = {handOver.instance, handOver.memberRevision, rate.level, now};
-        const auto waiting = m_buckets.find(rate.workspace);
-        // A bucket below zero has granted units for the time after its start.
-        if (waiting != m_buckets.end() && now < waiting->second.start
-            && waiting->second.tokens.level(now) >= 0)
-            m_buckets.erase(waiting);
+    for (const wire::RateBucketLevel &rate : transfer.levels) {
+        m_receivedBuckets[rate.workspace] = {transfer.instance, transfer.memberRevision, rate.level,
+                                             now};
+        const auto unstarted = m_buckets.find(rate.workspace);
+        // A bucket with a negative level has granted units for the time after its start.
+        if (unstarted != m_buckets.end() && now < unstarted->second.start
+            && unstarted->second.tokens.level(now) >= 0)
+            m_buckets.erase(unstarted);
     }
 }
 
@@ -163,14 +166,15 @@
     return members.empty() ? std::string() : members[rendezvousOwner(workspace, members)];
 }
 
-bool RateOwner::isCurrent(const std::string &workspace, const Arrival &arrival) const
+bool RateOwner::isFromFormerOwner(const std::string &workspace,
+                                  const ReceivedBucket &received) const
 {
     const Membership *membership = ownedSince(workspace);
-    return membership != nullptr && membership->view.memberRevision() == arrival.memberRevision
-           && formerOwner(*membership, workspace) == arrival.formerOwner;
+    return membership != nullptr && membership->view.memberRevision() == received.memberRevision
+           && formerOwner(*membership, workspace) == received.formerOwner;
 }
 
-bool RateOwner::isAwaitingHandOver(const std::string &workspace, const Bucket &bucket,
+bool RateOwner::isAwaitingTransfer(const std::string &workspace, const Bucket &bucket,
                                    absl::Time now) const
 {
     const Membership *membership = ownedSince(workspace);
@@ -187,15 +191,17 @@
         const absl::Time start = now + m_options.lease + m_options.maxWait;
         return {policy::TokenBucket(rate, start), start};
     }
-    // A contract that came after this entry had become the owner was never granted by another one.
+    // No other entry can have granted requests of a contract that was added after this entry became
+    // the owner.
     const bool isFirstOwner = !membership->view.contract(workspace);
     if (isFirstOwner && rate.ratePerSecond > 0)
         return {policy::TokenBucket(rate, now, rate.burst), now};
-    const auto arrival = m_arrivals.find(workspace);
-    if (arrival != m_arrivals.end() && isCurrent(workspace, arrival->second)) {
-        const Arrival taken = arrival->second;
-        m_arrivals.erase(arrival);
-        return {policy::TokenBucket(rate, taken.receivedAt, taken.level), taken.receivedAt};
+    const auto received = m_receivedBuckets.find(workspace);
+    if (received != m_receivedBuckets.end() && isFromFormerOwner(workspace, received->second)) {
+        const ReceivedBucket transferred = received->second;
+        m_receivedBuckets.erase(received);
+        return {policy::TokenBucket(rate, transferred.receivedAt, transferred.level),
+                transferred.receivedAt};
     }
     const absl::Time start = membership->since + m_options.lease + m_options.maxWait;
     return {policy::TokenBucket(rate, start), start};
@@ -234,27 +240,27 @@
     Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
     {
         absl::MutexLock lock(&m_mutex);
-        follow(*view, age);
+        applyView(*view, age);
         response = grantFrom(*view, request);
     }
-    sendDepartures();
+    sendTransfers();
     return response;
 }
 
 Outcome<wire::RateGrantResponse> RateOwner::grantFrom(const directory::DirectoryView &view,
                                                       const wire::RateGrantRequest &request)
 {
-    if (m_lapsed)
+    if (m_leaseExpired)
         return notRun(ErrorCode::StaleRevision, "the owner's view is older than its lease");
     const Outcome<Done> checked = check(view, request.workspace);
     if (!checked.ok())
         return checked.failure();
     const absl::Time now = m_clock.now();
     Bucket &owned = bucket(view, request.workspace, now);
-    if (isAwaitingHandOver(request.workspace, owned, now))
+    if (isAwaitingTransfer(request.workspace, owned, now))
         return notRun(ErrorCode::NotMember,
                       concat("the former owner of workspace \"", request.workspace,
-                             "\" has not handed over yet"));
+                             "\" has not transferred its rate bucket yet"));
     const absl::Duration maxWait =
             std::min(absl::Milliseconds(request.maxWaitMs), m_options.maxWait);
     wire::RateGrantResponse response;
--- a/src/entry/rateowner.h
+++ b/src/entry/rateowner.h
@@ -19,10 +19,10 @@
 
 /// Rate buckets of the workspaces that this entry owns.
 ///
-/// No two owners may grant at the same time: an owner grants only while its view is younger than
-/// the lease. An owner that sees its ownership end hands its bucket over to the new owner. Without
-/// that, the new owner's bucket starts, empty, only after the former owner's lease and the longest
-/// wait that it may have granted.
+/// No two owners may grant at the same time: an owner grants only while its directory view is
+/// younger than the lease. An owner that detects the end of its ownership transfers its bucket to
+/// the new owner. Without a transfer, the new owner's bucket starts empty, and only after the
+/// former owner's lease and the longest wait that the former owner may have granted.
 class RateOwner
 {
 public:
@@ -35,24 +35,25 @@
         absl::Duration maxWait;
     };
 
-    /// Sends buckets to the entry at a peer address; called without a lock.
-    using HandOverSender = std::function<void(const std::string &address,
-                                              const wire::RateBucketTransfer &handOver)>;
+    /// Sends buckets to the entry at a peer address; called without holding a lock.
+    using TransferSender = std::function<void(const std::string &address,
+                                              const wire::RateBucketTransfer &transfer)>;
 
     RateOwner(Options options, const directory::DirectorySubscriber &directory,
-              HandOverSender sender, const Clock &clock);
+              TransferSender sender, const Clock &clock);
 
-    /// Follows changes of membership and lapses of the lease; call often.
-    void observe() ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Fails with NotMember (this entry is not the owner, by its own view, or waits for the former
-    /// owner to hand over) or StaleRevision (its view is too old), both NotRun.
+    /// Applies changes of the membership and detects the expiry of the lease. To be called at short
+    /// intervals.
+    void updateOwnership() ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Fails with NotMember (this entry is not the owner by its own view, or waits for the transfer
+    /// from the former owner) or StaleRevision (its view is too old), both NotRun.
     Outcome<wire::RateGrantResponse> grant(const wire::RateGrantRequest &request)
             ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Takes buckets that their former owner has handed over.
-    void accept(const wire::RateBucketTransfer &handOver) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Accepts buckets that their former owner has transferred.
+    void accept(const wire::RateBucketTransfer &transfer) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    /// Members as of a time, with the view in which they were found.
+    /// Members from a point in time on, with the view that contained them.
     struct Membership
     {
         absl::Time since;
@@ -63,12 +64,12 @@
     struct Bucket
     {
         policy::TokenBucket tokens;
-        /// Nothing is in use before.
+        /// No granted unit may be used before this time.
         absl::Time start;
     };
 
-    /// Bucket that a former owner has handed over.
-    struct Arrival
+    /// Bucket that a former owner has transferred.
+    struct ReceivedBucket
     {
         std::string formerOwner;
         std::uint64_t memberRevision = 0;
@@ -77,22 +78,22 @@
     };
 
     /// By peer address of the new owner.
-    using Departures = std::map<std::string, wire::RateBucketTransfer>;
+    using PendingTransfers = std::map<std::string, wire::RateBucketTransfer>;
 
     bool isOwner(const directory::DirectoryView &view, const std::string &workspace) const;
-    /// Oldest membership since which this entry has owned \a workspace without a break; null when
-    /// it does not own it.
+    /// Oldest membership since which this entry has owned \a workspace without interruption; null
+    /// when it is not the owner.
     const Membership *ownedSince(const std::string &workspace) const
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    /// Owner before \a membership, the oldest in which this entry owns \a workspace; empty when it
-    /// is not known.
+    /// Owner of \a workspace before \a membership, the oldest one in which this entry is the owner;
+    /// empty when it is not known.
     std::string formerOwner(const Membership &membership, const std::string &workspace) const
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    /// True when the hand-over ends the ownership that came right before this entry's own one.
-    bool isCurrent(const std::string &workspace, const Arrival &arrival) const
+    /// Whether \a received comes from the owner immediately before this entry.
+    bool isFromFormerOwner(const std::string &workspace, const ReceivedBucket &received) const
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    /// True while the former owner may still hand \a workspace over.
-    bool isAwaitingHandOver(const std::string &workspace, const Bucket &bucket,
+    /// Whether the former owner may still transfer the bucket of \a workspace.
+    bool isAwaitingTransfer(const std::string &workspace, const Bucket &bucket,
                             absl::Time now) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Bucket newBucket(const std::string &workspace, const policy::RateContract &rate, absl::Time now)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
@@ -100,31 +101,31 @@
     Outcome<wire::RateGrantResponse> grantFrom(const directory::DirectoryView &view,
                                                const wire::RateGrantRequest &request)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    /// Forgets what was owned: another entry may own it by now.
-    void lapse() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void follow(const directory::DirectoryView &view, absl::Duration age)
+    /// Removes all buckets and the history, because other entries may own the workspaces by now.
+    void expireLease() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void applyView(const directory::DirectoryView &view, absl::Duration age)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    /// Lets go of the buckets of which \a view names another owner.
-    void depart(const directory::DirectoryView &view, absl::Time now)
+    /// Removes the buckets that have another owner in \a view, and queues their transfer.
+    void releaseBuckets(const directory::DirectoryView &view, absl::Time now)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void sendDepartures() ABSL_LOCKS_EXCLUDED(m_mutex);
+    void sendTransfers() ABSL_LOCKS_EXCLUDED(m_mutex);
     Bucket &bucket(const directory::DirectoryView &view, const std::string &workspace,
                    absl::Time now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     Options m_options;
     const directory::DirectorySubscriber &m_directory;
-    const HandOverSender m_sender;
+    const TransferSender m_sender;
     const Clock &m_clock;
     absl::Mutex m_mutex;
     std::map<std::string, Bucket> m_buckets ABSL_GUARDED_BY(m_mutex);
-    Departures m_departures ABSL_GUARDED_BY(m_mutex);
+    PendingTransfers m_pendingTransfers ABSL_GUARDED_BY(m_mutex);
     /// By workspace.
-    std::map<std::string, Arrival> m_arrivals ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, ReceivedBucket> m_receivedBuckets ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_memberRevision ABSL_GUARDED_BY(m_mutex) = 0;
-    bool m_lapsed ABSL_GUARDED_BY(m_mutex) = true;
-    /// Time as of which the view was last known to be the newest.
+    bool m_leaseExpired ABSL_GUARDED_BY(m_mutex) = true;
+    /// Latest time at which the view was known to be up to date.
     absl::Time m_confirmedAt ABSL_GUARDED_BY(m_mutex) = absl::InfinitePast();
-    /// Since the lease last lapsed, newest first.
+    /// Memberships since the lease last expired, newest first.
     std::deque<Membership> m_history ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -3,8 +3,8 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Refusals that the caller causes, by its rate or by what it sends. They do not count against the
-/// objective for requests inside the rate.
+/// Whether the caller causes the failure, by its rate or by what it sends. Such failures do not
+/// count against the objective for requests inside the rate.
 bool isCausedByCaller(ErrorCode code)
 {
     switch (code) {
--- a/src/entry/requestmetrics.h
+++ b/src/entry/requestmetrics.h
@@ -12,16 +12,16 @@
 
 namespace rattanrill::entry {
 
-/// Whom a request is counted for.
+/// Labels under which a request is counted.
 struct RequestLabels
 {
-    /// Empty until the key is known.
+    /// Empty until the caller is authenticated.
     std::string workspace;
     /// Empty for plain services.
     std::string model;
 };
 
-/// Metrics that service-level objectives are judged by; docs/metrics.md lists them.
+/// Metrics that the service-level objectives are based on; docs/metrics.md lists them.
 class RequestMetrics
 {
 public:
@@ -29,10 +29,10 @@
 
     void firstToken(const RequestLabels &labels, absl::Duration sinceArrival);
     void nextToken(const RequestLabels &labels, absl::Duration sinceLast);
-    /// An online request ended, with \a failure or whole.
+    /// Counts the end of an online request; \a failure is empty for a successful one.
     void ended(const RequestLabels &labels, const std::optional<Failure> &failure);
     void tokens(const RequestLabels &labels, policy::TaskKind kind, std::uint64_t count);
-    /// A leased batch item ended with a result.
+    /// Counts a leased batch item that ended with a result.
     void itemEnded(const std::string &workspace, bool failed, bool pastDue);
 
 private:
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -10,13 +10,14 @@
 namespace rattanrill::entry {
 namespace {
 
-constexpr int maxTries = 3;
+constexpr int maxAttempts = 3;
 constexpr std::size_t maxIdempotencyKeyBytes = 255;
 constexpr std::size_t fingerprintDigits = 32;
-/// Stands for the callers of open routes among the claims; no workspace can have this name.
+/// Workspace in the claims of requests on open routes; no workspace can have this name.
 constexpr std::string_view openWorkspace = "/open";
 
-/// Paths that a service could resolve to another one than the route check saw.
+/// Whether a service could resolve the path to another one than the path that the route was
+/// selected by.
 bool isAmbiguous(std::string_view decoded, std::string_view raw)
 {
     for (const std::string_view part : {"/../", "/./", "//"}) {
@@ -49,15 +50,15 @@
 
 } // namespace
 
-ServiceHandler::ServiceHandler(Parts parts, std::size_t maxBodyBytes, absl::Duration timeout)
-    : m_parts(parts)
+ServiceHandler::ServiceHandler(Context context, std::size_t maxBodyBytes, absl::Duration timeout)
+    : m_context(context)
     , m_maxBodyBytes(maxBodyBytes)
     , m_timeout(timeout)
 {}
 
 bool ServiceHandler::handle(Exchange &exchange)
 {
-    const auto route = m_parts.directory.view()->route(exchange.path());
+    const auto route = m_context.directory.view()->route(exchange.path());
     if (!route)
         return false;
     if (isAmbiguous(exchange.path(), rawPath(exchange.request())))
@@ -69,17 +70,19 @@
     return true;
 }
 
-std::optional<Caller> ServiceHandler::admitted(Exchange &exchange, const wire::Route &route) const
+std::optional<Caller> ServiceHandler::admitCaller(Exchange &exchange,
+                                                  const wire::Route &route) const
 {
     if (route.open) {
-        // The key is still known, so that it can be kept from the service.
+        // The key is recorded although it is not checked, so that it is not forwarded to the
+        // service.
         Caller caller;
         const std::string header = exchange.header("Authorization");
         caller.key = header.substr(std::min(header.size(), header.find(' ') + 1));
         return caller;
     }
-    std::optional<Caller> caller = m_parts.admission.authenticate(exchange);
-    if (caller && !m_parts.admission.admit(exchange, *caller))
+    std::optional<Caller> caller = m_context.admission.authenticate(exchange);
+    if (caller && !m_context.admission.admit(exchange, *caller))
         return std::nullopt;
     return caller;
 }
@@ -98,18 +101,18 @@
     request.contentType = exchange.header("Content-Type");
     request.requestId = exchange.requestId();
     request.workspace = caller.workspace;
-    request.deadline = m_parts.clock.now() + m_timeout;
+    request.deadline = m_context.clock.now() + m_timeout;
     for (const std::string *part : {&request.path, &request.body, &request.contentType}) {
         if (service::containsApiKey(*part, caller.key))
             return notRun(ErrorCode::InvalidRequest,
-                          "the path, body or content type contains the key");
+                          "the path, body or content type contains the API key");
     }
     return request;
 }
 
 void ServiceHandler::serve(Exchange &exchange, const wire::Route &route)
 {
-    const std::optional<Caller> caller = admitted(exchange, route);
+    const std::optional<Caller> caller = admitCaller(exchange, route);
     if (!caller)
         return;
     const Outcome<service::ServiceRequest> request = makeRequest(exchange, *caller);
@@ -129,7 +132,7 @@
                                   : run(route, request.value());
     if (replayed)
         exchange.response().set_header("Idempotent-Replayed", "true");
-    const std::optional<Failure> revoked = m_parts.admission.keys().revoked(*caller);
+    const std::optional<Failure> revoked = m_context.admission.keys().revoked(*caller);
     if (revoked) {
         exchange.sendFailure(*revoked);
     } else if (!answer.ok()) {
@@ -143,21 +146,21 @@
 ServiceHandler::Answer ServiceHandler::run(const wire::Route &route,
                                            const service::ServiceRequest &request)
 {
-    const std::int64_t nowMs = absl::ToUnixMillis(m_parts.clock.wallNow());
-    if (m_parts.directory.view()->quarantinedRequest(fingerprintOf(request), nowMs))
+    const std::int64_t nowMs = absl::ToUnixMillis(m_context.clock.wallNow());
+    if (m_context.directory.view()->quarantinedRequest(fingerprintOf(request), nowMs))
         return notRun(ErrorCode::RequestQuarantined,
                       "the request crashed the upstreams that ran it");
     std::vector<std::string> excluded;
     bool mayHaveRunBefore = false;
     Answer answer = notRun(ErrorCode::UpstreamUnavailable,
                            concat("no instance of \"", route.service, "\" can take the request"));
-    for (int i = 0; i < maxTries; ++i) {
-        const std::size_t triesBefore = excluded.size();
-        Answer next = runOnce(route, request, excluded);
-        const bool tried = excluded.size() > triesBefore;
-        if (next.ok() || tried)
+    for (int i = 0; i < maxAttempts; ++i) {
+        const std::size_t attemptsBefore = excluded.size();
+        Answer next = runAttempt(route, request, excluded);
+        const bool attempted = excluded.size() > attemptsBefore;
+        if (next.ok() || attempted)
             answer = std::move(next);
-        if (answer.ok() || !tried)
+        if (answer.ok() || !attempted)
             break;
         mayHaveRunBefore = mayHaveRunBefore || answer.failure().run == EffectState::MayHaveRun;
         if (mayHaveRunBefore && !route.idempotent)
@@ -168,13 +171,13 @@
     return answer;
 }
 
-ServiceHandler::Answer ServiceHandler::runOnce(const wire::Route &route,
-                                               const service::ServiceRequest &request,
-                                               std::vector<std::string> &excluded)
+ServiceHandler::Answer ServiceHandler::runAttempt(const wire::Route &route,
+                                                  const service::ServiceRequest &request,
+                                                  std::vector<std::string> &excluded)
 {
-    const ServiceTable::Client client = m_parts.services.begin(route.service, excluded);
+    const ServiceTable::Client client = m_context.services.beginCall(route.service, excluded);
     if (!client)
-        return notRun(ErrorCode::UpstreamUnavailable, "no instance is left");
+        return notRun(ErrorCode::UpstreamUnavailable, "no further instance is available");
     const std::string &upstream = client->options().name;
     excluded.push_back(upstream);
     Answer answer = client->call(request);
@@ -185,7 +188,7 @@
         crashed = !probe.ok() && probe.failure().code == ErrorCode::UpstreamUnavailable;
     }
     const bool failed = !answer.ok() && answer.failure().code != ErrorCode::UpstreamBusy;
-    m_parts.services.end(upstream, failed, crashed);
+    m_context.services.endCall(upstream, failed, crashed);
     if (crashed)
         reportCrash(fingerprintOf(request), upstream);
     return answer;
@@ -193,18 +196,20 @@
 
 void ServiceHandler::reportCrash(const std::string &fingerprint, const std::string &upstream)
 {
-    m_parts.metrics.count("rattanrill_upstream_crashes_total", {{"upstream", upstream}});
-    // Waits: a second try must not come before the record.
-    (void)awaitOutcome<bool>(
-            [&](auto callback) { m_parts.crashes.report(fingerprint, upstream, callback); });
+    m_context.metrics.count("rattanrill_upstream_crashes_total", {{"upstream", upstream}});
+    // Waits for the record, because the next attempt must not start before it.
+    (void)awaitOutcome<bool>([&](auto callback) {
+        m_context.crashReporter.report(fingerprint, upstream, callback);
+    });
 }
 
 ServiceHandler::Answer ServiceHandler::answerOf(const wire::ClaimStatus &claim) const
 {
     if (claim.state != wire::ClaimState::Finished)
-        return mayHaveRun(ErrorCode::DuplicateRequest,
-                          "a request with this Idempotency-Key runs already or ended without an "
-                          "answer");
+        return mayHaveRun(
+                ErrorCode::DuplicateRequest,
+                "a request with this Idempotency-Key is already running or ended without an "
+                "answer");
     return service::ServiceResponse{static_cast<int>(claim.status), claim.contentType, claim.body};
 }
 
@@ -214,7 +219,7 @@
 {
     const std::string workspace = route.open ? std::string(openWorkspace) : request.workspace;
     const ClaimKey key{workspace, "service/" + idempotencyKey, hashOf(request), request.requestId};
-    const Outcome<wire::ClaimStatus> claim = m_parts.claims.claim(key);
+    const Outcome<wire::ClaimStatus> claim = m_context.claims.claim(key);
     if (!claim.ok())
         return claim.failure();
     if (!claim.value().won) {
@@ -223,10 +228,10 @@
     }
     Answer answer = run(route, request);
     if (answer.ok()) {
-        (void)m_parts.claims.finish(key, answer.value().status, answer.value().contentType,
-                                    answer.value().body);
+        (void)m_context.claims.finish(key, answer.value().status, answer.value().contentType,
+                                      answer.value().body);
     } else if (answer.failure().run == EffectState::NotRun) {
-        m_parts.claims.abandon(key);
+        m_context.claims.abandon(key);
     }
     return answer;
 }
--- a/src/entry/servicehandler.h
+++ b/src/entry/servicehandler.h
@@ -16,41 +16,41 @@
 namespace rattanrill::entry {
 
 /// Serves the routes to plain services. A call that is not idempotent runs at most once: with an
-/// Idempotency-Key it is claimed durably first, and it is never repeated after it may have run.
+/// Idempotency-Key it is claimed durably first, and it is never retried after it may have run.
 class ServiceHandler
 {
 public:
-    struct Parts
+    struct Context
     {
         const Admission &admission;
         const directory::DirectorySubscriber &directory;
         ServiceTable &services;
         Claims &claims;
-        CrashReporter &crashes;
+        CrashReporter &crashReporter;
         const Clock &clock;
         Metrics &metrics;
     };
 
-    ServiceHandler(Parts parts, std::size_t maxBodyBytes, absl::Duration timeout);
+    ServiceHandler(Context context, std::size_t maxBodyBytes, absl::Duration timeout);
 
-    /// False when no route matches the path.
+    /// Returns false when no route matches the path.
     bool handle(Exchange &exchange);
 
 private:
     using Answer = Outcome<service::ServiceResponse>;
 
     void serve(Exchange &exchange, const wire::Route &route);
-    std::optional<Caller> admitted(Exchange &exchange, const wire::Route &route) const;
+    std::optional<Caller> admitCaller(Exchange &exchange, const wire::Route &route) const;
     Outcome<service::ServiceRequest> makeRequest(Exchange &exchange, const Caller &caller) const;
     Answer run(const wire::Route &route, const service::ServiceRequest &request);
-    Answer runOnce(const wire::Route &route, const service::ServiceRequest &request,
-                   std::vector<std::string> &excluded);
+    Answer runAttempt(const wire::Route &route, const service::ServiceRequest &request,
+                      std::vector<std::string> &excluded);
     Answer runClaimed(const wire::Route &route, const service::ServiceRequest &request,
                       const std::string &idempotencyKey, bool &replayed);
     Answer answerOf(const wire::ClaimStatus &claim) const;
     void reportCrash(const std::string &fingerprint, const std::string &upstream);
 
-    Parts m_parts;
+    Context m_context;
     std::size_t m_maxBodyBytes;
     absl::Duration m_timeout;
 };
--- a/src/entry/servicetable.h
+++ b/src/entry/servicetable.h
@@ -15,8 +15,8 @@
 
 namespace rattanrill::entry {
 
-/// Clients of the plain services that the directory lists, with their load, the entry's own calls
-/// and their outlier state.
+/// Clients of the plain services that the directory lists, with their load, the number of this
+/// entry's open calls and their outlier state.
 class ServiceTable
 {
 public:
@@ -29,15 +29,16 @@
     void loadReported(const std::string &name, const service::ServiceLoadReport &load)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Least loaded instance of \a service outside \a excluded, in the own failure domain first;
-    /// counts a call on it. Null when there is none.
-    Client begin(const std::string &service, const std::vector<std::string> &excluded)
+    /// Selects the instance of \a service with the lowest load that is not in \a excluded,
+    /// preferably in the failure domain of this entry, and counts a call to it. Returns null when
+    /// there is none.
+    Client beginCall(const std::string &service, const std::vector<std::string> &excluded)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Ends a call. \a failed counts against the instance; \a crashed ejects it at once.
-    void end(const std::string &name, bool failed, bool crashed) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void endCall(const std::string &name, bool failed, bool crashed) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    struct Entry
+    struct Instance
     {
         wire::Upstream upstream;
         Client client;
@@ -46,12 +47,12 @@
         policy::OutlierDetector outlier{policy::OutlierSettings()};
     };
 
-    double cost(const Entry &entry, absl::Time now) const;
+    double cost(const Instance &instance, absl::Time now) const;
 
     std::string m_failureDomain;
     const Clock &m_clock;
     mutable absl::Mutex m_mutex;
-    std::map<std::string, Entry> m_entries ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, Instance> m_instances ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::entry
--- a/src/entry/utf8.cpp
+++ b/src/entry/utf8.cpp
@@ -5,7 +5,8 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Length and the range of the second byte by the first byte (table 3-7 of the Unicode standard).
+/// Length of a sequence and valid range of its second byte, as determined by its first byte (table
+/// 3-7 of the Unicode standard).
 struct Sequence
 {
     std::size_t length;
--- a/src/entry/viewqueries.h
+++ b/src/entry/viewqueries.h
@@ -12,7 +12,7 @@
 bool servesModel(const directory::DirectoryView &view, std::string_view model);
 /// Models that engines serve, in order of name.
 std::vector<std::string> models(const directory::DirectoryView &view);
-/// Instances of acknowledged entries, in order of name.
+/// Instances of the entries that are members of the directory, in order of name.
 std::vector<std::string> memberNames(const directory::DirectoryView &view);
 
 } // namespace rattanrill::entry
--- a/src/entry/workspaceshares.cpp
+++ b/src/entry/workspaceshares.cpp
@@ -5,19 +5,19 @@
 namespace rattanrill::entry {
 
 WorkspaceShares::WorkspaceShares(const directory::DirectorySubscriber &directory,
-                                 WorkDispatcher &dispatcher)
+                                 TaskDispatcher &dispatcher)
     : m_directory(directory)
     , m_dispatcher(dispatcher)
 {}
 
-void WorkspaceShares::note(const std::string &workspace)
+void WorkspaceShares::registerWorkspace(const std::string &workspace)
 {
     {
         absl::MutexLock lock(&m_mutex);
-        if (!m_known.emplace(workspace, 0).second)
+        if (!m_passedRevisions.emplace(workspace, 0).second)
             return;
     }
-    pass(*m_directory.view(), workspace);
+    passToScheduler(*m_directory.view(), workspace);
 }
 
 void WorkspaceShares::refresh(const directory::DirectoryView &view)
@@ -25,26 +25,27 @@
     std::vector<std::string> changed;
     {
         absl::MutexLock lock(&m_mutex);
-        for (auto &[workspace, revision] : m_known) {
+        for (auto &[workspace, revision] : m_passedRevisions) {
             const auto contract = view.contract(workspace);
             if (contract && contract->revision != revision)
                 changed.push_back(workspace);
         }
     }
     for (const std::string &workspace : changed)
-        pass(view, workspace);
+        passToScheduler(view, workspace);
 }
 
-void WorkspaceShares::pass(const directory::DirectoryView &view, const std::string &workspace)
+void WorkspaceShares::passToScheduler(const directory::DirectoryView &view,
+                                      const std::string &workspace)
 {
     const auto contract = view.contract(workspace);
     if (!contract)
         return;
     const policy::WorkspaceWeights share{workspace, contract->ratePerSecond, contract->batchShare};
-    m_dispatcher.inform(
+    m_dispatcher.updateScheduler(
             [&](policy::Scheduler &scheduler, absl::Time) { scheduler.setWorkspaces({share}); });
     absl::MutexLock lock(&m_mutex);
-    m_known[workspace] = contract->revision;
+    m_passedRevisions[workspace] = contract->revision;
 }
 
 } // namespace rattanrill::entry
