--- a/src/entry/workspaceshares.h
+++ b/src/entry/workspaceshares.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "workdispatcher.h"
+#include "taskdispatcher.h"
 
 #include "rattanrill/directory/directorysubscriber.h"
 
@@ -13,24 +13,26 @@
 
 namespace rattanrill::entry {
 
-/// Passes the contract shares of workspaces to the scheduler, for those that have sent work here.
+/// Passes the shares in the contracts of workspaces to the scheduler, for those workspaces that
+/// have submitted tasks to this entry.
 class WorkspaceShares
 {
 public:
-    WorkspaceShares(const directory::DirectorySubscriber &directory, WorkDispatcher &dispatcher);
+    WorkspaceShares(const directory::DirectorySubscriber &directory, TaskDispatcher &dispatcher);
 
-    /// Call before each work of \a workspace.
-    void note(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// To be called before each task of \a workspace is submitted.
+    void registerWorkspace(const std::string &workspace) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Passes the shares of contracts that have changed.
     void refresh(const directory::DirectoryView &view) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    void pass(const directory::DirectoryView &view, const std::string &workspace);
+    void passToScheduler(const directory::DirectoryView &view, const std::string &workspace);
 
     const directory::DirectorySubscriber &m_directory;
-    WorkDispatcher &m_dispatcher;
+    TaskDispatcher &m_dispatcher;
     absl::Mutex m_mutex;
-    /// Contract revision that the scheduler knows.
-    std::map<std::string, std::uint64_t> m_known ABSL_GUARDED_BY(m_mutex);
+    /// Contract revision that was last passed to the scheduler, by workspace.
+    std::map<std::string, std::uint64_t> m_passedRevisions ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::entry
