--- a/src/policybench/baselinepolicy.cpp
+++ b/src/policybench/baselinepolicy.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int mostTries = 3;
+constexpr int maxAttempts = 3;
 constexpr absl::Duration avoidTime = absl::Seconds(10);
 
 } // namespace
@@ -32,14 +32,14 @@
 void BaselinePolicy::loadReported(absl::Time /*now*/, const std::string &engine,
                                   const EngineLoad &load)
 {
-    for (Engine &known : m_engines) {
-        if (known.name != engine)
+    for (Engine &reported : m_engines) {
+        if (reported.name != engine)
             continue;
-        known.load = load;
+        reported.load = load;
         const double limit = static_cast<double>(load.maxBatch) * m_rules.fill;
         const auto free = static_cast<std::int64_t>(limit) - load.running - load.waiting;
         const auto entries = static_cast<std::int64_t>(m_entries);
-        known.free = std::max<std::int64_t>((free + entries - 1) / entries, 0);
+        reported.free = std::max<std::int64_t>((free + entries - 1) / entries, 0);
     }
 }
 
@@ -75,7 +75,7 @@
         if (engine.name == item.engine)
             engine.avoidUntil = now + avoidTime;
     }
-    if (item.attempt < mostTries) {
+    if (item.attempt < maxAttempts) {
         (item.task.kind == TaskKind::Online ? m_online : m_batch).push_back(task);
         return;
     }
@@ -83,7 +83,7 @@
     m_items.erase(task);
 }
 
-void BaselinePolicy::preempted(absl::Time /*now*/, TaskId /*work*/, int /*attempt*/,
+void BaselinePolicy::preempted(absl::Time /*now*/, TaskId /*task*/, int /*attempt*/,
                                std::int64_t /*tokens*/, const std::string & /*kvHandle*/)
 {}
 
--- a/src/policybench/baselinepolicy.h
+++ b/src/policybench/baselinepolicy.h
@@ -8,17 +8,18 @@
 
 namespace rattanrill::policy::bench {
 
-/// What distinguishes a baseline.
+/// Parameters in which the baselines differ.
 struct BaselineRules
 {
-    /// Engines in turn; otherwise the one with the least reported load.
+    /// Selects engines in turn. Otherwise the one with the least reported load is selected.
     bool roundRobin = false;
-    /// Part of an engine's places that batch may fill.
+    /// Share of an engine's slots up to which batch tasks are started.
     double fill = 0.9;
 };
 
-/// Simple policy to compare with: no preemption, no fairness, no own work in flight, no quarantine.
-/// Online work starts at once; batch fills the places that the last report shows as free.
+/// Simple policy to compare with. It has no preemption, no fairness and no quarantine, and doesn't
+/// add its own tasks in flight to the reported load. Online tasks start at once; batch tasks fill
+/// the slots that the last report shows as free.
 class BaselinePolicy : public BenchPolicy
 {
 public:
@@ -36,7 +37,7 @@
                     const CacheEvent & /*event*/) override
     {}
     void arrived(absl::Time now, const Task &task) override;
-    void firstToken(absl::Time /*now*/, TaskId /*work*/, int /*attempt*/) override {}
+    void firstToken(absl::Time /*now*/, TaskId /*task*/, int /*attempt*/) override {}
     void progress(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override;
     void finished(absl::Time now, TaskId task, int attempt, std::int64_t tokens) override;
     void failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure) override;
@@ -51,9 +52,9 @@
     {
         std::string name;
         EngineLoad load;
-        /// Failed lately; not chosen until then.
+        /// The engine failed recently and is not selected before this time.
         absl::Time avoidUntil = absl::InfinitePast();
-        /// Batch works that this entry may still start on the last report.
+        /// Batch tasks that this entry may still start, based on the last load report.
         std::int64_t free = 0;
     };
     struct Item
--- a/src/policybench/benchadmission.cpp
+++ b/src/policybench/benchadmission.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Wait for a grant that fits into the first-token budget.
-constexpr absl::Duration longestWait = absl::Milliseconds(200);
+/// Longest wait for a grant that still fits into the first-token budget.
+constexpr absl::Duration maxGrantWait = absl::Milliseconds(200);
 
 } // namespace
 
@@ -44,11 +44,11 @@
     if (m_kind == AdmissionKind::None)
         return {true, absl::ZeroDuration()};
     if (m_kind == AdmissionKind::Owner)
-        return m_buckets[workspace].take(now, 1, longestWait);
-    return m_buckets[workspace * m_entries.size() + entry].take(now, 1, longestWait);
+        return m_buckets[workspace].take(now, 1, maxGrantWait);
+    return m_buckets[workspace * m_entries.size() + entry].take(now, 1, maxGrantWait);
 }
 
-void BenchAdmission::loseEntries(const std::vector<std::size_t> &lost, absl::Time later)
+void BenchAdmission::loseEntries(const std::vector<std::size_t> &lost, absl::Time ownedFrom)
 {
     for (const std::size_t entry : lost)
         m_lost[entry] = true;
@@ -64,12 +64,12 @@
         if (!m_lost[m_owners[i]])
             continue;
         m_owners[i] = leftIndex[rendezvousOwner(concat("workspace-", i), left)];
-        m_ownerSince[i] = later;
-        m_buckets[i] = TokenBucket(m_contracts[i], later + longestWait);
+        m_ownerSince[i] = ownedFrom;
+        m_buckets[i] = TokenBucket(m_contracts[i], ownedFrom + maxGrantWait);
     }
 }
 
-bool BenchAdmission::isMoving(absl::Time now, std::size_t workspace) const
+bool BenchAdmission::isOwnerMoving(absl::Time now, std::size_t workspace) const
 {
     return m_kind == AdmissionKind::Owner && now < m_ownerSince[workspace];
 }
--- a/src/policybench/benchadmission.h
+++ b/src/policybench/benchadmission.h
@@ -12,28 +12,30 @@
 namespace rattanrill::policy::bench {
 
 enum class AdmissionKind {
-    /// One bucket for each workspace, at an entry chosen by rendezvous hash.
+    /// One bucket for each workspace, at the entry that rendezvous hashing selects.
     Owner,
-    /// A bucket for each workspace at each entry with 1 / entries of rate and burst.
+    /// One bucket for each workspace at each entry. With n entries, each bucket has 1/n of the
+    /// contract's rate and burst.
     StaticShare,
     None,
 };
 
-/// Rate grants of all entries together.
+/// Rate admission of all entries.
 class BenchAdmission
 {
 public:
     BenchAdmission(AdmissionKind kind, std::vector<RateContract> contracts,
                    std::vector<std::string> entries);
 
-    /// Entry that counts \a workspace for requests at \a entry; \a entry itself when no message is
-    /// needed.
+    /// Returns the entry that holds the bucket of \a workspace for requests that arrive at
+    /// \a entry. This is \a entry itself when no message is needed.
     std::size_t owner(std::size_t workspace, std::size_t entry) const;
     RateGrant take(absl::Time now, std::size_t workspace, std::size_t entry);
-    /// Entries stop counting. Their workspaces have no owner until \a later.
-    void loseEntries(const std::vector<std::size_t> &lost, absl::Time later);
-    /// No entry may count \a workspace at \a now.
-    bool isMoving(absl::Time now, std::size_t workspace) const;
+    /// Marks entries as lost. The buckets that they owned get new owners, which grant nothing
+    /// before \a ownedFrom.
+    void loseEntries(const std::vector<std::size_t> &lost, absl::Time ownedFrom);
+    /// Returns whether the bucket of \a workspace has no owner that may grant at \a now.
+    bool isOwnerMoving(absl::Time now, std::size_t workspace) const;
 
 private:
     AdmissionKind m_kind;
@@ -42,7 +44,7 @@
     std::vector<bool> m_lost;
     std::vector<std::size_t> m_owners;
     std::vector<absl::Time> m_ownerSince;
-    /// By workspace, or by workspace and entry for static shares.
+    /// Indexed by workspace; for static shares by workspace and entry.
     std::vector<TokenBucket> m_buckets;
 };
 
--- a/src/policybench/benchbatchpool.cpp
+++ b/src/policybench/benchbatchpool.cpp
@@ -9,10 +9,12 @@
 
 namespace {
 
-constexpr double promptMean = 250;
-constexpr double promptSpread = 0.4;
-constexpr double answerMean = 200;
-constexpr std::int64_t longestAnswer = 400;
+/// Prompt lengths have a log-normal distribution with this mean and sigma, answer lengths a clamped
+/// exponential distribution.
+constexpr double promptMeanTokens = 250;
+constexpr double promptSigma = 0.4;
+constexpr double answerMeanTokens = 200;
+constexpr std::int64_t maxAnswerTokens = 400;
 
 } // namespace
 
@@ -34,15 +36,15 @@
 
 int BenchBatchPool::lease(absl::Time now)
 {
-    const int index = static_cast<int>(*m_queue.pop(now, promptMean + answerMean));
+    const int index = static_cast<int>(*m_queue.pop(now, promptMeanTokens + answerMeanTokens));
     const BatchItem &leased = item(index);
-    // The endless job always has an item waiting.
+    // Keeps one item of the endless job in the queue.
     if (leased.due == absl::InfiniteFuture() && leased.delivered == 0)
         enqueue(create(leased.workspace, absl::InfiniteFuture()));
     return index;
 }
 
-void BenchBatchPool::giveBack(int index)
+void BenchBatchPool::returnItem(int index)
 {
     enqueue(index);
 }
@@ -64,11 +66,11 @@
 {
     BatchItem item;
     item.workspace = workspace;
-    const double center = std::log(promptMean) - promptSpread * promptSpread / 2;
-    const double prompt = std::lognormal_distribution<double>(center, promptSpread)(m_random);
+    const double mu = std::log(promptMeanTokens) - promptSigma * promptSigma / 2;
+    const double prompt = std::lognormal_distribution<double>(mu, promptSigma)(m_random);
     item.promptTokens = std::max<std::int64_t>(std::llround(prompt), 16);
-    const double answer = std::exponential_distribution<double>(1 / answerMean)(m_random);
-    item.answerTokens = std::clamp<std::int64_t>(std::llround(answer), 8, longestAnswer);
+    const double answer = std::exponential_distribution<double>(1 / answerMeanTokens)(m_random);
+    item.answerTokens = std::clamp<std::int64_t>(std::llround(answer), 8, maxAnswerTokens);
     item.due = due;
     m_items.push_back(item);
     return static_cast<int>(m_items.size()) - 1;
--- a/src/policybench/benchbatchpool.h
+++ b/src/policybench/benchbatchpool.h
@@ -22,21 +22,22 @@
     absl::Time finishedAt = absl::InfiniteFuture();
 };
 
-/// Batch jobs of all workspaces: one without end and without a due time each, so that there is
-/// always work, and regular ones that are due soon.
+/// Batch jobs of all workspaces. Each workspace has one endless job without a due time, so that the
+/// pool never runs empty, and gets further jobs with a due time at regular intervals.
 class BenchBatchPool
 {
 public:
     BenchBatchPool(const Deployment &deployment, std::uint64_t seed);
 
-    /// A job of \a items that are due at \a due.
+    /// Adds a job of \a items items that are due at \a due.
     void addJob(int workspace, int items, absl::Time due);
-    /// Leases the next item.
+    /// Leases the next item and returns its index.
     int lease(absl::Time now);
-    /// An item comes back after its lease ended.
-    void giveBack(int item);
+    /// Queues an item again after its lease expired.
+    void returnItem(int item);
     BatchItem &item(int index) { return m_items[static_cast<std::size_t>(index)]; }
-    /// Items due before \a end that were not done in time, and all items due before \a end.
+    /// Returns the number of items due by \a end that were not finished in time, and the number of
+    /// all items due by \a end.
     std::pair<std::size_t, std::size_t> pastDue(absl::Time end) const;
 
 private:
--- a/src/policybench/benchengine.cpp
+++ b/src/policybench/benchengine.cpp
@@ -12,7 +12,7 @@
     , m_listener(listener)
 {}
 
-void BenchEngine::submit(EngineTry run)
+void BenchEngine::submit(EngineAttempt run)
 {
     if (!m_alive) {
         m_listener.refused(m_index, run);
@@ -26,12 +26,12 @@
 
 void BenchEngine::cancel(TaskId task, int attempt, bool exportKv)
 {
-    const auto matches = [&](const EngineTry &run) {
+    const auto matches = [&](const EngineAttempt &run) {
         return run.task == task && run.attempt == attempt;
     };
     const auto waiting = std::find_if(m_waiting.begin(), m_waiting.end(), matches);
     if (waiting != m_waiting.end()) {
-        const EngineTry run = *waiting;
+        const EngineAttempt run = *waiting;
         m_waiting.erase(waiting);
         m_listener.cancelled(m_index, run);
         return;
@@ -50,7 +50,7 @@
     m_alive = false;
     m_stepping = false;
     ++m_epoch;
-    std::vector<EngineTry> lost = std::move(m_running);
+    std::vector<EngineAttempt> lost = std::move(m_running);
     lost.insert(lost.end(), m_waiting.begin(), m_waiting.end());
     m_running.clear();
     m_waiting.clear();
@@ -76,7 +76,7 @@
 void BenchEngine::admit()
 {
     while (!m_waiting.empty() && static_cast<std::int64_t>(m_running.size()) < m_model.maxBatch) {
-        EngineTry run = m_waiting.front();
+        EngineAttempt run = m_waiting.front();
         const std::int64_t context = run.promptTokens + run.delivered;
         if (m_kvTokens + context > m_model.kvCapacity && !m_running.empty())
             return;
@@ -100,11 +100,12 @@
     if (!m_stepping)
         return;
     std::int64_t prefill = 0;
-    for (const EngineTry &run : m_running)
+    for (const EngineAttempt &run : m_running)
         prefill += run.prefillLeft;
     prefill = std::min(prefill, m_model.prefillChunk);
-    const auto decoding = std::count_if(m_running.begin(), m_running.end(),
-                                        [](const EngineTry &run) { return run.prefillLeft == 0; });
+    const auto decoding =
+            std::count_if(m_running.begin(), m_running.end(),
+                          [](const EngineAttempt &run) { return run.prefillLeft == 0; });
     const absl::Duration time = m_model.stepBase + m_model.perAnswer * decoding
                                 + m_model.perContextToken * m_kvTokens
                                 + m_model.perPrefillToken * prefill;
@@ -121,7 +122,7 @@
 
 void BenchEngine::endStep()
 {
-    const auto ended = [&](const EngineTry &run) {
+    const auto ended = [&](const EngineAttempt &run) {
         const bool done = run.prefillLeft == 0 && run.delivered >= run.answerTokens;
         if (!done && !run.cancelled)
             return false;
@@ -138,7 +139,7 @@
 
 void BenchEngine::emitTokens()
 {
-    for (EngineTry &run : m_running) {
+    for (EngineAttempt &run : m_running) {
         if (run.prefillLeft > 0)
             continue;
         ++run.delivered;
@@ -151,7 +152,7 @@
 
 void BenchEngine::prefill(std::int64_t tokens)
 {
-    for (EngineTry &run : m_running) {
+    for (EngineAttempt &run : m_running) {
         if (run.prefillLeft == 0 || tokens == 0)
             continue;
         const std::int64_t part = std::min(run.prefillLeft, tokens);
@@ -173,14 +174,14 @@
     }
 }
 
-void BenchEngine::storePrefix(const EngineTry &run)
+void BenchEngine::storePrefix(const EngineAttempt &run)
 {
     if (run.prefix == 0)
         return;
-    const auto known = std::find_if(m_prefixes.begin(), m_prefixes.end(),
-                                    [&](const auto &entry) { return entry.first == run.prefix; });
-    if (known != m_prefixes.end()) {
-        m_prefixes.splice(m_prefixes.begin(), m_prefixes, known);
+    const auto cached = std::find_if(m_prefixes.begin(), m_prefixes.end(),
+                                     [&](const auto &entry) { return entry.first == run.prefix; });
+    if (cached != m_prefixes.end()) {
+        m_prefixes.splice(m_prefixes.begin(), m_prefixes, cached);
         return;
     }
     const std::int64_t tokens = std::min(run.prefixTokens, run.promptTokens);
--- a/src/policybench/benchengine.h
+++ b/src/policybench/benchengine.h
@@ -15,8 +15,8 @@
 
 namespace rattanrill::policy::bench {
 
-/// One try as an engine runs it.
-struct EngineTry
+/// One attempt at a task, as an engine runs it.
+struct EngineAttempt
 {
     TaskId task = 0;
     int attempt = 0;
@@ -38,40 +38,44 @@
     bool exportKv = false;
 };
 
-/// Receives what an engine does, at the time it does it; delays are the receiver's matter.
+/// Receives the events of engines at the time at which they happen. The listener adds the network
+/// delays.
 class EngineListener
 {
 public:
     virtual ~EngineListener() = default;
 
-    virtual void admitted(int engine, const EngineTry &run) = 0;
-    virtual void firstToken(int engine, const EngineTry &run) = 0;
-    virtual void token(int engine, const EngineTry &run, absl::Duration gap) = 0;
-    virtual void finished(int engine, const EngineTry &run) = 0;
-    virtual void cancelled(int engine, const EngineTry &run) = 0;
-    virtual void crashed(int engine, const std::vector<EngineTry> &lost) = 0;
-    /// The engine is not there.
-    virtual void refused(int engine, const EngineTry &run) = 0;
+    virtual void admitted(int engine, const EngineAttempt &run) = 0;
+    virtual void firstToken(int engine, const EngineAttempt &run) = 0;
+    virtual void token(int engine, const EngineAttempt &run, absl::Duration gap) = 0;
+    virtual void finished(int engine, const EngineAttempt &run) = 0;
+    virtual void cancelled(int engine, const EngineAttempt &run) = 0;
+    virtual void crashed(int engine, const std::vector<EngineAttempt> &lost) = 0;
+    /// Called when an attempt is submitted to an engine that is down.
+    virtual void refused(int engine, const EngineAttempt &run) = 0;
     virtual void cacheEvent(int engine, const CacheEvent &event) = 0;
 };
 
-/// Model of an engine with continuous batching: requests wait in order of arrival for one of
-/// maxBatch places; each step prefills up to a chunk in order of admission and decodes one token
-/// of every other answer; its time grows with answers, context and prefilled tokens.
+/// Model of an engine with continuous batching. Requests wait in order of arrival for one of
+/// maxBatch slots. Each step prefills up to one chunk of tokens in order of admission and decodes
+/// one token of every answer whose prefill is complete. The duration of a step grows with the
+/// number of answers, context tokens and prefilled tokens.
 class BenchEngine
 {
 public:
     BenchEngine(int index, const EngineModel &model, BenchLoop &loop, EngineListener &listener);
 
-    void submit(EngineTry run);
-    /// Takes effect at the end of the current step, or at once for waiting work.
+    void submit(EngineAttempt run);
+    /// Takes effect at the end of the current step, or at once for an attempt that is still
+    /// waiting.
     void cancel(TaskId task, int attempt, bool exportKv);
-    /// Loses all work. Comes back after \a restart unless that is infinite.
+    /// Loses all attempts and the prefix cache. The engine is up again after \a restart unless that
+    /// is infinite.
     void crash(absl::Duration restart);
 
     bool alive() const { return m_alive; }
     EngineLoad load() const;
-    const std::vector<EngineTry> &running() const { return m_running; }
+    const std::vector<EngineAttempt> &running() const { return m_running; }
     std::int64_t prefilledTokens() const { return m_prefilledTokens; }
     std::int64_t decodedTokens() const { return m_decodedTokens; }
     absl::Duration longestStep() const { return m_longestStep; }
@@ -82,7 +86,7 @@
     void endStep();
     void prefill(std::int64_t tokens);
     void emitTokens();
-    void storePrefix(const EngineTry &run);
+    void storePrefix(const EngineAttempt &run);
     void publish(CacheEvent::Kind kind, std::uint64_t prefix, std::int64_t tokens);
 
     int m_index;
@@ -92,13 +96,13 @@
     bool m_alive = true;
     bool m_stepping = false;
     std::uint64_t m_epoch = 0;
-    std::deque<EngineTry> m_waiting;
-    std::vector<EngineTry> m_running;
+    std::deque<EngineAttempt> m_waiting;
+    std::vector<EngineAttempt> m_running;
     std::int64_t m_kvTokens = 0;
     std::int64_t m_prefilledTokens = 0;
     std::int64_t m_decodedTokens = 0;
     absl::Duration m_longestStep;
-    /// Cached prefixes, most recently used first, with their tokens.
+    /// Cached prefixes with their lengths in tokens, most recently used first.
     std::list<std::pair<std::uint64_t, std::int64_t>> m_prefixes;
     std::int64_t m_prefixTokens = 0;
     std::uint64_t m_nextSequence = 1;
--- a/src/policybench/benchfigures.cpp
+++ b/src/policybench/benchfigures.cpp
@@ -14,7 +14,7 @@
     return whole > 0 ? part / whole : 0;
 }
 
-/// Requests admitted above rate * t + burst in the worst window of one workspace.
+/// Returns by how many requests the worst window of one workspace exceeds rate * t + burst.
 double overAdmission(const RateContract &contract, std::vector<absl::Time> admitted)
 {
     std::sort(admitted.begin(), admitted.end());
@@ -23,8 +23,9 @@
     for (std::size_t i = 0; i < admitted.size(); ++i) {
         const double granted =
                 contract.ratePerSecond * absl::ToDoubleSeconds(admitted[i] - absl::UnixEpoch());
-        // With i requests before the window, the excess of a window that ends here is
-        // (i + 1 - granted) less the smallest such value at its start.
+        // The excess of a window that ends with request i is (i + 1 - granted) at its end, minus
+        // (j - granted) at its first request j, minus the burst. The worst window starts at the
+        // request with the least (j - granted).
         least = std::min(least, static_cast<double>(i) - granted);
         const double excess = static_cast<double>(i + 1) - granted - least - contract.burst;
         worst = std::max(worst, excess);
@@ -43,38 +44,39 @@
     return worst;
 }
 
-double refusedInside(const FigureInput &input)
+double refusedWithinRate(const FigureInput &input)
 {
     double refused = 0;
-    double inside = 0;
+    double withinRate = 0;
     for (const WorkspaceResult &workspace : input.result.workspaces) {
-        const std::size_t outside = workspace.demand - workspace.inside;
-        // A request that nobody may grant while its owner moves is refused inside its rate too.
+        const std::size_t aboveRate = workspace.demand - workspace.withinRate;
+        // Requests that are refused because no owner may grant count as refused within the rate
+        // too.
         const std::size_t all = workspace.refused + workspace.refusedOwnerMoving;
-        const std::size_t counted = std::max(all, outside) - outside;
+        const std::size_t counted = std::max(all, aboveRate) - aboveRate;
         refused += static_cast<double>(counted);
-        inside += static_cast<double>(workspace.inside);
+        withinRate += static_cast<double>(workspace.withinRate);
     }
-    return ratio(refused, inside);
+    return ratio(refused, withinRate);
 }
 
 double refusedOwnerMoving(const FigureInput &input)
 {
     double refused = 0;
-    double inside = 0;
+    double withinRate = 0;
     for (const WorkspaceResult &workspace : input.result.workspaces) {
         refused += static_cast<double>(workspace.refusedOwnerMoving);
-        inside += static_cast<double>(workspace.inside);
+        withinRate += static_cast<double>(workspace.withinRate);
     }
-    return ratio(refused, inside);
+    return ratio(refused, withinRate);
 }
 
 double worstShare(const FigureInput &input)
 {
     double worst = 1;
     for (const WorkspaceResult &workspace : input.result.workspaces) {
-        const auto served = static_cast<double>(std::min(workspace.served, workspace.inside));
-        worst = std::min(worst, ratio(served, static_cast<double>(workspace.inside)));
+        const auto served = static_cast<double>(std::min(workspace.served, workspace.withinRate));
+        worst = std::min(worst, ratio(served, static_cast<double>(workspace.withinRate)));
     }
     return worst;
 }
@@ -86,18 +88,18 @@
     const BenchResult &result = input.result;
     figures.push_back(
             {"over_admission", worstOverAdmission(input), "requests", BoundKind::AtMost, 0});
-    figures.push_back(
-            {"refused_inside_rate_share", refusedInside(input), "share", BoundKind::AtMost, 0.001});
+    figures.push_back({"refused_inside_rate_share", refusedWithinRate(input), "share",
+                       BoundKind::AtMost, 0.001});
     const double late =
             ratio(static_cast<double>(result.batchLate), static_cast<double>(result.batchDue));
     figures.push_back({"batch_items_past_due_share", late, "share", BoundKind::AtMost, 0});
     const double wasted = ratio(static_cast<double>(result.wastedTokens),
-                                static_cast<double>(result.workedTokens));
+                                static_cast<double>(result.computedTokens));
     figures.push_back({"wasted_tokens_share", wasted, "share", BoundKind::AtMost, 0.05});
     figures.push_back({"online_ttft_p95_s", quantile(result.firstToken, 0.95), "s"});
     figures.push_back({"online_ttft_p99_s", quantile(result.firstToken, 0.99), "s"});
     figures.push_back({"batch_share_of_idle_capacity",
-                       ratio(result.batchPlaceSeconds, result.idlePlaceSeconds), "share"});
+                       ratio(result.batchSlotSeconds, result.idleSlotSeconds), "share"});
     figures.push_back({"batch_items_due", static_cast<double>(result.batchDue), "items"});
     figures.push_back({"batch_items_failed", static_cast<double>(result.batchLost), "items"});
     figures.push_back({"preemptions", static_cast<double>(result.preemptions), "count"});
@@ -111,7 +113,7 @@
                          [&](const Figure &figure) { return figure.name == name; });
 }
 
-void bound(Figures &figures, std::string_view name, BoundKind kind, double value)
+void setBound(Figures &figures, std::string_view name, BoundKind kind, double value)
 {
     Figure &figure = find(figures, name);
     figure.kind = kind;
@@ -123,9 +125,9 @@
     const BenchResult &result = input.result;
     constexpr double ttftBound = 0.41;
     constexpr double tbtBound = 0.067;
-    bound(figures, "online_ttft_p95_s", BoundKind::AtMost, ttftBound);
-    bound(figures, "batch_share_of_idle_capacity", BoundKind::AtLeast,
-          input.deployment.idleShareBound);
+    setBound(figures, "online_ttft_p95_s", BoundKind::AtMost, ttftBound);
+    setBound(figures, "batch_share_of_idle_capacity", BoundKind::AtLeast,
+             input.deployment.idleShareBound);
     figures.push_back({"online_tbt_p95_s", quantile(result.tokenGaps, 0.95), "s", BoundKind::AtMost,
                        tbtBound});
     const double alone = quantile(input.withoutBatch->firstToken, 0.99);
@@ -140,7 +142,7 @@
                        ratio(result.policySeconds * 1e6, static_cast<double>(result.decisions)),
                        "us"});
     const double seconds =
-            ratio(result.idlePlaceSeconds,
+            ratio(result.idleSlotSeconds,
                   input.deployment.engine.maxBatch * static_cast<double>(input.deployment.engines));
     figures.push_back({"batch_tokens_per_idle_s",
                        ratio(static_cast<double>(result.batchTokens), seconds), "tokens/s"});
@@ -155,10 +157,10 @@
 void addBurst(const FigureInput &input, Figures &figures)
 {
     const BenchResult &result = input.result;
-    const absl::Duration limit = input.longestStep + input.deployment.betweenDomains * 2;
-    const double yield = quantile(result.yields, 1);
-    figures.push_back(
-            {"batch_yield_s", yield, "s", BoundKind::AtMost, absl::ToDoubleSeconds(limit)});
+    const absl::Duration limit = input.longestStep + input.deployment.interDomainDelay * 2;
+    const double preemptionDelay = quantile(result.preemptionDelays, 1);
+    figures.push_back({"batch_yield_s", preemptionDelay, "s", BoundKind::AtMost,
+                       absl::ToDoubleSeconds(limit)});
     figures.push_back({"online_slot_wait_p99_s", quantile(result.slotWaits, 0.99), "s"});
 }
 
@@ -175,8 +177,8 @@
     figures.push_back({"crashed_upstreams_per_poison_request",
                        static_cast<double>(result.poisonCrashes), "upstreams", BoundKind::AtMost,
                        2});
-    figures.push_back(
-            {"innocent_requests_held", static_cast<double>(result.innocentsHeld), "requests"});
+    figures.push_back({"innocent_requests_held", static_cast<double>(result.bystandersQuarantined),
+                       "requests"});
 }
 
 using AddFigures = void (*)(const FigureInput &, Figures &);
--- a/src/policybench/benchfigures.h
+++ b/src/policybench/benchfigures.h
@@ -15,7 +15,7 @@
     AtLeast,
 };
 
-/// One figure of a run with its bound. Bounds come from the stated targets of the deployments.
+/// One figure of a run with its bound. The bounds are the stated targets of the deployments.
 struct Figure
 {
     std::string name;
@@ -27,21 +27,22 @@
     bool passes() const;
 };
 
-/// Result of a run, its counterpart without batch work where there is one, and its circumstances.
+/// Result of a run and the conditions it ran under.
 struct FigureInput
 {
     const Deployment &deployment;
     Scenario scenario;
     const LoadPlan &plan;
     const BenchResult &result;
+    /// Result of the same run without batch tasks. Filled in for the nominal scenario only.
     const BenchResult *withoutBatch = nullptr;
-    /// Longest step of any engine in the model's terms.
+    /// Longest possible step of an engine according to the model.
     absl::Duration longestStep;
 };
 
 std::vector<Figure> figuresOf(const FigureInput &input);
 
-/// One JSON line.
+/// Returns \a figure as one line of JSON, without a line break.
 std::string jsonLine(const std::string &deployment, std::string_view scenario,
                      std::string_view policy, const Figure &figure);
 
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -10,19 +10,21 @@
 
 namespace {
 
-constexpr int mostCallerTries = 8;
-/// Commit of a small change in the batch partition or the directory, without travel.
+constexpr int maxCallerAttempts = 8;
+/// Time to commit a small change in the batch partition or the directory, without the network delay
+/// to it.
 constexpr absl::Duration commitTime = absl::Milliseconds(3);
-/// A crash record reaches the entries by their long polls.
-constexpr absl::Duration recordDelay = absl::Milliseconds(100);
-/// Wall clocks of the entries differ from each other by up to twice this.
-constexpr absl::Duration largestClockError = absl::Milliseconds(10);
+/// Delay until the long polls of the entries return a new crash record.
+constexpr absl::Duration crashRecordDelay = absl::Milliseconds(100);
+/// Largest error of the wall clock of an entry. Two entries can differ by twice this value.
+constexpr absl::Duration maxClockError = absl::Milliseconds(10);
+/// A job of jobItems items is added every jobInterval and is due jobDueAfter later.
 constexpr absl::Duration jobInterval = absl::Seconds(5);
 constexpr int jobItems = 60;
-constexpr absl::Duration jobTime = absl::Seconds(45);
+constexpr absl::Duration jobDueAfter = absl::Seconds(45);
 constexpr std::int64_t prefixTokens = 256;
-constexpr std::int64_t longestOnlineAnswer = 600;
-constexpr std::int64_t longestBatchAnswer = 400;
+constexpr std::int64_t maxOnlineAnswerTokens = 600;
+constexpr std::int64_t maxBatchAnswerTokens = 400;
 constexpr int sharedPrefixHashes = 5;
 
 AdmissionKind admissionOf(PolicyKind policy)
@@ -52,7 +54,7 @@
     return std::stoi(name.substr(name.find('-') + 1));
 }
 
-/// Hashes of 64, 128, ... 1024 bytes, the shared part of a prompt.
+/// Returns the hashes of the first 64, 128, ... 1024 bytes, which are the shared part of a prompt.
 std::vector<std::uint64_t> prefixHashes(int group)
 {
     std::vector<std::uint64_t> hashes;
@@ -90,9 +92,9 @@
 BenchResult BenchFleet::run()
 {
     m_loop.runUntil(m_options.times.end());
-    countIdeal();
+    countIdealGrants();
     for (const std::unique_ptr<BenchEngine> &engine : m_engines)
-        m_result.workedTokens += engine->prefilledTokens() + engine->decodedTokens();
+        m_result.computedTokens += engine->prefilledTokens() + engine->decodedTokens();
     std::tie(m_result.batchLate, m_result.batchDue) = m_batch.pastDue(m_options.times.end());
     return std::move(m_result);
 }
@@ -126,7 +128,7 @@
                           m_deployment.shares[i]});
     for (Entry &entry : m_entries) {
         const double error = std::uniform_real_distribution<double>(-1, 1)(m_random);
-        entry.policy->setClockOffset(largestClockError * error);
+        entry.policy->setClockOffset(maxClockError * error);
         entry.policy->setWorkspaces(shares);
         entry.policy->setEntries(entry.name, entryNames());
         entry.policy->setEngines(m_loop.now(), engineList());
@@ -177,7 +179,7 @@
     for (absl::Time at = absl::UnixEpoch() + jobInterval; at < m_options.times.end();
          at += jobInterval) {
         m_loop.at(at, [this, workspace] {
-            m_batch.addJob(workspace, jobItems, m_loop.now() + jobTime);
+            m_batch.addJob(workspace, jobItems, m_loop.now() + jobDueAfter);
         });
         workspace = (workspace + 1) % static_cast<int>(m_plan.contracts.size());
     }
@@ -192,7 +194,7 @@
         m_loop.at(at, [this] { loseDomain(0); });
 }
 
-void BenchFleet::countIdeal()
+void BenchFleet::countIdealGrants()
 {
     std::vector<TokenBucket> ideal;
     for (const RateContract &contract : m_plan.contracts)
@@ -201,64 +203,66 @@
         const PlannedRequest &request = m_plan.online[i];
         const auto workspace = static_cast<std::size_t>(request.workspace);
         const bool granted = ideal[workspace].take(request.at, 1).granted;
-        if (!counts(static_cast<int>(i)))
+        if (!isCounted(static_cast<int>(i)))
             continue;
         ++m_result.workspaces[workspace].demand;
-        m_result.workspaces[workspace].inside += granted ? 1 : 0;
+        m_result.workspaces[workspace].withinRate += granted ? 1 : 0;
     }
 }
 
 // Callers
 
-void BenchFleet::send(int request, int callerTries)
+void BenchFleet::send(int request, int callerAttempts)
 {
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
-    const bool again = callerTries > 1;
+    const bool isResend = callerAttempts > 1;
     const double share =
-            again ? std::uniform_real_distribution<double>(0, 1)(m_random) : planned.balancer;
-    const std::size_t entry = balance(share);
-    m_loop.after(m_deployment.toClients,
-                 [this, request, callerTries, entry] { admit(request, callerTries, entry); });
+            isResend ? std::uniform_real_distribution<double>(0, 1)(m_random) : planned.entryChoice;
+    const std::size_t entry = chooseEntry(share);
+    m_loop.after(m_deployment.clientDelay,
+                 [this, request, callerAttempts, entry] { admit(request, callerAttempts, entry); });
 }
 
-std::size_t BenchFleet::balance(double share) const
+std::size_t BenchFleet::chooseEntry(double share) const
 {
     std::vector<std::size_t> alive;
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         if (m_entries[i].alive)
             alive.push_back(i);
     }
-    const auto place = static_cast<std::size_t>(share * static_cast<double>(alive.size()));
-    return alive[std::min(place, alive.size() - 1)];
+    const auto choice = static_cast<std::size_t>(share * static_cast<double>(alive.size()));
+    return alive[std::min(choice, alive.size() - 1)];
 }
 
-void BenchFleet::admit(int request, int callerTries, std::size_t entry)
+void BenchFleet::admit(int request, int callerAttempts, std::size_t entry)
 {
     const auto workspace =
             static_cast<std::size_t>(m_plan.online[static_cast<std::size_t>(request)].workspace);
-    if (m_admission.isMoving(m_loop.now(), workspace)) {
+    if (m_admission.isOwnerMoving(m_loop.now(), workspace)) {
         refusedByRate(request, true);
         return;
     }
     const std::size_t owner = m_admission.owner(workspace, entry);
-    const absl::Duration travel = owner == entry ? absl::ZeroDuration() : entryLink(entry, owner);
+    const absl::Duration delay =
+            owner == entry ? absl::ZeroDuration() : entryLinkDelay(entry, owner);
     ++m_result.requests;
     m_result.admissionMessages += owner == entry ? 0 : 2;
-    m_loop.after(travel, [this, request, callerTries, entry, workspace, travel] {
+    m_loop.after(delay, [this, request, callerAttempts, entry, workspace, delay] {
         const RateGrant grant = m_admission.take(m_loop.now(), workspace, entry);
         if (!grant.granted) {
             refusedByRate(request, false);
             return;
         }
         m_result.workspaces[workspace].admitted.push_back(m_loop.now() + grant.wait);
-        m_loop.after(std::max(travel, grant.wait),
-                     [this, request, callerTries, entry] { arrive(request, callerTries, entry); });
+        m_loop.after(std::max(delay, grant.wait), [this, request, callerAttempts, entry] {
+            arrive(request, callerAttempts, entry);
+        });
     });
 }
 
 void BenchFleet::refusedByRate(int request, bool ownerMoving)
 {
-    if (!counts(request))
+    if (!isCounted(request))
         return;
     const int workspace = m_plan.online[static_cast<std::size_t>(request)].workspace;
     WorkspaceResult &result = m_result.workspaces[static_cast<std::size_t>(workspace)];
@@ -266,24 +270,24 @@
     ++m_result.refusals[ownerMoving ? "rate_unknown" : "rate_limited"];
 }
 
-void BenchFleet::arrive(int request, int callerTries, std::size_t entry)
+void BenchFleet::arrive(int request, int callerAttempts, std::size_t entry)
 {
     if (!m_entries[entry].alive) {
-        m_loop.after(callerResend, [=] { send(request, callerTries + 1); });
+        m_loop.after(callerResendDelay, [=] { send(request, callerAttempts + 1); });
         return;
     }
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
     Running running;
     running.entry = entry;
     running.index = request;
-    running.callerTries = callerTries;
+    running.callerAttempts = callerAttempts;
     running.answerTokens = planned.answerTokens;
     running.arrivedAt = m_loop.now();
-    running.task.id = m_nextWork++;
+    running.task.id = m_nextTask++;
     running.task.workspace = workspaceName(planned.workspace);
     running.task.model = "model";
     running.task.promptTokens = planned.promptTokens;
-    running.task.maxTokens = longestOnlineAnswer;
+    running.task.maxTokens = maxOnlineAnswerTokens;
     running.task.prefixHashes = prefixHashes(planned.prefixGroup);
     running.task.fingerprint = concat("request-", request);
     const Task task = running.task;
@@ -292,19 +296,21 @@
     decide(entry);
 }
 
-void BenchFleet::onlineEnded(const Running &running, const Failure &failure)
+void BenchFleet::onlineRejected(const Running &running, const Failure &failure)
 {
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(running.index)];
     ++m_result.refusals[std::string(rattanrill::name(failure.code))];
     if (planned.poison) {
-        if (running.callerTries < mostCallerTries)
-            m_loop.after(callerResend, [this, request = running.index,
-                                        tries = running.callerTries] { send(request, tries + 1); });
+        if (running.callerAttempts < maxCallerAttempts)
+            m_loop.after(callerResendDelay,
+                         [this, request = running.index, attempts = running.callerAttempts] {
+                             send(request, attempts + 1);
+                         });
         return;
     }
     if (failure.code == ErrorCode::RequestQuarantined)
-        ++m_result.innocentsHeld;
-    if (!counts(running.index) || running.gotFirstToken)
+        ++m_result.bystandersQuarantined;
+    if (!isCounted(running.index) || running.firstTokenReceived)
         return;
     ++m_result.workspaces[static_cast<std::size_t>(planned.workspace)].refused;
 }
@@ -316,17 +322,18 @@
     Entry &entry = m_entries[index];
     const auto begin = std::chrono::steady_clock::now();
     const std::vector<SchedulerDecision> decisions = entry.policy->decide(m_loop.now());
-    const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - begin;
-    m_result.policySeconds += spent.count();
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
+    m_result.policySeconds += elapsed.count();
     m_result.decisions += decisions.size();
     for (const SchedulerDecision &decision : decisions)
-        std::visit([&](const auto &made) { carryOut(index, made); }, decision);
+        std::visit([&](const auto &alternative) { execute(index, alternative); }, decision);
     leaseBatch(index);
     const absl::Time next = entry.policy->nextDecision();
     if (next >= entry.wakeAt || next > m_options.times.end())
         return;
     entry.wakeAt = next;
-    // Waking a little late keeps times that round down from waking twice.
+    // The wake-up is 1 ns late. A time that was rounded down would otherwise cause a second
+    // wake-up.
     m_loop.at(next + absl::Nanoseconds(1), [this, index, next] {
         if (!m_entries[index].alive || m_entries[index].wakeAt != next)
             return;
@@ -335,7 +342,7 @@
     });
 }
 
-void BenchFleet::carryOut(std::size_t entry, const StartTask &start)
+void BenchFleet::execute(std::size_t entry, const StartTask &start)
 {
     Running &running = m_running.at(start.task);
     running.attempt = start.attempt;
@@ -347,7 +354,7 @@
                 other.preemptedFor.back() = running.arrivedAt;
         }
     }
-    EngineTry run;
+    EngineAttempt run;
     run.task = start.task;
     run.attempt = start.attempt;
     run.entry = static_cast<int>(entry);
@@ -361,38 +368,38 @@
     run.prefixTokens = prefixTokens;
     run.poison = online && m_plan.online[static_cast<std::size_t>(running.index)].poison;
     BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
-    m_loop.after(link(entry, running.engine), [&engine, run] { engine.submit(run); });
+    m_loop.after(linkDelay(entry, running.engine), [&engine, run] { engine.submit(run); });
 }
 
-void BenchFleet::carryOut(std::size_t entry, const PreemptTask &preempt)
+void BenchFleet::execute(std::size_t entry, const PreemptTask &preempt)
 {
     Running &running = m_running.at(preempt.task);
     running.preemptedFor.push_back(absl::InfinitePast());
     ++m_result.preemptions;
     BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
-    m_loop.after(link(entry, running.engine), [&engine, preempt] {
+    m_loop.after(linkDelay(entry, running.engine), [&engine, preempt] {
         engine.cancel(preempt.task, preempt.attempt, preempt.method == PreemptMethod::ExportKv);
     });
 }
 
-void BenchFleet::carryOut(std::size_t /*entry*/, const RejectTask &refuse)
+void BenchFleet::execute(std::size_t /*entry*/, const RejectTask &reject)
 {
-    const auto found = m_running.find(refuse.task);
+    const auto found = m_running.find(reject.task);
     if (found == m_running.end())
         return;
     if (found->second.task.kind == TaskKind::Online) {
-        onlineEnded(found->second, refuse.failure);
+        onlineRejected(found->second, reject.failure);
     } else {
         ++m_result.batchLost;
-        if (refuse.failure.code == ErrorCode::RequestQuarantined)
-            ++m_result.innocentsHeld;
+        if (reject.failure.code == ErrorCode::RequestQuarantined)
+            ++m_result.bystandersQuarantined;
     }
     m_running.erase(found);
 }
 
-void BenchFleet::carryOut(std::size_t /*entry*/, const RecordCrash &record)
+void BenchFleet::execute(std::size_t /*entry*/, const RecordCrash &record)
 {
-    m_loop.after(recordDelay, [this, record] {
+    m_loop.after(crashRecordDelay, [this, record] {
         std::set<std::string> &engines = m_crashRecords[record.fingerprint];
         engines.insert(record.engine);
         const std::vector<std::string> list(engines.begin(), engines.end());
@@ -411,20 +418,20 @@
     if (entry.policy->batchCapacity(m_loop.now()) == 0)
         return;
     entry.leasing = true;
-    m_loop.after(m_deployment.betweenDomains * 2 + commitTime, [this, index] {
+    m_loop.after(m_deployment.interDomainDelay * 2 + commitTime, [this, index] {
         Entry &leaser = m_entries[index];
         leaser.leasing = false;
         if (!leaser.alive)
             return;
-        const std::size_t room = leaser.policy->batchCapacity(m_loop.now());
-        for (std::size_t i = 0; i < room; ++i) {
+        const std::size_t capacity = leaser.policy->batchCapacity(m_loop.now());
+        for (std::size_t i = 0; i < capacity; ++i) {
             const int item = m_batch.lease(m_loop.now());
             Running running;
             running.entry = index;
             running.index = item;
             running.answerTokens = m_batch.item(item).answerTokens;
             running.delivered = m_batch.item(item).delivered;
-            running.task = batchWork(item, m_nextWork++);
+            running.task = batchTask(item, m_nextTask++);
             running.task.deliveredTokens = running.delivered;
             const Task task = running.task;
             m_running[task.id] = std::move(running);
@@ -434,7 +441,7 @@
     });
 }
 
-Task BenchFleet::batchWork(int item, TaskId id) const
+Task BenchFleet::batchTask(int item, TaskId id) const
 {
     const BatchItem &leased = const_cast<BenchBatchPool &>(m_batch).item(item);
     Task task;
@@ -443,7 +450,7 @@
     task.kind = TaskKind::Batch;
     task.model = "model";
     task.promptTokens = leased.promptTokens;
-    task.maxTokens = longestBatchAnswer;
+    task.maxTokens = maxBatchAnswerTokens;
     task.deadline = leased.due;
     task.fingerprint = concat("item-", item);
     return task;
--- a/src/policybench/benchfleet.h
+++ b/src/policybench/benchfleet.h
@@ -19,24 +19,24 @@
 
 namespace rattanrill::policy::bench {
 
-/// A caller whose request failed sends it again after this.
-constexpr absl::Duration callerResend = absl::Milliseconds(500);
+/// Delay after which a caller sends a failed request again.
+constexpr absl::Duration callerResendDelay = absl::Milliseconds(500);
 
 std::string engineName(int index);
 
 struct RunOptions
 {
     Scenario scenario = Scenario::Nominal;
-    PolicyKind policy = PolicyKind::Ours;
+    PolicyKind policy = PolicyKind::Rattanrill;
     bool withBatch = true;
     RunTimes times;
     std::uint64_t seed = 1;
-    /// Instead of the deployment's, to see the effect of the setting.
+    /// Overrides the deployment's value, to show the effect of the setting.
     std::optional<double> onlineTailWeight;
 };
 
-/// One run: callers, entries with their policies, engines, the batch pool and the directory's crash
-/// records, connected by messages with the deployment's delays.
+/// Simulates one run: callers, entries with their policies, engines, the batch pool and the crash
+/// records of the directory. They exchange messages that take the deployment's delays.
 class BenchFleet : public EngineListener
 {
 public:
@@ -58,16 +58,16 @@
     {
         Task task;
         std::size_t entry = 0;
-        /// Index in the plan or of the batch item.
+        /// Index of the request in the plan, or of the batch item in the pool.
         int index = 0;
-        int callerTries = 0;
+        int callerAttempts = 0;
         std::int64_t answerTokens = 0;
         std::int64_t delivered = 0;
         absl::Time arrivedAt;
         std::vector<absl::Time> preemptedFor;
         int engine = -1;
         int attempt = 0;
-        bool gotFirstToken = false;
+        bool firstTokenReceived = false;
     };
 
     // Set-up
@@ -76,55 +76,56 @@
     void scheduleLoad();
     void scheduleBatchJobs();
     void scheduleDisturbance();
-    void countIdeal();
+    void countIdealGrants();
     SchedulerSettings settingsOf(const Entry &entry) const;
     std::vector<EngineInfo> engineList() const;
     std::vector<std::string> entryNames() const;
 
     // Callers
-    void send(int request, int callerTries);
-    void admit(int request, int callerTries, std::size_t entry);
+    void send(int request, int callerAttempts);
+    void admit(int request, int callerAttempts, std::size_t entry);
     void refusedByRate(int request, bool ownerMoving);
-    void arrive(int request, int callerTries, std::size_t entry);
-    void onlineEnded(const Running &running, const Failure &failure);
-    std::size_t balance(double share) const;
+    void arrive(int request, int callerAttempts, std::size_t entry);
+    void onlineRejected(const Running &running, const Failure &failure);
+    std::size_t chooseEntry(double share) const;
 
     // Entries
     void decide(std::size_t entry);
-    void carryOut(std::size_t entry, const StartTask &start);
-    void carryOut(std::size_t entry, const PreemptTask &preempt);
-    void carryOut(std::size_t entry, const RejectTask &refuse);
-    void carryOut(std::size_t entry, const RecordCrash &record);
+    void execute(std::size_t entry, const StartTask &start);
+    void execute(std::size_t entry, const PreemptTask &preempt);
+    void execute(std::size_t entry, const RejectTask &reject);
+    void execute(std::size_t entry, const RecordCrash &record);
     void leaseBatch(std::size_t entry);
-    Task batchWork(int item, TaskId id) const;
+    Task batchTask(int item, TaskId id) const;
 
     // Engines
-    void admitted(int engine, const EngineTry &run) override;
-    void firstToken(int engine, const EngineTry &run) override;
-    void token(int engine, const EngineTry &run, absl::Duration gap) override;
-    void finished(int engine, const EngineTry &run) override;
-    void cancelled(int engine, const EngineTry &run) override;
-    void crashed(int engine, const std::vector<EngineTry> &lost) override;
-    void refused(int engine, const EngineTry &run) override;
+    void admitted(int engine, const EngineAttempt &run) override;
+    void firstToken(int engine, const EngineAttempt &run) override;
+    void token(int engine, const EngineAttempt &run, absl::Duration gap) override;
+    void finished(int engine, const EngineAttempt &run) override;
+    void cancelled(int engine, const EngineAttempt &run) override;
+    void crashed(int engine, const std::vector<EngineAttempt> &lost) override;
+    void refused(int engine, const EngineAttempt &run) override;
     void cacheEvent(int engine, const CacheEvent &event) override;
     void report(int engine);
     void sample(const BenchEngine &engine);
-    void fail(int engine, const EngineTry &run, AttemptFailure::Kind kind, absl::Duration delay);
-    /// Runs \a event at the entry of \a run after the link's delay, then decides, when the try is
-    /// still current.
+    void fail(int engine, const EngineAttempt &run, AttemptFailure::Kind kind,
+              absl::Duration delay);
+    /// Runs \a event at the entry of \a run after the delay of the link and lets the entry decide.
+    /// Does nothing if the entry is lost or the attempt is no longer the current one of its task.
     template <typename Event>
-    void deliver(int engine, const EngineTry &run, Event event);
+    void deliver(int engine, const EngineAttempt &run, Event event);
 
     // Faults
     void loseUpstream(int engine, bool reset);
     void loseEntry(std::size_t entry);
     void loseDomain(int domain);
-    void listChanged();
+    void updateLists();
 
-    absl::Duration link(std::size_t entry, int engine) const;
-    absl::Duration entryLink(std::size_t from, std::size_t to) const;
+    absl::Duration linkDelay(std::size_t entry, int engine) const;
+    absl::Duration entryLinkDelay(std::size_t from, std::size_t to) const;
     bool measured(absl::Time time) const;
-    bool counts(int request) const;
+    bool isCounted(int request) const;
 
     const Deployment &m_deployment;
     RunOptions m_options;
@@ -141,7 +142,7 @@
     std::vector<bool> m_hanging;
     std::vector<Entry> m_entries;
     std::unordered_map<TaskId, Running> m_running;
-    TaskId m_nextWork = 1;
+    TaskId m_nextTask = 1;
     std::map<std::string, std::set<std::string>> m_crashRecords;
     BenchResult m_result;
 };
--- a/src/policybench/benchfleet_engines.cpp
+++ b/src/policybench/benchfleet_engines.cpp
@@ -6,33 +6,34 @@
 #include <algorithm>
 #include <chrono>
 
-/// What engines and faults do to a BenchFleet.
+/// The parts of BenchFleet that handle engine events and inject faults.
 namespace rattanrill::policy::bench {
 
 namespace {
 
-constexpr absl::Duration nearLink = absl::Microseconds(100);
-/// Time after which a silent connection is given up.
+constexpr absl::Duration sameDomainDelay = absl::Microseconds(100);
+/// Time without data after which a connection is considered lost.
 constexpr absl::Duration silenceTimeout = absl::Seconds(1);
 constexpr absl::Duration connectTimeout = absl::Milliseconds(500);
 constexpr absl::Duration memberTimeout = absl::Seconds(4);
 constexpr absl::Duration ownerLease = absl::Seconds(2);
 constexpr absl::Duration batchLease = absl::Seconds(5);
-/// The list of upstreams lags.
-constexpr absl::Duration listLag = absl::Seconds(5);
+/// Delay until a lost upstream is removed from the list of upstreams.
+constexpr absl::Duration upstreamListDelay = absl::Seconds(5);
 constexpr int progressEveryReports = 3;
-/// Requests after this are not counted, because the run ends before they can be served.
-constexpr absl::Duration tail = absl::Seconds(2);
+/// Requests that arrive within this time before the end of the run are not counted, because the run
+/// ends before they can be served.
+constexpr absl::Duration drainTime = absl::Seconds(2);
 
 } // namespace
 
 // Engines
 
 template <typename Event>
-void BenchFleet::deliver(int engine, const EngineTry &run, Event event)
+void BenchFleet::deliver(int engine, const EngineAttempt &run, Event event)
 {
     const auto entry = static_cast<std::size_t>(run.entry);
-    m_loop.after(link(entry, engine), [this, entry, run, event] {
+    m_loop.after(linkDelay(entry, engine), [this, entry, run, event] {
         const auto found = m_running.find(run.task);
         const bool current = found != m_running.end() && found->second.attempt == run.attempt;
         if (!m_entries[entry].alive || !current)
@@ -42,7 +43,7 @@
     });
 }
 
-void BenchFleet::admitted(int /*engine*/, const EngineTry &run)
+void BenchFleet::admitted(int /*engine*/, const EngineAttempt &run)
 {
     if (run.kind == TaskKind::Online && measured(m_loop.now()))
         m_result.slotWaits.push_back(absl::ToDoubleSeconds(m_loop.now() - run.submittedAt));
@@ -50,24 +51,24 @@
         m_result.wastedTokens += run.prefillLeft;
 }
 
-void BenchFleet::firstToken(int engine, const EngineTry &run)
+void BenchFleet::firstToken(int engine, const EngineAttempt &run)
 {
     deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
         policy.firstToken(m_loop.now(), run.task, run.attempt);
         running.delivered = std::max(running.delivered, run.delivered);
-        if (run.kind == TaskKind::Batch || running.gotFirstToken)
+        if (run.kind == TaskKind::Batch || running.firstTokenReceived)
             return;
-        running.gotFirstToken = true;
+        running.firstTokenReceived = true;
         const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(running.index)];
-        if (!counts(running.index))
+        if (!isCounted(running.index))
             return;
         ++m_result.workspaces[static_cast<std::size_t>(planned.workspace)].served;
-        const absl::Duration time = m_loop.now() + m_deployment.toClients - planned.at;
+        const absl::Duration time = m_loop.now() + m_deployment.clientDelay - planned.at;
         m_result.firstToken.push_back(absl::ToDoubleSeconds(time));
     });
 }
 
-void BenchFleet::token(int /*engine*/, const EngineTry &run, absl::Duration gap)
+void BenchFleet::token(int /*engine*/, const EngineAttempt &run, absl::Duration gap)
 {
     if (run.kind == TaskKind::Online && measured(m_loop.now()))
         m_result.tokenGaps.push_back(absl::ToDoubleSeconds(gap));
@@ -75,7 +76,7 @@
         ++m_result.batchTokens;
 }
 
-void BenchFleet::finished(int engine, const EngineTry &run)
+void BenchFleet::finished(int engine, const EngineAttempt &run)
 {
     deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
         if (run.kind == TaskKind::Batch)
@@ -85,40 +86,41 @@
     });
 }
 
-void BenchFleet::cancelled(int engine, const EngineTry &run)
+void BenchFleet::cancelled(int engine, const EngineAttempt &run)
 {
     const absl::Time freedAt = m_loop.now();
     deliver(engine, run, [this, run, freedAt](Running &running, BenchPolicy &policy) {
         const bool forOnline = !running.preemptedFor.empty()
                                && running.preemptedFor.back() != absl::InfinitePast();
         if (forOnline && measured(freedAt))
-            m_result.yields.push_back(absl::ToDoubleSeconds(freedAt - running.preemptedFor.back()));
+            m_result.preemptionDelays.push_back(
+                    absl::ToDoubleSeconds(freedAt - running.preemptedFor.back()));
         running.delivered = run.delivered;
         const std::string handle = run.exportKv ? concat("kv-", run.task) : std::string();
         policy.preempted(m_loop.now(), run.task, run.attempt, run.delivered, handle);
     });
 }
 
-void BenchFleet::crashed(int engine, const std::vector<EngineTry> &lost)
+void BenchFleet::crashed(int engine, const std::vector<EngineAttempt> &lost)
 {
-    const bool byRequest =
-            std::any_of(lost.begin(), lost.end(), [](const EngineTry &run) { return run.poison; });
+    const bool byRequest = std::any_of(lost.begin(), lost.end(),
+                                       [](const EngineAttempt &run) { return run.poison; });
     if (byRequest && !m_hanging[static_cast<std::size_t>(engine)])
         ++m_result.poisonCrashes;
     const bool hanging = m_hanging[static_cast<std::size_t>(engine)];
-    for (const EngineTry &run : lost)
+    for (const EngineAttempt &run : lost)
         fail(engine, run, AttemptFailure::Kind::Crashed,
              hanging ? silenceTimeout : absl::ZeroDuration());
 }
 
-void BenchFleet::refused(int engine, const EngineTry &run)
+void BenchFleet::refused(int engine, const EngineAttempt &run)
 {
     const bool hanging = m_hanging[static_cast<std::size_t>(engine)];
     fail(engine, run, AttemptFailure::Kind::Refused,
          hanging ? connectTimeout : absl::ZeroDuration());
 }
 
-void BenchFleet::fail(int engine, const EngineTry &run, AttemptFailure::Kind kind,
+void BenchFleet::fail(int engine, const EngineAttempt &run, AttemptFailure::Kind kind,
                       absl::Duration delay)
 {
     m_loop.after(delay, [this, engine, run, kind] {
@@ -155,7 +157,7 @@
     sample(engine);
     const EngineLoad load = engine.load();
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
-        const absl::Duration age = m_deployment.engine.reportLag + link(i, index);
+        const absl::Duration age = m_deployment.engine.reportLag + linkDelay(i, index);
         m_loop.after(age, [this, i, index, load, age] {
             if (!m_entries[i].alive)
                 return;
@@ -170,7 +172,7 @@
                              / absl::ToInt64Milliseconds(m_deployment.engine.reportInterval));
     if (tick % progressEveryReports != 0)
         return;
-    for (const EngineTry &run : engine.running()) {
+    for (const EngineAttempt &run : engine.running()) {
         if (run.prefillLeft > 0)
             continue;
         const auto found = m_running.find(run.task);
@@ -189,10 +191,10 @@
     const double seconds = absl::ToDoubleSeconds(m_deployment.engine.reportInterval);
     std::int64_t online = 0;
     std::int64_t batch = 0;
-    for (const EngineTry &run : engine.running())
+    for (const EngineAttempt &run : engine.running())
         ++(run.kind == TaskKind::Online ? online : batch);
-    m_result.batchPlaceSeconds += static_cast<double>(batch) * seconds;
-    m_result.idlePlaceSeconds +=
+    m_result.batchSlotSeconds += static_cast<double>(batch) * seconds;
+    m_result.idleSlotSeconds +=
             static_cast<double>(m_deployment.engine.maxBatch - online) * seconds;
 }
 
@@ -203,9 +205,9 @@
     const auto index = static_cast<std::size_t>(engine);
     m_hanging[index] = !reset;
     m_engines[index]->crash(absl::InfiniteDuration());
-    m_loop.after(listLag, [this, index] {
+    m_loop.after(upstreamListDelay, [this, index] {
         m_listed[index] = false;
-        listChanged();
+        updateLists();
     });
 }
 
@@ -230,10 +232,12 @@
             m_engines[static_cast<std::size_t>(running.engine)]->cancel(running.task.id,
                                                                         running.attempt, false);
         if (running.task.kind == TaskKind::Batch)
-            m_loop.after(batchLease, [this, item = running.index] { m_batch.giveBack(item); });
+            m_loop.after(batchLease, [this, item = running.index] { m_batch.returnItem(item); });
         else
-            m_loop.after(callerResend, [this, request = running.index,
-                                        tries = running.callerTries] { send(request, tries + 1); });
+            m_loop.after(callerResendDelay,
+                         [this, request = running.index, attempts = running.callerAttempts] {
+                             send(request, attempts + 1);
+                         });
     }
 }
 
@@ -251,10 +255,10 @@
     }
     for (const std::size_t entry : lost)
         loseEntry(entry);
-    m_loop.after(memberTimeout, [this] { listChanged(); });
+    m_loop.after(memberTimeout, [this] { updateLists(); });
 }
 
-void BenchFleet::listChanged()
+void BenchFleet::updateLists()
 {
     for (Entry &entry : m_entries) {
         if (!entry.alive)
@@ -264,16 +268,17 @@
     }
 }
 
-absl::Duration BenchFleet::link(std::size_t entry, int engine) const
+absl::Duration BenchFleet::linkDelay(std::size_t entry, int engine) const
 {
-    const bool near = m_entries[entry].domain == m_engineDomain[static_cast<std::size_t>(engine)];
-    return near ? nearLink : m_deployment.betweenDomains;
+    const bool sameDomain =
+            m_entries[entry].domain == m_engineDomain[static_cast<std::size_t>(engine)];
+    return sameDomain ? sameDomainDelay : m_deployment.interDomainDelay;
 }
 
-absl::Duration BenchFleet::entryLink(std::size_t from, std::size_t to) const
+absl::Duration BenchFleet::entryLinkDelay(std::size_t from, std::size_t to) const
 {
-    const bool near = m_entries[from].domain == m_entries[to].domain;
-    return near ? nearLink : m_deployment.betweenDomains;
+    const bool sameDomain = m_entries[from].domain == m_entries[to].domain;
+    return sameDomain ? sameDomainDelay : m_deployment.interDomainDelay;
 }
 
 bool BenchFleet::measured(absl::Time time) const
@@ -281,10 +286,11 @@
     return time >= m_options.times.start() && time < m_options.times.end();
 }
 
-bool BenchFleet::counts(int request) const
+bool BenchFleet::isCounted(int request) const
 {
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
-    return !planned.poison && measured(planned.at) && planned.at < m_options.times.end() - tail;
+    return !planned.poison && measured(planned.at)
+           && planned.at < m_options.times.end() - drainTime;
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchloop.h
+++ b/src/policybench/benchloop.h
@@ -11,7 +11,8 @@
 
 namespace rattanrill::policy::bench {
 
-/// Virtual time: runs events in order of time, then in order of creation.
+/// Event loop in virtual time. Runs events in order of time, and those at the same time in order of
+/// creation.
 class BenchLoop
 {
 public:
--- a/src/policybench/benchpolicy.cpp
+++ b/src/policybench/benchpolicy.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::array<EnumName<PolicyKind>, 5> policyNames{{
-        {PolicyKind::Ours, "rattanrill"},
+        {PolicyKind::Rattanrill, "rattanrill"},
         {PolicyKind::FirstComeFirstServed, "first_come_first_served"},
         {PolicyKind::StaticRateShare, "static_rate_share"},
         {PolicyKind::RoundRobin, "round_robin"},
         {PolicyKind::LeastReportedLoad, "least_reported_load"},
 }};
 
-/// Batch work takes every place, as when nothing tells it from online work.
+/// Batch tasks may fill every slot, as in a system that doesn't distinguish them from online tasks.
 constexpr double fcfsFill = 1.0;
 constexpr double simpleFill = 0.9;
 
@@ -38,7 +38,7 @@
         return std::make_unique<BaselinePolicy>(BaselineRules{true, simpleFill});
     case PolicyKind::LeastReportedLoad:
         return std::make_unique<BaselinePolicy>(BaselineRules{false, simpleFill});
-    case PolicyKind::Ours:
+    case PolicyKind::Rattanrill:
     case PolicyKind::StaticRateShare:
         break;
     }
--- a/src/policybench/benchpolicy.h
+++ b/src/policybench/benchpolicy.h
@@ -10,7 +10,7 @@
 namespace rattanrill::policy::bench {
 
 enum class PolicyKind {
-    Ours,
+    Rattanrill,
     FirstComeFirstServed,
     StaticRateShare,
     RoundRobin,
@@ -19,7 +19,8 @@
 
 std::string_view name(PolicyKind kind);
 
-/// Decisions of one entry, as the bench drives them. Events are those of Scheduler.
+/// Scheduling policy of one entry, as the benchmark drives it. The functions have the same meaning
+/// as those of Scheduler.
 class BenchPolicy
 {
 public:
--- a/src/policybench/benchresult.cpp
+++ b/src/policybench/benchresult.cpp
@@ -11,8 +11,8 @@
         return 0;
     const auto rank =
             static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
-    const std::size_t place = std::clamp<std::size_t>(rank, 1, values.size()) - 1;
-    const auto nth = values.begin() + static_cast<std::ptrdiff_t>(place);
+    const std::size_t position = std::clamp<std::size_t>(rank, 1, values.size()) - 1;
+    const auto nth = values.begin() + static_cast<std::ptrdiff_t>(position);
     std::nth_element(values.begin(), nth, values.end());
     return *nth;
 }
--- a/src/policybench/benchresult.h
+++ b/src/policybench/benchresult.h
@@ -10,17 +10,17 @@
 
 namespace rattanrill::policy::bench {
 
-/// What one workspace asked for and got in the measured part of a run.
+/// Requests of one workspace and their outcomes in the measured part of a run.
 struct WorkspaceResult
 {
     std::size_t demand = 0;
-    /// Requests that an ideal bucket without delay grants.
-    std::size_t inside = 0;
+    /// Requests that an ideal bucket, which all entries reach without delay, grants.
+    std::size_t withinRate = 0;
     std::size_t served = 0;
     std::size_t refused = 0;
-    /// Refused because the owner of the bucket was lost and the next one may not grant yet.
+    /// Requests refused because the owner of the bucket was lost and the new one may not grant yet.
     std::size_t refusedOwnerMoving = 0;
-    /// Times at which granted requests came into use.
+    /// Times from which the grants are valid.
     std::vector<absl::Time> admitted;
 };
 
@@ -28,34 +28,38 @@
 struct BenchResult
 {
     std::vector<WorkspaceResult> workspaces;
-    /// Seconds.
+    /// Times to the first token, in seconds.
     std::vector<double> firstToken;
+    /// Times between tokens, in seconds.
     std::vector<double> tokenGaps;
-    /// Seconds from an online arrival to the freed place of the batch work preempted for it.
-    std::vector<double> yields;
-    /// Seconds from submission to a place on the engine, online work.
+    /// Seconds from the arrival of an online task until the batch task preempted for it frees its
+    /// slot.
+    std::vector<double> preemptionDelays;
+    /// Seconds that online tasks wait from submission until they get a slot on the engine.
     std::vector<double> slotWaits;
-    double batchPlaceSeconds = 0;
-    double idlePlaceSeconds = 0;
+    double batchSlotSeconds = 0;
+    double idleSlotSeconds = 0;
     std::int64_t wastedTokens = 0;
-    std::int64_t workedTokens = 0;
+    std::int64_t computedTokens = 0;
     std::int64_t batchTokens = 0;
     std::size_t batchLate = 0;
     std::size_t batchDue = 0;
     std::size_t batchLost = 0;
     std::size_t preemptions = 0;
     std::size_t poisonCrashes = 0;
-    std::size_t innocentsHeld = 0;
+    /// Quarantined requests and batch items that cause no crash themselves.
+    std::size_t bystandersQuarantined = 0;
     std::size_t requests = 0;
     std::size_t admissionMessages = 0;
     std::size_t decisions = 0;
-    /// Wall clock, for the report only.
+    /// Wall-clock time spent in the policies, in seconds. Not reproducible, and used only in the
+    /// report.
     double policySeconds = 0;
     /// Refusals by error code.
     std::map<std::string, std::size_t> refusals;
 };
 
-/// Value at \a share (0 to 1) of \a values; 0 when there are none.
+/// Returns the \a share quantile (0 to 1) of \a values, or 0 if \a values is empty.
 double quantile(std::vector<double> values, double share);
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchscenario.cpp
+++ b/src/policybench/benchscenario.cpp
@@ -21,12 +21,12 @@
 
 /// Contract rate relative to the nominal demand.
 constexpr double contractHeadroom = 2;
-/// Burst of a contract in seconds of its rate, and its least value.
+/// Burst of a contract in seconds of its rate, and the smallest burst in requests.
 constexpr double burstSeconds = 2;
-constexpr double smallestBurst = 5;
+constexpr double minBurst = 5;
 constexpr double surgeFactor = 10;
-constexpr double promptSpread = 0.6;
-constexpr std::int64_t longestPrompt = 3000;
+constexpr double promptSigma = 0.6;
+constexpr std::int64_t maxPromptTokens = 3000;
 constexpr int prefixGroupsPerWorkspace = 4;
 constexpr absl::Duration burstRamp = absl::Seconds(1);
 constexpr absl::Duration burstLength = absl::Seconds(10);
@@ -44,15 +44,15 @@
     PlannedRequest request;
     request.at = at;
     request.workspace = workspace;
-    const double center = std::log(deployment.promptTokens) - promptSpread * promptSpread / 2;
-    const double prompt = std::lognormal_distribution<double>(center, promptSpread)(random);
-    request.promptTokens = std::clamp(std::llround(prompt), 16LL, (long long)longestPrompt);
+    const double mu = std::log(deployment.promptTokens) - promptSigma * promptSigma / 2;
+    const double prompt = std::lognormal_distribution<double>(mu, promptSigma)(random);
+    request.promptTokens = std::clamp(std::llround(prompt), 16LL, (long long)maxPromptTokens);
     const double answer =
             std::exponential_distribution<double>(1 / deployment.answerTokens)(random);
     request.answerTokens = std::clamp(std::llround(answer), 8LL, 600LL);
     request.prefixGroup = workspace * prefixGroupsPerWorkspace
                           + static_cast<int>(uniform(random) * prefixGroupsPerWorkspace);
-    request.balancer = uniform(random);
+    request.entryChoice = uniform(random);
     return request;
 }
 
@@ -87,8 +87,8 @@
     Deployment deployment;
     deployment.name = "garza";
     deployment.domains = 3;
-    deployment.betweenDomains = absl::Microseconds(1500);
-    deployment.toClients = absl::Milliseconds(1);
+    deployment.interDomainDelay = absl::Microseconds(1500);
+    deployment.clientDelay = absl::Milliseconds(1);
     deployment.onlineRate = 36;
     deployment.shares = {0.30, 0.25, 0.20, 0.08, 0.06, 0.05, 0.04, 0.02};
     deployment.promptTokens = 500;
@@ -104,8 +104,8 @@
     Deployment deployment;
     deployment.name = "kabayo";
     deployment.domains = 4;
-    deployment.betweenDomains = absl::Milliseconds(1);
-    deployment.toClients = absl::Milliseconds(3);
+    deployment.interDomainDelay = absl::Milliseconds(1);
+    deployment.clientDelay = absl::Milliseconds(3);
     deployment.onlineRate = 27;
     deployment.shares = {0.28, 0.24, 0.18, 0.10, 0.08, 0.06, 0.04, 0.02};
     deployment.promptTokens = 350;
@@ -136,7 +136,7 @@
         Random random(seed * 1000 + i);
         const double rate = deployment.onlineRate * deployment.shares[i];
         const double granted = rate * contractHeadroom;
-        plan.contracts.push_back({granted, std::max(granted * burstSeconds, smallestBurst)});
+        plan.contracts.push_back({granted, std::max(granted * burstSeconds, minBurst)});
         const int workspace = static_cast<int>(i);
         addArrivals(plan, deployment, workspace, rate, absl::UnixEpoch(), times.end(), random);
         addDisturbance(plan, deployment, scenario, times, workspace, rate, random);
--- a/src/policybench/benchscenario.h
+++ b/src/policybench/benchscenario.h
@@ -22,7 +22,8 @@
 
 std::string_view name(Scenario scenario);
 
-/// Behaviour of an engine: a step decodes one token of every answer and prefills up to a chunk.
+/// Parameters of an engine model. A step decodes one token of every answer and prefills up to
+/// prefillChunk tokens.
 struct EngineModel
 {
     absl::Duration stepBase = absl::Milliseconds(20);
@@ -33,7 +34,7 @@
     std::int64_t maxBatch = 64;
     std::int64_t kvCapacity = 96000;
     std::int64_t prefixCacheTokens = 24000;
-    /// KV import moves this many tokens in the time of one prefilled token.
+    /// Number of tokens that a KV import loads in the time in which one token is prefilled.
     std::int64_t importSpeed = 16;
     absl::Duration reportInterval = absl::Milliseconds(100);
     absl::Duration reportLag = absl::Milliseconds(150);
@@ -48,11 +49,11 @@
     int engines = 9;
     int domains = 3;
     int entries = 6;
-    absl::Duration betweenDomains;
-    absl::Duration toClients;
+    absl::Duration interDomainDelay;
+    absl::Duration clientDelay;
     /// Online requests per second of all workspaces at nominal load.
     double onlineRate = 0;
-    /// Share of each workspace; a few are large.
+    /// Share of each workspace in the load. A few workspaces have large shares.
     std::vector<double> shares;
     double promptTokens = 0;
     double answerTokens = 0;
@@ -65,7 +66,7 @@
 
 std::vector<Deployment> deployments();
 
-/// One online request of the load; the same for every policy.
+/// One online request of the load, which is the same for every policy.
 struct PlannedRequest
 {
     absl::Time at;
@@ -73,8 +74,8 @@
     std::int64_t promptTokens = 0;
     std::int64_t answerTokens = 0;
     int prefixGroup = 0;
-    /// Chooses the entry: this share of the list of live entries.
-    double balancer = 0;
+    /// Selects the entry: relative position, 0 to 1, in the list of live entries.
+    double entryChoice = 0;
     bool poison = false;
 };
 
--- a/src/policybench/main_bench.cpp
+++ b/src/policybench/main_bench.cpp
@@ -26,11 +26,11 @@
 constexpr std::array<Scenario, 6> scenarios{Scenario::Nominal,      Scenario::Surge,
                                             Scenario::OnlineBurst,  Scenario::LostDomain,
                                             Scenario::LostUpstream, Scenario::Poison};
-constexpr std::array<PolicyKind, 5> policies{PolicyKind::Ours, PolicyKind::FirstComeFirstServed,
-                                             PolicyKind::StaticRateShare, PolicyKind::RoundRobin,
-                                             PolicyKind::LeastReportedLoad};
+constexpr std::array<PolicyKind, 5> policies{
+        PolicyKind::Rattanrill, PolicyKind::FirstComeFirstServed, PolicyKind::StaticRateShare,
+        PolicyKind::RoundRobin, PolicyKind::LeastReportedLoad};
 
-/// Step of an engine with a full batch, a full chunk of prefill and full KV memory.
+/// Duration of a step of an engine with a full batch, a full chunk of prefill and full KV memory.
 absl::Duration longestStep(const EngineModel &model)
 {
     return model.stepBase + model.perAnswer * model.maxBatch
@@ -59,9 +59,9 @@
     return pass;
 }
 
-bool matches(const std::string &wanted, std::string_view name)
+bool matches(const std::string &filter, std::string_view name)
 {
-    return wanted == "all" || wanted == name;
+    return filter == "all" || filter == name;
 }
 
 int runAll(const BenchOptions &options)
@@ -77,7 +77,7 @@
                 if (!matches(options.policy, name(policy)))
                     continue;
                 const bool ok = runOne(deployment, scenario, policy, options);
-                if (policy == PolicyKind::Ours)
+                if (policy == PolicyKind::Rattanrill)
                     pass = pass && ok;
             }
         }
@@ -104,9 +104,9 @@
             "least_reported_load or all")("seed", po::value(&options.seed)->default_value(1),
                                           "seed of the load")(
             "warmup", po::value(&warmup)->default_value(20), "virtual seconds before measuring")(
-            "measured", po::value(&measured)->default_value(120),
-            "virtual seconds measured")("tail-weight", po::value<double>(),
-                                        "onlineTailWeight in place of the deployment's, 0 to 1");
+            "measured", po::value(&measured)->default_value(120), "virtual seconds measured")(
+            "tail-weight", po::value<double>(),
+            "value of onlineTailWeight, 0 to 1, instead of the deployment's");
     try {
         po::variables_map values;
         po::store(po::parse_command_line(argc, argv, description), values);
--- a/src/policybench/schedulerpolicy.h
+++ b/src/policybench/schedulerpolicy.h
@@ -4,7 +4,7 @@
 
 namespace rattanrill::policy::bench {
 
-/// The product's Scheduler.
+/// Runs the Scheduler of the serving system.
 class SchedulerPolicy : public BenchPolicy
 {
 public:
