--- a/src/directory/changehistory.h
+++ b/src/directory/changehistory.h
@@ -9,7 +9,8 @@
 
 namespace rattanrill::directory {
 
-/// The last changes in order of revision. A revision counts as dropped with its first change.
+/// The latest changes in order of revision, up to a limit. A revision with several changes counts
+/// as dropped as soon as its first change is dropped.
 class ChangeHistory
 {
 public:
@@ -17,15 +18,15 @@
         : m_limit(limit)
     {}
 
-    /// Drops the oldest change above the limit.
+    /// Adds \a change and drops the oldest one if the limit is exceeded.
     void append(wire::RecordChange change);
-    /// All changes after \a revision are kept.
+    /// Whether all changes after \a revision are still available.
     bool reachesBackTo(std::uint64_t revision) const { return revision >= m_droppedUpTo; }
-    /// Requires reachesBackTo(\a revision).
+    /// Returns all changes after \a revision. Requires reachesBackTo(\a revision).
     std::vector<wire::RecordChange> after(std::uint64_t revision) const;
 
     const std::deque<wire::RecordChange> &changes() const { return m_changes; }
-    /// Revision up to which changes were dropped.
+    /// Highest revision of which a change was dropped; 0 when there is none.
     std::uint64_t droppedUpTo() const { return m_droppedUpTo; }
     void setDroppedUpTo(std::uint64_t revision) { m_droppedUpTo = revision; }
 
--- a/src/directory/directorystate.cpp
+++ b/src/directory/directorystate.cpp
@@ -31,7 +31,7 @@
     return fail(notRun(ErrorCode::CorruptData, concat("directory snapshot: ", reason)));
 }
 
-/// Payload of a snapshot whose format and checksum are right.
+/// Checks the format and the checksum of a snapshot and returns its payload.
 Result<std::string_view> payloadOf(std::string_view bytes)
 {
     if (bytes.substr(0, formatName.size()) != formatName)
@@ -63,8 +63,8 @@
     ++m_revision;
     m_nowMs = std::max(m_nowMs, nowMs);
     std::vector<std::string> expired;
-    for (const auto &[fingerprint, held] : table<wire::QuarantinedRequest>()) {
-        if (held.expiresAtMs <= m_nowMs)
+    for (const auto &[fingerprint, request] : table<wire::QuarantinedRequest>()) {
+        if (request.expiresAtMs <= m_nowMs)
             expired.push_back(fingerprint);
     }
     for (const std::string &fingerprint : expired)
@@ -104,8 +104,8 @@
     wire::PollChangesResponse history;
     history.changes.assign(m_history.changes().begin(), m_history.changes().end());
     Json answers = Json::array();
-    for (const AnswerMemory::Answer &answer : m_answers.answers())
-        answers.push_back({answer.requestId, answer.contentHash, answer.bytes});
+    for (const ResponseCache::Entry &response : m_cachedResponses.entries())
+        answers.push_back({response.requestId, response.contentHash, response.bytes});
     Json incarnations = Json::array();
     for (const IncarnationLog::Entry &entry : m_incarnations.entries())
         incarnations.push_back({entry.instance, entry.incarnation});
@@ -154,8 +154,8 @@
         m_history.append(std::move(change));
     m_history.setDroppedUpTo(parts.at("droppedUpTo").get<std::uint64_t>());
     for (const Json &answer : parts.at("answers")) {
-        m_answers.remember({answer.at(0).get<std::string>(), answer.at(1).get<std::uint64_t>(),
-                            answer.at(2).get<std::string>()});
+        m_cachedResponses.add({answer.at(0).get<std::string>(), answer.at(1).get<std::uint64_t>(),
+                               answer.at(2).get<std::string>()});
     }
     for (const Json &entry : parts.at("incarnations"))
         m_incarnations.add(entry.at(0).get<std::string>(), entry.at(1).get<std::string>());
--- a/src/directory/directorystate.h
+++ b/src/directory/directorystate.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "answermemory.h"
 #include "changehistory.h"
 #include "incarnationlog.h"
 #include "recordtraits.h"
+#include "responsecache.h"
 
 #include "rattanrill/base/result.h"
 #include "rattanrill/directory/statemachine.h"
@@ -19,7 +19,8 @@
 
 namespace rattanrill::directory {
 
-/// Records of the directory with everything else that replicas must agree on.
+/// Replicated state of the directory: the records, the history of changes, the cached responses and
+/// the incarnations. It must be the same on all replicas.
 class DirectoryState
 {
 public:
@@ -32,7 +33,7 @@
         return std::get<Table<Record>>(m_tables);
     }
 
-    /// Null when there is no such record.
+    /// Returns the record \a id; null when there is none.
     template <typename Record>
     const Record *find(const std::string &id) const
     {
@@ -40,31 +41,33 @@
         return record == table<Record>().end() ? nullptr : &record->second;
     }
 
-    /// Null unless a key with this hash was ever added.
+    /// Returns the key with \a hash, also when it is withdrawn; null when none was ever added.
     const wire::ApiKey *apiKeyByHash(const std::string &hash) const;
 
-    /// Opens the next revision.
+    /// Starts the next revision and removes the quarantined requests that have expired.
     void beginRevision(std::int64_t nowMs);
-    /// Stores \a record as a change of the open revision.
+    /// Stores \a record as a change of the current revision.
     template <typename Record>
     void put(Record record);
-    /// Removes a record as a change of the open revision.
+    /// Removes the record \a id as a change of the current revision.
     template <typename Record>
     void remove(const std::string &id);
 
     std::uint64_t revision() const { return m_revision; }
-    /// Highest time of any accepted write.
+    /// Highest time of any accepted write, in milliseconds since 1970. It does not decrease when
+    /// the clocks of the senders differ.
     std::int64_t nowMs() const { return m_nowMs; }
-    AnswerMemory &answers() { return m_answers; }
+    ResponseCache &cachedResponses() { return m_cachedResponses; }
     IncarnationLog &incarnations() { return m_incarnations; }
     const IncarnationLog &incarnations() const { return m_incarnations; }
 
-    /// Changes after \a revision, or all records when the history does not reach back to it.
+    /// Returns the changes after \a revision, or a snapshot of all records when \a revision is 0 or
+    /// the history does not reach back to it.
     wire::PollChangesResponse changesAfter(std::uint64_t revision) const;
 
-    /// Whole state with format version and checksum.
+    /// Encodes the whole state with a format version and a checksum.
     std::string serialize() const;
-    /// Fails with CorruptData or UnsupportedFormat.
+    /// Decodes the result of serialize(). Fails with CorruptData or UnsupportedFormat.
     static Result<DirectoryState> deserialize(std::string_view bytes);
 
 private:
@@ -86,7 +89,7 @@
     std::uint64_t m_memberRevision = 0;
     std::int64_t m_nowMs = 0;
     ChangeHistory m_history{maxChangeHistory};
-    AnswerMemory m_answers{maxCachedResponses};
+    ResponseCache m_cachedResponses{maxCachedResponses};
     IncarnationLog m_incarnations{maxReplacedIncarnations};
 };
 
@@ -113,7 +116,7 @@
 template <typename Record>
 void DirectoryState::remove(const std::string &id)
 {
-    static_assert(!std::is_same_v<Record, wire::ApiKey>, "withdrawn keys stay remembered");
+    static_assert(!std::is_same_v<Record, wire::ApiKey>, "API keys are withdrawn, never removed");
     if constexpr (std::is_same_v<Record, wire::Member>)
         m_memberRevision = m_revision;
     m_history.append({m_revision, RecordTraits<Record>::kind, id, true, {}});
--- a/src/directory/directorystatemachine.cpp
+++ b/src/directory/directorystatemachine.cpp
@@ -12,9 +12,10 @@
 namespace rattanrill::directory {
 namespace {
 
-/// A request that crashed this many upstreams is held.
-constexpr std::size_t crashesUntilHeld = 2;
-/// Further crashed upstreams are not listed; a held request does not run any more.
+/// Number of distinct upstreams that a request must have crashed to be quarantined.
+constexpr std::size_t crashesUntilQuarantine = 2;
+/// Maximum number of crashed upstreams in a record. Further ones need not be recorded, because a
+/// quarantined request does not run any more.
 constexpr std::size_t maxCrashedUpstreams = 16;
 
 boost::leaf::error_id conflict(std::string detail)
@@ -22,8 +23,9 @@
     return fail(notRun(ErrorCode::Conflict, std::move(detail)));
 }
 
-/// Hash of what the sender of a request id asked for. A resend is stamped with another time, and a
-/// resent AddKey carries another key, because the first one was not stored in the clear.
+/// Returns the hash of a write without the fields that differ when the write is sent again: the
+/// time and the base revision and, for AddKey, the key. A resent AddKey carries a newly generated
+/// key, because the first one was not stored in plain text.
 std::uint64_t contentHash(wire::DirectoryCommand command)
 {
     command.nowMs = 0;
@@ -66,15 +68,15 @@
     if (!validId.ok())
         return wire::encodeCommandResult(Outcome<wire::DirectoryResult>(validId.failure()));
     const std::uint64_t hash = contentHash(command);
-    if (const AnswerMemory::Answer *first = m_state.answers().find(command.requestId)) {
-        if (first->contentHash == hash)
-            return first->bytes;
+    if (const ResponseCache::Entry *cached = m_state.cachedResponses().find(command.requestId)) {
+        if (cached->contentHash == hash)
+            return cached->bytes;
         return wire::encodeCommandResult(Outcome<wire::DirectoryResult>(
                 notRun(ErrorCode::DuplicateRequest,
                        concat("request id \"", command.requestId, "\" belongs to another write"))));
     }
     std::string bytes = wire::encodeCommandResult(outcomeOf([&] { return write(command); }));
-    m_state.answers().remember({command.requestId, hash, bytes});
+    m_state.cachedResponses().add({command.requestId, hash, bytes});
     return bytes;
 }
 
@@ -86,9 +88,10 @@
         return wire::encodeCommandResult(Response(query.failure()));
     const std::uint64_t revision = query.value().afterRevision;
     if (revision > m_state.revision()) {
-        return wire::encodeCommandResult(Response(
-                notRun(ErrorCode::StaleRevision, concat("revision ", revision, " was asked for, ",
-                                                        m_state.revision(), " is the last one"))));
+        return wire::encodeCommandResult(
+                Response(notRun(ErrorCode::StaleRevision,
+                                concat("revision ", revision, " was requested, but revision ",
+                                       m_state.revision(), " is the latest"))));
     }
     return wire::encodeCommandResult(Response(m_state.changesAfter(revision)));
 }
@@ -105,13 +108,13 @@
     return {};
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command)
 {
     return std::visit([&](const auto &operation) { return write(command, operation); },
                       command.operation);
 }
 
-wire::DirectoryResult DirectoryStateMachine::written(const std::string &id) const
+wire::DirectoryResult DirectoryStateMachine::resultFor(const std::string &id) const
 {
     wire::DirectoryResult result;
     result.revision = m_state.revision();
@@ -120,7 +123,8 @@
 }
 
 template <typename Record>
-Result<void> DirectoryStateMachine::checkBase(const Command &command, const std::string &id) const
+Result<void> DirectoryStateMachine::checkBaseRevision(const Command &command,
+                                                      const std::string &id) const
 {
     const Record *record = m_state.find<Record>(id);
     const std::uint64_t revision = record == nullptr ? 0 : record->revision;
@@ -131,53 +135,53 @@
 }
 
 template <typename Record>
-Result<const Record *> DirectoryStateMachine::existing(const Command &command,
-                                                       const std::string &id) const
+Result<const Record *> DirectoryStateMachine::findExisting(const Command &command,
+                                                           const std::string &id) const
 {
     const Record *record = m_state.find<Record>(id);
     if (record == nullptr) {
         return fail(notRun(ErrorCode::NotFound,
                            concat("no ", wire::name(RecordTraits<Record>::kind), " \"", id, "\"")));
     }
-    BOOST_LEAF_CHECK(checkBase<Record>(command, id));
+    BOOST_LEAF_CHECK(checkBaseRevision<Record>(command, id));
     return record;
 }
 
 template <typename Record>
-wire::DirectoryResult DirectoryStateMachine::putAlone(const Command &command, Record record)
+wire::DirectoryResult DirectoryStateMachine::putInNewRevision(const Command &command, Record record)
 {
     const std::string id = RecordTraits<Record>::id(record);
     m_state.beginRevision(command.nowMs);
     m_state.put(std::move(record));
-    return written(id);
+    return resultFor(id);
 }
 
 template <typename Record>
-DirectoryStateMachine::Written DirectoryStateMachine::removeAlone(const Command &command,
-                                                                  const std::string &id)
+DirectoryStateMachine::WriteResult
+DirectoryStateMachine::removeInNewRevision(const Command &command, const std::string &id)
 {
-    BOOST_LEAF_CHECK(existing<Record>(command, id));
+    BOOST_LEAF_CHECK(findExisting<Record>(command, id));
     m_state.beginRevision(command.nowMs);
-    // The start of a revision removes held requests that have expired.
+    // beginRevision() has already removed the record if it is an expired quarantined request.
     if (m_state.find<Record>(id) != nullptr)
         m_state.remove<Record>(id);
-    return written(id);
+    return resultFor(id);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::PutContract &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::PutContract &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.contract));
-    BOOST_LEAF_CHECK(checkBase<wire::Contract>(command, operation.contract.workspace));
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::Contract>(command, operation.contract.workspace));
     wire::Contract contract = operation.contract;
     contract.withdrawn = false;
-    return putAlone(command, std::move(contract));
+    return putInNewRevision(command, std::move(contract));
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::WithdrawContract &operation)
+DirectoryStateMachine::WriteResult
+DirectoryStateMachine::write(const Command &command, const wire::WithdrawContract &operation)
 {
-    BOOST_LEAF_AUTO(existingContract, existing<wire::Contract>(command, operation.workspace));
+    BOOST_LEAF_AUTO(existingContract, findExisting<wire::Contract>(command, operation.workspace));
     wire::Contract contract = *existingContract;
     contract.withdrawn = true;
     std::vector<wire::ApiKey> keys;
@@ -191,14 +195,14 @@
         key.withdrawn = true;
         m_state.put(std::move(key));
     }
-    return written(operation.workspace);
+    return resultFor(operation.workspace);
 }
 
 Result<void> DirectoryStateMachine::checkNewKey(const wire::ApiKey &key) const
 {
-    const bool known = m_state.find<wire::ApiKey>(key.keyId) != nullptr
-                       || m_state.apiKeyByHash(key.hash) != nullptr;
-    if (known)
+    const bool exists = m_state.find<wire::ApiKey>(key.keyId) != nullptr
+                        || m_state.apiKeyByHash(key.hash) != nullptr;
+    if (exists)
         return conflict(concat("key \"", key.keyId, "\" or its hash was added before"));
     const wire::Contract *contract = m_state.find<wire::Contract>(key.workspace);
     if (contract == nullptr)
@@ -208,32 +212,32 @@
     return {};
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::AddKey &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::AddKey &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.key));
-    BOOST_LEAF_CHECK(checkBase<wire::ApiKey>(command, operation.key.keyId));
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::ApiKey>(command, operation.key.keyId));
     BOOST_LEAF_CHECK(checkNewKey(operation.key));
     wire::ApiKey key = operation.key;
     key.withdrawn = false;
-    return putAlone(command, std::move(key));
+    return putInNewRevision(command, std::move(key));
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::RevokeKey &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::RevokeKey &operation)
 {
-    BOOST_LEAF_AUTO(existingKey, existing<wire::ApiKey>(command, operation.keyId));
+    BOOST_LEAF_AUTO(existingKey, findExisting<wire::ApiKey>(command, operation.keyId));
     wire::ApiKey key = *existingKey;
     key.withdrawn = true;
-    return putAlone(command, std::move(key));
+    return putInNewRevision(command, std::move(key));
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::PutConfig &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::PutConfig &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.config));
-    BOOST_LEAF_CHECK(checkBase<wire::Config>(command, operation.config.name));
-    return putAlone(command, operation.config);
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::Config>(command, operation.config.name));
+    return putInNewRevision(command, operation.config);
 }
 
 Result<void> DirectoryStateMachine::checkPathPrefix(const wire::Route &route) const
@@ -246,37 +250,37 @@
     return {};
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::PutRoute &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::PutRoute &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.route));
-    BOOST_LEAF_CHECK(checkBase<wire::Route>(command, operation.route.name));
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::Route>(command, operation.route.name));
     BOOST_LEAF_CHECK(checkPathPrefix(operation.route));
-    return putAlone(command, operation.route);
+    return putInNewRevision(command, operation.route);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::RemoveRoute &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::RemoveRoute &operation)
 {
-    return removeAlone<wire::Route>(command, operation.name);
+    return removeInNewRevision<wire::Route>(command, operation.name);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::PutUpstream &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::PutUpstream &operation)
 {
     BOOST_LEAF_CHECK(validate(operation.upstream));
-    BOOST_LEAF_CHECK(checkBase<wire::Upstream>(command, operation.upstream.name));
-    return putAlone(command, operation.upstream);
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::Upstream>(command, operation.upstream.name));
+    return putInNewRevision(command, operation.upstream);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::RemoveUpstream &operation)
+DirectoryStateMachine::WriteResult
+DirectoryStateMachine::write(const Command &command, const wire::RemoveUpstream &operation)
 {
-    return removeAlone<wire::Upstream>(command, operation.name);
+    return removeInNewRevision<wire::Upstream>(command, operation.name);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::JoinMember &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::JoinMember &operation)
 {
     const wire::Member &member = operation.member;
     BOOST_LEAF_CHECK(validate(member));
@@ -285,19 +289,20 @@
                            concat("incarnation \"", member.incarnation, "\" of \"", member.instance,
                                   "\" was replaced by a newer one")));
     }
-    // A repeated join must not move the ownership of rate buckets.
+    // A repeated join must not increase the member revision, because that would move the ownership
+    // of rate buckets.
     const wire::Member *current = m_state.find<wire::Member>(member.instance);
     if (current != nullptr && sameMember(*current, member))
-        return written(member.instance);
-    BOOST_LEAF_CHECK(checkBase<wire::Member>(command, member.instance));
+        return resultFor(member.instance);
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::Member>(command, member.instance));
     m_state.incarnations().add(member.instance, member.incarnation);
-    return putAlone(command, member);
+    return putInNewRevision(command, member);
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::RemoveMember &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::RemoveMember &operation)
 {
-    BOOST_LEAF_AUTO(member, existing<wire::Member>(command, operation.instance));
+    BOOST_LEAF_AUTO(member, findExisting<wire::Member>(command, operation.instance));
     const bool otherIncarnation =
             !operation.incarnation.empty() && operation.incarnation != member->incarnation;
     if (otherIncarnation) {
@@ -305,61 +310,63 @@
                                member->incarnation, "\", the write names \"", operation.incarnation,
                                "\""));
     }
-    return removeAlone<wire::Member>(command, operation.instance);
+    return removeInNewRevision<wire::Member>(command, operation.instance);
 }
 
-DirectoryStateMachine::Written
+DirectoryStateMachine::WriteResult
 DirectoryStateMachine::write(const Command &command, const wire::IssueFencingToken &operation)
 {
     if (m_state.find<wire::Upstream>(operation.upstream) == nullptr) {
         return fail(
                 notRun(ErrorCode::NotFound, concat("no upstream \"", operation.upstream, "\"")));
     }
-    BOOST_LEAF_CHECK(checkBase<wire::FencingToken>(command, operation.upstream));
-    // Fences outlive their upstream, so that a re-added one does not start again at 1.
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::FencingToken>(command, operation.upstream));
+    // Fencing tokens are kept when their upstream is removed, so that the numbers do not restart at
+    // 1 when it is added again.
     const wire::FencingToken *last = m_state.find<wire::FencingToken>(operation.upstream);
-    wire::FencingToken fence;
-    fence.upstream = operation.upstream;
-    fence.number = last == nullptr ? 1 : last->number + 1;
-    wire::DirectoryResult result = putAlone(command, fence);
-    result.fence = fence.number;
+    wire::FencingToken token;
+    token.upstream = operation.upstream;
+    token.number = last == nullptr ? 1 : last->number + 1;
+    wire::DirectoryResult result = putInNewRevision(command, token);
+    result.fence = token.number;
     return result;
 }
 
-wire::QuarantinedRequest DirectoryStateMachine::heldWith(const Command &command,
-                                                         const wire::ReportCrash &report) const
+wire::QuarantinedRequest
+DirectoryStateMachine::requestWithCrash(const Command &command,
+                                        const wire::ReportCrash &report) const
 {
     const std::int64_t nowMs = std::max(m_state.nowMs(), command.nowMs);
-    wire::QuarantinedRequest held;
-    const wire::QuarantinedRequest *known =
+    wire::QuarantinedRequest request;
+    const wire::QuarantinedRequest *current =
             m_state.find<wire::QuarantinedRequest>(report.fingerprint);
-    if (known != nullptr && known->expiresAtMs > nowMs)
-        held = *known;
-    held.fingerprint = report.fingerprint;
-    held.expiresAtMs = std::max(held.expiresAtMs, nowMs + report.holdMs);
-    std::vector<std::string> &crashed = held.crashedUpstreams;
+    if (current != nullptr && current->expiresAtMs > nowMs)
+        request = *current;
+    request.fingerprint = report.fingerprint;
+    request.expiresAtMs = std::max(request.expiresAtMs, nowMs + report.holdMs);
+    std::vector<std::string> &crashed = request.crashedUpstreams;
     const bool listed = std::find(crashed.begin(), crashed.end(), report.upstream) != crashed.end();
     if (!listed && crashed.size() < maxCrashedUpstreams)
         crashed.push_back(report.upstream);
-    held.held = crashed.size() >= crashesUntilHeld;
-    return held;
+    request.held = crashed.size() >= crashesUntilQuarantine;
+    return request;
 }
 
-DirectoryStateMachine::Written DirectoryStateMachine::write(const Command &command,
-                                                            const wire::ReportCrash &operation)
+DirectoryStateMachine::WriteResult DirectoryStateMachine::write(const Command &command,
+                                                                const wire::ReportCrash &operation)
 {
     BOOST_LEAF_CHECK(validate(operation));
-    BOOST_LEAF_CHECK(checkBase<wire::QuarantinedRequest>(command, operation.fingerprint));
-    const wire::QuarantinedRequest held = heldWith(command, operation);
-    wire::DirectoryResult result = putAlone(command, held);
-    result.held = held.held;
+    BOOST_LEAF_CHECK(checkBaseRevision<wire::QuarantinedRequest>(command, operation.fingerprint));
+    const wire::QuarantinedRequest request = requestWithCrash(command, operation);
+    wire::DirectoryResult result = putInNewRevision(command, request);
+    result.held = request.held;
     return result;
 }
 
-DirectoryStateMachine::Written
+DirectoryStateMachine::WriteResult
 DirectoryStateMachine::write(const Command &command, const wire::ReleaseQuarantined &operation)
 {
-    return removeAlone<wire::QuarantinedRequest>(command, operation.fingerprint);
+    return removeInNewRevision<wire::QuarantinedRequest>(command, operation.fingerprint);
 }
 
 } // namespace rattanrill::directory
--- a/src/directory/directorysubscriber.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -16,7 +16,8 @@
 namespace rattanrill::directory {
 namespace {
 
-/// Doubling stops here; the wait is at its maximum long before.
+/// Limits the doublings of the backoff, so that the shift below does not overflow. The backoff
+/// reaches its maximum long before.
 constexpr int maxDoublings = 16;
 
 } // namespace
@@ -40,7 +41,7 @@
             absl::MutexLock lock(&mutex);
             if (stopped)
                 return;
-            ++sending;
+            ++activePollCalls;
             timer = 0;
             sentAt = clock.now();
             request.afterRevision = current->revision();
@@ -54,7 +55,7 @@
                                 impl->handleAnswer(sentAt, outcome);
                         });
         absl::MutexLock lock(&mutex);
-        --sending;
+        --activePollCalls;
         idle.SignalAll();
     }
 
@@ -72,13 +73,13 @@
         endAnswer();
     }
 
-    /// Only this thread changes the view until endAnswer().
+    /// Returns false after stop(). Otherwise only this thread changes the view until endAnswer().
     bool beginAnswer()
     {
         absl::MutexLock lock(&mutex);
         if (stopped)
             return false;
-        answeringThread = std::this_thread::get_id();
+        handlerThread = std::this_thread::get_id();
         return true;
     }
 
@@ -87,7 +88,7 @@
         bool pollNow = false;
         {
             absl::MutexLock lock(&mutex);
-            answeringThread = std::thread::id();
+            handlerThread = std::thread::id();
             idle.SignalAll();
             pollNow = std::exchange(pollAfterAnswer, false);
         }
@@ -99,11 +100,12 @@
     {
         if (!outcome.ok())
             return outcome.failure();
-        const std::shared_ptr<const DirectoryView> view = viewNow();
+        const std::shared_ptr<const DirectoryView> view = currentView();
         const std::uint64_t revision = outcome.value().revision;
         if (revision < view->revision()) {
-            return notRun(ErrorCode::StaleRevision, concat("answer of revision ", revision,
-                                                           ", the view has ", view->revision()));
+            return notRun(ErrorCode::StaleRevision,
+                          concat("the answer has revision ", revision,
+                                 ", but the view has revision ", view->revision()));
         }
         return outcomeOf([&] { return view->withChanges(outcome.value()); });
     }
@@ -114,7 +116,7 @@
         {
             absl::MutexLock lock(&mutex);
             failures = 0;
-            freshAt = std::max(freshAt, sentAt);
+            lastAnsweredSentAt = std::max(lastAnsweredSentAt, sentAt);
             if (next.revision() == current->revision())
                 return;
             current = std::make_shared<const DirectoryView>(next);
@@ -139,6 +141,7 @@
         return limit * std::uniform_real_distribution<double>(0.5, 1)(random);
     }
 
+    /// Sends the next poll after \a delay, or from endAnswer() when there is no delay.
     void schedule(absl::Duration delay)
     {
         absl::MutexLock lock(&mutex);
@@ -155,7 +158,7 @@
         });
     }
 
-    std::shared_ptr<const DirectoryView> viewNow() const
+    std::shared_ptr<const DirectoryView> currentView() const
     {
         absl::MutexLock lock(&mutex);
         return current;
@@ -167,8 +170,8 @@
         {
             absl::MutexLock lock(&mutex);
             stopped = true;
-            const bool fromListener = answeringThread == std::this_thread::get_id();
-            while (!fromListener && (sending > 0 || answeringThread != std::thread::id()))
+            const bool fromListener = handlerThread == std::this_thread::get_id();
+            while (!fromListener && (activePollCalls > 0 || handlerThread != std::thread::id()))
                 idle.Wait(&mutex);
             pending = std::exchange(timer, 0);
         }
@@ -186,10 +189,12 @@
     absl::CondVar idle;
     std::shared_ptr<const DirectoryView>
             current ABSL_GUARDED_BY(mutex) = std::make_shared<const DirectoryView>();
-    absl::Time freshAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
-    std::thread::id answeringThread ABSL_GUARDED_BY(mutex);
+    /// Time at which the last poll that was answered successfully was sent.
+    absl::Time lastAnsweredSentAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
+    /// Thread that runs handleAnswer(); no thread when there is none.
+    std::thread::id handlerThread ABSL_GUARDED_BY(mutex);
     /// Calls of pollClient.poll() that have not returned.
-    int sending ABSL_GUARDED_BY(mutex) = 0;
+    int activePollCalls ABSL_GUARDED_BY(mutex) = 0;
     TimerService::TimerId timer ABSL_GUARDED_BY(mutex) = 0;
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
     int failures ABSL_GUARDED_BY(mutex) = 0;
@@ -219,13 +224,13 @@
 
 std::shared_ptr<const DirectoryView> DirectorySubscriber::view() const
 {
-    return m_impl->viewNow();
+    return m_impl->currentView();
 }
 
 absl::Duration DirectorySubscriber::age() const
 {
     absl::MutexLock lock(&m_impl->mutex);
-    return m_impl->clock.now() - m_impl->freshAt;
+    return m_impl->clock.now() - m_impl->lastAnsweredSentAt;
 }
 
 void DirectorySubscriber::onChange(Listener listener)
--- a/src/directory/directoryview.cpp
+++ b/src/directory/directoryview.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::directory {
 namespace {
 
-/// Changes of a table; contracts and keys are withdrawn, but never removed.
+/// Does nothing: the records in a RecordTable, contracts and keys, are withdrawn but never removed.
 template <typename Record>
 void removeFrom(typename RecordTable<Record>::Editor &, const std::string &)
 {}
@@ -22,23 +22,25 @@
     editor.remove(id);
 }
 
-const std::string &indexOf(const wire::ApiKey &key, const std::string &)
+/// Returns the id under which a view stores the record: the hash of an API key, otherwise the id of
+/// the record.
+const std::string &lookupKey(const wire::ApiKey &key, const std::string &)
 {
     return key.hash;
 }
 
 template <typename Record>
-const std::string &indexOf(const Record &, const std::string &id)
+const std::string &lookupKey(const Record &, const std::string &id)
 {
     return id;
 }
 
-/// One table of a view that is copied at its first change.
+/// Edits one table of a view. The table is copied only at its first change.
 template <typename Table, typename Record>
-class TableEdit
+class LazyTableEditor
 {
 public:
-    explicit TableEdit(Table &table)
+    explicit LazyTableEditor(Table &table)
         : m_table(table)
     {}
 
@@ -51,8 +53,8 @@
             return {};
         }
         BOOST_LEAF_AUTO(record, wire::decode<Record>(change.body));
-        const std::string index = indexOf(record, change.id);
-        m_editor->put(index, std::move(record));
+        const std::string key = lookupKey(record, change.id);
+        m_editor->put(key, std::move(record));
         return {};
     }
 
@@ -68,13 +70,13 @@
 };
 
 template <typename Record>
-using TableOf = TableEdit<RecordTable<Record>, Record>;
+using RecordTableEditor = LazyTableEditor<RecordTable<Record>, Record>;
 template <typename Record>
-using ListOf = TableEdit<RecordList<Record>, Record>;
+using RecordListEditor = LazyTableEditor<RecordList<Record>, Record>;
 
 } // namespace
 
-/// Applies the changes of one response to a view of its own.
+/// Applies the changes of one response to a view.
 class DirectoryView::Builder
 {
 public:
@@ -91,9 +93,9 @@
 
     Result<void> apply(const wire::RecordChange &change)
     {
-        using Apply = Result<void> (Builder::*)(const wire::RecordChange &);
+        using Applier = Result<void> (Builder::*)(const wire::RecordChange &);
         // In order of wire::RecordKind.
-        static constexpr std::array<Apply, 8> steps = {
+        static constexpr std::array<Applier, 8> appliers = {
                 &Builder::applyTo<&Builder::m_contracts>,
                 &Builder::applyTo<&Builder::m_keys>,
                 &Builder::applyTo<&Builder::m_configs>,
@@ -103,7 +105,7 @@
                 &Builder::applyTo<&Builder::m_fencingTokens>,
                 &Builder::applyTo<&Builder::m_quarantinedRequests>,
         };
-        return (this->*steps.at(static_cast<std::size_t>(change.kind)))(change);
+        return (this->*appliers.at(static_cast<std::size_t>(change.kind)))(change);
     }
 
     void finish()
@@ -125,14 +127,14 @@
         return (this->*Member).apply(change);
     }
 
-    TableOf<wire::Contract> m_contracts;
-    TableOf<wire::ApiKey> m_keys;
-    ListOf<wire::Config> m_configs;
-    ListOf<wire::Route> m_routes;
-    ListOf<wire::Upstream> m_upstreams;
-    ListOf<wire::Member> m_members;
-    ListOf<wire::FencingToken> m_fencingTokens;
-    ListOf<wire::QuarantinedRequest> m_quarantinedRequests;
+    RecordTableEditor<wire::Contract> m_contracts;
+    RecordTableEditor<wire::ApiKey> m_keys;
+    RecordListEditor<wire::Config> m_configs;
+    RecordListEditor<wire::Route> m_routes;
+    RecordListEditor<wire::Upstream> m_upstreams;
+    RecordListEditor<wire::Member> m_members;
+    RecordListEditor<wire::FencingToken> m_fencingTokens;
+    RecordListEditor<wire::QuarantinedRequest> m_quarantinedRequests;
 };
 
 std::shared_ptr<const wire::Contract> DirectoryView::contract(std::string_view workspace) const
@@ -178,8 +180,8 @@
 {
     std::shared_ptr<const wire::QuarantinedRequest> record =
             m_quarantinedRequests.find(fingerprint);
-    const bool holds = record && record->held && record->expiresAtMs > nowMs;
-    return holds ? record : nullptr;
+    const bool quarantined = record && record->held && record->expiresAtMs > nowMs;
+    return quarantined ? record : nullptr;
 }
 
 std::uint64_t DirectoryView::fencingToken(std::string_view upstream) const
@@ -210,7 +212,8 @@
     DirectoryView next = response.snapshot ? DirectoryView() : *this;
     Builder builder(next);
     for (const wire::RecordChange &change : response.changes) {
-        // A delta that overlaps with this view holds records that may have changed again since.
+        // Changes up to the revision of this view are skipped: it may already have newer versions
+        // of their records.
         if (response.snapshot || change.revision > m_revision)
             BOOST_LEAF_CHECK(builder.apply(change));
     }
--- a/src/directory/incarnationlog.h
+++ b/src/directory/incarnationlog.h
@@ -6,9 +6,9 @@
 
 namespace rattanrill::directory {
 
-/// Incarnations of all instances in order of their first join. Incarnations are random, so only
-/// the order of joins tells an old process from the one that replaced it. Bounded: the oldest entry
-/// is forgotten first.
+/// Incarnations of all instances in order of their first join. Incarnations are random values, so
+/// only the order of joins distinguishes an old process from the one that replaced it. Above the
+/// limit, the oldest entry is removed first.
 class IncarnationLog
 {
 public:
@@ -22,9 +22,10 @@
         : m_limit(limit)
     {}
 
-    /// Another incarnation of \a instance has joined after this one.
+    /// Whether another incarnation of \a instance joined after \a incarnation. False for an
+    /// incarnation that is not in the log.
     bool isReplaced(const std::string &instance, const std::string &incarnation) const;
-    /// Adds the incarnation unless it is known.
+    /// Adds \a incarnation unless it is already in the log.
     void add(const std::string &instance, const std::string &incarnation);
 
     const std::deque<Entry> &entries() const { return m_entries; }
--- a/src/directory/pathprefix.cpp
+++ b/src/directory/pathprefix.cpp
@@ -4,8 +4,8 @@
 
 std::string_view prefixBase(std::string_view prefix)
 {
-    const bool slashed = !prefix.empty() && prefix.back() == '/';
-    return slashed ? prefix.substr(0, prefix.size() - 1) : prefix;
+    const bool hasTrailingSlash = !prefix.empty() && prefix.back() == '/';
+    return hasTrailingSlash ? prefix.substr(0, prefix.size() - 1) : prefix;
 }
 
 bool matchesPrefix(std::string_view path, std::string_view prefix)
--- a/src/directory/recordtraits.h
+++ b/src/directory/recordtraits.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-/// Kind and id of each record type, by which changes name it.
+/// Kind and id of each record type, which identify the record in a wire::RecordChange.
 namespace rattanrill::directory {
 
 template <typename Record>
--- a/src/directory/recordvalidation.cpp
+++ b/src/directory/recordvalidation.cpp
@@ -13,11 +13,12 @@
 
 constexpr std::size_t sha256HexDigits = 64;
 constexpr std::int64_t maxPort = 65535;
-/// Shares are fractions that operators round.
+/// Tolerance for the sum of the shares, because operators round the fractions.
 constexpr double shareTolerance = 1e-6;
 
-/// Paths that the entry serves itself.
-constexpr std::array<std::string_view, 4> ownPaths = {"/v1/", "/healthz", "/readyz", "/metrics"};
+/// Paths that the entry instance serves itself, so that no route may use them.
+constexpr std::array<std::string_view, 4> reservedPaths = {"/v1/", "/healthz", "/readyz",
+                                                           "/metrics"};
 
 boost::leaf::error_id invalid(std::string_view field, std::string_view reason)
 {
@@ -73,13 +74,13 @@
     return {};
 }
 
-/// A prefix shadows an own path when either begins with the other.
-bool shadows(std::string_view prefix, std::string_view ownPath)
+/// Whether a route with \a prefix would hide \a reservedPath: one of them begins with the other.
+bool shadows(std::string_view prefix, std::string_view reservedPath)
 {
     const std::string_view base = prefixBase(prefix);
-    if (ownPath.substr(0, base.size()) == base)
+    if (reservedPath.substr(0, base.size()) == base)
         return true;
-    return matchesPrefix(base, ownPath);
+    return matchesPrefix(base, reservedPath);
 }
 
 Result<void> validatePathPrefix(std::string_view prefix)
@@ -92,9 +93,9 @@
                            || prefix.find("/.") != std::string_view::npos;
     if (ambiguous)
         return invalid("path_prefix", "must not contain \"//\" or \"/.\"");
-    for (const std::string_view ownPath : ownPaths) {
-        if (shadows(prefix, ownPath))
-            return invalid("path_prefix", concat("must not shadow \"", ownPath, "\""));
+    for (const std::string_view reservedPath : reservedPaths) {
+        if (shadows(prefix, reservedPath))
+            return invalid("path_prefix", concat("must not shadow \"", reservedPath, "\""));
     }
     return {};
 }
@@ -117,7 +118,7 @@
     BOOST_LEAF_CHECK(validateAmount("burst", contract.burst));
     BOOST_LEAF_CHECK(validateAmount("batch_share", contract.batchShare));
     BOOST_LEAF_CHECK(validateShares(contract));
-    if (contract.retentionSeconds < 0 || contract.retentionSeconds > maxKeepSeconds)
+    if (contract.retentionSeconds < 0 || contract.retentionSeconds > maxRetentionSeconds)
         return invalid("retention_seconds", "must be from 0 to one year");
     return {};
 }
@@ -173,7 +174,7 @@
 {
     BOOST_LEAF_CHECK(validateName("fingerprint", report.fingerprint));
     BOOST_LEAF_CHECK(validateName("upstream", report.upstream));
-    if (report.holdMs < 1 || report.holdMs > maxKeepSeconds * 1000)
+    if (report.holdMs < 1 || report.holdMs > maxRetentionSeconds * 1000)
         return invalid("hold_ms", "must be from 1 ms to one year");
     return {};
 }
--- a/src/directory/recordvalidation.h
+++ b/src/directory/recordvalidation.h
@@ -6,16 +6,17 @@
 #include <cstddef>
 #include <string_view>
 
-/// Checks of the fields of directory records. All fail with InvalidRequest and name the field.
+/// Checks of the fields of directory records. They fail with InvalidRequest, and the message names
+/// the field.
 namespace rattanrill::directory {
 
 constexpr std::size_t maxNameBytes = 128;
 constexpr std::size_t maxPathBytes = 1024;
 constexpr std::size_t maxConfigBytes = 256 * 1024;
-/// Longest time for which results or held requests are kept: one year.
-constexpr std::int64_t maxKeepSeconds = 366 * 24 * 3600;
+/// Longest time for which results or quarantined requests are kept: one year.
+constexpr std::int64_t maxRetentionSeconds = 366 * 24 * 3600;
 
-/// 1 to maxNameBytes bytes without control characters.
+/// Checks that \a value has 1 to maxNameBytes bytes and no control characters.
 Result<void> validateName(std::string_view field, std::string_view value);
 Result<void> validate(const wire::Contract &contract);
 Result<void> validate(const wire::ApiKey &key);
--- a/tests/directory/controlpollclient_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr absl::Duration patience = absl::Seconds(10);
+constexpr absl::Duration waitTimeout = absl::Seconds(10);
 
 peer::TransportOptions transport()
 {
@@ -38,9 +38,9 @@
 
 BOOST_AUTO_TEST_SUITE(ControlPollClientTest)
 
-// Guards against a follower that works with fakes only: polls by the real channel, client and
-// timers, and answers that arrive while the follower stops.
-BOOST_AUTO_TEST_CASE(followerFollowsOverTheNetwork)
+// Guards against a subscriber that works with fakes only: it polls through the real channel, client
+// and timers, and answers arrive while it stops.
+BOOST_AUTO_TEST_CASE(subscriberReceivesChangesOverTheNetwork)
 {
     peer::Server server(transport());
     server.handle(wire::Method::PollChanges,
@@ -53,15 +53,15 @@
                                         SystemClock::instance());
     ControlPollClient pollClient(client);
     for (int round = 0; round < 20; ++round) {
-        absl::Notification third;
+        absl::Notification thirdRevision;
         DirectorySubscriber subscriber({"entry-1"}, pollClient, timers, SystemClock::instance());
-        subscriber.onChange([&third](const std::shared_ptr<const DirectoryView> &view) {
+        subscriber.onChange([&thirdRevision](const std::shared_ptr<const DirectoryView> &view) {
             if (view->revision() == 3)
-                third.Notify();
+                thirdRevision.Notify();
         });
         subscriber.start();
-        BOOST_REQUIRE(third.WaitForNotificationWithTimeout(patience));
-        BOOST_TEST((subscriber.age() < patience));
+        BOOST_REQUIRE(thirdRevision.WaitForNotificationWithTimeout(waitTimeout));
+        BOOST_TEST((subscriber.age() < waitTimeout));
     }
     client.stop();
     server.stop();
--- a/tests/directory/directorydriver.cpp
+++ b/tests/directory/directorydriver.cpp
@@ -31,7 +31,8 @@
     return apply({std::move(requestId), base, false, nowMs, std::move(operation)});
 }
 
-Outcome<wire::DirectoryResult> DirectoryDriver::writeAnyway(wire::DirectoryOperation operation)
+Outcome<wire::DirectoryResult>
+DirectoryDriver::writeUnconditionally(wire::DirectoryOperation operation)
 {
     return apply({{}, 0, true, nowMs, std::move(operation)});
 }
@@ -47,7 +48,7 @@
     return unpack<wire::PollChangesResponse>(m_machine->query(bytes)).value();
 }
 
-DirectoryView DirectoryDriver::followFrom(const DirectoryView &view) const
+DirectoryView DirectoryDriver::updated(const DirectoryView &view) const
 {
     return outcomeOf([&] { return view.withChanges(query(view.revision())); }).value();
 }
--- a/tests/directory/directorydriver.h
+++ b/tests/directory/directorydriver.h
@@ -8,28 +8,30 @@
 
 namespace rattanrill::directory {
 
-/// Drives a directory state machine by its encoded interface.
+/// Runs a directory state machine through its encoded commands and queries.
 class DirectoryDriver
 {
 public:
     DirectoryDriver();
 
+    /// Write that is based on the revision \a base.
     Outcome<wire::DirectoryResult> write(wire::DirectoryOperation operation, std::uint64_t base,
                                          std::string requestId = {});
-    /// Unconditional write.
-    Outcome<wire::DirectoryResult> writeAnyway(wire::DirectoryOperation operation);
+    /// Write that does not check the base revision.
+    Outcome<wire::DirectoryResult> writeUnconditionally(wire::DirectoryOperation operation);
     Outcome<wire::DirectoryResult> apply(const wire::DirectoryCommand &command);
     wire::PollChangesResponse query(std::uint64_t afterRevision) const;
-    /// \a view with the changes since.
-    DirectoryView followFrom(const DirectoryView &view) const;
-    /// View of all records.
-    DirectoryView view() const { return followFrom(DirectoryView()); }
-    /// Continues with a machine restored from a snapshot.
+    /// Returns \a view with the changes since its revision.
+    DirectoryView updated(const DirectoryView &view) const;
+    /// Returns a view of all records.
+    DirectoryView view() const { return updated(DirectoryView()); }
+    /// Replaces the state machine by a new one that is restored from its snapshot.
     void restart();
-    /// Code of the failure to restore \a snapshot; Internal when it was accepted.
+    /// Returns the code of the failure to restore \a snapshot; Internal when it was restored.
     ErrorCode restoreFailure(const std::string &snapshot);
     replication::StateMachine &machine() { return *m_machine; }
 
+    /// Time of the next write().
     std::int64_t nowMs = 1000;
 
 private:
--- a/tests/directory/directorysubscriber_test.cpp
+++ b/tests/directory/directorysubscriber_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Keeps polls until the test answers them.
-class ManualPolls : public DirectoryPollClient
+/// Holds polls open until the test answers them.
+class ManualPollClient : public DirectoryPollClient
 {
 public:
     struct Poll
@@ -40,13 +40,14 @@
 {
     Fixture()
     {
-        subscriber.onChange([this](const auto &view) { seen.push_back(view->revision()); });
+        subscriber.onChange(
+                [this](const auto &view) { publishedRevisions.push_back(view->revision()); });
     }
 
     ManualClock clock;
     ManualTimerService timers{clock};
-    ManualPolls polls;
-    std::vector<std::uint64_t> seen;
+    ManualPollClient polls;
+    std::vector<std::uint64_t> publishedRevisions;
     DirectorySubscriber subscriber{{"entry-1"}, polls, timers, clock};
 };
 
@@ -71,8 +72,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectorySubscriberTest, Fixture)
 
-// Guards against a stale view that looks fresh: the answer proves what held when the poll was sent,
-// not when the answer came.
+// Guards against an age that is too low: an answer is only known to contain what was committed
+// before the poll was sent, not what was committed before the answer arrived.
 BOOST_AUTO_TEST_CASE(ageCountsFromTheTimeThePollWasSent)
 {
     BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
@@ -86,8 +87,8 @@
     BOOST_TEST((subscriber.age() == absl::Milliseconds(300)));
 }
 
-// Guards against freshness from a failed poll.
-BOOST_AUTO_TEST_CASE(failedPollProvesNothing)
+// Guards against a failed poll that resets the age of the view.
+BOOST_AUTO_TEST_CASE(failedPollDoesNotResetTheAge)
 {
     subscriber.start();
     polls.answer(contractAt(1, 1));
@@ -97,9 +98,9 @@
     BOOST_TEST(subscriber.view()->revision() == 1u);
 }
 
-// Guards against configuration that goes back (R13), and against freshness from a replica that is
-// behind.
-BOOST_AUTO_TEST_CASE(olderRevisionChangesNothingAndProvesNothing)
+// Guards against an older configuration that replaces a newer one (R13), and against an age that is
+// reset by the answer of a replica that lags behind.
+BOOST_AUTO_TEST_CASE(olderRevisionDoesNotChangeTheViewOrResetTheAge)
 {
     subscriber.start();
     polls.answer(contractAt(5, 5));
@@ -112,10 +113,11 @@
     snapshot.snapshot = true;
     polls.answer(snapshot);
     BOOST_TEST(subscriber.view()->revision() == 5u);
-    BOOST_TEST((seen == std::vector<std::uint64_t>{5}));
+    BOOST_TEST((publishedRevisions == std::vector<std::uint64_t>{5}));
 }
 
-// Guards against a view that skips a change it can't read: it could withdraw a key.
+// Guards against a view that skips a change that cannot be decoded, because the change could
+// withdraw a key.
 BOOST_AUTO_TEST_CASE(unreadableChangeIsNotSkipped)
 {
     subscriber.start();
@@ -126,7 +128,8 @@
     BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
 }
 
-// Guards against polls that start over from the beginning, or that never end a changed record.
+// Guards against polls that request all changes again, or a change that was already received, and
+// against a new view that changes the one before it.
 BOOST_AUTO_TEST_CASE(pollsResumeFromTheViewsRevision)
 {
     subscriber.start();
@@ -141,10 +144,11 @@
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.front().request.afterRevision == 8u);
     BOOST_TEST(before->revision() == 7u);
-    BOOST_TEST((seen == std::vector<std::uint64_t>{7, 8}));
+    BOOST_TEST((publishedRevisions == std::vector<std::uint64_t>{7, 8}));
 }
 
-// Guards against a storm of polls while control is away, and against a wait that grows without end.
+// Guards against a flood of polls while the control instances are unreachable, and against a
+// backoff that grows without limit.
 BOOST_AUTO_TEST_CASE(failuresBackOffWithinBounds)
 {
     subscriber.start();
@@ -158,7 +162,7 @@
     }
 }
 
-// Guards against a busy loop when answers come at once.
+// Guards against a busy loop of polls when each one is answered immediately.
 BOOST_AUTO_TEST_CASE(pollsKeepAMinimumInterval)
 {
     subscriber.start();
@@ -168,14 +172,14 @@
     BOOST_TEST(polls.open.size() == 1u);
 }
 
-// Guards against calls into a program that is shutting down.
-BOOST_AUTO_TEST_CASE(nothingHappensAfterStop)
+// Guards against calls of listeners, and polls, in a program that is shutting down.
+BOOST_AUTO_TEST_CASE(noListenerIsCalledAndNoPollIsSentAfterStop)
 {
     subscriber.start();
     subscriber.stop();
     polls.answer(contractAt(1, 1));
     timers.advance(absl::Seconds(5));
-    BOOST_TEST(seen.empty());
+    BOOST_TEST(publishedRevisions.empty());
     BOOST_TEST(polls.open.empty());
 }
 
@@ -183,8 +187,8 @@
 
 BOOST_AUTO_TEST_SUITE(DirectoryViewTest)
 
-// Guards against a call to a protected route that an open one with a shorter or similar prefix
-// takes (R4).
+// Guards against a call to a protected route that is served by an open route with a shorter or
+// similar prefix (R4).
 BOOST_AUTO_TEST_CASE(longestPrefixOfWholeSegmentsWins)
 {
     wire::PollChangesResponse response = unchanged(3);
@@ -203,7 +207,7 @@
     BOOST_TEST(!view.route("/"));
 }
 
-// Guards against an old record that a repeated change brings back.
+// Guards against an older record that replaces a newer one because an answer repeats a change.
 BOOST_AUTO_TEST_CASE(changesUpToTheViewsRevisionAreSkipped)
 {
     const DirectoryView view =
@@ -215,7 +219,7 @@
     BOOST_TEST(next.contract("w")->ratePerSecond == 5);
 }
 
-// Guards against a copy of all workspaces for one change.
+// Guards against copying the contracts of all workspaces for a change of one.
 BOOST_AUTO_TEST_CASE(changeSharesAllOtherRecords)
 {
     wire::PollChangesResponse response = unchanged(1);
--- a/tests/directory/model_test.cpp
+++ b/tests/directory/model_test.cpp
@@ -19,8 +19,8 @@
 constexpr unsigned seeds = 25;
 constexpr int steps = 400;
 
-/// Writes of several operators and processes: races from equal base revisions, resends after lost
-/// answers and names that collide.
+/// Generates the writes of several operators and processes: concurrent writes from the same base
+/// revision, resends after lost answers, and colliding names.
 class RandomWrites
 {
 public:
@@ -28,12 +28,15 @@
         : m_random(seed)
     {}
 
-    std::size_t below(std::size_t end) { return m_random() % end; }
+    /// Returns a random number from 0 to \a end - 1.
+    std::size_t randomBelow(std::size_t end) { return m_random() % end; }
 
+    /// Returns a new write, or one that was returned before with another time.
     wire::DirectoryCommand next(std::int64_t nowMs, const DirectoryView &view)
     {
-        const bool resend = !m_sent.empty() && below(6) == 0;
-        wire::DirectoryCommand command = resend ? m_sent[below(m_sent.size())] : make(view);
+        const bool resend = !m_sent.empty() && randomBelow(6) == 0;
+        wire::DirectoryCommand command =
+                resend ? m_sent[randomBelow(m_sent.size())] : newCommand(view);
         command.nowMs = nowMs;
         if (!resend)
             m_sent.push_back(command);
@@ -41,15 +44,18 @@
     }
 
 private:
-    std::string text(const char *stem, std::size_t end) { return concat(stem, below(end)); }
+    std::string randomName(const char *stem, std::size_t end)
+    {
+        return concat(stem, randomBelow(end));
+    }
 
-    wire::DirectoryCommand make(const DirectoryView &view)
+    wire::DirectoryCommand newCommand(const DirectoryView &view)
     {
         wire::DirectoryCommand command;
-        command.requestId = below(4) == 0 ? "" : concat("request-", m_sent.size());
-        command.operation = operation();
-        command.unconditional = below(2) == 0;
-        command.baseRevision = below(view.revision() + 1);
+        command.requestId = randomBelow(4) == 0 ? "" : concat("request-", m_sent.size());
+        command.operation = randomOperation();
+        command.unconditional = randomBelow(2) == 0;
+        command.baseRevision = randomBelow(view.revision() + 1);
         if (const auto *put = std::get_if<wire::PutContract>(&command.operation)) {
             const auto contract = view.contract(put->contract.workspace);
             command.baseRevision = contract ? contract->revision : 0;
@@ -57,40 +63,43 @@
         return command;
     }
 
-    wire::DirectoryOperation operation()
+    wire::DirectoryOperation randomOperation()
     {
-        const std::string workspace = text("w-", 3);
-        const std::string upstream = text("u-", 3);
-        switch (below(12)) {
+        const std::string workspace = randomName("w-", 3);
+        const std::string upstream = randomName("u-", 3);
+        switch (randomBelow(12)) {
         case 0: {
             wire::Contract contract;
             contract.workspace = workspace;
-            contract.ratePerSecond = static_cast<double>(below(5)) - 1;
+            contract.ratePerSecond = static_cast<double>(randomBelow(5)) - 1;
             return wire::PutContract{contract};
         }
         case 1:
             return wire::WithdrawContract{workspace};
         case 2:
         case 3:
-            return wire::AddKey{{text("k-", 20), std::string(64, "0123456789abcdef"[below(16)]),
-                                 workspace, false, 0}};
+            return wire::AddKey{{randomName("k-", 20),
+                                 std::string(64, "0123456789abcdef"[randomBelow(16)]), workspace,
+                                 false, 0}};
         case 4:
-            return wire::RevokeKey{text("k-", 20)};
+            return wire::RevokeKey{randomName("k-", 20)};
         case 5:
             return wire::PutUpstream{{upstream, wire::UpstreamKind::Engine, "m", "h",
-                                      static_cast<std::int64_t>(below(3)), "d"}};
+                                      static_cast<std::int64_t>(randomBelow(3)), "d"}};
         case 6:
             return wire::RemoveUpstream{upstream};
         case 7:
             return wire::IssueFencingToken{upstream};
         case 8:
-            return wire::JoinMember{{text("e-", 2), "d", "h:1", "h:2", text("i-", 4), 0}};
+            return wire::JoinMember{
+                    {randomName("e-", 2), "d", "h:1", "h:2", randomName("i-", 4), 0}};
         case 9:
-            return wire::RemoveMember{text("e-", 2), below(2) == 0 ? "" : text("i-", 4)};
+            return wire::RemoveMember{randomName("e-", 2),
+                                      randomBelow(2) == 0 ? "" : randomName("i-", 4)};
         case 10:
-            return wire::ReportCrash{text("f-", 2), upstream, 500};
+            return wire::ReportCrash{randomName("f-", 2), upstream, 500};
         default:
-            return wire::PutRoute{{text("r-", 2), text("/p", 2), "s", false, false, 0}};
+            return wire::PutRoute{{randomName("r-", 2), randomName("/p", 2), "s", false, false, 0}};
         }
     }
 
@@ -98,35 +107,35 @@
     std::vector<wire::DirectoryCommand> m_sent;
 };
 
-std::string textOf(const Outcome<wire::DirectoryResult> &answer)
+std::string describeAnswer(const Outcome<wire::DirectoryResult> &answer)
 {
     return answer.ok() ? wire::toJsonText(answer.value()) : describe(answer.failure());
 }
 
-/// What must hold after each write, whatever came before.
+/// Conditions that must hold after every sequence of writes.
 class Invariants
 {
 public:
     using Answer = Outcome<wire::DirectoryResult>;
 
-    /// The first fault, or an empty text.
+    /// Returns the first violation; empty when there is none.
     std::string check(const wire::DirectoryCommand &command, const Answer &answer,
                       const DirectoryView &view, const wire::PollChangesResponse &records)
     {
         const auto first = m_answers.find(command.requestId);
         const bool resend = !command.requestId.empty() && first != m_answers.end();
-        if (resend && first->second != textOf(answer))
-            return "a resend got another answer";
+        if (resend && first->second != describeAnswer(answer))
+            return "a resend got a different answer";
         if (!command.requestId.empty())
-            m_answers.emplace(command.requestId, textOf(answer));
+            m_answers.emplace(command.requestId, describeAnswer(answer));
         const std::uint64_t step = view.revision() - m_revision;
         if (step > (answer.ok() && !resend ? 1 : 0))
-            return "the revision moved without an accepted write, or by more than one";
+            return "the revision increased without an accepted write, or by more than one";
         m_revision = view.revision();
         if (!resend && answer.ok() && answer.value().fence > 0) {
-            std::uint64_t &last = m_fences[answer.value().id];
+            std::uint64_t &last = m_fencingTokens[answer.value().id];
             if (answer.value().fence <= last)
-                return "a fencing number did not grow";
+                return "a fencing token did not increase";
             last = answer.value().fence;
         }
         return checkKeys(records, view);
@@ -142,29 +151,29 @@
             const auto key = outcomeOf([&] { return wire::decode<wire::ApiKey>(change.body); });
             const std::string &hash = key.value().hash;
             if (!hashes.insert(hash).second)
-                return "two keys have one hash";
+                return "two keys have the same hash";
             if (key.value().withdrawn)
                 m_withdrawn.insert(hash);
             else if (m_withdrawn.count(hash) > 0)
-                return "a withdrawn key came back";
+                return "a withdrawn key became valid again";
             const auto contract = view.contract(key.value().workspace);
             if (!key.value().withdrawn && (!contract || contract->withdrawn))
-                return "a key outlived its contract";
+                return "a key is valid although its contract is withdrawn or missing";
         }
         for (const std::string &hash : m_withdrawn) {
             if (!view.apiKeyByHash(hash))
-                return "a withdrawn key was forgotten";
+                return "a withdrawn key is missing from the view";
         }
         return {};
     }
 
     std::uint64_t m_revision = 0;
     std::map<std::string, std::string> m_answers;
-    std::map<std::string, std::uint64_t> m_fences;
+    std::map<std::string, std::uint64_t> m_fencingTokens;
     std::set<std::string> m_withdrawn;
 };
 
-/// Everything that entries read in a view.
+/// Returns everything that entry instances read from a view as text.
 std::string summary(const DirectoryView &view)
 {
     std::string text = concat(view.revision(), "/", view.memberRevision());
@@ -187,53 +196,57 @@
     return text;
 }
 
-using Tamper = std::function<void(wire::DirectoryCommand &)>;
+using CommandFault = std::function<void(wire::DirectoryCommand &)>;
 
-/// Runs one seed on a steady and a restarting replica; \a tamper is a fault of the machine.
-std::string runSeed(unsigned seed, const Tamper &tamper)
+/// Applies the writes of one seed to a replica that keeps running and to one that is repeatedly
+/// restored from its snapshot, and returns the first violation. \a injectFault changes each command
+/// before it is applied, to simulate a fault of the state machine.
+std::string runSeed(unsigned seed, const CommandFault &injectFault)
 {
     RandomWrites writes(seed);
     Invariants invariants;
-    DirectoryDriver steady;
+    DirectoryDriver reference;
     DirectoryDriver restarting;
-    std::vector<DirectoryView> followers(4);
+    std::vector<DirectoryView> subscriberViews(4);
     for (int step = 0; step < steps; ++step) {
-        steady.nowMs += static_cast<std::int64_t>(writes.below(300));
-        const wire::DirectoryCommand command = writes.next(steady.nowMs, steady.view());
+        reference.nowMs += static_cast<std::int64_t>(writes.randomBelow(300));
+        const wire::DirectoryCommand command = writes.next(reference.nowMs, reference.view());
         wire::DirectoryCommand applied = command;
-        tamper(applied);
-        const auto answer = steady.apply(applied);
-        if (textOf(answer) != textOf(restarting.apply(applied)))
-            return "the restored replica gave another answer";
-        const DirectoryView view = steady.view();
-        const std::string fault = invariants.check(command, answer, view, steady.query(0));
+        injectFault(applied);
+        const auto answer = reference.apply(applied);
+        if (describeAnswer(answer) != describeAnswer(restarting.apply(applied)))
+            return "the restored replica gave a different answer";
+        const DirectoryView view = reference.view();
+        const std::string fault = invariants.check(command, answer, view, reference.query(0));
         if (!fault.empty())
             return concat("seed ", seed, ", step ", step, ": ", fault);
-        DirectoryView &follower = followers[writes.below(followers.size())];
-        follower = restarting.followFrom(follower);
-        if (summary(follower) != summary(view))
-            return concat(summary(follower), " differs from ", summary(view));
-        if (writes.below(10) == 0)
+        DirectoryView &subscriberView = subscriberViews[writes.randomBelow(subscriberViews.size())];
+        subscriberView = restarting.updated(subscriberView);
+        if (summary(subscriberView) != summary(view))
+            return concat(summary(subscriberView), " differs from ", summary(view));
+        if (writes.randomBelow(10) == 0)
             restarting.restart();
     }
-    const bool same = steady.machine().snapshot() == restarting.machine().snapshot();
-    return same ? "" : "the restored replica has another state";
+    const bool same = reference.machine().snapshot() == restarting.machine().snapshot();
+    return same ? "" : "the restored replica has a different state";
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ModelTest)
 
-// Guards against lost updates, second effects of resends (F5), returning keys (R6), fencing numbers
-// that go back, state that a snapshot leaves out, and deltas that differ from a snapshot.
+// Guards against lost updates, resends that are applied twice (F5), withdrawn keys that become
+// valid again (R6), decreasing fencing tokens, state that is missing from a snapshot, and deltas
+// that give another view than a snapshot.
 BOOST_AUTO_TEST_CASE(randomWritesKeepTheInvariants)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed)
         BOOST_TEST(runSeed(seed, [](wire::DirectoryCommand &) {}) == "");
 }
 
-// Shows that the invariants catch a machine that does not remember request ids.
-BOOST_AUTO_TEST_CASE(invariantsCatchForgottenRequestIds)
+// Guards against invariants that accept a state machine that ignores request ids and therefore
+// applies a resent write twice.
+BOOST_AUTO_TEST_CASE(invariantsDetectIgnoredRequestIds)
 {
     const std::string fault =
             runSeed(1, [](wire::DirectoryCommand &command) { command.requestId.clear(); });
