--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -9,11 +9,12 @@
 namespace rattanrill::controlclient {
 namespace {
 
-/// Pause after every instance was tried once: an election takes some hundred milliseconds, so
-/// shorter pauses would only load the instances.
+/// Delay before the next attempt after all instances were tried. An election takes some hundred
+/// milliseconds, so shorter delays would only increase the load of the instances.
 constexpr absl::Duration retryDelay = absl::Milliseconds(50);
 
-/// Failures that say something about the instance or the moment, not about the request.
+/// Whether the failure is due to the instance or its current state and not to the request, so that
+/// another attempt can succeed.
 bool isTransient(ErrorCode code)
 {
     switch (code) {
@@ -40,12 +41,13 @@
     , m_addresses(std::move(addresses))
     , m_timers(timers)
     , m_clock(clock)
-    // Instances of a fleet start at different control instances.
-    , m_next(stableHash(randomHex(sizeof(std::uint64_t)))
-             % std::max<std::size_t>(1, m_addresses.size()))
+    // Starts at a random address, so that the instances of a fleet do not all use the same control
+    // instance.
+    , m_nextAddressIndex(stableHash(randomHex(sizeof(std::uint64_t)))
+                         % std::max<std::size_t>(1, m_addresses.size()))
 {}
 
-void ControlCalls::start(CallPlan plan, const Callback &callback)
+void ControlCalls::start(CallParameters parameters, const Callback &callback)
 {
     std::uint64_t id = 0;
     {
@@ -53,7 +55,7 @@
         if (!m_stopped && !m_addresses.empty()) {
             id = m_nextId++;
             Call &call = m_calls[id];
-            call.plan = std::move(plan);
+            call.parameters = std::move(parameters);
             call.callback = callback;
         }
     }
@@ -75,23 +77,24 @@
             return;
         Call &call = found->second;
         call.timer = 0;
-        ++call.tries;
-        address = addressFor(call.plan.target);
+        ++call.attempts;
+        address = addressFor(call.parameters.target);
         call.address = address;
-        method = call.plan.method;
-        body = call.plan.body;
-        timeout = std::min(call.plan.tryTimeout, call.plan.deadline - m_clock.now());
+        method = call.parameters.method;
+        body = call.parameters.body;
+        timeout =
+                std::min(call.parameters.attemptTimeout, call.parameters.deadline - m_clock.now());
     }
     const auto reply = [weak = weak_from_this(), id, address](const Outcome<std::string> &outcome) {
         if (const auto self = weak.lock())
-            self->answered(id, address, outcome);
+            self->handleReply(id, address, outcome);
     };
     m_channels.channel(address)->call(method, std::move(body),
                                       std::max(timeout, absl::ZeroDuration()), reply);
 }
 
-void ControlCalls::answered(std::uint64_t id, const std::string &address,
-                            const Outcome<std::string> &outcome)
+void ControlCalls::handleReply(std::uint64_t id, const std::string &address,
+                               const Outcome<std::string> &outcome)
 {
     Failure failure;
     {
@@ -101,10 +104,10 @@
             return;
         Call &call = found->second;
         if (outcome.ok()) {
-            m_known[call.plan.target] = address;
+            m_addressByTarget[call.parameters.target] = address;
         } else {
             failure = outcome.failure();
-            learn(call, address, failure);
+            updateTargetAddress(call, address, failure);
             if (shouldRetry(call, failure))
                 return retry(id, call, failure);
             failure = finalFailure(call, failure);
@@ -118,47 +121,50 @@
 
 bool ControlCalls::shouldRetry(Call &call, const Failure &failure) const
 {
-    const bool mayHaveRun = call.plan.hasEffect && failure.run == EffectState::MayHaveRun;
+    const bool mayHaveRun = call.parameters.hasEffect && failure.run == EffectState::MayHaveRun;
     call.mayHaveRun = call.mayHaveRun || mayHaveRun;
-    if (mayHaveRun && !call.plan.idempotent)
+    if (mayHaveRun && !call.parameters.idempotent)
         return false;
-    return isTransient(failure.code) && m_clock.now() < call.plan.deadline;
+    return isTransient(failure.code) && m_clock.now() < call.parameters.deadline;
 }
 
-/// What the caller learns. When the deadline cuts the last try short, the failure of the try before
-/// says more than a timeout.
+/// Returns the failure for the caller. If the deadline ended the last attempt, this is the failure
+/// of the previous attempt, which describes the cause better than the timeout does.
 Failure ControlCalls::finalFailure(const Call &call, const Failure &failure) const
 {
-    const bool cutShort = failure.code == ErrorCode::Timeout && call.tries > 1;
-    Failure result = cutShort ? call.lastFailure : failure;
-    if (call.plan.hasEffect && call.mayHaveRun)
+    const bool usePreviousFailure = failure.code == ErrorCode::Timeout && call.attempts > 1;
+    Failure result = usePreviousFailure ? call.lastFailure : failure;
+    if (call.parameters.hasEffect && call.mayHaveRun)
         result.run = EffectState::MayHaveRun;
     return result;
 }
 
-/// Remembers the leader that \a failure names, or that \a address does not serve the target.
-void ControlCalls::learn(const Call &call, const std::string &address, const Failure &failure)
+/// Caches the leader that \a failure names. Without one, removes \a address from the cache if the
+/// failure shows that it does not serve the target now.
+void ControlCalls::updateTargetAddress(const Call &call, const std::string &address,
+                                       const Failure &failure)
 {
-    std::string &known = m_known[call.plan.target];
+    std::string &targetAddress = m_addressByTarget[call.parameters.target];
     if (failure.code == ErrorCode::NotLeader && !failure.detail.empty()
         && failure.detail != address) {
-        known = failure.detail;
+        targetAddress = failure.detail;
         return;
     }
-    if (isTransient(failure.code) && (known.empty() || known == address))
-        known.clear();
+    if (isTransient(failure.code) && (targetAddress.empty() || targetAddress == address))
+        targetAddress.clear();
 }
 
 void ControlCalls::retry(std::uint64_t id, Call &call, const Failure &failure)
 {
     call.lastFailure = failure;
-    const bool roundIsOver = call.tries % static_cast<int>(m_addresses.size() + 1) == 0;
-    // The leader that lost a proposal or its quorum needs time, another instance does not help.
-    const bool pause = roundIsOver || failure.code == ErrorCode::NoQuorum
+    const bool allInstancesTried = call.attempts % static_cast<int>(m_addresses.size() + 1) == 0;
+    // After the loss of a proposal or of the quorum the group needs time to recover. To call
+    // another instance does not help.
+    const bool pause = allInstancesTried || failure.code == ErrorCode::NoQuorum
                        || failure.code == ErrorCode::ProposalLost;
     const absl::Duration delay = pause ? retryDelay : absl::ZeroDuration();
-    // Also without a pause the next try starts from the timer's thread, because a reply may have
-    // come on the stack of the call.
+    // The next attempt is sent from the timer thread, also without a delay, because the reply may
+    // have been delivered from within the call in send().
     call.timer = m_timers.subscribeOnce(delay, [weak = weak_from_this(), id] {
         if (const auto self = weak.lock())
             self->send(id);
@@ -167,10 +173,10 @@
 
 std::string ControlCalls::addressFor(const std::string &target)
 {
-    std::string &known = m_known[target];
-    if (known.empty())
-        known = m_addresses[m_next++ % m_addresses.size()];
-    return known;
+    std::string &address = m_addressByTarget[target];
+    if (address.empty())
+        address = m_addresses[m_nextAddressIndex++ % m_addresses.size()];
+    return address;
 }
 
 void ControlCalls::finish(std::uint64_t id, const Outcome<std::string> &outcome)
@@ -183,11 +189,12 @@
             return;
         callback = std::move(found->second.callback);
         m_calls.erase(found);
-        m_running.push_back(std::this_thread::get_id());
+        m_callbackThreads.push_back(std::this_thread::get_id());
     }
     callback(outcome);
     absl::MutexLock lock(&m_mutex);
-    m_running.erase(std::find(m_running.begin(), m_running.end(), std::this_thread::get_id()));
+    m_callbackThreads.erase(std::find(m_callbackThreads.begin(), m_callbackThreads.end(),
+                                      std::this_thread::get_id()));
     m_callbackEnded.SignalAll();
 }
 
@@ -202,18 +209,18 @@
     for (auto &[id, call] : calls) {
         if (call.timer != 0)
             m_timers.unsubscribe(call.timer);
-        // A try in flight may still run; one that only waits for its turn has not.
-        const bool mayHaveRun = call.mayHaveRun || (call.plan.hasEffect && call.timer == 0);
+        // An attempt in flight may still run; one that waits for its timer has not been sent.
+        const bool mayHaveRun = call.mayHaveRun || (call.parameters.hasEffect && call.timer == 0);
         const EffectState run = mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
         call.callback(Failure{ErrorCode::Stopped, run, "control client is stopped"});
     }
     absl::MutexLock lock(&m_mutex);
-    const auto othersRun = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
-        return std::any_of(m_running.begin(), m_running.end(), [](std::thread::id thread) {
-            return thread != std::this_thread::get_id();
-        });
+    const auto otherCallbacksRun = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+        return std::any_of(
+                m_callbackThreads.begin(), m_callbackThreads.end(),
+                [](std::thread::id thread) { return thread != std::this_thread::get_id(); });
     };
-    while (othersRun())
+    while (otherCallbacksRun())
         m_callbackEnded.Wait(&m_mutex);
 }
 
--- a/src/controlclient/controlcalls.h
+++ b/src/controlclient/controlcalls.h
@@ -13,24 +13,26 @@
 
 namespace rattanrill::controlclient {
 
-/// What one call needs, apart from where it goes.
-struct CallPlan
+/// Parameters of one call, apart from the address of the instance.
+struct CallParameters
 {
     wire::Method method = wire::Method::Propose;
     std::string body;
-    /// Calls with the same text share a guess of who answers them: the name of a group, which only
-    /// its leader serves, or another text for calls that every instance serves.
+    /// Key under which the address of the instance to call is cached: the name of a group, whose
+    /// calls only its leader serves, or another name for calls that every instance serves.
     std::string target;
-    /// A try that may have run may be repeated.
+    /// Whether the call may be sent again after an attempt that may have run.
     bool idempotent = true;
-    /// A try that may have run makes a difference to the caller.
+    /// Whether running the call has an effect, so that the caller must learn that an attempt may
+    /// have run. A call without an effect may always be sent again.
     bool hasEffect = true;
-    /// One try fails after this, so that a silent instance does not take the whole deadline.
-    absl::Duration tryTimeout;
+    /// Timeout of one attempt, so that an instance that does not answer does not use up the whole
+    /// time until the deadline.
+    absl::Duration attemptTimeout;
     absl::Time deadline;
 };
 
-/// The open calls of a ControlClient and what is known about leaders.
+/// The open calls of a ControlClient and the cached addresses of the leaders.
 class ControlCalls : public std::enable_shared_from_this<ControlCalls>
 {
 public:
@@ -39,32 +41,37 @@
     ControlCalls(peer::ChannelPool &channels, std::vector<std::string> addresses,
                  TimerService &timers, const Clock &clock);
 
-    void start(CallPlan plan, const Callback &callback);
+    /// Starts a call. \a callback receives its result, possibly before start() returns.
+    void start(CallParameters parameters, const Callback &callback);
+    /// Fails the open calls with Stopped and waits for callbacks on other threads.
     void stop();
     absl::Time now() const { return m_clock.now(); }
 
 private:
     struct Call
     {
-        CallPlan plan;
+        CallParameters parameters;
         Callback callback;
         std::string address;
-        int tries = 0;
+        int attempts = 0;
         bool mayHaveRun = false;
-        /// Of the try before; code Internal before the first.
+        /// Failure of the previous attempt; its code is Internal before the first failure.
         Failure lastFailure;
+        /// Timer of the next attempt; 0 while an attempt is in flight.
         TimerService::TimerId timer = 0;
     };
 
     void send(std::uint64_t id);
-    void answered(std::uint64_t id, const std::string &address,
-                  const Outcome<std::string> &outcome);
+    void handleReply(std::uint64_t id, const std::string &address,
+                     const Outcome<std::string> &outcome);
+    /// Whether the call is sent again. Records in \a call whether it may have run.
     bool shouldRetry(Call &call, const Failure &failure) const;
     Failure finalFailure(const Call &call, const Failure &failure) const;
-    void learn(const Call &call, const std::string &address, const Failure &failure)
+    void updateTargetAddress(const Call &call, const std::string &address, const Failure &failure)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void retry(std::uint64_t id, Call &call, const Failure &failure)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    /// Returns the cached address of \a target, or the next address of the list.
     std::string addressFor(const std::string &target) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void finish(std::uint64_t id, const Outcome<std::string> &outcome);
 
@@ -77,11 +84,14 @@
     absl::CondVar m_callbackEnded;
     std::map<std::uint64_t, Call> m_calls ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_nextId ABSL_GUARDED_BY(m_mutex) = 1;
-    /// Last known leader, or instance that served, of each target.
-    std::map<std::string, std::string> m_known ABSL_GUARDED_BY(m_mutex);
-    std::size_t m_next ABSL_GUARDED_BY(m_mutex);
-    /// Threads that are running a callback.
-    std::vector<std::thread::id> m_running ABSL_GUARDED_BY(m_mutex);
+    /// Address of the last known leader of each target, or of the instance that served it last. An
+    /// empty address is unknown.
+    std::map<std::string, std::string> m_addressByTarget ABSL_GUARDED_BY(m_mutex);
+    /// Index in m_addresses, modulo its size, of the next address for a target without a cached
+    /// one.
+    std::size_t m_nextAddressIndex ABSL_GUARDED_BY(m_mutex);
+    /// Threads that are running a callback from finish().
+    std::vector<std::thread::id> m_callbackThreads ABSL_GUARDED_BY(m_mutex);
     bool m_stopped ABSL_GUARDED_BY(m_mutex) = false;
 };
 
--- a/src/controlclient/controlclient.cpp
+++ b/src/controlclient/controlclient.cpp
@@ -10,10 +10,11 @@
 namespace rattanrill::controlclient {
 namespace {
 
-/// Well above the round trip and a synced write, well below an entry's timeouts.
-constexpr absl::Duration defaultTryTimeout = absl::Seconds(1);
-/// Every instance answers a follow poll, so its target is no group.
-constexpr const char *followTarget = "follow";
+/// Timeout of one attempt: well above the time for a round trip and a synced write, and well below
+/// the timeouts of an entry instance.
+constexpr absl::Duration defaultAttemptTimeout = absl::Seconds(1);
+/// Target of directory polls. Every instance serves them, so the target is not a group.
+constexpr const char *pollTarget = "follow";
 
 template <typename Message>
 Outcome<Message> decoded(const Outcome<std::string> &outcome)
@@ -63,57 +64,60 @@
 void ControlClient::propose(const std::string &group, std::string command, bool idempotent,
                             absl::Duration timeout, Callback<std::string> callback)
 {
-    CallPlan plan;
-    plan.method = wire::Method::Propose;
-    plan.body = wire::encode(wire::ProposeRequest{group, std::move(command)});
-    plan.target = group;
-    plan.idempotent = idempotent;
-    // A call that cannot be repeated gains nothing from an early end of its only try.
-    plan.tryTimeout = idempotent ? defaultTryTimeout : timeout;
-    plan.deadline = m_impl->calls->now() + timeout;
-    m_impl->calls->start(std::move(plan), groupCallback(std::move(callback)));
+    CallParameters parameters;
+    parameters.method = wire::Method::Propose;
+    parameters.body = wire::encode(wire::ProposeRequest{group, std::move(command)});
+    parameters.target = group;
+    parameters.idempotent = idempotent;
+    // An attempt that cannot be repeated gets the whole time: a shorter timeout would not lead to
+    // another attempt.
+    parameters.attemptTimeout = idempotent ? defaultAttemptTimeout : timeout;
+    parameters.deadline = m_impl->calls->now() + timeout;
+    m_impl->calls->start(std::move(parameters), groupCallback(std::move(callback)));
 }
 
 void ControlClient::read(const std::string &group, std::string query, absl::Duration timeout,
                          Callback<std::string> callback)
 {
-    CallPlan plan;
-    plan.method = wire::Method::Read;
-    plan.body = wire::encode(wire::ReadRequest{group, std::move(query)});
-    plan.target = group;
-    plan.hasEffect = false;
-    plan.tryTimeout = defaultTryTimeout;
-    plan.deadline = m_impl->calls->now() + timeout;
-    m_impl->calls->start(std::move(plan), groupCallback(std::move(callback)));
+    CallParameters parameters;
+    parameters.method = wire::Method::Read;
+    parameters.body = wire::encode(wire::ReadRequest{group, std::move(query)});
+    parameters.target = group;
+    parameters.hasEffect = false;
+    parameters.attemptTimeout = defaultAttemptTimeout;
+    parameters.deadline = m_impl->calls->now() + timeout;
+    m_impl->calls->start(std::move(parameters), groupCallback(std::move(callback)));
 }
 
 void ControlClient::pollDirectory(const wire::PollChangesRequest &request, absl::Duration timeout,
                                   Callback<wire::PollChangesResponse> callback)
 {
-    CallPlan plan;
-    plan.method = wire::Method::PollChanges;
-    plan.body = wire::encode(request);
-    plan.target = followTarget;
-    plan.hasEffect = false;
-    plan.tryTimeout = absl::Milliseconds(request.waitMs) + defaultTryTimeout;
-    plan.deadline = m_impl->calls->now() + timeout;
-    m_impl->calls->start(std::move(plan), [callback = std::move(callback)](const auto &outcome) {
-        callback(decoded<wire::PollChangesResponse>(outcome));
-    });
+    CallParameters parameters;
+    parameters.method = wire::Method::PollChanges;
+    parameters.body = wire::encode(request);
+    parameters.target = pollTarget;
+    parameters.hasEffect = false;
+    parameters.attemptTimeout = absl::Milliseconds(request.waitMs) + defaultAttemptTimeout;
+    parameters.deadline = m_impl->calls->now() + timeout;
+    m_impl->calls->start(std::move(parameters),
+                         [callback = std::move(callback)](const auto &outcome) {
+                             callback(decoded<wire::PollChangesResponse>(outcome));
+                         });
 }
 
 void ControlClient::heartbeat(const wire::HeartbeatRequest &request, absl::Duration timeout,
                               Callback<wire::HeartbeatResponse> callback)
 {
-    CallPlan plan;
-    plan.method = wire::Method::Heartbeat;
-    plan.body = wire::encode(request);
-    plan.target = directoryGroup;
-    plan.tryTimeout = defaultTryTimeout;
-    plan.deadline = m_impl->calls->now() + timeout;
-    m_impl->calls->start(std::move(plan), [callback = std::move(callback)](const auto &outcome) {
-        callback(decoded<wire::HeartbeatResponse>(outcome));
-    });
+    CallParameters parameters;
+    parameters.method = wire::Method::Heartbeat;
+    parameters.body = wire::encode(request);
+    parameters.target = directoryGroup;
+    parameters.attemptTimeout = defaultAttemptTimeout;
+    parameters.deadline = m_impl->calls->now() + timeout;
+    m_impl->calls->start(std::move(parameters),
+                         [callback = std::move(callback)](const auto &outcome) {
+                             callback(decoded<wire::HeartbeatResponse>(outcome));
+                         });
 }
 
 void ControlClient::stop()
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -25,7 +25,7 @@
     return options;
 }
 
-/// Control instance that answers every proposal and read in the same way.
+/// Control instance that answers every proposal and read the same way.
 class FakeControl
 {
 public:
@@ -60,18 +60,20 @@
     reply(wire::encode(wire::GroupResponse{"done"}));
 }
 
+/// Answers with \a failure.
 FakeControl::Answer failing(const Failure &failure)
 {
     return [failure](const peer::ResponseCallback &reply) { reply(failure); };
 }
 
-/// Client with its parts, in the order in which they are made.
+/// Client with the objects that it needs, in order of construction.
 struct Client
 {
     explicit Client(std::vector<std::string> addresses)
         : control(channels, std::move(addresses), timers, SystemClock::instance())
     {}
 
+    /// Proposes a command and waits for the result.
     Outcome<std::string> propose(bool idempotent, absl::Duration timeout = absl::Seconds(10))
     {
         absl::Notification done;
@@ -101,6 +103,8 @@
 
 BOOST_AUTO_TEST_SUITE(ControlClientTest)
 
+// Guards against a client that ignores the leader named in a NotLeader failure, or that calls a
+// follower first again on each call.
 BOOST_AUTO_TEST_CASE(notLeaderHintIsFollowedAndRemembered)
 {
     FakeControl leader(answerDone);
@@ -112,40 +116,42 @@
     BOOST_TEST(leader.calls == 2);
 }
 
-// Guards against a client that stays with an instance that is gone.
+// Guards against a client that keeps calling an instance that is no longer reachable.
 BOOST_AUTO_TEST_CASE(nextInstanceIsTriedAfterALostConnection)
 {
-    std::string gone;
+    std::string stoppedAddress;
     {
         FakeControl stopped(answerDone);
-        gone = stopped.address();
+        stoppedAddress = stopped.address();
     }
     FakeControl alive(answerDone);
-    Client client({gone, alive.address()});
+    Client client({stoppedAddress, alive.address()});
     BOOST_TEST(client.propose(false).ok());
-    Client stranger({gone});
-    checkFailure(stranger.propose(true, absl::Milliseconds(300)), ErrorCode::ConnectionLost,
-                 EffectState::NotRun);
+    Client clientOfStoppedInstance({stoppedAddress});
+    checkFailure(clientOfStoppedInstance.propose(true, absl::Milliseconds(300)),
+                 ErrorCode::ConnectionLost, EffectState::NotRun);
 }
 
-// Guards against a second run of a command that must run at most once.
-BOOST_AUTO_TEST_CASE(lostAnswerIsRepeatedOnlyWhenTheCommandAllowsIt)
+// Guards against running a command twice that must run at most once: after a lost proposal the
+// client does not know whether it ran.
+BOOST_AUTO_TEST_CASE(lostProposalIsRetriedOnlyIfTheCommandIsIdempotent)
 {
-    FakeControl loses(failing(mayHaveRun(ErrorCode::ProposalLost, "leader changed")));
-    Client once({loses.address()});
-    checkFailure(once.propose(false), ErrorCode::ProposalLost, EffectState::MayHaveRun);
-    BOOST_TEST(loses.calls == 1);
-    checkFailure(once.propose(true, absl::Milliseconds(400)), ErrorCode::ProposalLost,
+    FakeControl lossyControl(failing(mayHaveRun(ErrorCode::ProposalLost, "leader changed")));
+    Client client({lossyControl.address()});
+    checkFailure(client.propose(false), ErrorCode::ProposalLost, EffectState::MayHaveRun);
+    BOOST_TEST(lossyControl.calls == 1);
+    checkFailure(client.propose(true, absl::Milliseconds(400)), ErrorCode::ProposalLost,
                  EffectState::MayHaveRun);
-    BOOST_TEST(loses.calls > 2);
+    BOOST_TEST(lossyControl.calls > 2);
 }
 
-// Guards against "not run" after a try that may have run.
-BOOST_AUTO_TEST_CASE(aLaterRefusalDoesNotDenyAnEarlierTry)
+// Guards against a failure that says that the command has not run, although an earlier attempt may
+// have run it: the refusal of the last attempt concerns that attempt only.
+BOOST_AUTO_TEST_CASE(refusalAfterAnAttemptThatMayHaveRunReportsMayHaveRun)
 {
-    std::atomic<int> tries{0};
+    std::atomic<int> attempts{0};
     FakeControl control([&](const peer::ResponseCallback &reply) {
-        if (++tries == 1)
+        if (++attempts == 1)
             reply(mayHaveRun(ErrorCode::ProposalLost, ""));
         else
             reply(notRun(ErrorCode::Conflict, ""));
@@ -154,37 +160,43 @@
     checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::MayHaveRun);
 }
 
-BOOST_AUTO_TEST_CASE(refusalIsReturnedWithoutAnotherTry)
+// Guards against retries of a request that was refused for a reason that does not depend on the
+// instance.
+BOOST_AUTO_TEST_CASE(refusalIsReturnedWithoutAnotherAttempt)
 {
-    FakeControl refuses(failing(notRun(ErrorCode::Conflict, "revision 3")));
+    FakeControl refusingControl(failing(notRun(ErrorCode::Conflict, "revision 3")));
     FakeControl other(answerDone);
-    Client client({refuses.address()});
+    Client client({refusingControl.address()});
     checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::NotRun);
-    BOOST_TEST(refuses.calls == 1);
+    BOOST_TEST(refusingControl.calls == 1);
 }
 
-BOOST_AUTO_TEST_CASE(silentInstanceDoesNotTakeTheWholeDeadline)
+// Guards against a call that fails because its first attempt waits until the deadline for an
+// instance that never answers.
+BOOST_AUTO_TEST_CASE(unresponsiveInstanceDoesNotUseUpTheWholeDeadline)
 {
     absl::Mutex mutex;
-    std::vector<peer::ResponseCallback> kept;
-    FakeControl silent([&](const peer::ResponseCallback &reply) {
+    std::vector<peer::ResponseCallback> pendingReplies;
+    FakeControl unresponsive([&](const peer::ResponseCallback &reply) {
         absl::MutexLock lock(&mutex);
-        kept.push_back(reply);
+        pendingReplies.push_back(reply);
     });
     FakeControl alive(answerDone);
-    Client client({silent.address(), alive.address()});
+    Client client({unresponsive.address(), alive.address()});
     BOOST_TEST(client.propose(true, absl::Seconds(20)).ok());
 }
 
+// Guards against calls that stay open after stop(), and against callbacks that run twice or after
+// stop().
 BOOST_AUTO_TEST_CASE(stopFailsOpenCallsBeforeItReturns)
 {
     absl::Mutex mutex;
-    std::vector<peer::ResponseCallback> kept;
-    FakeControl silent([&](const peer::ResponseCallback &reply) {
+    std::vector<peer::ResponseCallback> pendingReplies;
+    FakeControl unresponsive([&](const peer::ResponseCallback &reply) {
         absl::MutexLock lock(&mutex);
-        kept.push_back(reply);
+        pendingReplies.push_back(reply);
     });
-    Client client({silent.address()});
+    Client client({unresponsive.address()});
     int replies = 0;
     client.control.propose("batch-0", "", true, absl::Seconds(60),
                            [&](const Outcome<std::string> &outcome) {
