--- a/src/fakes/answer.cpp
+++ b/src/fakes/answer.cpp
@@ -62,9 +62,9 @@
     const std::string expected = expectedText(prompt, 0, tokens);
     if (text == expected)
         return AnswerVerdict::Correct;
-    const bool isBeginning =
+    const bool isPrefix =
             text.size() < expected.size() && expected.compare(0, text.size(), text) == 0;
-    return isBeginning ? AnswerVerdict::Truncated : AnswerVerdict::Mismatch;
+    return isPrefix ? AnswerVerdict::Truncated : AnswerVerdict::Mismatch;
 }
 
 Result<std::string> promptOf(const Json &body)
--- a/src/fakes/answerwriter.cpp
+++ b/src/fakes/answerwriter.cpp
@@ -29,25 +29,25 @@
     return concat("data: ", dumpJson(json), "\n\n");
 }
 
-std::string_view chunkObject(const AnswerForm &form)
+std::string_view chunkObject(const AnswerFormat &format)
 {
-    return form.chat ? "chat.completion.chunk" : "text_completion";
+    return format.chat ? "chat.completion.chunk" : "text_completion";
 }
 
-Json chunkChoice(const AnswerForm &form, const std::string &text, const Json &finishReason)
+Json chunkChoice(const AnswerFormat &format, const std::string &text, const Json &finishReason)
 {
     Json choice = {{"index", 0}, {"finish_reason", finishReason}};
-    if (form.chat)
+    if (format.chat)
         choice["delta"] = {{"content", text}};
     else
         choice["text"] = text;
     return choice;
 }
 
-Json wholeChoice(const AnswerForm &form, const std::string &text, FinishReason reason)
+Json wholeChoice(const AnswerFormat &format, const std::string &text, FinishReason reason)
 {
     Json choice = {{"index", 0}, {"finish_reason", name(reason)}};
-    if (form.chat)
+    if (format.chat)
         choice["message"] = {{"role", "assistant"}, {"content", text}};
     else
         choice["text"] = text;
@@ -56,8 +56,8 @@
 
 } // namespace
 
-AnswerWriter::AnswerWriter(AnswerForm form)
-    : m_form(form)
+AnswerWriter::AnswerWriter(AnswerFormat format)
+    : m_format(format)
 {}
 
 std::string AnswerWriter::write(const DeliveredEvent &delivered)
@@ -66,37 +66,37 @@
         return {};
     if (delivered.event.kind == EngineEvent::Kind::Token) {
         ++m_tokens;
-        if (m_form.stream)
+        if (m_format.stream)
             return tokenEvent(delivered);
         m_text += expectedToken(delivered.request->prompt, delivered.event.index);
         return {};
     }
     m_finished = true;
-    return m_form.stream ? lastEvent(delivered) : wholeAnswer(delivered);
+    return m_format.stream ? lastEvent(delivered) : wholeAnswer(delivered);
 }
 
 std::string AnswerWriter::tokenEvent(const DeliveredEvent &delivered) const
 {
-    Json json = envelope(delivered, chunkObject(m_form));
+    Json json = envelope(delivered, chunkObject(m_format));
     json["index"] = delivered.event.index;
     const std::string token = expectedToken(delivered.request->prompt, delivered.event.index);
-    json["choices"] = Json::array({chunkChoice(m_form, token, nullptr)});
+    json["choices"] = Json::array({chunkChoice(m_format, token, nullptr)});
     return serverSentEvent(json);
 }
 
 std::string AnswerWriter::lastEvent(const DeliveredEvent &delivered) const
 {
-    Json json = envelope(delivered, chunkObject(m_form));
+    Json json = envelope(delivered, chunkObject(m_format));
     json["index"] = delivered.event.index;
-    json["choices"] = Json::array({chunkChoice(m_form, "", name(delivered.event.reason))});
+    json["choices"] = Json::array({chunkChoice(m_format, "", name(delivered.event.reason))});
     json["usage"] = usageOf(delivered);
     return serverSentEvent(json) + "data: [DONE]\n\n";
 }
 
 std::string AnswerWriter::wholeAnswer(const DeliveredEvent &delivered) const
 {
-    Json json = envelope(delivered, m_form.chat ? "chat.completion" : "text_completion");
-    json["choices"] = Json::array({wholeChoice(m_form, m_text, delivered.event.reason)});
+    Json json = envelope(delivered, m_format.chat ? "chat.completion" : "text_completion");
+    json["choices"] = Json::array({wholeChoice(m_format, m_text, delivered.event.reason)});
     json["usage"] = usageOf(delivered);
     return dumpJson(json);
 }
--- a/src/fakes/answerwriter.h
+++ b/src/fakes/answerwriter.h
@@ -7,23 +7,23 @@
 
 namespace rattanrill::fakes {
 
-/// Form in which a caller asked for the answer.
-struct AnswerForm
+/// Response format that the client requested.
+struct AnswerFormat
 {
     bool chat = false;
     bool stream = false;
 };
 
-/// Turns engine events into the bytes of a whole answer or of server-sent events.
+/// Converts engine events to the body of a complete answer or of a stream of server-sent events.
 class AnswerWriter
 {
 public:
-    explicit AnswerWriter(AnswerForm form);
+    explicit AnswerWriter(AnswerFormat format);
 
     /// Bytes to send for \a delivered; empty when there are none yet.
     std::string write(const DeliveredEvent &delivered);
     bool finished() const { return m_finished; }
-    /// Tokens taken so far.
+    /// Number of Token events passed to write() so far.
     std::int64_t tokens() const { return m_tokens; }
 
 private:
@@ -31,7 +31,7 @@
     std::string lastEvent(const DeliveredEvent &delivered) const;
     std::string wholeAnswer(const DeliveredEvent &delivered) const;
 
-    AnswerForm m_form;
+    AnswerFormat m_format;
     std::string m_text;
     std::int64_t m_tokens = 0;
     bool m_finished = false;
--- a/src/fakes/balancer.cpp
+++ b/src/fakes/balancer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t checkerThreads = 4;
-constexpr std::size_t checkQueue = 256;
+constexpr std::size_t maxQueuedChecks = 256;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     : m_settings(std::move(settings))
     , m_lister(std::move(lister))
     , m_timers(timers)
-    , m_checkers(checkerThreads, checkQueue)
+    , m_checkers(checkerThreads, maxQueuedChecks)
     , m_relay(m_settings.listen, [this] { return choose(); })
 {}
 
@@ -64,7 +64,7 @@
 {
     const std::vector<Instance> live = liveInstances();
     absl::MutexLock lock(&m_mutex);
-    for (std::size_t tried = 0; tried < live.size(); ++tried) {
+    for (std::size_t attempts = 0; attempts < live.size(); ++attempts) {
         const Instance &instance = live[m_nextIndex++ % live.size()];
         Health &health = m_health[instance.name];
         if (!health.healthy)
@@ -78,7 +78,7 @@
 void Balancer::checkAll()
 {
     for (const Instance &instance : liveInstances()) {
-        // A full queue skips the check; the next period repeats it.
+        // When the queue is full, the remaining checks are skipped until the next period.
         const bool posted = m_checkers.post([this, instance] { check(instance); });
         if (!posted)
             return;
--- a/src/fakes/cacheeventfeed.cpp
+++ b/src/fakes/cacheeventfeed.cpp
@@ -6,11 +6,12 @@
 namespace rattanrill::fakes {
 namespace {
 
-constexpr std::size_t keptEvents = 4096;
+constexpr std::size_t maxRetainedEvents = 4096;
 
-/// Share in [0, 1) from the generator's upper 53 bits. The distributions of the standard library
-/// differ between implementations.
-double unitShare(std::mt19937_64 &random)
+/// Uniformly distributed number in [0, 1), from the upper 53 bits of the generator's output. Does
+/// not use the distributions of the standard library because their results differ between
+/// implementations.
+double uniformRandom(std::mt19937_64 &random)
 {
     return static_cast<double>(random() >> 11) * 0x1.0p-53;
 }
@@ -26,10 +27,10 @@
 void CacheEventFeed::publish(absl::Time now, std::vector<PrefixChange> changes)
 {
     for (PrefixChange &change : changes) {
-        const bool lost = unitShare(m_random) < m_lossProbability;
+        const bool lost = uniformRandom(m_random) < m_lossProbability;
         m_pending.push_back({now + m_delay, lost, {++m_lastSeq, std::move(change)}});
     }
-    while (m_pending.size() > keptEvents)
+    while (m_pending.size() > maxRetainedEvents)
         m_pending.pop_front();
 }
 
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -19,13 +19,14 @@
 
 constexpr std::string_view handlePrefix = "kv:";
 
-/// The handle names its content, so that an engine in another process can check and import it.
+/// The handle identifies its content, so that an engine in another process can check and import it.
 std::string kvHandle(std::string_view prompt, std::int64_t tokens)
 {
     return concat(handlePrefix, hashText(prompt), ":", tokens);
 }
 
-/// Answer tokens that \a request can import; nothing when the handle is of another prompt.
+/// Number of answer tokens that \a request can import; nothing when its handle is empty or belongs
+/// to another prompt.
 std::optional<std::int64_t> importableTokens(const EngineRequest &request)
 {
     const std::string expected = concat(handlePrefix, hashText(request.prompt), ":");
@@ -117,9 +118,10 @@
         return fail(notRun(ErrorCode::DuplicateRequest,
                            concat("request id \"", request.requestId, "\" is in use")));
     if (kvNeed(request) > m_settings.limits.kvCapacityTokens)
-        return fail(notRun(ErrorCode::InvalidRequest,
-                           concat("request needs ", kvNeed(request), " tokens of KV memory, has ",
-                                  m_settings.limits.kvCapacityTokens)));
+        return fail(
+                notRun(ErrorCode::InvalidRequest, concat("request needs ", kvNeed(request),
+                                                         " tokens of KV memory, the engine has ",
+                                                         m_settings.limits.kvCapacityTokens)));
     if (static_cast<std::int64_t>(m_waiting.size()) >= m_settings.limits.maxWaiting)
         return fail(notRun(ErrorCode::UpstreamBusy, "queue is full"));
     return {};
@@ -136,18 +138,18 @@
 
 std::optional<EngineModel::Sequence> EngineModel::remove(const std::string &requestId)
 {
-    const auto take = [&](auto &sequences) -> std::optional<Sequence> {
+    const auto removeFrom = [&](auto &sequences) -> std::optional<Sequence> {
         for (auto sequence = sequences.begin(); sequence != sequences.end(); ++sequence) {
             if (sequence->request.requestId != requestId)
                 continue;
-            Sequence taken = std::move(*sequence);
+            Sequence removed = std::move(*sequence);
             sequences.erase(sequence);
-            return taken;
+            return removed;
         }
         return std::nullopt;
     };
-    std::optional<Sequence> found = take(m_running);
-    return found ? std::move(found) : take(m_waiting);
+    std::optional<Sequence> found = removeFrom(m_running);
+    return found ? std::move(found) : removeFrom(m_waiting);
 }
 
 std::optional<EngineModel::Sequence> EngineModel::end(absl::Time now, const std::string &requestId)
@@ -193,7 +195,8 @@
     while (!m_waiting.empty()
            && static_cast<std::int64_t>(m_running.size()) < m_settings.limits.maxBatch) {
         reserved += kvNeed(m_waiting.front().request);
-        // Strict order of arrival: a request that does not fit holds up those behind it.
+        // Requests are admitted strictly in order of arrival: one that does not fit blocks those
+        // behind it.
         if (reserved > m_settings.limits.kvCapacityTokens)
             break;
         m_running.push_back(std::move(m_waiting.front()));
@@ -230,7 +233,8 @@
            + timings.stepPerContextToken * context;
 }
 
-/// Memory for the whole answer is reserved on admission, so that no running request is preempted.
+/// KV memory that the running requests have reserved. Memory for the whole answer is reserved on
+/// admission, so that no running request has to be preempted.
 std::int64_t EngineModel::reservedTokens() const
 {
     std::int64_t tokens = 0;
--- a/src/fakes/enginerunner.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -100,7 +100,8 @@
     const std::vector<EngineEvent> events = m_model.advance(m_clock.now());
     for (const EngineEvent &event : events)
         deliver(event);
-    // After the delivery, so that the record file has the request that crashed the process.
+    // Crashes only after the events are delivered, so that the record file contains the request
+    // that caused the crash.
     if (m_model.crashed())
         crashProcess();
     swapAnswers();
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -10,7 +10,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-/// How often a stream without events checks whether its client is gone.
+/// Interval at which a stream without events checks whether its client has disconnected.
 constexpr absl::Duration clientCheckPeriod = absl::Milliseconds(100);
 constexpr std::size_t generatedIdBytes = 8;
 
@@ -75,7 +75,7 @@
     addControlRoutes();
 }
 
-httplib::Server::Handler EngineServer::guarded(Handler handler)
+httplib::Server::Handler EngineServer::waitingWhileFrozen(Handler handler)
 {
     return [this, handler](const httplib::Request &request, httplib::Response &response) {
         m_faults.waitWhileFrozen(m_clock.now());
@@ -85,23 +85,24 @@
 
 void EngineServer::addAnswerRoutes()
 {
-    m_server.Post("/v1/completions", guarded(&EngineServer::completions));
-    m_server.Post("/v1/chat/completions", guarded(&EngineServer::chatCompletions));
-    m_server.Post("/engine/cancel", guarded(&EngineServer::cancel));
-    m_server.Post("/engine/kv/export", guarded(&EngineServer::exportKv));
+    m_server.Post("/v1/completions", waitingWhileFrozen(&EngineServer::completions));
+    m_server.Post("/v1/chat/completions", waitingWhileFrozen(&EngineServer::chatCompletions));
+    m_server.Post("/engine/cancel", waitingWhileFrozen(&EngineServer::cancel));
+    m_server.Post("/engine/kv/export", waitingWhileFrozen(&EngineServer::exportKv));
 }
 
 void EngineServer::addEngineRoutes()
 {
-    m_server.Get("/engine/load", guarded(&EngineServer::load));
-    m_server.Get("/engine/cache_events", guarded(&EngineServer::cacheEvents));
-    m_server.Post("/engine/orders", guarded(&EngineServer::orders));
-    m_server.Get("/healthz", guarded(&EngineServer::health));
+    m_server.Get("/engine/load", waitingWhileFrozen(&EngineServer::load));
+    m_server.Get("/engine/cache_events", waitingWhileFrozen(&EngineServer::cacheEvents));
+    m_server.Post("/engine/orders", waitingWhileFrozen(&EngineServer::orders));
+    m_server.Get("/healthz", waitingWhileFrozen(&EngineServer::health));
 }
 
 void EngineServer::addControlRoutes()
 {
-    // Not guarded: a test reads and sets these while the fake is frozen.
+    // These handlers do not wait for the end of a freeze: tests read the records and set faults
+    // while the fake is frozen.
     m_server.Get("/records", [this](const httplib::Request &request, httplib::Response &response) {
         sendRecords(m_records, request, response);
     });
@@ -132,26 +133,28 @@
 {
     const std::int64_t seq = m_records.add(recordOf(request, requestIdOf(request)));
     if (m_faults.state().refuse)
-        return fail(notRun(ErrorCode::UpstreamBusy, "refused by a fault"));
+        return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     BOOST_LEAF_AUTO(body, parseJson(request.body, "body"));
     BOOST_LEAF_AUTO(engineRequest, fakes::engineRequest(body));
     BOOST_LEAF_AUTO(stream, jsonMemberOr(body, "stream", false));
     const std::string id = engineRequest.requestId;
     BOOST_LEAF_AUTO(events, m_runner.submit(std::move(engineRequest), seq));
-    auto writer = std::make_shared<AnswerWriter>(AnswerForm{chat, stream});
+    auto writer = std::make_shared<AnswerWriter>(AnswerFormat{chat, stream});
     response.set_chunked_content_provider(
             stream ? "text/event-stream" : "application/json",
             [this, events = events, writer](std::size_t, httplib::DataSink &sink) {
-                return pump(*events, *writer, sink);
+                return sendNextEvent(*events, *writer, sink);
             },
-            // Ends the work of a client that went away; after a normal end the id is unknown.
+            // Cancels the request of a client that disconnected. After a normal end the id is
+            // no longer known, and the call has no effect.
             [this, id](bool) { m_runner.cancel(id); });
     return {};
 }
 
-bool EngineServer::pump(EngineEventQueue &stream, AnswerWriter &writer, httplib::DataSink &sink)
+bool EngineServer::sendNextEvent(EngineEventQueue &queue, AnswerWriter &writer,
+                                 httplib::DataSink &sink)
 {
-    const auto delivered = stream.pop(m_clock, clientCheckPeriod);
+    const auto delivered = queue.pop(m_clock, clientCheckPeriod);
     m_faults.waitWhileFrozen(m_clock.now());
     if (!delivered)
         return sink.is_writable();
@@ -180,7 +183,9 @@
     m_records.add(recordOf(request, id));
     const auto kvExport = m_runner.exportKv(id);
     if (!kvExport) {
-        http::sendFailure(response, notRun(ErrorCode::NotFound, "no such request runs"), id);
+        http::sendFailure(response,
+                          notRun(ErrorCode::NotFound, "no waiting or running request has this id"),
+                          id);
         return;
     }
     sendJson(response, {{"kv_handle", kvExport->handle}, {"tokens", kvExport->tokens}});
--- a/src/fakes/engineserver.h
+++ b/src/fakes/engineserver.h
@@ -16,7 +16,8 @@
 private:
     using Handler = void (EngineServer::*)(const httplib::Request &, httplib::Response &);
 
-    httplib::Server::Handler guarded(Handler handler);
+    /// Wraps \a handler so that it runs only after a freeze has ended.
+    httplib::Server::Handler waitingWhileFrozen(Handler handler);
     void addAnswerRoutes();
     void addEngineRoutes();
     void addControlRoutes();
@@ -35,8 +36,9 @@
     Result<void> startAnswer(const httplib::Request &request, httplib::Response &response,
                              bool chat);
     Result<Json> applyOrder(const httplib::Request &request, std::int64_t seq, int &status);
-    /// Sends what is ready; false ends the connection.
-    bool pump(EngineEventQueue &stream, AnswerWriter &writer, httplib::DataSink &sink);
+    /// Waits for the next event for a limited time and sends it. Returns false when the connection
+    /// is to be closed.
+    bool sendNextEvent(EngineEventQueue &queue, AnswerWriter &writer, httplib::DataSink &sink);
 
     FakeHttpServer &m_server;
     EngineRunner &m_runner;
--- a/src/fakes/enginesettings.h
+++ b/src/fakes/enginesettings.h
@@ -10,7 +10,7 @@
 /// JSON schema of rattanrill-fake-engine's settings.
 std::string_view engineSettingsSchema();
 
-/// Settings of the model from checked settings; missing members keep their defaults.
+/// Converts validated settings to those of an EngineModel; missing members keep their defaults.
 EngineModelSettings engineModelSettings(const Json &settings);
 
 } // namespace rattanrill::fakes
--- a/src/fakes/fakehttpserver.cpp
+++ b/src/fakes/fakehttpserver.cpp
@@ -18,7 +18,8 @@
 
 constexpr int listenBacklog = 1024;
 
-/// httplib adds the addresses of the connection to the headers.
+/// Whether httplib added \a header: it adds the addresses of the connection to the headers of a
+/// request.
 bool isAddedByLibrary(const std::string &header)
 {
     return header == "REMOTE_ADDR" || header == "REMOTE_PORT" || header == "LOCAL_ADDR"
--- a/src/fakes/fakehttpserver.h
+++ b/src/fakes/fakehttpserver.h
@@ -19,29 +19,29 @@
 };
 
 HttpSettings httpSettings(const Json &settings);
-/// From the settings member "records".
+/// Reads the settings member "records".
 RequestLogSettings recordSettings(const Json &settings);
 
-/// httplib's server with what all fakes need: a free port on request, a line on standard output
-/// that names it, and the library's listen backlog of 5 made larger. With 5, a burst of
-/// connections loses SYNs and waits 1 s for their retransmission.
+/// HTTP server of the fakes. Listens on any free port when the configured port is 0, prints the
+/// address to standard output, and replaces httplib's listen backlog of 5 by a larger one. With 5,
+/// SYNs are lost in a burst of connections, and the clients wait 1 s for the retransmission.
 class FakeHttpServer : public httplib::Server
 {
 public:
     explicit FakeHttpServer(const HttpSettings &settings);
 
-    /// Binds; returns the port. Fails with AddressInUse.
+    /// Binds the socket and returns the port. Fails with AddressInUse.
     Result<int> bind();
-    /// Binds, prints \a startLine with "listening":"host:port" added, and serves until \a signal
-    /// comes; then ends the process without waiting for connections, because httplib waits up to
-    /// the keep-alive timeout for idle ones. Returns only when it cannot listen.
+    /// Binds, prints \a startLine with "listening":"host:port" added, and serves until \a signal is
+    /// received. Then ends the process without waiting for open connections, because httplib would
+    /// wait for idle ones up to the keep-alive timeout. Returns only when it cannot listen.
     int serveUntil(ShutdownSignal &signal, Json startLine = Json::object());
 
 private:
     HttpSettings m_settings;
 };
 
-/// The request as a record, headers included.
+/// Converts \a request, including its headers, to a record.
 RequestRecord recordOf(const httplib::Request &request, std::string requestId);
 /// Answers "GET /records?after=N".
 void sendRecords(const RequestLog &records, const httplib::Request &request,
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-/// Exit code of a process that a fault ended; tests tell it from a failed start.
+/// Exit code of a simulated crash; tests use it to distinguish the crash from a failed start.
 constexpr int crashExitCode = 70;
 
 constexpr std::array<std::string_view, 7> memberNames = {
@@ -32,7 +32,8 @@
     return {};
 }
 
-/// Sets \a target from a member; a null member resets it, a missing one leaves it.
+/// Reads the member \a key into \a target. A null member sets \a target to \a off; a missing one
+/// leaves it unchanged.
 template <typename T>
 Result<void> read(const Json &body, const char *key, T &target, T off)
 {
@@ -96,7 +97,7 @@
 void Faults::waitWhileFrozen(absl::Time now) const
 {
     const absl::Duration left = frozenUntil() - now;
-    // A frozen process answers nothing; a wait is what the fault asks for.
+    // A frozen process sends no answers, so the fault blocks the calling thread on purpose.
     if (left > absl::ZeroDuration())
         absl::SleepFor(left);
 }
--- a/src/fakes/linkserver.cpp
+++ b/src/fakes/linkserver.cpp
@@ -103,7 +103,7 @@
 {
     BOOST_LEAF_AUTO(body, parseJson(text, "body"));
     if (!name.empty() && m_links.count(name) == 0)
-        return fail(notRun(ErrorCode::NotFound, concat("no link \"", name, "\"")));
+        return fail(notRun(ErrorCode::NotFound, concat("unknown link \"", name, "\"")));
     for (const auto &[linkName, relay] : m_links) {
         if (!name.empty() && linkName != name)
             continue;
--- a/src/fakes/linkserver.h
+++ b/src/fakes/linkserver.h
@@ -9,7 +9,8 @@
 
 namespace rattanrill::fakes {
 
-/// HTTP control of the links of rattanrill-fake-link. Links are added before the server listens.
+/// HTTP interface to the links of rattanrill-fake-link. All links must be added before the server
+/// starts to listen.
 class LinkServer
 {
 public:
@@ -23,14 +24,15 @@
     using Links = std::map<std::string, std::unique_ptr<TcpRelay>>;
 
     void sendLinks(httplib::Response &response) const;
-    /// Sets faults on one link, or on all.
+    /// Sets the faults of the link in the path of \a request, or of all links when the path has
+    /// none.
     void setFaults(const httplib::Request &request, httplib::Response &response);
     Result<void> applyFaults(const std::string &name, const std::string &body);
 
     Links m_links;
 };
 
-/// Faults after \a body is applied to \a current: members that are missing keep their values.
+/// Returns \a current with the changes in \a body; members that \a body lacks keep their values.
 /// Fails with InvalidRequest.
 Result<LinkFaults> changedFaults(LinkFaults current, const Json &body);
 
--- a/src/fakes/platformserver.cpp
+++ b/src/fakes/platformserver.cpp
@@ -118,7 +118,8 @@
     response.set_content_provider(
             static_cast<std::size_t>(size.value()), "application/octet-stream",
             [chunk](std::size_t offset, std::size_t length, httplib::DataSink &sink) {
-                // Offsets follow the pattern, so that each byte depends on its place only.
+                // Starts at the position of the offset in the repeating pattern, so that each byte
+                // depends only on its own offset.
                 const std::size_t start = offset % hashTextDigits;
                 const std::size_t bytes = std::min(length, chunk.size() - start);
                 return sink.write(chunk.data() + start, bytes);
--- a/src/fakes/platformserver.h
+++ b/src/fakes/platformserver.h
@@ -18,7 +18,7 @@
     PlatformServer(FakeHttpServer &server, absl::Duration listLag, WeightStoreSettings weights,
                    const Clock &clock = SystemClock::instance());
 
-    /// Instances as the lagging list has them.
+    /// Instances as the delayed list shows them.
     std::vector<Instance> listed() const;
     /// Adds an instance that is listed from the start, without the lag.
     Result<Instance> addInitial(const std::string &name, const Json &body);
--- a/src/fakes/prefixcache.cpp
+++ b/src/fakes/prefixcache.cpp
@@ -50,7 +50,8 @@
         previousTokens = end;
     }
     std::vector<PrefixChange> changes;
-    // Longest first, so that a short prefix, which the longer ones need, leaves the cache last.
+    // Inserts the longest prefix first, so that a short prefix, which the longer ones depend on, is
+    // evicted last.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix)
         insert(std::move(*prefix), changes);
     evict(changes);
--- a/src/fakes/relayconnection.cpp
+++ b/src/fakes/relayconnection.cpp
@@ -11,7 +11,8 @@
 
 using boost::system::error_code;
 
-/// Bytes that a direction keeps; beyond, the sender meets a full socket buffer.
+/// Number of queued bytes in one direction at which the relay stops reading from the sender, so
+/// that the sender's socket buffer fills up.
 constexpr std::size_t maxQueuedBytes = 1u << 20;
 
 } // namespace
@@ -23,13 +24,13 @@
 {}
 
 RelayConnection::RelayConnection(boost::asio::io_context &context, Socket client, Endpoint target,
-                                 Events events)
+                                 Callbacks callbacks)
     : m_client(std::move(client))
     , m_server(context)
     , m_target(std::move(target))
     , m_forward(context, m_client, m_server)
     , m_backward(context, m_server, m_client)
-    , m_events(std::move(events))
+    , m_callbacks(std::move(callbacks))
 {
     error_code ignored;
     m_client.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -42,11 +43,11 @@
 
 void RelayConnection::apply(const LinkFaults &faults)
 {
-    set(m_forward, faults.forward);
-    set(m_backward, faults.backward);
-    const bool healed =
+    setFaults(m_forward, faults.forward);
+    setFaults(m_backward, faults.backward);
+    const bool bothPass =
             faults.forward.mode == LinkMode::Pass && faults.backward.mode == LinkMode::Pass;
-    if (healed && (m_forward.damaged || m_backward.damaged)) {
+    if (bothPass && (m_forward.lostData || m_backward.lostData)) {
         close(End::Reset);
         return;
     }
@@ -68,13 +69,13 @@
     }
     m_forward.timer.cancel();
     m_backward.timer.cancel();
-    m_events.closed();
+    m_callbacks.closed();
 }
 
 void RelayConnection::connect()
 {
     if (m_forward.faults.mode == LinkMode::Drop)
-        m_forward.damaged = m_forward.damaged || !m_connected;
+        m_forward.lostData = m_forward.lostData || !m_connected;
     if (m_connecting || m_connected || m_forward.faults.mode != LinkMode::Pass)
         return;
     m_connecting = true;
@@ -100,13 +101,13 @@
     deliver(direction);
 }
 
-void RelayConnection::set(Direction &direction, const DirectionFaults &faults)
+void RelayConnection::setFaults(Direction &direction, const DirectionFaults &faults)
 {
     direction.faults = faults;
     if (faults.mode != LinkMode::Drop || direction.queue.empty() || direction.writing)
         return;
-    direction.damaged = true;
-    m_events.lost(direction.queuedBytes);
+    direction.lostData = true;
+    m_callbacks.bytesLost(direction.queuedBytes);
     direction.queue.clear();
     direction.queuedBytes = 0;
 }
@@ -128,18 +129,19 @@
             boost::asio::buffer(direction.buffer),
             [self = shared_from_this(), &direction](const error_code &error, std::size_t size) {
                 direction.reading = false;
-                self->take(direction, std::string(direction.buffer.data(), size), endOf(error));
+                self->handleRead(direction, std::string(direction.buffer.data(), size),
+                                 endOf(error));
             });
 }
 
-void RelayConnection::take(Direction &direction, std::string bytes, End end)
+void RelayConnection::handleRead(Direction &direction, std::string bytes, End end)
 {
     if (m_isClosed)
         return;
     direction.sourceEnded = direction.sourceEnded || end != End::None;
     if (direction.faults.mode == LinkMode::Drop) {
-        direction.damaged = true;
-        m_events.lost(bytes.size());
+        direction.lostData = true;
+        m_callbacks.bytesLost(bytes.size());
         read(direction);
         return;
     }
@@ -158,7 +160,7 @@
         return;
     const Chunk &chunk = direction.queue.front();
     if (chunk.deliverAt > std::chrono::steady_clock::now())
-        waitFor(direction, chunk.deliverAt);
+        waitUntil(direction, chunk.deliverAt);
     else if (chunk.end == End::Reset)
         close(End::Reset);
     else if (chunk.bytes.empty())
@@ -167,7 +169,7 @@
         write(direction);
 }
 
-void RelayConnection::waitFor(Direction &direction, std::chrono::steady_clock::time_point time)
+void RelayConnection::waitUntil(Direction &direction, std::chrono::steady_clock::time_point time)
 {
     direction.waiting = true;
     direction.timer.expires_at(time);
@@ -201,7 +203,7 @@
         return;
     }
     if (direction.faults.mode == LinkMode::Drop)
-        set(direction, direction.faults);
+        setFaults(direction, direction.faults);
     deliver(direction);
     read(direction);
 }
--- a/src/fakes/relayconnection.h
+++ b/src/fakes/relayconnection.h
@@ -23,27 +23,28 @@
     using Socket = boost::asio::ip::tcp::socket;
     using Endpoint = boost::asio::ip::tcp::endpoint;
 
-    /// What a connection tells its relay.
-    struct Events
+    /// Callbacks from a connection to its relay.
+    struct Callbacks
     {
-        /// Both sockets are closed; called once.
+        /// Called once, when both sockets are closed.
         std::function<void()> closed;
-        /// Bytes were dropped.
-        std::function<void(std::size_t)> lost;
+        /// Called with the number of bytes when bytes were dropped.
+        std::function<void(std::size_t)> bytesLost;
     };
 
     RelayConnection(boost::asio::io_context &context, Socket client, Endpoint target,
-                    Events events);
+                    Callbacks callbacks);
 
-    /// Connects to the target and relays, as far as \a faults let it.
+    /// Connects to the target and relays bytes, as far as \a faults permit.
     void start(const LinkFaults &faults);
-    /// Changes the faults; a healed direction continues, or resets a connection that lost bytes.
+    /// Changes the faults. When both directions are in mode Pass again, a connection that lost data
+    /// is reset; otherwise each direction in mode Pass continues.
     void apply(const LinkFaults &faults);
 
 private:
     static constexpr std::size_t readBytes = 16384;
 
-    /// How the sender closed its side.
+    /// How a sender closed its side, or how the relay closes the connection.
     enum class End {
         None,
         Orderly,
@@ -71,7 +72,8 @@
         bool waiting = false;
         bool sourceEnded = false;
         bool ended = false;
-        bool damaged = false;
+        /// Whether bytes or the connection attempt were dropped.
+        bool lostData = false;
         boost::asio::steady_timer timer;
         std::array<char, readBytes> buffer{};
     };
@@ -79,15 +81,16 @@
     static End endOf(const boost::system::error_code &error);
     void connect();
     void resume(Direction &direction);
-    void set(Direction &direction, const DirectionFaults &faults);
+    void setFaults(Direction &direction, const DirectionFaults &faults);
     void read(Direction &direction);
-    void take(Direction &direction, std::string bytes, End end);
+    void handleRead(Direction &direction, std::string bytes, End end);
     void deliver(Direction &direction);
-    void waitFor(Direction &direction, std::chrono::steady_clock::time_point time);
+    void waitUntil(Direction &direction, std::chrono::steady_clock::time_point time);
     void write(Direction &direction);
     void finishWrite(Direction &direction, bool failed);
     void end(Direction &direction);
-    /// A reset rather than an orderly end keeps the peers from taking a part for the whole.
+    /// Closes both sockets. A reset instead of an orderly end prevents the peers from mistaking
+    /// truncated data for the complete stream.
     void close(End how);
     Direction &opposite(Direction &direction);
 
@@ -99,7 +102,7 @@
     bool m_connecting = false;
     bool m_connected = false;
     bool m_isClosed = false;
-    Events m_events;
+    Callbacks m_callbacks;
 };
 
 } // namespace rattanrill::fakes
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -87,7 +87,7 @@
     const std::int64_t seq = m_records.add(recordOf(request, id));
     const FaultState faults = m_faults.state();
     if (faults.refuse)
-        return fail(notRun(ErrorCode::UpstreamBusy, "refused by a fault"));
+        return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     const bool crashes =
             !faults.crashOn.empty() && request.body.find(faults.crashOn) != std::string::npos;
     BOOST_LEAF_AUTO(answer, m_model.serve({request.path, id, hashText(request.body)}, [&] {
@@ -96,7 +96,7 @@
             crashProcess();
     }));
     m_records.markFinished(seq, 0);
-    // The fault delays the answer, not the work: the slot is free by now.
+    // The fault delays only the answer: the request has already released its slot.
     absl::SleepFor(faults.lateAnswer);
     return answer;
 }
@@ -111,7 +111,7 @@
         sendJson(response, body);
         return;
     }
-    // Announces the whole length and ends the connection halfway.
+    // Announces the full length, but closes the connection halfway through the body.
     response.set_content_provider(
             dumpJson(body).size(), "application/json",
             [text = dumpJson(body)](std::size_t, std::size_t length, httplib::DataSink &sink) {
--- a/src/fakes/tcprelay.cpp
+++ b/src/fakes/tcprelay.cpp
@@ -44,8 +44,8 @@
     Result<int> bind();
     void accept();
     void serve(tcp::socket client);
-    void forget(std::int64_t id);
-    void noteLost(std::size_t bytes);
+    void removeConnection(std::int64_t id);
+    void countLostBytes(std::size_t bytes);
 
     RelayAddress listen;
     Chooser chooser;
@@ -91,7 +91,7 @@
     const std::optional<RelayAddress> address = chooser();
     const auto target = outcomeOf([&]() -> Result<tcp::endpoint> {
         if (!address)
-            return fail(notRun(ErrorCode::UpstreamUnavailable, "no target"));
+            return fail(notRun(ErrorCode::UpstreamUnavailable, "no target available"));
         return endpointOf(*address);
     });
     LinkFaults current;
@@ -106,21 +106,21 @@
     const std::int64_t id = ++lastConnection;
     const auto connection = std::make_shared<RelayConnection>(
             context, std::move(client), target.value(),
-            RelayConnection::Events{[this, id] { forget(id); },
-                                    [this](std::size_t bytes) { noteLost(bytes); }});
+            RelayConnection::Callbacks{[this, id] { removeConnection(id); },
+                                       [this](std::size_t bytes) { countLostBytes(bytes); }});
     connections[id] = connection;
     connection->start(current);
 }
 
-void TcpRelay::State::forget(std::int64_t id)
+void TcpRelay::State::removeConnection(std::int64_t id)
 {
-    // Later, because apply() may be walking the table.
+    // Posted, because this may be called from apply() while setFaults() iterates over the map.
     boost::asio::post(context, [this, id] { connections.erase(id); });
     absl::MutexLock lock(&mutex);
     --counters.open;
 }
 
-void TcpRelay::State::noteLost(std::size_t bytes)
+void TcpRelay::State::countLostBytes(std::size_t bytes)
 {
     absl::MutexLock lock(&mutex);
     counters.lostBytes += static_cast<std::int64_t>(bytes);
--- a/src/fakes/weightstore.cpp
+++ b/src/fakes/weightstore.cpp
@@ -17,14 +17,15 @@
 {
     const auto weight = m_settings.weights.find(name);
     if (weight == m_settings.weights.end())
-        return fail(notRun(ErrorCode::NotFound, concat("no weights \"", name, "\"")));
+        return fail(notRun(ErrorCode::NotFound, concat("unknown weights \"", name, "\"")));
     return weight->second;
 }
 
 Result<void> WeightStore::take(absl::Time now, std::int64_t bytes)
 {
     if (waitFor(now, bytes) > absl::ZeroDuration())
-        return fail(notRun(ErrorCode::RateLimited, "the weight store is at its rate"));
+        return fail(notRun(ErrorCode::RateLimited,
+                           "the read rate limit of the weight store is exhausted"));
     m_level = level(now) - static_cast<double>(bytes);
     m_levelAt = now;
     return {};
@@ -32,8 +33,8 @@
 
 absl::Duration WeightStore::waitFor(absl::Time now, std::int64_t bytes) const
 {
-    const double lacking = needed(bytes) - level(now);
-    return absl::Seconds(std::max(lacking, 0.0) / m_settings.bytesPerSecond);
+    const double deficit = needed(bytes) - level(now);
+    return absl::Seconds(std::max(deficit, 0.0) / m_settings.bytesPerSecond);
 }
 
 double WeightStore::level(absl::Time now) const
