--- a/tests/fakes/answer_test.cpp
+++ b/tests/fakes/answer_test.cpp
@@ -28,14 +28,17 @@
 
 BOOST_AUTO_TEST_SUITE(AnswerTest)
 
-// The hash is part of the protocol: another process must find the same token.
+// Guards against a change of the hash, which is part of the protocol: a checker in another process
+// must compute the same token.
 BOOST_AUTO_TEST_CASE(tokenIsTheSeededHashOfThePrompt)
 {
     BOOST_TEST(expectedToken("hello", 0) == " w9555e855");
     BOOST_TEST(expectedText("hello", 1, 3) == " w74b07ed3 w5a9d05d4");
 }
 
-BOOST_AUTO_TEST_CASE(shortAndForeignAnswersAreTold)
+// Guards against a check that accepts an answer which is truncated, too long, shifted or of another
+// prompt.
+BOOST_AUTO_TEST_CASE(truncatedAndMismatchedAnswersAreDetected)
 {
     const std::string whole = expectedText("p", 0, 4);
     BOOST_TEST((checkAnswer("p", whole, 4) == AnswerVerdict::Correct));
@@ -45,6 +48,7 @@
     BOOST_TEST((checkAnswer("p", expectedText("p", 1, 4), 4) == AnswerVerdict::Mismatch));
 }
 
+// Guards against a prompt that lacks messages, and against a body without a prompt being accepted.
 BOOST_AUTO_TEST_CASE(chatPromptJoinsContents)
 {
     const Json body = {{"messages", {{{"content", "a"}}, {{"content", "b"}}}}};
@@ -56,8 +60,8 @@
 
 BOOST_AUTO_TEST_SUITE(PlatformTest)
 
-// Guards against a list that shows a leaving instance at once, which the platform does not do.
-BOOST_AUTO_TEST_CASE(listShowsChangesOneLagLate)
+// Guards against a list that shows a change immediately: the platform shows it after a lag.
+BOOST_AUTO_TEST_CASE(listShowsChangesAfterTheLag)
 {
     InstanceList list(absl::Seconds(2));
     set(list, start, "a", {{"host", "127.0.0.1"}, {"port", 80}});
@@ -70,17 +74,18 @@
     BOOST_TEST(states(list, start + absl::Seconds(4)) == Lines());
 }
 
-// Guards against a limit that a file larger than the burst can never pass, or passes for free.
+// Guards against a limit that refuses a file larger than the burst forever, or does not charge its
+// whole size.
 BOOST_AUTO_TEST_CASE(weightStoreRefusesBeyondItsRate)
 {
     WeightStore store({{{"w", 250}}, 100, 200}, start);
-    const auto takes = [&](absl::Duration after) {
+    const auto accepts = [&](absl::Duration after) {
         return outcomeOf([&] { return store.take(start + after, 250); }).ok();
     };
-    BOOST_TEST(takes(absl::ZeroDuration()));
-    BOOST_TEST(!takes(absl::Milliseconds(2499)));
+    BOOST_TEST(accepts(absl::ZeroDuration()));
+    BOOST_TEST(!accepts(absl::Milliseconds(2499)));
     BOOST_TEST((store.waitFor(start + absl::Seconds(2), 250) == absl::Milliseconds(500)));
-    BOOST_TEST(takes(absl::Milliseconds(2500)));
+    BOOST_TEST(accepts(absl::Milliseconds(2500)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fakes/balancer_test.cpp
+++ b/tests/fakes/balancer_test.cpp
@@ -14,7 +14,7 @@
 const std::string loopback = "127.0.0.1";
 constexpr absl::Duration healthPeriod = absl::Seconds(1);
 
-/// An instance that answers the health check and its name.
+/// Server of an instance. Answers the health check, and "/name" with the name of the instance.
 class Entry
 {
 public:
@@ -100,7 +100,7 @@
         return false;
     }
 
-    /// Which instances answer four new connections.
+    /// Number of answers by instance, over four new connections.
     std::map<std::string, int> answers() const
     {
         std::map<std::string, int> answers;
@@ -127,7 +127,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(BalancerTest, Fixture)
 
-// Guards against connections before the first health check has passed.
+// Guards against connections to an instance whose first health check has not passed yet or whose
+// health check fails.
 BOOST_AUTO_TEST_CASE(connectionsSpreadOverHealthyInstances)
 {
     BOOST_TEST((answers() == Answers{{"(refused)", 4}}));
@@ -138,7 +139,8 @@
     BOOST_TEST((answers() == Answers{{"first", 4}}));
 }
 
-// Guards against a drain that ends connections which are in use (R12) or still adds some (R11).
+// Guards against a drain that closes connections which are in use (R12) or assigns new ones to the
+// leaving instance (R11).
 BOOST_AUTO_TEST_CASE(leavingInstanceKeepsOldConnectionsAndGetsNoNewOnes)
 {
     setState(1, InstanceState::Leaving);
@@ -146,13 +148,13 @@
     setState(1, InstanceState::Live);
     setState(0, InstanceState::Leaving);
     BOOST_TEST_REQUIRE(checkUntilHealthy(2));
-    httplib::Client kept(loopback, port);
-    kept.set_keep_alive(true);
-    BOOST_TEST(kept.Get("/name")->body == "second");
+    httplib::Client persistent(loopback, port);
+    persistent.set_keep_alive(true);
+    BOOST_TEST(persistent.Get("/name")->body == "second");
     setState(0, InstanceState::Live);
     setState(1, InstanceState::Leaving);
     BOOST_TEST((answers() == Answers{{"first", 4}}));
-    BOOST_TEST(kept.Get("/name")->body == "second");
+    BOOST_TEST(persistent.Get("/name")->body == "second");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fakes/enginemodel_test.cpp
+++ b/tests/fakes/enginemodel_test.cpp
@@ -9,7 +9,8 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000);
 
-/// Round figures: a step takes 10 ms, and 1 ms for each prompt token that joins.
+/// Settings with simple timings: a step takes 10 ms, plus 1 ms for each uncached prompt token of
+/// the requests that join.
 EngineModelSettings settings()
 {
     EngineModelSettings settings;
@@ -38,6 +39,7 @@
     return outcomeOf([&] { return model.submit(now, std::move(request)); }).ok();
 }
 
+/// Error code with which submit() fails; Internal when it succeeds.
 ErrorCode refusal(EngineModel &model, absl::Time now, EngineRequest request)
 {
     const auto outcome = outcomeOf([&] { return model.submit(now, std::move(request)); });
@@ -90,11 +92,11 @@
     timed.timings.stepPerSequence = absl::Milliseconds(2);
     timed.timings.stepPerContextToken = absl::Milliseconds(3);
     EngineModel model(timed);
-    // 10 + 2 x 1 sequence + 3 x 5 tokens of context + 5 tokens of prompt.
+    // 10 ms + 2 ms x 1 sequence + 3 ms x 5 context tokens + 1 ms x 5 prompt tokens.
     BOOST_TEST((firstTokenTime(model, request("a", 1, 20)) == absl::Milliseconds(32)));
 }
 
-// Guards against requests that overtake: engines have no priorities.
+// Guards against requests that overtake others: engines have no priorities.
 BOOST_AUTO_TEST_CASE(fullBatchAdmitsInOrderOfArrival)
 {
     EngineModelSettings small = settings();
@@ -106,8 +108,8 @@
     BOOST_TEST(started(model.advance(start + absl::Seconds(1))) == expected);
 }
 
-// Guards against a KV limit that only counts sequences: a request that does not fit waits and holds
-// up a smaller one behind it.
+// Guards against a KV limit that counts sequences instead of tokens. A request that does not fit
+// must wait and block a smaller one behind it.
 BOOST_AUTO_TEST_CASE(kvMemoryLimitsTheBatch)
 {
     EngineModelSettings small = settings();
@@ -123,6 +125,7 @@
     BOOST_TEST((refusal(model, start, request("d", 101)) == ErrorCode::InvalidRequest));
 }
 
+// Guards against a refusal that does not tell the caller that a retry is safe.
 BOOST_AUTO_TEST_CASE(fullQueueRefusesAsNotRun)
 {
     EngineModelSettings small = settings();
@@ -151,7 +154,8 @@
     BOOST_TEST((events.back().reason == FinishReason::Length));
 }
 
-BOOST_AUTO_TEST_CASE(cancelEndsTheRequestAndFreesItsPlace)
+// Guards against a cancelled request that keeps its slot in the batch or can be cancelled twice.
+BOOST_AUTO_TEST_CASE(cancelEndsTheRequestAndFreesItsSlot)
 {
     EngineModelSettings small = settings();
     small.limits.maxBatch = 1;
@@ -167,7 +171,7 @@
     BOOST_TEST(!model.cancel(later, "a").has_value());
 }
 
-// Guards against a handle that saves nothing, or that lets another prompt skip its prefill.
+// Guards against a KV handle that saves no prefill, or that lets another prompt skip its prefill.
 BOOST_AUTO_TEST_CASE(kvHandleSavesPrefillOfItsOwnPromptOnly)
 {
     EngineModel exporter(settings());
@@ -188,7 +192,7 @@
     BOOST_TEST((firstTokenTime(other, std::move(foreign)) == absl::Milliseconds(18)));
 }
 
-// Guards against a prefix cache without effect or without a limit.
+// Guards against a prefix cache that saves no prefill or exceeds its capacity.
 BOOST_AUTO_TEST_CASE(cachedPrefixSavesPrefillUntilItIsEvicted)
 {
     EngineModelSettings small = settings();
@@ -204,10 +208,11 @@
     BOOST_TEST((firstTokenTime(model, std::move(third)) == absl::Milliseconds(42)));
 }
 
-// Guards against clients that are only tested with events that are in time and complete.
-BOOST_AUTO_TEST_CASE(cacheEventsComeLateAndWithTheSameGapsForASeed)
+// Guards against a feed without delay and loss, with which clients would be tested only against
+// timely and complete events.
+BOOST_AUTO_TEST_CASE(cacheEventsAreDelayedAndHaveReproducibleGaps)
 {
-    const auto sequences = [](std::uint64_t seed) {
+    const auto visibleSeqs = [](std::uint64_t seed) {
         EngineModelSettings lossy = settings();
         lossy.cacheEventLoss = 0.5;
         lossy.seed = seed;
@@ -221,11 +226,12 @@
             seqs.push_back(event.seq);
         return seqs;
     };
-    BOOST_TEST(sequences(5) == sequences(5));
-    BOOST_TEST(sequences(5).size() < 7u);
+    BOOST_TEST(visibleSeqs(5) == visibleSeqs(5));
+    BOOST_TEST(visibleSeqs(5).size() < 7u);
 }
 
-BOOST_AUTO_TEST_CASE(loadReportIsAsOldAsItSays)
+// Guards against a load report that shows the current load instead of the one before the lag.
+BOOST_AUTO_TEST_CASE(loadReportIsDelayedByTheLag)
 {
     EngineModel model(settings());
     BOOST_TEST_REQUIRE(accepts(model, start, request("a", 1000)));
@@ -234,19 +240,21 @@
     BOOST_TEST(model.load(start + absl::Milliseconds(500)).kvTokens == 1001);
 }
 
-BOOST_AUTO_TEST_CASE(oldFenceIsRefusedByEnginesThatCheckOnly)
+// Guards against an engine that ignores its setting checksFence.
+BOOST_AUTO_TEST_CASE(outdatedFenceIsRefusedOnlyByEnginesThatCheckIt)
 {
-    EngineModelSettings careless = settings();
-    careless.checksFence = false;
-    for (const EngineModelSettings &one : {settings(), careless}) {
-        EngineModel model(one);
+    EngineModelSettings unchecked = settings();
+    unchecked.checksFence = false;
+    for (const EngineModelSettings &engineSettings : {settings(), unchecked}) {
+        EngineModel model(engineSettings);
         BOOST_TEST(model.order(start, {OrderKind::LoadModel, "n", 5}).accepted);
         const OrderAnswer late = model.order(start, {OrderKind::LoadModel, "o", 4});
-        BOOST_TEST(late.accepted == !one.checksFence);
+        BOOST_TEST(late.accepted == !engineSettings.checksFence);
         BOOST_TEST(late.fence == 5);
     }
 }
 
+// Guards against a model that serves requests while it is still loading.
 BOOST_AUTO_TEST_CASE(orderedModelServesAfterItsLoadTime)
 {
     EngineModel model(settings());
@@ -257,6 +265,7 @@
     BOOST_TEST(accepts(model, start + absl::Seconds(2), other));
 }
 
+// Guards against injected faults that have no effect on the engine.
 BOOST_AUTO_TEST_CASE(faultsSlowFreezeAndCrash)
 {
     EngineModel slow(settings());
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -57,13 +57,14 @@
 
     httplib::Result post(const std::string &path, const Json &body)
     {
-        // A connection for each request: the server serves kept ones until their timeout.
+        // Opens a connection for each request: the server keeps serving persistent ones until their
+        // timeout.
         httplib::Client single(loopback, port);
         return single.Post(path, body.dump(), json);
     }
 
-    /// Waits until two requests run.
-    bool bothRun() const
+    /// Waits until two requests run; returns false after 10 s.
+    bool waitUntilBothRun() const
     {
         const absl::Time end = SystemClock::instance().now() + absl::Seconds(10);
         while (SystemClock::instance().now() < end) {
@@ -75,8 +76,9 @@
         return false;
     }
 
-    /// Bytes of a streamed answer until it ends or breaks; calls \a arrived for each piece.
-    std::string stream(const Json &body, const std::function<void()> &arrived)
+    /// Returns the bytes of a streamed answer up to its end or the end of the connection. Calls
+    /// \a onData for each piece.
+    std::string stream(const Json &body, const std::function<void()> &onData)
     {
         std::string received;
         httplib::Request request;
@@ -86,14 +88,14 @@
         request.content_receiver = [&](const char *data, std::size_t size, std::uint64_t,
                                        std::uint64_t) {
             received.append(data, size);
-            arrived();
+            onData();
             return true;
         };
         client.send(request);
         return received;
     }
 
-    /// The events of a stream, without "data: ".
+    /// The events in \a text, without the prefix "data: ".
     static std::vector<std::string> events(const std::string &text)
     {
         std::vector<std::string> events;
@@ -119,7 +121,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineServerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(wholeAnswerRepeatsTheRequestIdAndIsCheckable)
+// Guards against an answer that a checker cannot assign to its request or compare with its prompt.
+BOOST_AUTO_TEST_CASE(wholeAnswerHasTheRequestIdAndTheExpectedText)
 {
     const auto result = post("/v1/completions", body("r1", "p", 3, false));
     BOOST_TEST_REQUIRE(result->status == 200);
@@ -129,7 +132,7 @@
     BOOST_TEST(answer.at("usage").at("completion_tokens") == 3);
 }
 
-// Guards against a drift from the event format that the engine client parses.
+// Guards against events that deviate from the format which the engine client parses.
 BOOST_AUTO_TEST_CASE(resumedChatStreamHasTheDocumentedEvents)
 {
     Json request = body("r2", "", 4, true);
@@ -152,7 +155,8 @@
     BOOST_TEST(lines[3] == "[DONE]");
 }
 
-BOOST_AUTO_TEST_CASE(recordKeepsHeadersAndWhetherItRan)
+// Guards against a record from which a test cannot tell what was sent and whether it ran.
+BOOST_AUTO_TEST_CASE(recordHasHeadersAndWhetherTheRequestRan)
 {
     const httplib::Headers headers = {{"Authorization", "Bearer secret"}};
     client.Post("/v1/completions", headers, body("r3", "p", 1, false).dump(), json);
@@ -165,7 +169,8 @@
     BOOST_TEST((!seen[1].run && !seen[1].finished));
 }
 
-BOOST_AUTO_TEST_CASE(refusalsSayNotRun)
+// Guards against a refusal without NotRun, and against unknown models or faults being accepted.
+BOOST_AUTO_TEST_CASE(refusalsReportNotRun)
 {
     post("/faults", {{"refuse", true}});
     const auto busy = post("/v1/completions", body("r5", "p", 1, false));
@@ -179,7 +184,7 @@
     BOOST_TEST(post("/faults", {{"refuze", true}})->status == 400);
 }
 
-// Guards against a cancel that leaves the stream open or without its end.
+// Guards against a cancel that leaves the stream open or ends it without its last events.
 BOOST_AUTO_TEST_CASE(cancelEndsTheStream)
 {
     Json answer;
@@ -195,6 +200,7 @@
     BOOST_TEST(last.at("index") == answer.at("tokens"));
 }
 
+// Guards against a cut stream that looks complete to its client.
 BOOST_AUTO_TEST_CASE(cutStreamEndsWithoutDone)
 {
     post("/faults", {{"cut_after_tokens", 2}});
@@ -202,17 +208,18 @@
     BOOST_TEST(events(received).size() == 2u);
 }
 
-// Guards against a fault that crosses nothing: both callers must get the other's answer.
-BOOST_AUTO_TEST_CASE(crossedAnswersChangePlaces)
+// Guards against a fault without effect: each caller must receive the answer to the other's
+// request.
+BOOST_AUTO_TEST_CASE(crossedAnswersAreSwapped)
 {
-    // Slow until both run, so that neither can end before the other starts.
+    // The engine is slow until both requests run, so that neither ends before the other starts.
     post("/faults", {{"cross_answers", 1}, {"slow_factor", 50}});
     std::string own;
     std::string other;
     std::thread first([&] { own = post("/v1/completions", body("r9", "p", 400, false))->body; });
     std::thread second(
             [&] { other = post("/v1/completions", body("r10", "q", 400, false))->body; });
-    BOOST_TEST(bothRun());
+    BOOST_TEST(waitUntilBothRun());
     post("/faults", {{"slow_factor", nullptr}});
     first.join();
     second.join();
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -22,7 +22,8 @@
     return settings;
 }
 
-std::string idAnswered(ServiceModel &model, const std::string &id,
+/// Request id of the answer to request \a id, or the name of the error code.
+std::string answeredId(ServiceModel &model, const std::string &id,
                        const std::function<void()> &started)
 {
     const auto answer = outcomeOf([&] { return model.serve({"/", id, ""}, started); });
@@ -33,7 +34,8 @@
 
 BOOST_AUTO_TEST_SUITE(ServiceModelTest)
 
-BOOST_AUTO_TEST_CASE(tooManyWaitingAreRefusedAsNotRun)
+// Guards against a refused request that is started or not reported as NotRun.
+BOOST_AUTO_TEST_CASE(requestBeyondTheQueueLimitIsRefusedAsNotRun)
 {
     Faults faults;
     ServiceModel model(settings(1, 0), faults);
@@ -47,7 +49,8 @@
     BOOST_TEST(!started);
 }
 
-BOOST_AUTO_TEST_CASE(everyRequestOfAFullServiceIsServedInTheEnd)
+// Guards against a lost wake-up that leaves a request waiting for a slot forever.
+BOOST_AUTO_TEST_CASE(everyWaitingRequestIsEventuallyServed)
 {
     Faults faults;
     ServiceModel model(settings(2, 100), faults);
@@ -55,7 +58,7 @@
     std::vector<std::thread> callers;
     for (int i = 0; i < 20; ++i)
         callers.emplace_back([&, id = std::to_string(i)] {
-            if (idAnswered(model, id, [] {}) == id)
+            if (answeredId(model, id, [] {}) == id)
                 ++served;
         });
     for (std::thread &caller : callers)
@@ -63,8 +66,9 @@
     BOOST_TEST(served == 20);
 }
 
-// Guards against a record that is lost with the process that it is to convict.
-BOOST_AUTO_TEST_CASE(recordFileHasEachStepAtOnce)
+// Guards against a record that is still buffered when the process crashes and is lost as evidence
+// of what ran.
+BOOST_AUTO_TEST_CASE(recordIsWrittenToTheFileAtEachStep)
 {
     const std::string file = "recordbook_test.jsonl";
     std::remove(file.c_str());
@@ -82,7 +86,7 @@
     records.add(record);
     records.add(record);
     BOOST_TEST(records.after(0).size() == 2u);
-    // A record that fell out of memory is left alone.
+    // Marking a record that is no longer in memory has no effect.
     records.markFinished(seq, 1);
     BOOST_TEST(!records.after(0).front().finished);
     std::remove(file.c_str());
--- a/tests/fakes/tcprelay_test.cpp
+++ b/tests/fakes/tcprelay_test.cpp
@@ -17,9 +17,10 @@
 using boost::asio::ip::tcp;
 
 const std::string loopback = "127.0.0.1";
-/// Ample for bytes that do arrive; reached only on a fault.
+/// Timeout for bytes that must arrive; long, because it is reached only when a test fails.
 constexpr int arrivalTimeoutMs = 10000;
-/// For bytes that must not arrive: a relay that lets them through does so within microseconds.
+/// Wait time for bytes that must not arrive: a relay that lets them through does so within
+/// microseconds.
 constexpr int absenceTimeoutMs = 100;
 
 bool isReadable(tcp::socket &socket, int timeoutMs)
@@ -45,7 +46,7 @@
     boost::asio::write(socket, boost::asio::buffer(text));
 }
 
-/// A client, a relay and the server behind it.
+/// A client, a relay and the server that the relay connects to.
 struct Fixture
 {
     Fixture()
@@ -65,7 +66,7 @@
                                      static_cast<unsigned short>(port)));
     }
 
-    bool serverSeesConnection(int timeoutMs)
+    bool connectionArrives(int timeoutMs)
     {
         pollfd descriptor{acceptor.native_handle(), POLLIN, 0};
         return ::poll(&descriptor, 1, timeoutMs) == 1;
@@ -74,11 +75,11 @@
     void connect()
     {
         connectClient();
-        BOOST_TEST_REQUIRE(serverSeesConnection(arrivalTimeoutMs));
+        BOOST_TEST_REQUIRE(connectionArrives(arrivalTimeoutMs));
         acceptor.accept(server);
     }
 
-    bool losesBytes(std::int64_t bytes) const
+    bool waitUntilBytesLost(std::int64_t bytes) const
     {
         const auto end =
                 std::chrono::steady_clock::now() + std::chrono::milliseconds(arrivalTimeoutMs);
@@ -106,6 +107,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(TcpRelayTest, Fixture)
 
+// Guards against a relay that loses bytes, or that closes both directions when one ends.
 BOOST_AUTO_TEST_CASE(passesBytesAndEndsBothWays)
 {
     connect();
@@ -120,8 +122,9 @@
     BOOST_TEST(receive(client) == "(end)");
 }
 
-// Guards against a hold that leaks bytes or loses them.
-BOOST_AUTO_TEST_CASE(heldBytesArriveAfterTheHealAndTheOtherDirectionGoesOn)
+// Guards against a held direction that lets bytes through or loses them, and against a hold that
+// also affects the other direction.
+BOOST_AUTO_TEST_CASE(heldBytesArriveAfterHealWhileTheOtherDirectionPasses)
 {
     connect();
     relay.setFaults(forward(LinkMode::Hold));
@@ -133,8 +136,9 @@
     BOOST_TEST(receive(server) == "held");
 }
 
-// Guards against a cut that the other side notices: a partition is silent.
-BOOST_AUTO_TEST_CASE(endOfAHeldConnectionIsNotSeen)
+// Guards against a relay that passes on the close of a held connection: in a network partition the
+// other side does not see it.
+BOOST_AUTO_TEST_CASE(endOfAHeldConnectionArrivesOnlyAfterHeal)
 {
     connect();
     relay.setFaults(forward(LinkMode::Hold));
@@ -144,32 +148,34 @@
     BOOST_TEST(receive(server) == "(end)");
 }
 
-// Guards against a stream with a hole in it after a drop.
+// Guards against a stream that continues with missing bytes after a drop.
 BOOST_AUTO_TEST_CASE(connectionThatLostBytesIsResetOnHeal)
 {
     connect();
     relay.setFaults(forward(LinkMode::Drop));
     send(client, "lost");
-    BOOST_TEST_REQUIRE(losesBytes(4));
+    BOOST_TEST_REQUIRE(waitUntilBytesLost(4));
     BOOST_TEST(!isReadable(server, 0));
     relay.setFaults({});
     BOOST_TEST(receive(server) == "(reset)");
     BOOST_TEST(receive(client) == "(reset)");
 }
 
-BOOST_AUTO_TEST_CASE(newConnectionReachesTheTargetAfterTheHealOnly)
+// Guards against a relay that connects to the target while the link is held.
+BOOST_AUTO_TEST_CASE(newConnectionReachesTheTargetOnlyAfterHeal)
 {
     relay.setFaults(forward(LinkMode::Hold));
     connectClient();
     send(client, "first");
-    BOOST_TEST(!serverSeesConnection(absenceTimeoutMs));
+    BOOST_TEST(!connectionArrives(absenceTimeoutMs));
     relay.setFaults({});
-    BOOST_TEST_REQUIRE(serverSeesConnection(arrivalTimeoutMs));
+    BOOST_TEST_REQUIRE(connectionArrives(arrivalTimeoutMs));
     acceptor.accept(server);
     BOOST_TEST(receive(server) == "first");
 }
 
-BOOST_AUTO_TEST_CASE(delayedBytesAreNotEarly)
+// Guards against a delay that has no effect or is too short.
+BOOST_AUTO_TEST_CASE(delayedBytesArriveNoEarlierThanTheDelay)
 {
     constexpr absl::Duration delay = absl::Milliseconds(60);
     LinkFaults faults;
