--- a/src/ctl/commandspec.h
+++ b/src/ctl/commandspec.h
@@ -12,11 +12,11 @@
     Text,
     Number,
     Integer,
-    /// Given without a value.
+    /// The option has no value.
     Flag,
     /// JSON text.
     Json,
-    /// REGION=SHARE, may be repeated.
+    /// REGION=SHARE; the option may be repeated.
     Shares,
 };
 
@@ -25,43 +25,46 @@
     /// With the leading "--".
     std::string name;
     /// Placeholder of the value in the help; empty for a flag.
-    std::string value;
+    std::string placeholder;
     ValueKind kind = ValueKind::Text;
     /// Member of the request's body; empty when the option is not sent.
     std::string key;
-    /// What it does, with its unit.
+    /// What the option does, with the unit of its value.
     std::string help;
-    /// Shown default; empty for a required option.
-    std::string fallback;
+    /// Default as the help shows it; empty for a required option.
+    std::string defaultText;
     bool required = false;
 };
 
 struct PositionalSpec
 {
     std::string name;
-    /// Member of the request's body; empty when it is the id in the path.
+    /// Member of the request's body; empty when the argument is the id in the path.
     std::string key;
     ValueKind kind = ValueKind::Text;
     std::string help;
 };
 
-/// One row of the table of commands: parsing, help, pages and the request come from it.
+/// One row of the command table. The parser, the help, the Markdown pages and the request are all
+/// derived from it.
 struct CommandSpec
 {
     /// Words on the command line, separated by a space.
     std::string words;
     std::string summary;
-    std::string text;
+    std::string description;
     std::vector<PositionalSpec> positionals;
     std::vector<OptionSpec> options;
     std::string errors;
     std::string example;
-    /// Request; the id follows \a path when a positional has no key.
+    /// HTTP method; empty when the command sends no request.
     std::string method;
+    /// Path of the request; the id follows it when a positional argument has no key.
     std::string path;
     /// Part of the path after the id.
-    std::string pathEnd;
-    /// Member of a listed record that is its id; empty when writes have no base revision.
+    std::string pathSuffix;
+    /// Member that holds the id in a listed record; empty when the base revision of a write is not
+    /// looked up.
     std::string idKey;
     /// Members of a listed record that are shown as columns.
     std::vector<std::string> columns;
--- a/src/ctl/commandtable.cpp
+++ b/src/ctl/commandtable.cpp
@@ -19,7 +19,7 @@
     CommandSpec spec;
     spec.words = noun + " list";
     spec.summary = summary;
-    spec.text = text;
+    spec.description = text;
     spec.errors = readErrors;
     spec.example = "rattanrillctl " + spec.words;
     spec.method = "GET";
@@ -46,8 +46,9 @@
 {
     CommandSpec spec = writeCommand("contract put", "PUT", "contracts", "workspace");
     spec.summary = "Write the contract of a workspace";
-    spec.text = "Writes a new contract or replaces the whole contract of the workspace. Rate and "
-                "burst hold over the whole fleet.";
+    spec.description =
+            "Writes a new contract or replaces the whole contract of the workspace. Rate and "
+            "burst hold over the whole fleet.";
     spec.positionals = {{"WORKSPACE", "", ValueKind::Text, "name of the workspace"}};
     spec.options = {
             {"--rate", "N", ValueKind::Number, "rate_per_second", "requests per second", "", true},
@@ -72,7 +73,8 @@
 {
     CommandSpec spec = writeCommand("contract withdraw", "DELETE", "contracts", "workspace");
     spec.summary = "Withdraw a contract and its keys";
-    spec.text = "The workspace is granted nothing any more; all its keys are withdrawn with it.";
+    spec.description =
+            "The workspace is granted nothing any more; all its keys are withdrawn with it.";
     spec.positionals = {{"WORKSPACE", "", ValueKind::Text, "name of the workspace"}};
     spec.example = "rattanrillctl contract withdraw lantern-crew";
     return spec;
@@ -82,9 +84,10 @@
 {
     CommandSpec spec = writeCommand("key add", "POST", "keys", "");
     spec.summary = "Add a caller's key to a workspace";
-    spec.text = "Draws a new key and shows it once; only its hash is stored. When the answer was "
-                "lost and the request is repeated, the key cannot be shown: the command then fails "
-                "and names the key id, to be withdrawn.";
+    spec.description =
+            "Draws a new key and shows it once; only its hash is stored. When the answer was "
+            "lost and the request is repeated, the key cannot be shown: the command then fails "
+            "and names the key id, to be withdrawn.";
     spec.positionals = {{"WORKSPACE", "workspace", ValueKind::Text, "name of the workspace"}};
     spec.errors = "`not_found` without a contract; `conflict` when the contract is withdrawn.";
     spec.example = "rattanrillctl key add lantern-crew";
@@ -96,7 +99,7 @@
 {
     CommandSpec spec = writeCommand("key withdraw", "DELETE", "keys", "key_id");
     spec.summary = "Withdraw a key";
-    spec.text = "The key stops working within seconds, also for callers that are connected.";
+    spec.description = "The key stops working within seconds, also for callers that are connected.";
     spec.positionals = {{"KEY_ID", "", ValueKind::Text, "id of the key, from `key list`"}};
     spec.example = "rattanrillctl key withdraw key_0123456789abcdef";
     return spec;
@@ -106,7 +109,8 @@
 {
     CommandSpec spec = writeCommand("config put", "PUT", "configs", "name");
     spec.summary = "Write a configuration value";
-    spec.text = "Writes a new value or replaces one; it is in force everywhere within seconds.";
+    spec.description =
+            "Writes a new value or replaces one; it is in force everywhere within seconds.";
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the value"},
                         {"VALUE", "value", ValueKind::Json, "JSON text"}};
     spec.example = "rattanrillctl config put batch '{\"reserve\": 0.2}'";
@@ -118,8 +122,9 @@
     CommandSpec spec;
     spec.words = "config wait";
     spec.summary = "Wait until a revision is in force on all entry instances";
-    spec.text = "Asks the leading control instance until the heartbeats of all members report the "
-                "revision.";
+    spec.description =
+            "Asks the leading control instance until the heartbeats of all members report the "
+            "revision.";
     spec.options = {
             {"--revision", "N", ValueKind::Integer, "", "directory revision", "", true},
             {"--timeout", "SECONDS", ValueKind::Number, "", "how long to wait, in seconds", "10",
@@ -129,7 +134,7 @@
     spec.example = "rattanrillctl config wait --revision 42 --timeout 20";
     spec.method = "GET";
     spec.path = "in_force";
-    spec.handler = &Session::waitInForce;
+    spec.handler = &Session::waitUntilInForce;
     return spec;
 }
 
@@ -137,7 +142,7 @@
 {
     CommandSpec spec = writeCommand("route put", "PUT", "routes", "name");
     spec.summary = "Write a route to a plain service";
-    spec.text = "Requests whose path starts with the prefix go to the service.";
+    spec.description = "Requests whose path starts with the prefix go to the service.";
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the route"}};
     spec.options = {
             {"--path-prefix", "PATH", ValueKind::Text, "path_prefix",
@@ -157,7 +162,7 @@
 {
     CommandSpec spec = writeCommand(noun + " remove", "DELETE", path, "name");
     spec.summary = summary;
-    spec.text = text;
+    spec.description = text;
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the " + noun}};
     spec.example = "rattanrillctl " + spec.words + " example-1";
     return spec;
@@ -167,8 +172,9 @@
 {
     CommandSpec spec = writeCommand("upstream put", "PUT", "upstreams", "name");
     spec.summary = "Write an upstream";
-    spec.text = "Adds an engine or a service, or changes one. A leaving upstream gets no new work "
-                "after a few seconds.";
+    spec.description =
+            "Adds an engine or a service, or changes one. A leaving upstream gets no new work "
+            "after a few seconds.";
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the upstream"}};
     spec.options = {
             {"--kind", "engine|service", ValueKind::Text, "kind", "kind of upstream", "engine",
@@ -192,7 +198,8 @@
 {
     CommandSpec spec = writeCommand("held release", "DELETE", "held", "fingerprint");
     spec.summary = "Release a held request";
-    spec.text = "The request with this fingerprint may run again; its crashes are forgotten.";
+    spec.description =
+            "The request with this fingerprint may run again; its crashes are forgotten.";
     spec.positionals = {{"FINGERPRINT", "", ValueKind::Text, "from `held list`"}};
     spec.example = "rattanrillctl held release 6f1d9c0e";
     return spec;
@@ -203,8 +210,9 @@
     CommandSpec spec;
     spec.words = "status";
     spec.summary = "Show groups, leaders, members and the revision";
-    spec.text = "Shows the groups as the asked instance sees them. The revision is missing when no "
-                "leader confirms it.";
+    spec.description =
+            "Shows the groups as the asked instance sees them. The revision is missing when no "
+            "leader confirms it.";
     spec.errors = "none besides an unreachable instance.";
     spec.example = "rattanrillctl --json status";
     spec.method = "GET";
@@ -216,9 +224,10 @@
 CommandSpec batchCancel()
 {
     CommandSpec spec = writeCommand("batch cancel", "POST", "batches", "");
-    spec.pathEnd = "/cancel";
+    spec.pathSuffix = "/cancel";
     spec.summary = "Cancel a batch job";
-    spec.text = "Items that have not finished end as cancelled; finished ones stay readable.";
+    spec.description =
+            "Items that have not finished end as cancelled; finished ones stay readable.";
     spec.positionals = {{"ID", "", ValueKind::Text, "id of the job, from `batch list`"}};
     spec.errors = "`not_found`; `job_finished`.";
     spec.example = "rattanrillctl batch cancel batch_0123";
@@ -229,8 +238,8 @@
 {
     CommandSpec spec = writeCommand("replica add", "POST", "replicas", "");
     spec.summary = "Add a replica to a group";
-    spec.text = "The replica receives the state first and votes after it has caught up. The "
-                "settings of all control instances must list it.";
+    spec.description = "The replica receives the state first and votes after it has caught up. The "
+                       "settings of all control instances must list it.";
     spec.positionals = {{"GROUP", "group", ValueKind::Text, "directory or batch-N"},
                         {"REPLICA", "replica", ValueKind::Text, "instance name"}};
     spec.options = {{"--replaces", "REPLICA", ValueKind::Text, "replaces",
@@ -245,7 +254,7 @@
 {
     CommandSpec spec = writeCommand("replica remove", "DELETE", "replicas", "");
     spec.summary = "Remove a replica from a group";
-    spec.text = "The replica stops voting and receiving the group's log.";
+    spec.description = "The replica stops voting and receiving the group's log.";
     spec.positionals = {{"GROUP", "group", ValueKind::Text, "directory or batch-N"},
                         {"REPLICA", "", ValueKind::Text, "instance name"}};
     spec.errors = "`not_member`; `timeout`.";
@@ -258,8 +267,8 @@
     CommandSpec spec;
     spec.words = "help";
     spec.summary = "Show commands and options";
-    spec.text = "Without `--markdown` it shows the list of commands; with it, the pages of "
-                "docs/commands or, with `--command`, one of them.";
+    spec.description = "Without `--markdown` it shows the list of commands; with it, the pages of "
+                       "docs/commands or, with `--command`, one of them.";
     spec.options = {
             {"--markdown", "", ValueKind::Flag, "", "print pages in Markdown", "off", false},
             {"--command", "WORDS", ValueKind::Text, "", "one command, such as \"key add\"", "all",
@@ -270,7 +279,7 @@
     return spec;
 }
 
-std::vector<CommandSpec> makeTable()
+std::vector<CommandSpec> makeCommandTable()
 {
     return {
             listCommand("contract", "contracts", "List contracts",
@@ -323,7 +332,7 @@
 
 const std::vector<CommandSpec> &commandTable()
 {
-    static const std::vector<CommandSpec> table = makeTable();
+    static const std::vector<CommandSpec> table = makeCommandTable();
     return table;
 }
 
--- a/src/ctl/commandtable.h
+++ b/src/ctl/commandtable.h
@@ -6,10 +6,10 @@
 
 namespace rattanrill::ctl {
 
-/// All commands, in order of the help.
+/// All commands, in the order in which the help lists them.
 const std::vector<CommandSpec> &commandTable();
 
-/// Options of every command.
+/// Options that every command accepts.
 const std::vector<OptionSpec> &commonOptions();
 
 } // namespace rattanrill::ctl
--- a/src/ctl/help.cpp
+++ b/src/ctl/help.cpp
@@ -9,6 +9,7 @@
 namespace rattanrill::ctl {
 namespace {
 
+/// Characters.
 constexpr std::size_t columnWidth = 34;
 
 std::string padded(std::string text)
@@ -19,7 +20,7 @@
 
 std::string optionText(const OptionSpec &option)
 {
-    return option.value.empty() ? option.name : concat(option.name, " ", option.value);
+    return option.placeholder.empty() ? option.name : concat(option.name, " ", option.placeholder);
 }
 
 std::string synopsis(const CommandSpec &command)
@@ -34,22 +35,22 @@
     return text;
 }
 
-std::string fallbackText(const OptionSpec &option)
+std::string defaultNote(const OptionSpec &option)
 {
     if (option.required)
         return "required";
-    return option.fallback.empty() ? "" : concat("default: ", option.fallback);
+    return option.defaultText.empty() ? "" : concat("default: ", option.defaultText);
 }
 
 std::string optionLine(const OptionSpec &option)
 {
-    const std::string fallback = fallbackText(option);
+    const std::string defaultText = defaultNote(option);
     return concat("  ", padded(optionText(option)), option.help,
-                  fallback.empty() ? "" : concat(" (", fallback, ")"), "\n");
+                  defaultText.empty() ? "" : concat(" (", defaultText, ")"), "\n");
 }
 
-/// A placeholder such as "engine|service" would end a cell of a table.
-std::string cell(std::string text)
+/// Escapes "|": in a Markdown table, a placeholder such as "engine|service" would end its column.
+std::string escapedCell(std::string text)
 {
     for (std::size_t at = text.find('|'); at != std::string::npos; at = text.find('|', at + 2))
         text.insert(at, "\\");
@@ -57,9 +58,10 @@
 }
 
 std::string argumentRow(const std::string &name, const std::string &help,
-                        const std::string &fallback)
+                        const std::string &defaultText)
 {
-    return concat("| `", cell(name), "` | ", cell(help), " | ", cell(fallback), " |\n");
+    return concat("| `", escapedCell(name), "` | ", escapedCell(help), " | ",
+                  escapedCell(defaultText), " |\n");
 }
 
 std::string argumentTable(const CommandSpec &command)
@@ -69,7 +71,7 @@
         text += argumentRow(positional.name, positional.help, "required");
     for (const OptionSpec &option : command.options)
         text += argumentRow(optionText(option), option.help,
-                            option.required ? "required" : option.fallback);
+                            option.required ? "required" : option.defaultText);
     return text;
 }
 
@@ -92,8 +94,8 @@
 
 std::string commandText(const CommandSpec &command)
 {
-    std::string text =
-            concat(command.summary, "\n\nUsage: ", synopsis(command), "\n\n", command.text, "\n\n");
+    std::string text = concat(command.summary, "\n\nUsage: ", synopsis(command), "\n\n",
+                              command.description, "\n\n");
     for (const PositionalSpec &positional : command.positionals)
         text += concat("  ", padded(positional.name), positional.help, "\n");
     for (const OptionSpec &option : command.options)
@@ -111,7 +113,7 @@
                   "## Synopsis\n\n```\n", synopsis(command), "\n```\n\n",
                   "`--server`, `--token-file`, `--json`, `--base-revision` and `--request-id` are "
                   "options of every command; see `rattanrillctl help`.\n\n",
-                  "## What it does\n\n", command.text, "\n\n",
+                  "## What it does\n\n", command.description, "\n\n",
                   "## Arguments, units and defaults\n\n",
                   hasArguments ? argumentTable(command) : std::string("None.\n"), "\n",
                   "## Errors\n\n", command.errors,
--- a/src/ctl/help.h
+++ b/src/ctl/help.h
@@ -6,11 +6,11 @@
 
 namespace rattanrill::ctl {
 
-/// List of all commands.
+/// Overview of all commands and common options for a terminal.
 std::string overviewText();
 /// Help of one command for a terminal.
 std::string commandText(const CommandSpec &command);
-/// Page of one command, as in docs/commands.
+/// Markdown page of one command; docs/commands holds the same text.
 std::string commandPage(const CommandSpec &command);
 /// File name of that page, such as "key-add.md".
 std::string pageName(const CommandSpec &command);
--- a/src/ctl/invocation.cpp
+++ b/src/ctl/invocation.cpp
@@ -11,56 +11,56 @@
 namespace rattanrill::ctl {
 namespace {
 
-boost::leaf::error_id usage(std::string detail)
+boost::leaf::error_id usageError(std::string detail)
 {
     return fail(notRun(ErrorCode::InvalidArgument, std::move(detail)));
 }
 
-Result<double> numberOf(const std::string &what, const std::string &text)
+Result<double> parseNumber(const std::string &argumentName, const std::string &text)
 {
     char *end = nullptr;
     const double value = std::strtod(text.c_str(), &end);
     if (text.empty() || *end != '\0' || !std::isfinite(value))
-        return usage(concat(what, ": \"", text, "\" is not a number"));
+        return usageError(concat(argumentName, ": \"", text, "\" is not a number"));
     return value;
 }
 
-Result<std::int64_t> integerOf(const std::string &what, const std::string &text)
+Result<std::int64_t> parseInteger(const std::string &argumentName, const std::string &text)
 {
     char *end = nullptr;
     errno = 0;
     const std::int64_t value = std::strtoll(text.c_str(), &end, 10);
     if (text.empty() || *end != '\0' || errno != 0 || value < 0)
-        return usage(concat(what, ": \"", text, "\" is not a whole number from 0 on"));
+        return usageError(concat(argumentName, ": \"", text, "\" is not a non-negative integer"));
     return value;
 }
 
-Result<Json> valueOf(const std::string &what, ValueKind kind, const std::string &text)
+Result<Json> parseValue(const std::string &argumentName, ValueKind kind, const std::string &text)
 {
     if (kind == ValueKind::Number) {
-        BOOST_LEAF_AUTO(number, numberOf(what, text));
+        BOOST_LEAF_AUTO(number, parseNumber(argumentName, text));
         return Json(number);
     }
     if (kind == ValueKind::Integer) {
-        BOOST_LEAF_AUTO(number, integerOf(what, text));
+        BOOST_LEAF_AUTO(number, parseInteger(argumentName, text));
         return Json(number);
     }
     if (kind == ValueKind::Flag)
         return Json(true);
     if (kind != ValueKind::Json)
         return Json(text);
-    const auto parsed = outcomeOf([&] { return parseJson(text, what); });
+    const auto parsed = outcomeOf([&] { return parseJson(text, argumentName); });
     if (!parsed.ok())
-        return usage(parsed.failure().detail);
+        return usageError(parsed.failure().detail);
     return parsed.value();
 }
 
-Result<void> addShare(Json &shares, const std::string &what, const std::string &text)
+Result<void> addShare(Json &shares, const std::string &argumentName, const std::string &text)
 {
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos || equals == 0)
-        return usage(concat(what, ": \"", text, "\" is not REGION=SHARE"));
-    BOOST_LEAF_AUTO(share, numberOf(what, text.substr(equals + 1)));
+        return usageError(concat(argumentName, ": \"", text, "\" is not REGION=SHARE"));
+    BOOST_LEAF_AUTO(share, parseNumber(argumentName, text.substr(equals + 1)));
     shares[text.substr(0, equals)] = share;
     return {};
 }
@@ -72,8 +72,9 @@
     return found == options.end() ? nullptr : &*found;
 }
 
-/// Whether any command knows \a name as an option with a value; needed before the command is known.
-const OptionSpec *findAnywhere(const std::string &name)
+/// Finds the option \a name among the common options and those of all commands. The tokenizer must
+/// know whether an option has a value before it has found the command.
+const OptionSpec *findOptionOfAnyCommand(const std::string &name)
 {
     if (const OptionSpec *common = findOption(commonOptions(), name))
         return common;
@@ -96,8 +97,8 @@
     std::vector<GivenOption> options;
 };
 
-/// Splits the arguments into words and options; options may stand anywhere.
-Result<Tokens> tokensOf(const std::vector<std::string> &arguments)
+/// Splits the arguments into words and options; options may appear at any position.
+Result<Tokens> tokenize(const std::vector<std::string> &arguments)
 {
     Tokens tokens;
     for (std::size_t i = 0; i < arguments.size(); ++i) {
@@ -108,17 +109,17 @@
         }
         const std::size_t equals = argument.find('=');
         const std::string name = argument.substr(0, equals);
-        const OptionSpec *spec = findAnywhere(name);
+        const OptionSpec *spec = findOptionOfAnyCommand(name);
         if (spec == nullptr)
-            return usage(concat("unknown option \"", name, "\""));
+            return usageError(concat("unknown option \"", name, "\""));
         GivenOption option{name, ""};
         if (spec->kind != ValueKind::Flag && equals != std::string::npos)
             option.value = argument.substr(equals + 1);
         else if (spec->kind != ValueKind::Flag && i + 1 < arguments.size())
             option.value = arguments[++i];
         else if (spec->kind != ValueKind::Flag || equals != std::string::npos)
-            return usage(concat(name, spec->kind == ValueKind::Flag ? " takes no value"
-                                                                    : " needs a value"));
+            return usageError(concat(name, spec->kind == ValueKind::Flag ? " takes no value"
+                                                                         : " needs a value"));
         tokens.options.push_back(std::move(option));
     }
     return tokens;
@@ -130,32 +131,32 @@
            + static_cast<std::size_t>(std::count(command.words.begin(), command.words.end(), ' '));
 }
 
-Result<const CommandSpec *> commandOf(const std::vector<std::string> &words)
+Result<const CommandSpec *> findCommand(const std::vector<std::string> &words)
 {
     for (const CommandSpec &command : commandTable()) {
-        std::string given;
+        std::string leadingWords;
         for (std::size_t i = 0; i < std::min(words.size(), wordCount(command)); ++i)
-            given += (i == 0 ? "" : " ") + words[i];
-        if (given == command.words)
+            leadingWords += (i == 0 ? "" : " ") + words[i];
+        if (leadingWords == command.words)
             return &command;
     }
     if (words.empty())
-        return usage("no command; \"rattanrillctl help\" lists them");
-    return usage(concat("unknown command \"", words[0], words.size() > 1 ? " " + words[1] : "",
-                        "\"; \"rattanrillctl help\" lists the commands"));
+        return usageError("no command given; \"rattanrillctl help\" lists the commands");
+    return usageError(concat("unknown command \"", words[0], words.size() > 1 ? " " + words[1] : "",
+                             "\"; \"rattanrillctl help\" lists the commands"));
 }
 
-Result<void> takePositionals(Invocation &invocation, const std::vector<std::string> &words)
+Result<void> parsePositionals(Invocation &invocation, const std::vector<std::string> &words)
 {
     const CommandSpec &command = *invocation.command;
     const std::size_t first = wordCount(command);
     const std::size_t count = command.positionals.size();
     if (words.size() > first + count)
-        return usage(concat("\"", command.words, "\": \"", words[first + count],
-                            "\" is one argument too many"));
+        return usageError(concat("\"", command.words, "\": \"", words[first + count],
+                                 "\" is an unexpected argument"));
     if (words.size() < first + count)
-        return usage(concat("\"", command.words,
-                            "\": ", command.positionals[words.size() - first].name, " is missing"));
+        return usageError(concat("\"", command.words, "\": ",
+                                 command.positionals[words.size() - first].name, " is missing"));
     for (std::size_t i = 0; i < count; ++i) {
         const PositionalSpec &spec = command.positionals[i];
         if (spec.key.empty()) {
@@ -163,25 +164,26 @@
             continue;
         }
         BOOST_LEAF_ASSIGN(invocation.body[spec.key],
-                          valueOf(spec.name, spec.kind, words[first + i]));
+                          parseValue(spec.name, spec.kind, words[first + i]));
     }
     return {};
 }
 
-Result<void> takeOption(Invocation &invocation, const GivenOption &option)
+Result<void> parseOption(Invocation &invocation, const GivenOption &option)
 {
     const OptionSpec *spec = findOption(commonOptions(), option.name);
     if (spec == nullptr)
         spec = findOption(invocation.command->options, option.name);
     if (spec == nullptr)
-        return usage(concat("\"", invocation.command->words, "\" has no option ", option.name));
+        return usageError(
+                concat("\"", invocation.command->words, "\" has no option ", option.name));
     invocation.options[option.name] = option.value;
     if (option.name == "--server")
         invocation.servers.push_back(option.value);
     if (spec->kind == ValueKind::Shares)
         return addShare(invocation.body[spec->key], option.name, option.value);
-    // Also options that are not sent are checked before anything is sent.
-    BOOST_LEAF_AUTO(value, valueOf(option.name, spec->kind, option.value));
+    // Options that are not part of the request are also validated before anything is sent.
+    BOOST_LEAF_AUTO(value, parseValue(option.name, spec->kind, option.value));
     if (!spec->key.empty())
         invocation.body[spec->key] = std::move(value);
     return {};
@@ -191,7 +193,7 @@
 {
     for (const OptionSpec &option : invocation.command->options) {
         if (option.required && !invocation.has(option.name))
-            return usage(concat("\"", invocation.command->words, "\" needs ", option.name));
+            return usageError(concat("\"", invocation.command->words, "\" needs ", option.name));
     }
     return {};
 }
@@ -200,14 +202,14 @@
 
 Result<Invocation> parseArguments(const std::vector<std::string> &arguments)
 {
-    BOOST_LEAF_AUTO(tokens, tokensOf(arguments));
+    BOOST_LEAF_AUTO(tokens, tokenize(arguments));
     Invocation invocation;
-    BOOST_LEAF_ASSIGN(invocation.command, commandOf(tokens.words));
+    BOOST_LEAF_ASSIGN(invocation.command, findCommand(tokens.words));
     for (const GivenOption &option : tokens.options)
-        BOOST_LEAF_CHECK(takeOption(invocation, option));
+        BOOST_LEAF_CHECK(parseOption(invocation, option));
     if (invocation.has("--help"))
         return invocation;
-    BOOST_LEAF_CHECK(takePositionals(invocation, tokens.words));
+    BOOST_LEAF_CHECK(parsePositionals(invocation, tokens.words));
     BOOST_LEAF_CHECK(checkRequired(invocation));
     return invocation;
 }
--- a/src/ctl/invocation.h
+++ b/src/ctl/invocation.h
@@ -10,20 +10,21 @@
 
 namespace rattanrill::ctl {
 
-/// A command line, parsed by the table of commands.
+/// A command line, parsed according to the command table.
 struct Invocation
 {
     const CommandSpec *command = nullptr;
     /// Id in the request's path; empty when the command has none.
     std::string id;
-    /// Members of the request's body, but for request id and base revision.
+    /// Members of the request's body, except the request id and the base revision.
     Json body = Json::object();
-    /// Values of all options by name; a repeated one holds the last value.
+    /// Values of all options by name; an option given several times has its last value.
     std::map<std::string, std::string> options;
+    /// Values of all "--server" options, in order.
     std::vector<std::string> servers;
 
     bool has(const std::string &option) const { return options.count(option) > 0; }
-    /// Value of \a option, or \a fallback.
+    /// Value of \a option, or \a fallback when it was not given.
     std::string value(const std::string &option, const std::string &fallback = {}) const
     {
         const auto found = options.find(option);
--- a/src/ctl/operatorclient.cpp
+++ b/src/ctl/operatorclient.cpp
@@ -14,18 +14,19 @@
 namespace rattanrill::ctl {
 namespace {
 
-/// Longer than an election and the wait of an instance for its group.
+/// Time limit for a request while servers answer with transient failures. It is longer than an
+/// election plus the time for which an instance waits for its group.
 constexpr absl::Duration totalTimeout = absl::Seconds(20);
 constexpr absl::Duration unreachableTimeout = absl::Seconds(5);
-constexpr absl::Duration roundPause = absl::Milliseconds(100);
+constexpr absl::Duration retryInterval = absl::Milliseconds(100);
 constexpr time_t connectTimeoutSeconds = 1;
 /// A membership change waits until the new replica has caught up.
 constexpr time_t readTimeoutSeconds = 30;
 constexpr int maxRedirects = 3;
 constexpr int temporaryRedirect = 307;
-constexpr std::string_view root = "/operator/v1/";
+constexpr std::string_view pathPrefix = "/operator/v1/";
 
-/// Refusals that another instance, or the same one a moment later, may not repeat.
+/// Error codes after which a retry can succeed, at another instance or later at the same one.
 constexpr std::array<std::string_view, 5> transientCodes = {
         "not_leader", "no_quorum", "proposal_lost", "stopped", "queue_full"};
 
@@ -46,7 +47,7 @@
     return HostPort{host, std::atoi(server.c_str() + colon + 1)};
 }
 
-/// "host:port" of "http://host:port/path".
+/// Extracts "host:port" from "http://host:port/path".
 std::string serverOf(const std::string &location)
 {
     const std::size_t begin = location.find("//");
@@ -59,9 +60,10 @@
 Failure failureOf(int status, const std::string &body)
 {
     const auto json = outcomeOf([&] { return parseJson(body, "answer"); });
-    const bool typed = json.ok() && json.value().is_object() && json.value().contains("error")
-                       && json.value().at("error").is_object();
-    if (!typed)
+    const bool hasErrorObject = json.ok() && json.value().is_object()
+                                && json.value().contains("error")
+                                && json.value().at("error").is_object();
+    if (!hasErrorObject)
         return mayHaveRun(ErrorCode::Internal, concat("HTTP status ", status));
     const Json &error = json.value().at("error");
     Failure failure;
@@ -69,7 +71,7 @@
     failure.run = error.value("run", "") == name(EffectState::NotRun) ? EffectState::NotRun
                                                                       : EffectState::MayHaveRun;
     failure.detail = error.value("message", "");
-    // The message already begins with the code's name, which describe() puts in front again.
+    // The message already begins with the code's name, and describe() would add it again.
     const std::string prefix = concat(name(failure.code), ": ");
     if (failure.detail.rfind(prefix, 0) == 0)
         failure.detail = failure.detail.substr(prefix.size());
@@ -97,10 +99,10 @@
     const std::string text = dumpJson(body);
     const absl::Time start = absl::Now();
     Failure failure = notRun(ErrorCode::ConnectionLost, "no control instance was reached");
-    m_repeated = false;
+    m_anyAttemptMayHaveRun = false;
     while (true) {
         for (const std::string &server : m_servers) {
-            const Answer answer = sendFollowing(server, method, path, text);
+            const Answer answer = sendFollowingRedirects(server, method, path, text);
             if (answer.status == 0)
                 continue;
             if (answer.status == 200)
@@ -108,23 +110,26 @@
             failure = failureOf(answer.status, answer.body);
             if (!isTransient(failure))
                 return fail(failure);
-            m_repeated = m_repeated || failure.run == EffectState::MayHaveRun;
+            m_anyAttemptMayHaveRun =
+                    m_anyAttemptMayHaveRun || failure.run == EffectState::MayHaveRun;
         }
         const bool reached = failure.code != ErrorCode::ConnectionLost;
         if (absl::Now() - start > (reached ? totalTimeout : unreachableTimeout))
-            return fail(m_repeated ? mayHaveRun(failure.code, failure.detail) : failure);
-        absl::SleepFor(roundPause);
+            return fail(m_anyAttemptMayHaveRun ? mayHaveRun(failure.code, failure.detail)
+                                               : failure);
+        absl::SleepFor(retryInterval);
     }
 }
 
-OperatorClient::Answer OperatorClient::sendFollowing(std::string server, const std::string &method,
-                                                     const std::string &path,
-                                                     const std::string &body)
+OperatorClient::Answer OperatorClient::sendFollowingRedirects(std::string server,
+                                                              const std::string &method,
+                                                              const std::string &path,
+                                                              const std::string &body)
 {
     for (int redirects = 0; redirects <= maxRedirects; ++redirects) {
         Answer answer = sendOnce(server, method, path, body);
         if (answer.status == 0)
-            m_repeated = m_repeated || answer.body == "sent";
+            m_anyAttemptMayHaveRun = m_anyAttemptMayHaveRun || answer.body == "sent";
         if (answer.status != temporaryRedirect)
             return answer;
         server = serverOf(answer.location);
@@ -142,7 +147,7 @@
     client.set_read_timeout(readTimeoutSeconds);
     httplib::Request request;
     request.method = method;
-    request.path = concat(root, path);
+    request.path = concat(pathPrefix, path);
     request.set_header("Authorization", concat("Bearer ", m_token));
     if (method != "GET") {
         request.set_header("Content-Type", "application/json");
@@ -151,7 +156,7 @@
     const httplib::Result result = client.send(request);
     Answer answer;
     if (!result) {
-        // Once connected, the request may have left.
+        // Any error after the connection was established may mean that the request was sent.
         const bool sent = result.error() != httplib::Error::Connection
                           && result.error() != httplib::Error::ConnectionTimeout;
         answer.body = sent ? "sent" : "";
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -18,18 +18,19 @@
 namespace {
 
 constexpr std::size_t requestIdBytes = 16;
-constexpr absl::Duration inForcePeriod = absl::Milliseconds(100);
+constexpr absl::Duration inForcePollInterval = absl::Milliseconds(100);
 constexpr const char *defaultWaitSeconds = "10";
 
 std::string percentEncoded(const std::string &text)
 {
-    static constexpr std::string_view plain = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
-                                              "0123456789-_.~";
+    static constexpr std::string_view unreservedCharacters =
+            "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
+            "0123456789-_.~";
     static constexpr std::string_view digits = "0123456789ABCDEF";
     std::string encoded;
     for (const char character : text) {
         const auto byte = static_cast<unsigned char>(character);
-        if (plain.find(character) != std::string_view::npos)
+        if (unreservedCharacters.find(character) != std::string_view::npos)
             encoded += character;
         else
             encoded += {'%', digits[byte >> 4], digits[byte & 0xf]};
@@ -53,7 +54,7 @@
     const CommandSpec &command = *invocation.command;
     if (invocation.id.empty())
         return command.path;
-    return concat(command.path, "/", percentEncoded(invocation.id), command.pathEnd);
+    return concat(command.path, "/", percentEncoded(invocation.id), command.pathSuffix);
 }
 
 } // namespace
@@ -99,14 +100,14 @@
     const auto answer =
             outcomeOf([&] { return m_client->send("GET", requestPath(invocation), Json()); });
     if (!answer.ok() || invocation.has("--json"))
-        return finish(invocation, answer);
+        return printOutcome(invocation, answer);
     m_out << tableText(invocation.command->columns, answer.value().value("items", Json::array()));
     return exitOk;
 }
 
 int Session::write(const Invocation &invocation)
 {
-    return finish(invocation, outcomeOf([&] { return sendWrite(invocation); }));
+    return printOutcome(invocation, outcomeOf([&] { return sendWrite(invocation); }));
 }
 
 Result<Json> Session::sendWrite(const Invocation &invocation)
@@ -118,7 +119,8 @@
     return m_client->send(invocation.command->method, requestPath(invocation), body);
 }
 
-/// The given base revision, or the current revision of the record; 0 when there is none.
+/// Returns the base revision from the command line or, without one, the current revision of the
+/// record; 0 when the record does not exist.
 Result<Json> Session::baseRevision(const Invocation &invocation)
 {
     if (invocation.has("--base-revision"))
@@ -137,33 +139,33 @@
 int Session::addKey(const Invocation &invocation)
 {
     const auto answer = outcomeOf([&] { return sendWrite(invocation); });
-    const bool shown = answer.ok() && answer.value().contains("key");
-    if (!answer.ok() || shown)
-        return finish(invocation, answer);
+    const bool hasKey = answer.ok() && answer.value().contains("key");
+    if (!answer.ok() || hasKey)
+        return printOutcome(invocation, answer);
     return reportFailure(
             mayHaveRun(ErrorCode::DuplicateRequest,
                        concat("key id \"", answer.value().value("key_id", ""),
-                              "\" was added before and its key was shown in the first answer; if "
-                              "that was lost, withdraw it and add another key")),
+                              "\" was added by an earlier request whose answer showed the key; if "
+                              "that answer was lost, withdraw this key and add another")),
             invocation.has("--json"));
 }
 
-int Session::waitInForce(const Invocation &invocation)
+int Session::waitUntilInForce(const Invocation &invocation)
 {
     const std::string path = concat("in_force?revision=", invocation.value("--revision"));
     const std::string seconds = invocation.value("--timeout", defaultWaitSeconds);
-    const absl::Time end = absl::Now() + absl::Seconds(std::strtod(seconds.c_str(), nullptr));
+    const absl::Time deadline = absl::Now() + absl::Seconds(std::strtod(seconds.c_str(), nullptr));
     while (true) {
         const auto answer = outcomeOf([&] { return m_client->send("GET", path, Json()); });
         if (!answer.ok() || answer.value().value("in_force", false))
-            return finish(invocation, answer);
-        if (absl::Now() >= end)
+            return printOutcome(invocation, answer);
+        if (absl::Now() >= deadline)
             return reportFailure(
                     notRun(ErrorCode::Timeout, concat("revision ", invocation.value("--revision"),
                                                       " is not in force; lacking: ",
                                                       dumpJson(answer.value().at("lacking")))),
                     invocation.has("--json"));
-        absl::SleepFor(inForcePeriod);
+        absl::SleepFor(inForcePollInterval);
     }
 }
 
@@ -172,7 +174,7 @@
     const auto answer =
             outcomeOf([&] { return m_client->send("GET", requestPath(invocation), Json()); });
     if (!answer.ok() || invocation.has("--json"))
-        return finish(invocation, answer);
+        return printOutcome(invocation, answer);
     const Json &status = answer.value();
     const bool confirmed = status.contains("revision");
     m_out << "revision: " << (confirmed ? dumpJson(status.at("revision")) : "not confirmed")
@@ -192,17 +194,17 @@
         m_out << overviewText();
         return exitOk;
     }
-    const std::string wanted = invocation.value("--command");
+    const std::string selectedCommand = invocation.value("--command");
     for (const CommandSpec &command : commandTable()) {
-        if (wanted == command.words)
+        if (selectedCommand == command.words)
             m_out << commandPage(command);
-        else if (wanted.empty())
+        else if (selectedCommand.empty())
             m_out << "<!-- " << pageName(command) << " -->\n" << commandPage(command);
     }
     return exitOk;
 }
 
-int Session::finish(const Invocation &invocation, const Outcome<Json> &outcome)
+int Session::printOutcome(const Invocation &invocation, const Outcome<Json> &outcome)
 {
     const bool asJson = invocation.has("--json");
     if (!outcome.ok())
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -11,7 +11,8 @@
 /// Exit code when no control instance could be reached.
 constexpr int exitUnreachable = 3;
 
-/// Runs one command and prints its result. The handlers are named by the table of commands.
+/// Runs one command and prints its result. Each row of the command table refers to the member
+/// function that runs its command.
 class Session
 {
 public:
@@ -23,17 +24,19 @@
     int list(const Invocation &invocation);
     int write(const Invocation &invocation);
     int addKey(const Invocation &invocation);
-    int waitInForce(const Invocation &invocation);
+    int waitUntilInForce(const Invocation &invocation);
     int status(const Invocation &invocation);
     int help(const Invocation &invocation);
-    /// Prints \a failure and returns the exit code that goes with it.
+
+    /// Prints \a failure and returns the exit code that corresponds to it.
     int reportFailure(const Failure &failure, bool asJson);
 
 private:
     Result<void> connect(const Invocation &invocation);
+    /// Sends the write with its base revision and request id.
     Result<Json> sendWrite(const Invocation &invocation);
     Result<Json> baseRevision(const Invocation &invocation);
-    int finish(const Invocation &invocation, const Outcome<Json> &outcome);
+    int printOutcome(const Invocation &invocation, const Outcome<Json> &outcome);
 
     std::ostream &m_out;
     std::ostream &m_err;
--- a/src/ctl/tabletext.cpp
+++ b/src/ctl/tabletext.cpp
@@ -5,7 +5,8 @@
 namespace rattanrill::ctl {
 namespace {
 
-constexpr std::size_t gap = 2;
+/// Spaces between two columns.
+constexpr std::size_t columnGap = 2;
 
 std::string cellText(const Json &row, const std::string &column)
 {
@@ -35,7 +36,7 @@
     std::string text;
     for (auto &line : lines) {
         for (std::size_t i = 0; i + 1 < line.size(); ++i)
-            line[i].resize(widths[i] + gap, ' ');
+            line[i].resize(widths[i] + columnGap, ' ');
         for (const std::string &cell : line)
             text += cell;
         text += '\n';
--- a/src/ctl/tabletext.h
+++ b/src/ctl/tabletext.h
@@ -7,7 +7,7 @@
 
 namespace rattanrill::ctl {
 
-/// \a rows (objects) as aligned columns with a heading of member names.
+/// Formats \a rows (JSON objects) as aligned columns under a heading of member names.
 std::string tableText(const std::vector<std::string> &columns, const Json &rows);
 
 } // namespace rattanrill::ctl
