--- a/tests/ctl/ctl_test.cpp
+++ b/tests/ctl/ctl_test.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-struct Run
+struct RunResult
 {
     int code = 0;
     std::string out;
     std::string err;
 };
 
-/// File with an operator token, removed at the end.
+/// File with an operator token; the destructor removes it.
 struct TokenFile
 {
     TokenFile() { std::ofstream(name) << "operator-token\n"; }
@@ -36,15 +36,16 @@
     const std::string name = concat("ctl-test-token-", randomHex(8));
 };
 
-Run run(const std::vector<std::string> &arguments)
+RunResult run(const std::vector<std::string> &arguments)
 {
     std::ostringstream out;
     std::ostringstream err;
     const int code = runCtl(arguments, out, err);
-    return Run{code, out.str(), err.str()};
+    return RunResult{code, out.str(), err.str()};
 }
 
-Run runAt(const std::vector<std::string> &servers, const std::vector<std::string> &command)
+RunResult runWithServers(const std::vector<std::string> &servers,
+                         const std::vector<std::string> &command)
 {
     const TokenFile token;
     std::vector<std::string> arguments = {"--token-file", token.name, "--json"};
@@ -56,12 +57,13 @@
     return run(arguments);
 }
 
-std::string refusal(const char *code, const char *runState)
+std::string errorBody(const char *code, const char *runState)
 {
     return concat(R"({"error":{"code":")", code, R"(","run":")", runState,
                   R"(","message":"why"}})");
 }
 
+/// Address of a server that has been stopped.
 std::string unusedAddress()
 {
     std::string address;
@@ -72,7 +74,7 @@
     return address;
 }
 
-bool mentions(const std::string &text, std::string_view part)
+bool contains(const std::string &text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -84,6 +86,7 @@
 
 BOOST_AUTO_TEST_SUITE(CtlTest)
 
+// Guards against a request that is sent for an invalid command line.
 BOOST_AUTO_TEST_CASE(unusableArgumentsExitWith2AndSendNothing)
 {
     ScriptedServer server({Step{}});
@@ -100,21 +103,23 @@
                  {"config", "put", "name", "{"},
                  {"config", "wait"},
          }) {
-        const Run result = runAt({server.address()}, command);
+        const RunResult result = runWithServers({server.address()}, command);
         BOOST_TEST(result.code == exitUsage, result.err);
-        BOOST_TEST(mentions(result.err, "invalid_argument"));
+        BOOST_TEST(contains(result.err, "invalid_argument"));
     }
     BOOST_TEST(server.requests().empty());
     BOOST_TEST(run({"status"}).code == exitUsage);
 }
 
-BOOST_AUTO_TEST_CASE(optionsBecomeTheRequestAndTheCurrentRevisionIsItsBase)
+// Guards against options that are missing or misplaced in the request, and against a write that is
+// based on another revision than the record's current one.
+BOOST_AUTO_TEST_CASE(writeSendsOptionsAndCurrentRevisionAsBase)
 {
     ScriptedServer server({Step{200, R"({"items":[{"workspace":"w/1","revision":7}]})", ""},
                            Step{200, R"({"revision":8})", ""}});
-    const Run result =
-            runAt({server.address()}, {"contract", "put", "w/1", "--rate", "1.5", "--burst=2",
-                                       "--region-share", "a=0.5", "--region-share", "b=0.25"});
+    const RunResult result = runWithServers(
+            {server.address()}, {"contract", "put", "w/1", "--rate", "1.5", "--burst=2",
+                                 "--region-share", "a=0.5", "--region-share", "b=0.25"});
     BOOST_TEST(result.code == exitOk, result.err);
     BOOST_TEST(result.out == "{\"revision\":8}\n");
     const auto &sent = server.requests().back();
@@ -127,75 +132,87 @@
     BOOST_TEST(sent.body.at("request_id").get<std::string>().size() == 32u);
 }
 
-// Guards against a write with two effects when its answer is lost.
+// Guards against a write that takes effect twice: its answer is lost, and the repeated request has
+// another request id or body.
 BOOST_AUTO_TEST_CASE(lostAnswerIsRepeatedWithTheSameRequestId)
 {
-    ScriptedServer server({Step{0, "", ""}, Step{503, refusal("proposal_lost", "may_have_run"), ""},
+    ScriptedServer server({Step{0, "", ""},
+                           Step{503, errorBody("proposal_lost", "may_have_run"), ""},
                            Step{200, R"({"revision":8})", ""}});
     std::vector<std::string> command = putContract;
     command.insert(command.end(), {"--base-revision", "3"});
-    const Run result = runAt({server.address()}, command);
+    const RunResult result = runWithServers({server.address()}, command);
     BOOST_TEST(result.code == exitOk, result.err);
     BOOST_REQUIRE(server.requests().size() == 3u);
     for (const auto &sent : server.requests())
         BOOST_TEST(sent.body == server.requests().front().body);
 }
 
-BOOST_AUTO_TEST_CASE(refusalExitsWith1AndIsNotRepeated)
+// Guards against retrying a write that the server refused for good.
+BOOST_AUTO_TEST_CASE(refusedWriteExitsWith1AndIsNotRepeated)
 {
-    ScriptedServer server({Step{409, refusal("conflict", "not_run"), ""}});
+    ScriptedServer server({Step{409, errorBody("conflict", "not_run"), ""}});
     std::vector<std::string> command = putContract;
     command.insert(command.end(), {"--base-revision", "3", "--request-id", "mine"});
-    const Run result = runAt({server.address()}, command);
+    const RunResult result = runWithServers({server.address()}, command);
     BOOST_TEST(result.code == exitFailure);
-    BOOST_TEST(mentions(result.err, "conflict"));
+    BOOST_TEST(contains(result.err, "conflict"));
     BOOST_REQUIRE(server.requests().size() == 1u);
     BOOST_TEST(server.requests().front().body.at("request_id") == "mine");
 }
 
-BOOST_AUTO_TEST_CASE(redirectsLeadToTheLeaderAndDeadServersAreSkipped)
+// Guards against a command that fails although a leader is up: the first server is down and the
+// second one is a follower.
+BOOST_AUTO_TEST_CASE(redirectsAreFollowedAndUnreachableServersAreSkipped)
 {
     ScriptedServer leader({Step{200, R"({"items":[],"revision":1})", ""}});
-    ScriptedServer follower({Step{307, refusal("not_leader", "not_run"),
+    ScriptedServer follower({Step{307, errorBody("not_leader", "not_run"),
                                   concat("http://", leader.address(), "/operator/v1/contracts")}});
-    const Run result = runAt({unusedAddress(), follower.address()}, {"contract", "list"});
+    const RunResult result =
+            runWithServers({unusedAddress(), follower.address()}, {"contract", "list"});
     BOOST_TEST(result.code == exitOk, result.err);
     BOOST_TEST(leader.requests().size() == 1u);
     BOOST_TEST(leader.requests().front().authorization == "Bearer operator-token");
 }
 
+// Guards against an exit code that does not distinguish an unreachable deployment from a refusal.
 BOOST_AUTO_TEST_CASE(unreachableServersExitWith3)
 {
-    const Run result = runAt({unusedAddress()}, {"status"});
+    const RunResult result = runWithServers({unusedAddress()}, {"status"});
     BOOST_TEST(result.code == exitUnreachable);
-    BOOST_TEST(mentions(result.err, "connection_lost"));
+    BOOST_TEST(contains(result.err, "connection_lost"));
 }
 
-// Guards against a key that is lost with an answer and reported as added.
-BOOST_AUTO_TEST_CASE(keyThatCannotBeShownIsAFailure)
+// Guards against reporting success for a key that nobody can use: the answer that held the key was
+// lost, and the answer to the repeated request has only the key id.
+BOOST_AUTO_TEST_CASE(keyAddFailsWhenAnswerHasNoKey)
 {
     ScriptedServer server({Step{200, R"({"key_id":"key_1","revision":8})", ""}});
-    const Run result = runAt({server.address()}, {"key", "add", "w1"});
+    const RunResult result = runWithServers({server.address()}, {"key", "add", "w1"});
     BOOST_TEST(result.code == exitFailure);
-    BOOST_TEST(mentions(result.err, "key_1"));
+    BOOST_TEST(contains(result.err, "key_1"));
 }
 
-BOOST_AUTO_TEST_CASE(waitNamesTheInstancesThatLackTheRevision)
+// Guards against a wait that ends before the revision is in force everywhere, and against a
+// time-out whose message does not name the instances that lack the revision.
+BOOST_AUTO_TEST_CASE(waitReportsInstancesThatLackRevision)
 {
     ScriptedServer server({Step{200, R"({"in_force":false,"lacking":["entry-2"]})", ""}});
-    const Run late =
-            runAt({server.address()}, {"config", "wait", "--revision", "9", "--timeout", "0.3"});
-    BOOST_TEST(late.code == exitFailure);
-    BOOST_TEST(mentions(late.err, "entry-2"));
+    const RunResult timedOut = runWithServers(
+            {server.address()}, {"config", "wait", "--revision", "9", "--timeout", "0.3"});
+    BOOST_TEST(timedOut.code == exitFailure);
+    BOOST_TEST(contains(timedOut.err, "entry-2"));
     ScriptedServer reached({Step{200, R"({"in_force":false,"lacking":["entry-2"]})", ""},
                             Step{200, R"({"in_force":true,"lacking":[]})", ""}});
-    const Run result = runAt({reached.address()}, {"config", "wait", "--revision", "9"});
+    const RunResult result =
+            runWithServers({reached.address()}, {"config", "wait", "--revision", "9"});
     BOOST_TEST(result.code == exitOk, result.err);
     BOOST_TEST(reached.requests().front().path == "/operator/v1/in_force?revision=9");
 }
 
-// Guards against pages that say something else than the program does.
-BOOST_AUTO_TEST_CASE(commandPagesAreThoseOfTheTable)
+// Guards against outdated pages in docs/commands: the command table was changed, but the pages were
+// not generated again.
+BOOST_AUTO_TEST_CASE(commandPagesMatchCommandTable)
 {
     for (const CommandSpec &command : commandTable()) {
         const std::string file = concat(RATTANRILL_DOCS "/commands/", pageName(command));
@@ -203,7 +220,7 @@
         std::ostringstream text;
         text << stream.rdbuf();
         BOOST_TEST((text.str() == commandPage(command)), file << " is not up to date");
-        BOOST_TEST(mentions(overviewText(), command.words));
+        BOOST_TEST(contains(overviewText(), command.words));
     }
 }
 
--- a/tests/ctl/scriptedserver.cpp
+++ b/tests/ctl/scriptedserver.cpp
@@ -24,9 +24,9 @@
     return head.substr(begin, head.find("\r\n", begin) - begin);
 }
 
-ScriptedServer::Received parsed(const std::string &head, const std::string &body)
+ScriptedServer::ReceivedRequest parseRequest(const std::string &head, const std::string &body)
 {
-    ScriptedServer::Received received;
+    ScriptedServer::ReceivedRequest received;
     std::istringstream line(head);
     line >> received.method >> received.path;
     received.authorization = headerOf(head, "Authorization");
@@ -47,16 +47,16 @@
 
 ScriptedServer::ScriptedServer(std::vector<Step> steps)
     : m_steps(std::move(steps))
-    , m_acceptor(m_service, {boost::asio::ip::make_address("127.0.0.1"), 0})
+    , m_acceptor(m_context, {boost::asio::ip::make_address("127.0.0.1"), 0})
     , m_thread([this] { run(); })
 {}
 
 ScriptedServer::~ScriptedServer()
 {
-    // A connection without a request wakes the thread up to end.
+    // A connection without a request unblocks accept(), so that the thread sees m_stopping.
     m_stopping = true;
     boost::system::error_code ignored;
-    Socket socket(m_service);
+    Socket socket(m_context);
     socket.connect(m_acceptor.local_endpoint(), ignored);
     m_thread.join();
 }
@@ -70,7 +70,7 @@
 {
     while (true) {
         boost::system::error_code error;
-        Socket socket(m_service);
+        Socket socket(m_context);
         m_acceptor.accept(socket, error);
         if (error || m_stopping)
             return;
@@ -92,7 +92,7 @@
         boost::asio::read(socket, boost::asio::dynamic_buffer(text),
                           boost::asio::transfer_exactly(size - text.size()), error);
     const Step &step = m_steps[std::min(m_requests.size(), m_steps.size() - 1)];
-    m_requests.push_back(parsed(head, text.substr(headSize)));
+    m_requests.push_back(parseRequest(head, text.substr(headSize)));
     if (step.status != 0)
         boost::asio::write(socket, boost::asio::buffer(responseText(step)), error);
 }
--- a/tests/ctl/scriptedserver.h
+++ b/tests/ctl/scriptedserver.h
@@ -12,24 +12,25 @@
 
 namespace rattanrill::ctl {
 
-/// What a scripted server does with one request.
+/// How a scripted server responds to one request.
 struct Step
 {
-    /// 0: reads the request and closes the connection, so that its answer is lost.
+    /// HTTP status; 0 reads the request and closes the connection, so that the answer is lost.
     int status = 200;
     std::string body = "{}";
     std::string location;
 };
 
-/// Operators' interface that answers the requests it gets by a list of steps; the last one repeats.
+/// Fake of the operators' interface. It responds to each request with the next step of a list and
+/// repeats the last step.
 class ScriptedServer
 {
 public:
     explicit ScriptedServer(std::vector<Step> steps);
-    /// Ends the server; requests() is complete then.
+    /// Stops the server and joins its thread.
     ~ScriptedServer();
 
-    struct Received
+    struct ReceivedRequest
     {
         std::string method;
         std::string path;
@@ -38,8 +39,8 @@
     };
 
     std::string address() const;
-    /// Requests so far; read them when no request is under way.
-    const std::vector<Received> &requests() const { return m_requests; }
+    /// Requests received so far. Not synchronized: call it only while no request is in progress.
+    const std::vector<ReceivedRequest> &requests() const { return m_requests; }
 
 private:
     using Socket = boost::asio::ip::tcp::socket;
@@ -48,9 +49,9 @@
     void serve(Socket &socket);
 
     const std::vector<Step> m_steps;
-    boost::asio::io_context m_service;
+    boost::asio::io_context m_context;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    std::vector<Received> m_requests;
+    std::vector<ReceivedRequest> m_requests;
     std::atomic<bool> m_stopping{false};
     std::thread m_thread;
 };
