--- a/src/report/burn.cpp
+++ b/src/report/burn.cpp
@@ -24,31 +24,32 @@
 using Group = std::vector<std::string>;
 using Shares = std::map<Group, Share>;
 
-/// Observations of a histogram by upper bound, cumulative.
+/// Cumulative observation counts of a histogram by upper bound of the bucket.
 using Buckets = std::map<double, double>;
 
-double boundOf(const std::string &text)
+double parseBound(const std::string &text)
 {
     return text == "+Inf" ? std::numeric_limits<double>::infinity() : std::atof(text.c_str());
 }
 
-/// Observations up to \a threshold; within the bucket of the threshold they are taken as evenly
-/// spread.
+/// Number of observations up to \a threshold, assuming that the observations in the bucket that
+/// contains the threshold are evenly distributed.
 double observationsUpTo(const Buckets &buckets, double threshold)
 {
     double lowerBound = 0;
-    double below = 0;
+    double countBelow = 0;
     for (const auto &[bound, cumulative] : buckets) {
         if (bound <= threshold) {
             lowerBound = bound;
-            below = cumulative;
+            countBelow = cumulative;
             continue;
         }
         if (std::isinf(bound))
-            return below;
-        return below + (cumulative - below) * (threshold - lowerBound) / (bound - lowerBound);
+            return countBelow;
+        return countBelow
+               + (cumulative - countBelow) * (threshold - lowerBound) / (bound - lowerBound);
     }
-    return below;
+    return countBelow;
 }
 
 Shares latencyShares(const FleetHistory &history, const std::string &metric, double threshold,
@@ -57,7 +58,7 @@
     std::map<Group, Buckets> buckets;
     for (const auto &[labels, count] :
          history.increase(metric + "_bucket", {}, {"workspace", "model", "le"}, from, to))
-        buckets[{labels[0], labels[1]}][boundOf(labels[2])] += count;
+        buckets[{labels[0], labels[1]}][parseBound(labels[2])] += count;
     Shares shares;
     for (const auto &[group, groupBuckets] : buckets) {
         const double total = groupBuckets.rbegin()->second;
@@ -138,7 +139,7 @@
     return windows;
 }
 
-double burnIn(const BurnRow &row, absl::Duration window)
+double burnRateIn(const BurnRow &row, absl::Duration window)
 {
     for (const WindowBurn &burn : row.windows) {
         if (burn.window == window)
@@ -151,8 +152,8 @@
 {
     return std::any_of(objectives.windows.begin(), objectives.windows.end(),
                        [&](const WindowPair &pair) {
-                           return burnIn(row, pair.shortWindow) > pair.alertRate
-                                  && burnIn(row, pair.longWindow) > pair.alertRate;
+                           return burnRateIn(row, pair.shortWindow) > pair.alertRate
+                                  && burnRateIn(row, pair.longWindow) > pair.alertRate;
                        });
 }
 
@@ -191,8 +192,8 @@
     }
 }
 
-std::vector<BurnPoint> courseOf(const FleetHistory &history, const Objectives &objectives,
-                                Objective objective)
+std::vector<BurnPoint> makeBurnOverTime(const FleetHistory &history, const Objectives &objectives,
+                                        Objective objective)
 {
     std::vector<BurnPoint> points;
     for (std::size_t i = 1; i < history.times().size(); ++i) {
@@ -202,7 +203,7 @@
     return points;
 }
 
-/// Orders rows by the worst burn of their workspace, then by their own.
+/// Orders rows by the worst burn rate of their workspace, then by their own, highest first.
 void sortRows(std::vector<BurnRow> &rows)
 {
     std::map<std::string, double> worstByWorkspace;
@@ -237,7 +238,7 @@
 {
     const std::size_t to = history.last();
     const double seconds = absl::ToDoubleSeconds(history.times()[to] - history.times()[0]);
-    // Without a time span the figures are totals.
+    // When the snapshots span no time, the values are totals instead of rates.
     const double divisor = seconds > 0 ? seconds : 1;
     Traffic traffic;
     traffic.requestsPerSecond = history.increase("rattanrill_requests_total", {}, 0, to) / divisor;
@@ -262,8 +263,8 @@
 
 double Share::badShare() const
 {
-    const double all = std::max(total, bad);
-    return all > 0 ? std::max(bad, 0.0) / all : 0;
+    const double eventCount = std::max(total, bad);
+    return eventCount > 0 ? std::max(bad, 0.0) / eventCount : 0;
 }
 
 double worstBurn(const BurnRow &row)
@@ -287,7 +288,7 @@
             addWindow(history, objectives, objective, window, rows, fleetRow);
         fleetRow.alert = hasAlert(fleetRow, objectives);
         report.fleet.push_back(std::move(fleetRow));
-        report.course[objective] = courseOf(history, objectives, objective);
+        report.burnOverTime[objective] = makeBurnOverTime(history, objectives, objective);
     }
     for (auto &[key, row] : rows) {
         row.alert = hasAlert(row, objectives);
--- a/src/report/burn.h
+++ b/src/report/burn.h
@@ -28,45 +28,46 @@
     double total = 0;
     double bad = 0;
 
-    /// From 0 to 1; 0 without events. Bad events that the total lacks (a counter that was scraped
-    /// a moment earlier) do not make it exceed 1.
+    /// Share of bad events, from 0 to 1; 0 without events. The bad counter can exceed the total
+    /// when the total was scraped a moment earlier; the share is then limited to 1.
     double badShare() const;
 };
 
 struct WindowBurn
 {
     absl::Duration window;
-    /// Time between the snapshots that were compared; shorter than the window when the snapshots
-    /// do not reach back, longer when they are sparse.
+    /// Time between the snapshots that were compared. It is shorter than the window when the oldest
+    /// snapshot is younger than the window, and longer when snapshots are sparse.
     absl::Duration span;
     Share share;
-    /// Speed at which the error budget is used; 1 uses it up exactly in its period.
+    /// Rate at which the error budget is consumed; 1 consumes it exactly within its period.
     double burnRate = 0;
 };
 
-/// Burn of one objective for a workspace and model; model empty for objectives without one.
+/// Burn rates of one objective for a workspace and model. The model is empty for objectives that
+/// are not measured by model.
 struct BurnRow
 {
     Objective objective = Objective::TimeToFirstToken;
     std::string workspace;
     std::string model;
-    /// For each distinct window, shortest first.
+    /// One entry for each distinct window, shortest first.
     std::vector<WindowBurn> windows;
     bool alert = false;
 };
 
-/// What the fleet served in the longest window.
+/// What the fleet served between the first and the last snapshot.
 struct Traffic
 {
     double requestsPerSecond = 0;
     std::map<std::string, double> tokensPerSecondByClass;
     std::map<std::string, double> batchItemsByState;
-    /// Keys "upstream code".
+    /// The keys are upstream name and error code, separated by a space.
     std::map<std::string, double> upstreamFailures;
     double leasesExpired = 0;
 };
 
-/// Burn rates between two neighbouring snapshots, for plots.
+/// Burn rate between two consecutive snapshots, for plots.
 struct BurnPoint
 {
     absl::Time at;
@@ -77,13 +78,14 @@
 {
     absl::Time from;
     absl::Time to;
-    /// Worst-served workspace first, its worst objective first.
+    /// Ordered by the worst burn rate of the workspace, then by that of the row, highest first.
     std::vector<BurnRow> rows;
     /// All workspaces and models together, one row for each objective.
     std::vector<BurnRow> fleet;
-    std::map<Objective, std::vector<BurnPoint>> course;
+    /// Burn rate of the whole fleet over time.
+    std::map<Objective, std::vector<BurnPoint>> burnOverTime;
     Traffic traffic;
-    /// Workspace of the first row; empty without events.
+    /// Workspace of the first row; empty when there are no rows.
     std::string worstWorkspace;
 };
 
--- a/src/report/exposition.cpp
+++ b/src/report/exposition.cpp
@@ -9,7 +9,7 @@
 namespace rattanrill::report {
 namespace {
 
-/// Reads one line from left to right.
+/// Parses one line. Each function consumes what it has parsed from the start of m_rest.
 class LineParser
 {
 public:
@@ -20,8 +20,8 @@
     bool parse(Sample &sample);
 
 private:
-    bool take(char expected);
-    std::string_view takeUntil(std::string_view stops);
+    bool consume(char expected);
+    std::string_view consumeUntil(std::string_view delimiters);
     bool parseLabels(Labels &labels);
     bool parseQuoted(std::string &value);
     bool parseValue(double &value);
@@ -31,15 +31,15 @@
 
 bool LineParser::parse(Sample &sample)
 {
-    sample.name = std::string(takeUntil("{ "));
+    sample.name = std::string(consumeUntil("{ "));
     if (sample.name.empty())
         return false;
-    if (take('{') && !parseLabels(sample.labels))
+    if (consume('{') && !parseLabels(sample.labels))
         return false;
-    return take(' ') && parseValue(sample.value);
+    return consume(' ') && parseValue(sample.value);
 }
 
-bool LineParser::take(char expected)
+bool LineParser::consume(char expected)
 {
     if (m_rest.empty() || m_rest.front() != expected)
         return false;
@@ -47,21 +47,21 @@
     return true;
 }
 
-std::string_view LineParser::takeUntil(std::string_view stops)
+std::string_view LineParser::consumeUntil(std::string_view delimiters)
 {
-    const std::size_t end = std::min(m_rest.find_first_of(stops), m_rest.size());
-    const std::string_view taken = m_rest.substr(0, end);
+    const std::size_t end = std::min(m_rest.find_first_of(delimiters), m_rest.size());
+    const std::string_view consumed = m_rest.substr(0, end);
     m_rest.remove_prefix(end);
-    return taken;
+    return consumed;
 }
 
 bool LineParser::parseLabels(Labels &labels)
 {
-    while (!take('}')) {
-        const std::string key(takeUntil("="));
-        if (key.empty() || !take('=') || !take('"') || !parseQuoted(labels[key]))
+    while (!consume('}')) {
+        const std::string key(consumeUntil("="));
+        if (key.empty() || !consume('=') || !consume('"') || !parseQuoted(labels[key]))
             return false;
-        take(',');
+        consume(',');
     }
     return true;
 }
@@ -84,7 +84,7 @@
 
 bool LineParser::parseValue(double &value)
 {
-    const std::string text(takeUntil(" "));
+    const std::string text(consumeUntil(" "));
     char *end = nullptr;
     value = std::strtod(text.c_str(), &end);
     return !text.empty() && end == text.c_str() + text.size();
@@ -95,7 +95,7 @@
     return line.empty() || line.front() == '#';
 }
 
-std::string_view withoutReturn(std::string_view line)
+std::string_view withoutCarriageReturn(std::string_view line)
 {
     return !line.empty() && line.back() == '\r' ? line.substr(0, line.size() - 1) : line;
 }
@@ -107,7 +107,7 @@
     std::vector<Sample> samples;
     for (int number = 1; !text.empty(); ++number) {
         const std::size_t end = std::min(text.find('\n'), text.size());
-        const std::string_view line = withoutReturn(text.substr(0, end));
+        const std::string_view line = withoutCarriageReturn(text.substr(0, end));
         text.remove_prefix(std::min(end + 1, text.size()));
         if (isSkipped(line))
             continue;
--- a/src/report/exposition.h
+++ b/src/report/exposition.h
@@ -11,7 +11,7 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/// One time series of a metrics page.
+/// Value of one time series on a metrics page.
 struct Sample
 {
     std::string name;
@@ -20,7 +20,7 @@
 };
 
 /// Parses the Prometheus text exposition format; comments and timestamps are skipped. Fails with
-/// MalformedMessage, naming \a source and the line.
+/// MalformedMessage; the detail names \a source and the line number.
 Result<std::vector<Sample>> parseExposition(std::string_view text, const std::string &source);
 
 } // namespace rattanrill::report
--- a/src/report/fleethistory.cpp
+++ b/src/report/fleethistory.cpp
@@ -8,9 +8,9 @@
 
 bool includes(const Labels &labels, const Labels &match)
 {
-    return std::all_of(match.begin(), match.end(), [&](const auto &wanted) {
-        const auto label = labels.find(wanted.first);
-        return label != labels.end() && label->second == wanted.second;
+    return std::all_of(match.begin(), match.end(), [&](const auto &required) {
+        const auto label = labels.find(required.first);
+        return label != labels.end() && label->second == required.second;
     });
 }
 
@@ -36,14 +36,15 @@
         for (const auto &[instance, samples] : snapshots[i].instances)
             add(i, instance, samples);
     }
-    // A single snapshot has no earlier one to compare with: its counters are since the start.
+    // A single snapshot has no earlier one to compare with: report its counters since process
+    // start.
     if (m_times.size() != 1)
         return;
     m_times.push_back(m_times.front());
-    for (const auto &[owner, value] : m_lastValues)
-        m_totals[owner.second].resize(2, 0.0);
-    for (const auto &[owner, value] : m_lastValues)
-        m_totals[owner.second][1] += value;
+    for (const auto &[instanceAndKey, value] : m_lastValues)
+        m_totals[instanceAndKey.second].resize(2, 0.0);
+    for (const auto &[instanceAndKey, value] : m_lastValues)
+        m_totals[instanceAndKey.second][1] += value;
 }
 
 void FleetHistory::add(std::size_t index, const std::string &instance,
@@ -53,11 +54,11 @@
         const Key key = {sample.name, sample.labels};
         std::vector<double> &totals = m_totals[key];
         totals.resize(index + 1, totals.empty() ? 0.0 : totals.back());
-        const auto [known, isNew] = m_lastValues.try_emplace({instance, key}, 0.0);
-        const double before = sample.value < known->second ? 0 : known->second;
+        const auto [lastValue, isNew] = m_lastValues.try_emplace({instance, key}, 0.0);
+        const double previousValue = sample.value < lastValue->second ? 0 : lastValue->second;
         if (index > 0)
-            totals.back() += sample.value - before;
-        known->second = sample.value;
+            totals.back() += sample.value - previousValue;
+        lastValue->second = sample.value;
     }
 }
 
--- a/src/report/fleethistory.h
+++ b/src/report/fleethistory.h
@@ -19,27 +19,28 @@
 };
 
 /// Counters of the fleet over time: the sum over all instances, corrected for restarts. A counter
-/// that fell was reset, so its whole value is new; an instance that appears later counted from 0;
-/// one that disappears keeps what it had counted.
+/// whose value decreased was reset, so its whole value is an increase. An instance that appears
+/// later is assumed to have started at 0. The counts of an instance that disappears stay in the
+/// sum.
 class FleetHistory
 {
 public:
-    /// \a snapshots in order of time, at least one.
+    /// \a snapshots must be ordered by time and not empty.
     explicit FleetHistory(const std::vector<Snapshot> &snapshots);
 
     const std::vector<absl::Time> &times() const { return m_times; }
     std::size_t last() const { return m_times.size() - 1; }
-    /// Index of the newest snapshot that is at least \a window older than the last one, else of
-    /// the oldest.
+    /// Index of the newest snapshot that is at least \a window older than the last one, or of the
+    /// oldest snapshot when none is.
     std::size_t startOf(absl::Duration window) const;
 
-    /// Increase between two snapshots of the series \a name whose labels include \a match, added
-    /// up by the values of the labels \a by.
+    /// Increase between the snapshots \a from and \a to of the series \a name whose labels include
+    /// \a match, summed for each combination of values of the labels \a by.
     std::map<std::vector<std::string>, double> increase(const std::string &name,
                                                         const Labels &match,
                                                         const std::vector<std::string> &by,
                                                         std::size_t from, std::size_t to) const;
-    /// The same without groups.
+    /// Like the overload above, summed over all matching series.
     double increase(const std::string &name, const Labels &match, std::size_t from,
                     std::size_t to) const;
 
@@ -51,6 +52,7 @@
     std::vector<absl::Time> m_times;
     /// Total of each series at each snapshot, relative to the first one.
     std::map<Key, std::vector<double>> m_totals;
+    /// Last value of each series by instance.
     std::map<std::pair<std::string, Key>, double> m_lastValues;
 };
 
--- a/src/report/htmlreport.cpp
+++ b/src/report/htmlreport.cpp
@@ -7,7 +7,7 @@
 namespace rattanrill::report {
 namespace {
 
-constexpr std::size_t shownBars = 40;
+constexpr std::size_t maxBars = 40;
 
 constexpr std::string_view style = R"(<style>
 body { font: 14px sans-serif; margin: 24px; max-width: 1100px; color: #222; }
@@ -73,7 +73,7 @@
 {
     std::vector<Bar> bars;
     for (const BurnRow &row : burn.rows) {
-        if (bars.size() == shownBars)
+        if (bars.size() == maxBars)
             break;
         const std::string model = row.model.empty() ? "" : " " + row.model;
         bars.push_back({concat(row.workspace, model, " ", name(row.objective)), worstBurn(row),
@@ -82,10 +82,10 @@
     return barPlot(bars, 1);
 }
 
-std::string coursePlots(const BurnReport &burn)
+std::string burnOverTimePlots(const BurnReport &burn)
 {
     std::string plots;
-    for (const auto &[objective, points] : burn.course) {
+    for (const auto &[objective, points] : burn.burnOverTime) {
         std::vector<PlotPoint> line;
         line.reserve(points.size());
         for (const BurnPoint &point : points)
@@ -144,7 +144,7 @@
                   "Worst-served workspace: ", escapeHtml(burn.worstWorkspace), ".</p>\n",
                   "<h2>Worst burn by workspace</h2>\n", burnBars(burn),
                   "<h2>Burn by workspace, model and objective</h2>\n", burnTable(burn),
-                  "<h2>Course over time, whole fleet</h2>\n", coursePlots(burn),
+                  "<h2>Burn rate over time, whole fleet</h2>\n", burnOverTimePlots(burn),
                   "<h2>Traffic</h2>\n", trafficTable(burn.traffic), "<h2>Repairs</h2>\n",
                   repairTables(report.repairs), "</body></html>\n");
 }
--- a/src/report/main.cpp
+++ b/src/report/main.cpp
@@ -23,20 +23,20 @@
 
 constexpr std::string_view programName = "rattanrill-report";
 
-using Texts = std::vector<std::string>;
+using Strings = std::vector<std::string>;
 
 po::options_description optionsDescription()
 {
     po::options_description options("Options");
     auto add = options.add_options();
     add("objectives", po::value<std::string>(), "objectives file (JSON)");
-    add("snapshot", po::value<Texts>(), "TIME=FILE or TIME=URL, repeatable");
+    add("snapshot", po::value<Strings>(), "TIME=FILE or TIME=URL, repeatable");
     add("snapshots", po::value<std::string>(), "folder of saved pages, SECONDS/INSTANCE.prom");
-    add("url", po::value<Texts>(), "metrics page to read now, repeatable");
+    add("url", po::value<Strings>(), "metrics page to read now, repeatable");
     add("samples", po::value<int>()->default_value(2), "readings of each --url");
     add("interval", po::value<double>()->default_value(10), "seconds between readings");
     add("save", po::value<std::string>(), "folder to which pages read from --url are added");
-    add("log", po::value<Texts>(), "JSON log file, repeatable");
+    add("log", po::value<Strings>(), "JSON log file, repeatable");
     add("json", "print JSON instead of text");
     add("html", po::value<std::string>(), "also write an HTML page to this file");
     add("fail-on-alert", "exit with code 1 when an objective burns too fast");
@@ -58,9 +58,9 @@
     }
 }
 
-Texts textsOf(const po::variables_map &values, const char *option)
+Strings stringsOf(const po::variables_map &values, const char *option)
 {
-    return values.count(option) > 0 ? values[option].as<Texts>() : Texts();
+    return values.count(option) > 0 ? values[option].as<Strings>() : Strings();
 }
 
 Result<Objectives> loadObjectives(const po::variables_map &values)
@@ -71,9 +71,9 @@
     return objectivesOf(json);
 }
 
-/// One reading of all URLs. An instance that does not answer is named on standard error and left
-/// out, since the report is most needed while some are down.
-std::vector<Page> scrapeAll(const Texts &urls)
+/// Reads all URLs once. An instance that does not answer is reported on standard error and left
+/// out, because the report is needed most while some instances are down.
+std::vector<Page> scrapeAll(const Strings &urls)
 {
     const absl::Time now = SystemClock::instance().wallNow();
     std::vector<Page> pages;
@@ -89,15 +89,16 @@
 
 std::vector<Page> scrapeRepeatedly(const po::variables_map &values)
 {
-    const Texts urls = textsOf(values, "url");
+    const Strings urls = stringsOf(values, "url");
     std::vector<Page> pages;
     if (urls.empty())
         return pages;
-    // Never notified; its timed wait is the interval.
-    absl::Notification never;
+    // Only its timed wait is used, to sleep for the interval.
+    absl::Notification neverNotified;
     for (int i = 0; i < values["samples"].as<int>(); ++i) {
         if (i > 0)
-            never.WaitForNotificationWithTimeout(absl::Seconds(values["interval"].as<double>()));
+            neverNotified.WaitForNotificationWithTimeout(
+                    absl::Seconds(values["interval"].as<double>()));
         const std::vector<Page> reading = scrapeAll(urls);
         pages.insert(pages.end(), reading.begin(), reading.end());
     }
@@ -110,7 +111,7 @@
     if (values.count("snapshots") > 0) {
         BOOST_LEAF_ASSIGN(pages, readSnapshotFolder(values["snapshots"].as<std::string>()));
     }
-    for (const std::string &option : textsOf(values, "snapshot")) {
+    for (const std::string &option : stringsOf(values, "snapshot")) {
         BOOST_LEAF_AUTO(page, readSnapshotOption(option));
         pages.push_back(std::move(page));
     }
@@ -128,7 +129,7 @@
     BOOST_LEAF_AUTO(pages, collectPages(values));
     BOOST_LEAF_AUTO(snapshots, snapshotsOf(pages));
     report.burn = makeBurnReport(FleetHistory(snapshots), report.objectives);
-    for (const std::string &file : textsOf(values, "log")) {
+    for (const std::string &file : stringsOf(values, "log")) {
         BOOST_LEAF_AUTO(text, readFile(file));
         report.repairs.read(text);
     }
@@ -197,6 +198,7 @@
 
 int main(int argc, char **argv)
 {
+    // Writing to a closed connection or pipe must not terminate the program.
     std::signal(SIGPIPE, SIG_IGN);
     const po::options_description options = optionsDescription();
     const auto values = outcomeOf([&] { return parseArguments(options, argc, argv); });
--- a/src/report/objectives.h
+++ b/src/report/objectives.h
@@ -9,8 +9,8 @@
 
 namespace rattanrill::report {
 
-/// Two windows that must both burn faster than the rate for an alert: the long one shows that it
-/// matters, the short one that it goes on.
+/// Two windows whose burn rates must both exceed \a alertRate for an alert: the long one shows that
+/// the burn is significant, the short one that it still continues.
 struct WindowPair
 {
     absl::Duration shortWindow;
@@ -25,9 +25,9 @@
     double ttftTarget = 0.95;
     double tbtSeconds = 0.067;
     double tbtTarget = 0.95;
-    /// Requests that were not refused although within the contract's rate.
+    /// Share of requests that were not refused while within the contract's rate.
     double servedInsideRateTarget = 0.999;
-    /// Batch items that ended before their due time.
+    /// Share of batch items that ended before their due time.
     double batchOnTimeTarget = 0.999;
     std::vector<WindowPair> windows;
 };
@@ -35,7 +35,8 @@
 /// JSON schema of the objectives file.
 std::string_view objectivesSchema();
 
-/// Objectives from JSON that the schema allows; missing members keep their defaults.
+/// Reads objectives from JSON that conforms to objectivesSchema(); missing members keep their
+/// defaults.
 Objectives objectivesOf(const Json &json);
 
 } // namespace rattanrill::report
--- a/src/report/repairlog.cpp
+++ b/src/report/repairlog.cpp
@@ -8,7 +8,7 @@
 namespace rattanrill::report {
 namespace {
 
-constexpr std::size_t keptEvents = 200;
+constexpr std::size_t maxEvents = 200;
 
 constexpr std::array<EnumName<Repair>, 7> repairNames = {{
         {Repair::Election, "elections"},
@@ -25,13 +25,13 @@
 {
     std::string_view event;
     Repair repair;
-    /// Lines that agree in these fields are the same event, whichever instance logged it. Empty:
-    /// each line counts.
-    std::vector<std::string> sameBy;
-    /// Field that must not be empty.
-    std::string required;
-    /// Field with the number of events of the line; empty: one.
-    std::string amount;
+    /// Lines with equal values in these fields report the same event, whichever instance logged
+    /// it. When empty, each line is a separate event.
+    std::vector<std::string> identityFields;
+    /// Lines in which this field is empty or missing are ignored. When empty, no line is ignored.
+    std::string requiredField;
+    /// Field that holds the number of events that the line reports. When empty, it is one.
+    std::string countField;
 };
 
 const std::vector<EventRule> &eventRules()
@@ -73,16 +73,16 @@
     std::string identity(name(rule.repair));
     if (rule.repair != Repair::Election)
         identity += concat(" ", rule.event);
-    for (const std::string &key : rule.sameBy)
+    for (const std::string &key : rule.identityFields)
         identity += concat(" ", textOf(line, key));
     return identity;
 }
 
-std::int64_t amountOf(const EventRule &rule, const Json &line)
+std::int64_t countOf(const EventRule &rule, const Json &line)
 {
-    const auto member = line.find(rule.amount);
+    const auto member = line.find(rule.countField);
     const bool counted =
-            !rule.amount.empty() && member != line.end() && member->is_number_integer();
+            !rule.countField.empty() && member != line.end() && member->is_number_integer();
     return counted ? member->get<std::int64_t>() : 1;
 }
 
@@ -96,11 +96,11 @@
 
 std::string detailOf(const Json &line)
 {
-    static const std::set<std::string> standing = {"time",    "level",    "event",
-                                                   "program", "instance", "failureDomain"};
+    static const std::set<std::string> commonFields = {"time",    "level",    "event",
+                                                       "program", "instance", "failureDomain"};
     std::string detail = textOf(line, "event");
     for (const auto &[key, value] : line.items()) {
-        if (standing.count(key) == 0)
+        if (commonFields.count(key) == 0)
             detail += concat(" ", key, "=", textOf(line, key));
     }
     return detail;
@@ -135,14 +135,14 @@
     const EventRule *rule = ruleOf(textOf(line, "event"));
     if (rule == nullptr)
         return;
-    if (!rule->required.empty() && textOf(line, rule->required).empty())
+    if (!rule->requiredField.empty() && textOf(line, rule->requiredField).empty())
         return;
-    if (!rule->sameBy.empty() && !m_seen.insert(identityOf(*rule, line)).second)
+    if (!rule->identityFields.empty() && !m_seen.insert(identityOf(*rule, line)).second)
         return;
-    m_counts[rule->repair] += amountOf(*rule, line);
+    m_counts[rule->repair] += countOf(*rule, line);
     const absl::Time at = timeOf(line);
     m_events.emplace(at, RepairEvent{at, rule->repair, textOf(line, "instance"), detailOf(line)});
-    if (m_events.size() > keptEvents)
+    if (m_events.size() > maxEvents)
         m_events.erase(m_events.begin());
 }
 
--- a/src/report/repairlog.h
+++ b/src/report/repairlog.h
@@ -29,20 +29,20 @@
     absl::Time at;
     Repair repair = Repair::Election;
     std::string instance;
-    /// The fields of the log line that tell what it was about.
+    /// Event name and the fields that are specific to the event, as "key=value".
     std::string detail;
 };
 
-/// What the fleet did to repair itself, from the JSON log lines of its processes. An event that
-/// several instances log, such as an election, counts once.
+/// Failures and automatic repairs of the fleet, collected from the JSON log lines of its processes.
+/// An event that several instances log, such as an election, is counted once.
 class RepairLog
 {
 public:
-    /// Takes the lines of one file. Lines that are not JSON objects are counted and skipped.
+    /// Adds the lines of one log file. Lines that are not JSON objects are counted and skipped.
     void read(std::string_view text);
 
     const std::map<Repair, std::int64_t> &counts() const { return m_counts; }
-    /// The newest events, oldest first.
+    /// The newest events (at most 200), oldest first.
     std::vector<RepairEvent> events() const;
     std::int64_t lines() const { return m_lines; }
     std::int64_t unreadableLines() const { return m_unreadable; }
--- a/src/report/snapshotsource.cpp
+++ b/src/report/snapshotsource.cpp
@@ -25,7 +25,7 @@
     return source.compare(0, urlPrefix.size(), urlPrefix) == 0;
 }
 
-Result<absl::Time> timeOf(const std::string &text)
+Result<absl::Time> parseTime(const std::string &text)
 {
     absl::Time time;
     std::string error;
@@ -39,7 +39,7 @@
     return absl::UnixEpoch() + absl::Seconds(seconds);
 }
 
-/// Name that is safe as a file name.
+/// Replaces the characters of \a instance that are not safe in a file name.
 std::string fileNameOf(std::string instance)
 {
     for (char &c : instance) {
@@ -85,7 +85,7 @@
     if (separator == std::string::npos)
         return fail(notRun(ErrorCode::InvalidArgument,
                            concat("snapshot \"", option, "\" is not TIME=SOURCE")));
-    BOOST_LEAF_AUTO(at, timeOf(option.substr(0, separator)));
+    BOOST_LEAF_AUTO(at, parseTime(option.substr(0, separator)));
     const std::string source = option.substr(separator + 1);
     if (isUrl(source))
         return scrape(source, at);
@@ -100,7 +100,7 @@
     for (const fs::directory_entry &entry : fs::directory_iterator(folder, error)) {
         if (!entry.is_directory())
             continue;
-        BOOST_LEAF_AUTO(at, timeOf(entry.path().filename().string()));
+        BOOST_LEAF_AUTO(at, parseTime(entry.path().filename().string()));
         BOOST_LEAF_CHECK(readFolderPages(entry.path(), at, pages));
     }
     if (error)
--- a/src/report/snapshotsource.h
+++ b/src/report/snapshotsource.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::report {
 
-/// A metrics page of one instance at one time.
+/// Metrics page of one instance, as read at one time.
 struct Page
 {
     absl::Time at;
@@ -22,15 +22,16 @@
 /// Whole content of \a file. Fails with IoError.
 Result<std::string> readFile(const std::string &file);
 
-/// Page of "TIME=FILE" or "TIME=URL", TIME in RFC 3339 or seconds since 1970. The instance is the
-/// file name without suffix, or host and port of the URL. Fails with InvalidArgument, IoError or
-/// ConnectionLost.
+/// Reads the page given as "TIME=FILE" or "TIME=URL", with TIME in RFC 3339 or seconds since 1970.
+/// The instance is the file name without suffix, or host and port of the URL. Fails with
+/// InvalidArgument, IoError or ConnectionLost.
 Result<Page> readSnapshotOption(const std::string &option);
 
-/// Pages of a folder as savePages() writes it: FOLDER/SECONDS/INSTANCE.prom.
+/// Reads the pages of a folder in the layout of savePages(): FOLDER/SECONDS/INSTANCE.prom.
 Result<std::vector<Page>> readSnapshotFolder(const std::string &folder);
 
-/// Metrics page at \a url now. A URL without a path means its /metrics.
+/// Reads the metrics page at \a url and dates it \a now. A URL without a path gets the path
+/// /metrics.
 Result<Page> scrape(const std::string &url, absl::Time now);
 
 /// Writes each page to FOLDER/SECONDS/INSTANCE.prom. Fails with IoError.
--- a/src/report/svgplot.cpp
+++ b/src/report/svgplot.cpp
@@ -7,7 +7,7 @@
 namespace rattanrill::report {
 namespace {
 
-// Pixels.
+// All sizes in pixels.
 constexpr double plotWidth = 640;
 constexpr double plotHeight = 160;
 constexpr double margin = 44;
@@ -56,7 +56,7 @@
     return text + "\"/>\n";
 }
 
-double largest(const std::vector<Bar> &bars, double limit)
+double largestValue(const std::vector<Bar> &bars, double limit)
 {
     double value = limit;
     for (const Bar &bar : bars)
@@ -108,7 +108,7 @@
 
 std::string barPlot(const std::vector<Bar> &bars, double limit)
 {
-    const Scale x{0, largest(bars, limit), labelWidth, plotWidth - valueWidth};
+    const Scale x{0, largestValue(bars, limit), labelWidth, plotWidth - valueWidth};
     const double height = barHeight * static_cast<double>(bars.size()) + 4;
     std::string svg = openSvg(plotWidth, height);
     double y = 2;
--- a/src/report/svgplot.h
+++ b/src/report/svgplot.h
@@ -18,11 +18,11 @@
     bool highlighted = false;
 };
 
-/// Text with the characters that HTML reserves replaced.
+/// Replaces the characters that are reserved in HTML by entities.
 std::string escapeHtml(const std::string &text);
 
 /// Line plot as an SVG element; \a limit is drawn as a dashed line. The labels name the ends of the
-/// axis.
+/// x axis.
 std::string linePlot(const std::vector<PlotPoint> &points, double limit,
                      const std::string &leftLabel, const std::string &rightLabel);
 
--- a/src/report/textreport.cpp
+++ b/src/report/textreport.cpp
@@ -6,9 +6,10 @@
 namespace rattanrill::report {
 namespace {
 
+// Column widths in characters.
 constexpr std::size_t wideColumn = 22;
 constexpr std::size_t narrowColumn = 12;
-constexpr std::size_t shownEvents = 20;
+constexpr std::size_t maxEvents = 20;
 
 std::string padded(std::string text, std::size_t width)
 {
@@ -21,7 +22,7 @@
     return absl::FormatTime("%Y-%m-%d %H:%M:%S UTC", time, absl::UTCTimeZone());
 }
 
-std::string headline(const std::vector<BurnRow> &rows)
+std::string headerLine(const std::vector<BurnRow> &rows)
 {
     std::string line = padded("workspace", wideColumn) + padded("model", wideColumn)
                        + padded("objective", wideColumn);
@@ -44,14 +45,14 @@
     return line + (row.alert ? "ALERT\n" : "\n");
 }
 
-std::string coverage(const BurnReport &burn)
+std::string coverageNote(const BurnReport &burn)
 {
     const absl::Duration span = burn.to - burn.from;
     const auto &windows = burn.fleet.front().windows;
     if (windows.back().window <= span)
         return {};
     return concat("Snapshots reach back ", absl::FormatDuration(span),
-                  "; longer windows show that span.\n");
+                  "; burn rates of longer windows are computed over that span.\n");
 }
 
 template <typename Map>
@@ -79,7 +80,7 @@
     for (const auto &[repair, count] : log.counts())
         text += concat("  ", name(repair), ": ", count, "\n");
     const std::vector<RepairEvent> events = log.events();
-    const std::size_t first = events.size() > shownEvents ? events.size() - shownEvents : 0;
+    const std::size_t first = events.size() > maxEvents ? events.size() - maxEvents : 0;
     for (std::size_t i = first; i < events.size(); ++i)
         text += concat("  ", timeText(events[i].at), " ", events[i].instance, " ", events[i].detail,
                        "\n");
@@ -92,9 +93,9 @@
 {
     const BurnReport &burn = report.burn;
     std::string text = concat("Service-level burn, ", timeText(burn.from), " to ",
-                              timeText(burn.to), "\n", coverage(burn),
+                              timeText(burn.to), "\n", coverageNote(burn),
                               "Burn rate 1 uses the error budget up exactly in its period.\n\n",
-                              headline(burn.fleet));
+                              headerLine(burn.fleet));
     for (const BurnRow &row : burn.rows)
         text += rowLine(row);
     for (const BurnRow &row : burn.fleet)
