--- a/tests/report/burn_test.cpp
+++ b/tests/report/burn_test.cpp
@@ -14,7 +14,7 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000000);
 
-std::vector<Sample> parsed(const std::string &text)
+std::vector<Sample> parseSamples(const std::string &text)
 {
     const auto samples = outcomeOf([&] { return parseExposition(text, "entry-1"); });
     BOOST_TEST_REQUIRE(samples.ok(), describe(samples.ok() ? Failure() : samples.failure()));
@@ -26,7 +26,7 @@
     Snapshot snapshot;
     snapshot.at = start + after;
     for (const auto &[instance, text] : pages)
-        snapshot.instances[instance] = parsed(text);
+        snapshot.instances[instance] = parseSamples(text);
     return snapshot;
 }
 
@@ -59,7 +59,8 @@
     return objectives;
 }
 
-/// Metrics page of an entry that served 100 requests of each workspace, \a slow of them late.
+/// Metrics page of an entry instance that served 100 requests of each workspace. \a slow holds the
+/// number of slow requests by workspace.
 std::string latencies(const std::map<std::string, int> &slow)
 {
     Metrics metrics;
@@ -75,9 +76,12 @@
 
 BOOST_AUTO_TEST_SUITE(ExpositionTest)
 
+// Guards against misread samples when a quoted label value holds "}", "," or escaped characters, or
+// when a timestamp follows the value.
 BOOST_AUTO_TEST_CASE(labelsWithReservedCharactersAreRead)
 {
-    const auto samples = parsed("# TYPE a counter\na{k=\"x,}\\\"y\\n\",l=\"2\"} 1.5e3 170\nb 2\n");
+    const auto samples =
+            parseSamples("# TYPE a counter\na{k=\"x,}\\\"y\\n\",l=\"2\"} 1.5e3 170\nb 2\n");
     BOOST_TEST_REQUIRE(samples.size() == 2u);
     BOOST_TEST(samples[0].labels.at("k") == "x,}\"y\n");
     BOOST_TEST(samples[0].labels.at("l") == "2");
@@ -85,6 +89,7 @@
     BOOST_TEST(samples[1].name == "b");
 }
 
+// Guards against malformed metrics that are skipped silently, or reported without source and line.
 BOOST_AUTO_TEST_CASE(malformedLineIsNamed)
 {
     for (const char *text : {"a 1\nb{x=1} 2\n", "a 1\nb{x=\"1\" 2\n", "a 1\nb two\n"}) {
@@ -98,8 +103,9 @@
 
 BOOST_AUTO_TEST_SUITE(FleetHistoryTest)
 
-// Guards against negative or lost counts: instances restart, appear and disappear all day.
-BOOST_AUTO_TEST_CASE(increaseSurvivesRestartsAndChangesOfTheFleet)
+// Guards against negative or lost counts: the counters of an instance restart at 0, and instances
+// appear and disappear between snapshots.
+BOOST_AUTO_TEST_CASE(increaseIsCorrectAcrossRestartsAndFleetChanges)
 {
     const FleetHistory history({
             snapshot(absl::ZeroDuration(), {{"e1", counter("a", 100)}, {"e2", counter("a", 50)}}),
@@ -113,6 +119,8 @@
     BOOST_TEST(requests(history, 0, 3) == 36);
 }
 
+// Guards against a burn rate over too short or too long a time when no snapshot lies exactly at the
+// start of the window.
 BOOST_AUTO_TEST_CASE(windowStartsAtTheNewestSnapshotThatCoversIt)
 {
     const FleetHistory history({snapshot(absl::ZeroDuration(), {}), snapshot(absl::Minutes(50), {}),
@@ -122,6 +130,7 @@
     BOOST_TEST(history.startOf(absl::Hours(6)) == 0u);
 }
 
+// Guards against an empty report when there is only one snapshot, and thus nothing to compare with.
 BOOST_AUTO_TEST_CASE(singleSnapshotCountsSinceTheStart)
 {
     const FleetHistory history(
@@ -133,7 +142,8 @@
 
 BOOST_AUTO_TEST_SUITE(BurnTest)
 
-// Guards against a burn rate in the wrong unit: 20% bad events against a budget of 5% burn at 4.
+// Guards against a burn rate in the wrong unit: with an error budget of 5%, 20% bad events are a
+// burn rate of 4.
 BOOST_AUTO_TEST_CASE(burnRateIsTheBadShareOverTheBudget)
 {
     const FleetHistory history({snapshot(absl::ZeroDuration(), {{"e1", ""}}),
@@ -147,7 +157,8 @@
     BOOST_TEST(row.alert);
 }
 
-// Guards against an alert for what has ended: the short window must burn, too.
+// Guards against an alert for a burn that has ended: the long window still exceeds the alert rate,
+// but the short one does not.
 BOOST_AUTO_TEST_CASE(pastBurnWithoutPresentBurnIsNoAlert)
 {
     const std::string page = latencies({{"a", 20}});
@@ -161,6 +172,7 @@
     BOOST_TEST(!row.alert);
 }
 
+// Guards against a report that hides the worst-served workspace below others.
 BOOST_AUTO_TEST_CASE(worstServedWorkspaceComesFirst)
 {
     const std::string page = latencies({{"a", 1}, {"b", 30}, {"c", 5}});
@@ -175,6 +187,8 @@
     BOOST_TEST(report.rows[0].windows.back().share.total == 200);
 }
 
+// Guards against wrong totals: refusals above the contract's rate are not bad events, and batch
+// items that have not ended are no events.
 BOOST_AUTO_TEST_CASE(refusalsAndBatchCountTheirOwnTotals)
 {
     const std::string page =
--- a/tests/report/reportformats_test.cpp
+++ b/tests/report/reportformats_test.cpp
@@ -42,7 +42,7 @@
     return report;
 }
 
-bool mentions(const std::string &text, const std::string &part)
+bool contains(const std::string &text, const std::string &part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -63,6 +63,7 @@
     BOOST_TEST(log.lines() == 9);
 }
 
+// Guards against a JSON report that lacks the rows or repairs that scripts read.
 BOOST_AUTO_TEST_CASE(jsonHasRowsAndRepairs)
 {
     const Json json = jsonReport(makeReport());
@@ -72,35 +73,41 @@
     BOOST_TEST(json.at("repairs").at("counts").at("elections") == 2);
 }
 
+// Guards against a text report that does not show an alert, or does not say that the snapshots
+// cover less time than the longest window.
 BOOST_AUTO_TEST_CASE(textNamesWorkspaceAlertAndShortCoverage)
 {
     const std::string text = textReport(makeReport());
     for (const char *part : {"<b>", "ALERT", "reach back 5m", "elections: 2"})
-        BOOST_TEST(mentions(text, part), text);
+        BOOST_TEST(contains(text, part), text);
 }
 
-// Guards against names from callers that end up as markup, and against files that a page without
-// network access lacks.
-BOOST_AUTO_TEST_CASE(htmlEscapesNamesAndStandsAlone)
+// Guards against names that callers choose being interpreted as markup, and against references to
+// external files, which a page that is opened without network access cannot load.
+BOOST_AUTO_TEST_CASE(htmlEscapesNamesAndHasNoExternalReferences)
 {
     const std::string html = htmlReport(makeReport());
-    BOOST_TEST(!mentions(html, "<b>"));
-    BOOST_TEST(!mentions(html, "e<9>"));
-    BOOST_TEST(mentions(html, "&lt;b&gt;"));
-    BOOST_TEST(mentions(html, "<svg"));
-    BOOST_TEST(!mentions(html, "src="));
-    BOOST_TEST(!mentions(html, "href="));
+    BOOST_TEST(!contains(html, "<b>"));
+    BOOST_TEST(!contains(html, "e<9>"));
+    BOOST_TEST(contains(html, "&lt;b&gt;"));
+    BOOST_TEST(contains(html, "<svg"));
+    BOOST_TEST(!contains(html, "src="));
+    BOOST_TEST(!contains(html, "href="));
 }
 
+// Guards against invalid SVG: without points, or with one point, the range of an axis is empty and
+// scaling divides by 0.
 BOOST_AUTO_TEST_CASE(plotsOfFewPointsHaveFiniteNumbers)
 {
     for (const std::string &svg : {linePlot({}, 1, "a", "b"), linePlot({{5, 0}}, 1, "a", "b"),
                                    barPlot({}, 1), barPlot({{"x", 0, false}}, 1)}) {
-        BOOST_TEST(!mentions(svg, "nan"));
-        BOOST_TEST(!mentions(svg, "inf"));
+        BOOST_TEST(!contains(svg, "nan"));
+        BOOST_TEST(!contains(svg, "inf"));
     }
 }
 
+// Guards against mistakes in an objectives file that are ignored, and against lost defaults when
+// the file sets only some members.
 BOOST_AUTO_TEST_CASE(objectivesAreCheckedAndOverrideDefaults)
 {
     const auto load = [](std::string_view text) {
@@ -116,6 +123,7 @@
     BOOST_TEST(!load(R"({"tbtt":{}})").ok());
 }
 
+// Guards against a report made from missing or undated snapshots.
 BOOST_AUTO_TEST_CASE(unusableSnapshotOptionsAreRefused)
 {
     for (const char *option : {"no-separator", "yesterday=x.prom", "100=/does/not/exist.prom"})
