--- a/src/load/answerjudge.cpp
+++ b/src/load/answerclassifier.cpp
@@ -1,4 +1,4 @@
-#include "answerjudge.h"
+#include "answerclassifier.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/fakes/answer.h"
@@ -9,7 +9,7 @@
 using fakes::AnswerVerdict;
 
 constexpr std::string_view untypedCode = "untyped";
-constexpr std::size_t shownBytes = 120;
+constexpr std::size_t excerptBytes = 120;
 
 Ending endingOf(AnswerVerdict verdict)
 {
@@ -24,7 +24,7 @@
     return has ? json.at(key).get<std::string>() : std::string();
 }
 
-/// Text of the first choice, of a completion or a chat completion.
+/// Returns the text of the first choice of a completion or chat completion.
 std::string answerText(const Json &body)
 {
     const Json choices = body.is_object() ? body.value("choices", Json()) : Json();
@@ -40,21 +40,22 @@
 {
     outcome.ending = Ending::Refused;
     outcome.code = stringMember(error, "code");
-    outcome.run = stringMember(error, "run");
+    outcome.effectState = stringMember(error, "run");
     outcome.detail = stringMember(error, "message");
     outcome.answeredId = stringMember(error, "request_id");
     if (outcome.code.empty())
         outcome.code = untypedCode;
 }
 
-std::string shown(std::string_view body)
+std::string excerpt(std::string_view body)
 {
-    return std::string(body.substr(0, shownBytes));
+    return std::string(body.substr(0, excerptBytes));
 }
 
 } // namespace
 
-void judgeWhole(const PlannedRequest &request, std::string_view body, RequestOutcome &outcome)
+void classifyCompletion(const PlannedRequest &request, std::string_view body,
+                        RequestOutcome &outcome)
 {
     const Json json = Json::parse(body, nullptr, false);
     const std::string text = answerText(json);
@@ -62,17 +63,17 @@
     if (outcome.ending == Ending::Completed)
         outcome.tokens = request.maxTokens;
     else
-        outcome.detail = concat("body begins ", shown(body));
+        outcome.detail = concat("unexpected body that begins with ", excerpt(body));
 }
 
-void judgeStream(const PlannedRequest &request, const StreamReader &reader, bool intact,
-                 RequestOutcome &outcome)
+void classifyStream(const PlannedRequest &request, const StreamReader &reader, bool intact,
+                    RequestOutcome &outcome)
 {
     outcome.tokens = reader.tokens();
-    outcome.detail = reader.fault();
+    outcome.detail = reader.formatError();
     const AnswerVerdict verdict =
             fakes::checkAnswer(request.prompt, reader.text(), request.maxTokens);
-    if (verdict == AnswerVerdict::Mismatch || !reader.fault().empty()) {
+    if (verdict == AnswerVerdict::Mismatch || !reader.formatError().empty()) {
         outcome.ending = Ending::Foreign;
         return;
     }
@@ -82,35 +83,37 @@
     }
     if (!reader.done() || !intact) {
         outcome.ending = Ending::Cut;
-        outcome.detail = concat("ended after ", reader.tokens(), " of ", request.maxTokens);
+        outcome.detail = concat("stream ended early; tokens received: ", reader.tokens(), " of ",
+                                request.maxTokens);
         return;
     }
     outcome.ending = endingOf(verdict);
     if (outcome.ending == Ending::Short)
-        outcome.detail = concat("[DONE] after ", reader.tokens(), " of ", request.maxTokens,
-                                ", finish_reason ", reader.finishReason());
+        outcome.detail = concat("[DONE] came early; tokens received: ", reader.tokens(), " of ",
+                                request.maxTokens, ", finish_reason ", reader.finishReason());
 }
 
-void judgeService(const PlannedRequest &request, std::string_view body, RequestOutcome &outcome)
+void classifyServiceAnswer(const PlannedRequest &request, std::string_view body,
+                           RequestOutcome &outcome)
 {
     const Json json = Json::parse(body, nullptr, false);
-    const bool own = stringMember(json, "echo") == fakes::hashText(request.body)
-                     && stringMember(json, "path") == request.path;
-    outcome.ending = own ? Ending::Completed : Ending::Foreign;
-    if (!own)
-        outcome.detail = concat("body begins ", shown(body));
+    const bool matches = stringMember(json, "echo") == fakes::hashText(request.body)
+                         && stringMember(json, "path") == request.path;
+    outcome.ending = matches ? Ending::Completed : Ending::Foreign;
+    if (!matches)
+        outcome.detail = concat("unexpected body that begins with ", excerpt(body));
 }
 
-void judgeRefusal(std::string_view body, RequestOutcome &outcome)
+void classifyErrorAnswer(std::string_view body, RequestOutcome &outcome)
 {
     const Json json = Json::parse(body, nullptr, false);
     const bool typed = json.is_object() && json.contains("error");
     applyError(typed ? json.at("error") : Json(), outcome);
     if (!typed)
-        outcome.detail = concat("body begins ", shown(body));
+        outcome.detail = concat("unexpected body that begins with ", excerpt(body));
 }
 
-Ending judgeBatchBody(const Json &requestBody, const Json &responseBody)
+Ending classifyBatchBody(const Json &requestBody, const Json &responseBody)
 {
     const auto prompt = outcomeOf([&] { return fakes::promptOf(requestBody); });
     const auto tokens =
--- a/src/load/batchoutcome.cpp
+++ b/src/load/batchoutcome.cpp
@@ -1,6 +1,6 @@
 #include "batchoutcome.h"
 
-#include "answerjudge.h"
+#include "answerclassifier.h"
 
 #include <map>
 
@@ -20,7 +20,7 @@
         return;
     }
     const Ending ending =
-            judgeBatchBody(input.at("body"), result.at("response").value("body", Json()));
+            classifyBatchBody(input.at("body"), result.at("response").value("body", Json()));
     ++(ending == Ending::Completed ? outcome.completed : outcome.wrong);
 }
 
@@ -41,7 +41,7 @@
     for (const Json &result : results) {
         const auto item = pending.find(result.value("custom_id", ""));
         if (item == pending.end())
-            // An id that is not in the input counts as a wrong item.
+            // A result whose id is not in the input counts as a wrong item.
             ++outcome.wrong;
         else if (item->second == nullptr)
             ++outcome.duplicate;
--- a/src/load/batchoutcome.h
+++ b/src/load/batchoutcome.h
@@ -8,12 +8,13 @@
 
 namespace rattanrill::load {
 
-/// How a batch job ended, item by item.
+/// How a batch job ended, with the number of items for each kind of result.
 struct BatchOutcome
 {
     std::string workspace;
     std::string id;
-    /// Last status that the job reported; "not_created" or "timeout" when it never ended.
+    /// Final status of the job; "not_created" when its creation was not confirmed and "timeout"
+    /// when its end was not observed.
     std::string status;
     std::string detail;
     std::int64_t items = 0;
@@ -25,7 +26,7 @@
     double seconds = 0;
 };
 
-/// Items lost, doubled or wrongly answered.
+/// Number of items that are missing, have several results or have a wrong answer.
 std::int64_t wrongItems(const BatchOutcome &outcome);
 
 /// Compares the result lines of a finished job with its input lines; sets the counts of
--- a/src/load/batchrunner.cpp
+++ b/src/load/batchrunner.cpp
@@ -9,7 +9,7 @@
 namespace rattanrill::load {
 namespace {
 
-constexpr int tries = 5;
+constexpr int maxAttempts = 5;
 constexpr absl::Duration retryDelay = absl::Milliseconds(300);
 constexpr absl::Duration pollPeriod = absl::Milliseconds(250);
 constexpr std::string_view endedStates[] = {"completed", "cancelled", "failed", "expired"};
@@ -26,7 +26,7 @@
     return jsonMember<std::string>(json, key);
 }
 
-/// Statuses that another try may change.
+/// Whether another attempt may succeed after \a status.
 bool isTransient(int status)
 {
     return status >= 500 || status == 429;
@@ -35,12 +35,12 @@
 } // namespace
 
 BatchRunner::BatchRunner(CallerClient &client, const LoadPlan &plan, const BatchPlan &batch,
-                         std::string idempotencyKey, Waiter waiter, const Clock &clock)
+                         std::string idempotencyKey, WaitFunction wait, const Clock &clock)
     : m_client(client)
     , m_plan(plan)
     , m_batch(batch)
     , m_idempotencyKey(std::move(idempotencyKey))
-    , m_waiter(std::move(waiter))
+    , m_wait(std::move(wait))
     , m_clock(clock)
     , m_key(keyOf(plan, batch.workspace))
 {}
@@ -69,66 +69,69 @@
 Result<std::vector<Json>> BatchRunner::runJob(BatchOutcome &outcome)
 {
     BOOST_LEAF_AUTO(text, readTextFile(m_batch.file));
-    BOOST_LEAF_AUTO(fileId, upload(text));
-    BOOST_LEAF_ASSIGN(outcome.id, create(fileId));
+    BOOST_LEAF_AUTO(fileId, uploadFile(text));
+    BOOST_LEAF_ASSIGN(outcome.id, createJob(fileId));
     outcome.status = "timeout";
     BOOST_LEAF_AUTO(job, waitForEnd(outcome));
-    return results(job);
+    return fetchResults(job);
 }
 
-Result<std::string> BatchRunner::upload(const std::string &text)
+Result<std::string> BatchRunner::uploadFile(const std::string &text)
 {
-    BOOST_LEAF_AUTO(body, request("POST", "/v1/files?purpose=batch", text, "application/jsonl"));
+    BOOST_LEAF_AUTO(body,
+                    sendWithRetries("POST", "/v1/files?purpose=batch", text, "application/jsonl"));
     return memberOf(body, "id");
 }
 
-Result<std::string> BatchRunner::create(const std::string &fileId)
+Result<std::string> BatchRunner::createJob(const std::string &fileId)
 {
     const Json job = {{"input_file_id", fileId},
                       {"endpoint", "/v1/completions"},
                       {"completion_window", m_batch.window}};
-    BOOST_LEAF_AUTO(body, request("POST", "/v1/batches", dumpJson(job), "application/json",
-                                  m_idempotencyKey));
+    BOOST_LEAF_AUTO(body, sendWithRetries("POST", "/v1/batches", dumpJson(job), "application/json",
+                                          m_idempotencyKey));
     return memberOf(body, "id");
 }
 
 Result<Json> BatchRunner::waitForEnd(BatchOutcome &outcome)
 {
-    const absl::Time deadline = m_clock.now() + m_batch.wait;
+    const absl::Time deadline = m_clock.now() + m_batch.timeout;
     while (m_clock.now() < deadline) {
-        BOOST_LEAF_AUTO(body, request("GET", concat("/v1/batches/", outcome.id), "", ""));
+        BOOST_LEAF_AUTO(body, sendWithRetries("GET", concat("/v1/batches/", outcome.id), "", ""));
         BOOST_LEAF_AUTO(job, parseJson(body, "job"));
         BOOST_LEAF_AUTO(status, jsonMember<std::string>(job, "status"));
         if (hasEnded(status)) {
             outcome.status = status;
             return job;
         }
-        if (!m_waiter(pollPeriod))
-            return fail(notRun(ErrorCode::Stopped, "the run was stopped"));
+        if (!m_wait(pollPeriod))
+            return fail(notRun(ErrorCode::Stopped, "the load run was stopped"));
     }
-    return fail(mayHaveRun(ErrorCode::Timeout, "the job did not end in time"));
+    return fail(mayHaveRun(ErrorCode::Timeout, "the batch job did not end within its time limit"));
 }
 
-Result<std::vector<Json>> BatchRunner::results(const Json &job)
+Result<std::vector<Json>> BatchRunner::fetchResults(const Json &job)
 {
     std::vector<Json> all;
     for (const char *member : {"output_file_id", "error_file_id"}) {
         BOOST_LEAF_AUTO(file, jsonMemberOr<std::string>(job, member, ""));
         if (file.empty())
             continue;
-        BOOST_LEAF_AUTO(text, request("GET", concat("/v1/files/", file, "/content"), "", ""));
+        BOOST_LEAF_AUTO(text,
+                        sendWithRetries("GET", concat("/v1/files/", file, "/content"), "", ""));
         BOOST_LEAF_AUTO(lines, parseJsonLines(text, member));
         all.insert(all.end(), lines.begin(), lines.end());
     }
     return all;
 }
 
-Result<std::string> BatchRunner::request(const std::string &method, const std::string &path,
-                                         const std::string &body, const std::string &contentType,
-                                         const std::string &idempotencyKey)
+Result<std::string> BatchRunner::sendWithRetries(const std::string &method, const std::string &path,
+                                                 const std::string &body,
+                                                 const std::string &contentType,
+                                                 const std::string &idempotencyKey)
 {
     Failure last = notRun(ErrorCode::Internal, "not sent");
-    for (int attempt = 0; attempt < tries; ++attempt) {
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         const auto reply = outcomeOf([&] {
             return m_client.exchange(m_target++ % m_plan.targets.size(), method, path, m_key, body,
                                      contentType, idempotencyKey);
@@ -136,11 +139,11 @@
         if (reply.ok() && reply.value().status == 200)
             return reply.value().body;
         last = reply.ok() ? mayHaveRun(ErrorCode::UpstreamFailed,
-                                       concat(method, " ", path, " answered ", reply.value().status,
-                                              ": ", reply.value().body))
+                                       concat(method, " ", path, " returned status ",
+                                              reply.value().status, ": ", reply.value().body))
                           : reply.failure();
-        const bool again = !reply.ok() || isTransient(reply.value().status);
-        if (!again || !m_waiter(retryDelay))
+        const bool retryable = !reply.ok() || isTransient(reply.value().status);
+        if (!retryable || !m_wait(retryDelay))
             break;
     }
     return fail(last);
--- a/src/load/callerclient.cpp
+++ b/src/load/callerclient.cpp
@@ -1,6 +1,6 @@
 #include "callerclient.h"
 
-#include "answerjudge.h"
+#include "answerclassifier.h"
 #include "rattanrill/base/concat.h"
 
 #include "absl/base/thread_annotations.h"
@@ -16,66 +16,66 @@
 
 using ClientPointer = std::unique_ptr<httplib::Client>;
 
-/// Collects an answer as its bytes arrive and notes when its tokens came.
-class Reception
+/// Collects an answer as its bytes arrive and records when its tokens arrive.
+class ResponseCollector
 {
 public:
-    Reception(const Clock &clock, bool stream)
+    ResponseCollector(const Clock &clock, bool stream)
         : m_clock(clock)
         , m_stream(stream)
-        , m_begin(clock.now())
-        , m_lastToken(m_begin)
+        , m_sendTime(clock.now())
+        , m_lastTokenTime(m_sendTime)
     {}
 
     void setStatus(int status) { m_status = status; }
-    void take(std::string_view bytes);
+    void append(std::string_view bytes);
     void finish(const PlannedRequest &request, bool intact, RequestOutcome &outcome);
 
 private:
-    bool readsEvents() const { return m_stream && m_status == 200; }
+    bool isEventStream() const { return m_stream && m_status == 200; }
 
     const Clock &m_clock;
     bool m_stream;
     int m_status = 0;
-    absl::Time m_begin;
-    absl::Time m_lastToken;
-    std::optional<absl::Duration> m_firstToken;
-    std::vector<absl::Duration> m_gaps;
+    absl::Time m_sendTime;
+    absl::Time m_lastTokenTime;
+    std::optional<absl::Duration> m_timeToFirstToken;
+    std::vector<absl::Duration> m_timesBetweenTokens;
     std::string m_body;
     StreamReader m_reader;
 };
 
-void Reception::take(std::string_view bytes)
+void ResponseCollector::append(std::string_view bytes)
 {
-    if (!readsEvents()) {
+    if (!isEventStream()) {
         m_body += bytes;
         return;
     }
     for (int tokens = m_reader.feed(bytes); tokens > 0; --tokens) {
         const absl::Time now = m_clock.now();
-        if (m_firstToken)
-            m_gaps.push_back(now - m_lastToken);
+        if (m_timeToFirstToken)
+            m_timesBetweenTokens.push_back(now - m_lastTokenTime);
         else
-            m_firstToken = now - m_begin;
-        m_lastToken = now;
+            m_timeToFirstToken = now - m_sendTime;
+        m_lastTokenTime = now;
     }
 }
 
-void Reception::finish(const PlannedRequest &request, bool intact, RequestOutcome &outcome)
+void ResponseCollector::finish(const PlannedRequest &request, bool intact, RequestOutcome &outcome)
 {
     outcome.status = m_status;
-    outcome.timeToFirstToken = m_firstToken;
-    outcome.timeBetweenTokens = std::move(m_gaps);
-    if (readsEvents())
-        judgeStream(request, m_reader, intact, outcome);
+    outcome.timeToFirstToken = m_timeToFirstToken;
+    outcome.timeBetweenTokens = std::move(m_timesBetweenTokens);
+    if (isEventStream())
+        classifyStream(request, m_reader, intact, outcome);
     else if (!intact)
         outcome.ending = m_status == 0 ? Ending::Failed : Ending::Cut;
     else if (m_status != 200)
-        judgeRefusal(m_body, outcome);
+        classifyErrorAnswer(m_body, outcome);
     else if (request.kind == RequestKind::Service)
-        judgeService(request, m_body, outcome);
+        classifyServiceAnswer(request, m_body, outcome);
     else
-        judgeWhole(request, m_body, outcome);
+        classifyCompletion(request, m_body, outcome);
 }
 
 httplib::Headers headersOf(const PlannedRequest &request)
@@ -89,7 +89,7 @@
     return headers;
 }
 
-httplib::Request httpRequest(const PlannedRequest &request, Reception &reception)
+httplib::Request httpRequest(const PlannedRequest &request, ResponseCollector &collector)
 {
     httplib::Request http;
     http.method = request.method;
@@ -97,22 +97,22 @@
     http.headers = headersOf(request);
     http.body = request.body;
     http.response_handler = [&](const httplib::Response &response) {
-        reception.setStatus(response.status);
+        collector.setStatus(response.status);
         return true;
     };
     http.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
-        reception.take(std::string_view(data, size));
+        collector.append(std::string_view(data, size));
         return true;
     };
     return http;
 }
 
-/// A request that did not run may be sent again, and one with a key in any case.
+/// A failed request may be sent again when it was not executed or has an Idempotency-Key.
 bool mayResend(const PlannedRequest &request, const RequestOutcome &outcome)
 {
     if (outcome.ending == Ending::Completed || isWrong(outcome.ending))
         return false;
-    return outcome.run == name(EffectState::NotRun) || !request.idempotencyKey.empty();
+    return outcome.effectState == name(EffectState::NotRun) || !request.idempotencyKey.empty();
 }
 
 } // namespace
@@ -190,11 +190,11 @@
     outcome.requestId = request.requestId;
     outcome.target = m_state->plan.targets[target];
     ClientPointer client = m_state->acquire(target);
-    Reception reception(m_state->clock, request.kind == RequestKind::Stream);
-    const httplib::Result result = client->send(httpRequest(request, reception));
+    ResponseCollector collector(m_state->clock, request.kind == RequestKind::Stream);
+    const httplib::Result result = client->send(httpRequest(request, collector));
     if (!result)
         outcome.detail = httplib::to_string(result.error());
-    reception.finish(request, bool(result), outcome);
+    collector.finish(request, bool(result), outcome);
     if (result && result->has_header("X-Request-Id"))
         outcome.answeredId = result->get_header_value("X-Request-Id");
     if (result)
--- a/src/load/callerclient.h
+++ b/src/load/callerclient.h
@@ -11,15 +11,15 @@
 
 namespace rattanrill::load {
 
-/// Answer to a plain request.
+/// Answer to a request of the batch interface.
 struct CallerReply
 {
     int status = 0;
     std::string body;
 };
 
-/// Sends requests over callers' HTTP and measures the answers. Keeps idle connections per target.
-/// Safe to use from several threads.
+/// HTTP client that sends requests as a caller does and measures the answers. Keeps idle
+/// connections for each target. Safe to use from several threads.
 class CallerClient
 {
 public:
@@ -28,9 +28,9 @@
     CallerClient(const CallerClient &) = delete;
     CallerClient &operator=(const CallerClient &) = delete;
 
-    /// Sends a completion or service call, with its resends, and judges the answer.
+    /// Sends a completion or service call, resends it where permitted and classifies the answer.
     RequestOutcome perform(const PlannedRequest &request);
-    /// Sends a request of the batch interface to the target number \a target. Fails with
+    /// Sends a request of the batch interface to the target at index \a target. Fails with
     /// ConnectionLost when there is no answer.
     Result<CallerReply> exchange(std::size_t target, const std::string &method,
                                  const std::string &path, const std::string &key,
--- a/src/load/historyfile.cpp
+++ b/src/load/historyfile.cpp
@@ -22,7 +22,7 @@
     const std::string line = dumpJson(historyLine(outcome)) + "\n";
     absl::MutexLock lock(&m_mutex);
     m_stream << line;
-    // A test that ends the tool early still reads what was finished.
+    // Lines are flushed so that a test that ends the tool early can read the finished requests.
     m_stream.flush();
 }
 
--- a/src/load/historyfile.h
+++ b/src/load/historyfile.h
@@ -10,11 +10,11 @@
 
 namespace rattanrill::load {
 
-/// Writes one JSON line for each request.
+/// History file: one JSON line for each request. Safe to use from several threads.
 class HistoryFile
 {
 public:
-    /// \a file empty: writes nothing.
+    /// Writes nothing when \a file is empty.
     explicit HistoryFile(const std::string &file);
 
     /// False when the file could not be opened or written.
--- a/src/load/loadplan.cpp
+++ b/src/load/loadplan.cpp
@@ -94,7 +94,7 @@
     batch.file = json.at("file");
     batch.window = json.value("window", batch.window);
     batch.at = seconds(json, "atSeconds", batch.at);
-    batch.wait = seconds(json, "waitSeconds", batch.wait);
+    batch.timeout = seconds(json, "waitSeconds", batch.timeout);
     return batch;
 }
 
@@ -114,7 +114,7 @@
     plan.seed = json.value("seed", plan.seed);
 }
 
-const WorkspacePlan *find(const LoadPlan &plan, const std::string &workspace)
+const WorkspacePlan *findWorkspace(const LoadPlan &plan, const std::string &workspace)
 {
     const auto found = std::find_if(plan.workspaces.begin(), plan.workspaces.end(),
                                     [&](const auto &entry) { return entry.name == workspace; });
@@ -124,15 +124,18 @@
 Result<void> checkWorkspaces(const LoadPlan &plan, const std::string &source)
 {
     for (const ServiceCallPlan &call : plan.services) {
-        if (find(plan, call.workspace) == nullptr)
-            return fail(settingFailure(source, "services.workspace", "a name of \"workspaces\""));
+        if (findWorkspace(plan, call.workspace) == nullptr)
+            return fail(settingFailure(source, "services.workspace",
+                                       "a name listed in \"workspaces\""));
     }
     for (const BatchPlan &batch : plan.batches) {
-        if (find(plan, batch.workspace) == nullptr)
-            return fail(settingFailure(source, "batches.workspace", "a name of \"workspaces\""));
+        if (findWorkspace(plan, batch.workspace) == nullptr)
+            return fail(
+                    settingFailure(source, "batches.workspace", "a name listed in \"workspaces\""));
     }
-    const bool sendsPrompts = std::any_of(plan.workspaces.begin(), plan.workspaces.end(),
-                                          [](const auto &one) { return one.ratePerSecond > 0; });
+    const bool sendsPrompts =
+            std::any_of(plan.workspaces.begin(), plan.workspaces.end(),
+                        [](const auto &workspace) { return workspace.ratePerSecond > 0; });
     if (sendsPrompts && (plan.prompts.empty() || plan.model.empty()))
         return fail(settingFailure(source, "prompts",
                                    "a file, and a \"model\", when a workspace has a rate"));
@@ -162,7 +165,7 @@
 
 std::string keyOf(const LoadPlan &plan, const std::string &workspace)
 {
-    const WorkspacePlan *found = find(plan, workspace);
+    const WorkspacePlan *found = findWorkspace(plan, workspace);
     return found == nullptr ? std::string() : found->key;
 }
 
--- a/src/load/loadplan.h
+++ b/src/load/loadplan.h
@@ -12,7 +12,7 @@
 
 namespace rattanrill::load {
 
-/// Time in which a workspace sends a multiple of its rate.
+/// Period in which a workspace sends at a multiple of its rate.
 struct Surge
 {
     absl::Duration from;
@@ -34,9 +34,9 @@
     std::string method = "POST";
     std::string path;
     double ratePerSecond = 0;
-    /// A call that is not idempotent carries an Idempotency-Key.
+    /// A call that is not idempotent is sent with an Idempotency-Key.
     bool idempotent = true;
-    /// Resends, with the same key, after a failure.
+    /// Maximum number of resends after a failure. A resend has the same Idempotency-Key.
     int resends = 0;
 };
 
@@ -45,12 +45,13 @@
     std::string workspace;
     std::string file;
     std::string window = "24h";
+    /// Time of the upload since the start of the run.
     absl::Duration at;
-    /// How long after the upload the job may take.
-    absl::Duration wait = absl::Seconds(120);
+    /// Time limit of the job, counted from its creation.
+    absl::Duration timeout = absl::Seconds(120);
 };
 
-/// What rattanrill-load sends.
+/// Requests and batch jobs that rattanrill-load sends.
 struct LoadPlan
 {
     /// Base URLs, used in turn.
@@ -65,13 +66,16 @@
     absl::Duration timeout = absl::Seconds(30);
     /// Share of completions that are streamed.
     double streamShare = 0.7;
-    /// Even: equal spacing; otherwise exponential gaps, as of independent callers.
+    /// Whether requests are evenly spaced. Otherwise the intervals are exponentially distributed,
+    /// as with independent callers.
     bool evenArrivals = false;
-    /// Adds a reference to each prompt, so that no two answers are alike.
+    /// Whether a unique reference is added to each prompt, so that no two expected answers are
+    /// equal.
     bool uniquePrompts = true;
-    /// A connection for each request, so that a balancer spreads them.
+    /// Whether each request uses a new connection, so that a load balancer distributes the
+    /// requests.
     bool newConnections = false;
-    /// A stream that ends early without an error counts as wrong.
+    /// Whether an answer that is cut off without a typed error counts as wrong.
     bool cutIsWrong = false;
     std::int64_t maxInFlight = 128;
     std::uint64_t seed = 1;
@@ -80,11 +84,12 @@
 /// JSON schema of the plan file.
 std::string_view loadPlanSchema();
 
-/// Plan from JSON that the schema allows. Fails with InvalidSetting, naming \a source, on a
-/// workspace that services or batches name and that is not in the plan.
+/// Reads the plan from JSON that conforms to the schema. Fails with InvalidSetting, naming
+/// \a source, when services or batches name a workspace that is not in the plan, or when a
+/// workspace has a rate and the plan has no prompts or model.
 Result<LoadPlan> loadPlanOf(const Json &json, const std::string &source);
 
-/// Key of \a workspace.
+/// Returns the key of \a workspace; empty when the plan does not contain it.
 std::string keyOf(const LoadPlan &plan, const std::string &workspace);
 
 } // namespace rattanrill::load
--- a/src/load/loadrunner.cpp
+++ b/src/load/loadrunner.cpp
@@ -25,14 +25,14 @@
     const absl::Time start = m_clock.now();
     for (std::size_t i = 0; i < m_plan.batches.size(); ++i) {
         const BatchPlan &batch = m_plan.batches[i];
-        // The queue has a place for each job.
+        // The queue has capacity for all jobs, so that post() does not fail.
         static_cast<void>(batches.post([=, &batch] { runBatch(batch, i, start + batch.at); }));
     }
     for (const PlannedRequest &request : schedule) {
         const absl::Time due = start + request.at;
         waitUntil(due);
         if (!requests.post([this, &request, due] { runRequest(request, due); }))
-            noteUnsent(request);
+            recordUnsent(request);
     }
     requests.stop();
     batches.stop();
@@ -40,9 +40,9 @@
 
 void LoadRunner::waitUntil(absl::Time time)
 {
-    const absl::Duration left = time - m_clock.now();
-    if (left > absl::ZeroDuration())
-        m_never.WaitForNotificationWithTimeout(left);
+    const absl::Duration remaining = time - m_clock.now();
+    if (remaining > absl::ZeroDuration())
+        m_neverNotified.WaitForNotificationWithTimeout(remaining);
 }
 
 void LoadRunner::runRequest(const PlannedRequest &request, absl::Time due)
@@ -59,12 +59,14 @@
     waitUntil(due);
     BatchRunner runner(
             m_client, m_plan, batch, concat("load-", m_plan.seed, "-batch-", number),
-            [this](absl::Duration wait) { return !m_never.WaitForNotificationWithTimeout(wait); },
+            [this](absl::Duration duration) {
+                return !m_neverNotified.WaitForNotificationWithTimeout(duration);
+            },
             m_clock);
     m_summary.add(runner.run());
 }
 
-void LoadRunner::noteUnsent(const PlannedRequest &request)
+void LoadRunner::recordUnsent(const PlannedRequest &request)
 {
     RequestOutcome outcome;
     outcome.kind = request.kind;
--- a/src/load/loadrunner.h
+++ b/src/load/loadrunner.h
@@ -13,30 +13,30 @@
 
 namespace rattanrill::load {
 
-/// Sends the requests of a schedule at their times (open loop: a slow answer delays no later
-/// request) and runs the batch jobs beside them.
+/// Sends the requests of a schedule at their planned times and runs the batch jobs concurrently.
+/// The load is open-loop: a slow answer does not delay later requests.
 class LoadRunner
 {
 public:
     LoadRunner(const LoadPlan &plan, LoadSummary &summary, HistoryFile &history,
                const Clock &clock = SystemClock::instance());
 
-    /// Returns when every request and job has ended.
+    /// Returns when all requests and jobs have ended.
     void run(const std::vector<PlannedRequest> &schedule);
 
 private:
     void waitUntil(absl::Time time);
     void runRequest(const PlannedRequest &request, absl::Time due);
     void runBatch(const BatchPlan &batch, std::size_t number, absl::Time due);
-    void noteUnsent(const PlannedRequest &request);
+    void recordUnsent(const PlannedRequest &request);
 
     const LoadPlan &m_plan;
     LoadSummary &m_summary;
     HistoryFile &m_history;
     const Clock &m_clock;
     CallerClient m_client;
-    /// Never notified; its timed wait is the clock of the run.
-    absl::Notification m_never;
+    /// Never notified; used for its timed wait only.
+    absl::Notification m_neverNotified;
 };
 
 } // namespace rattanrill::load
--- a/src/load/loadsummary.cpp
+++ b/src/load/loadsummary.cpp
@@ -7,9 +7,9 @@
 namespace rattanrill::load {
 namespace {
 
-constexpr std::size_t shownExamples = 20;
+constexpr std::size_t maxExamples = 20;
 
-double rank(const std::vector<double> &sorted, double quantile)
+double nearestRank(const std::vector<double> &sorted, double quantile)
 {
     const auto count = static_cast<double>(sorted.size());
     const auto index = static_cast<std::size_t>(std::max(std::ceil(quantile * count) - 1, 0.0));
@@ -29,9 +29,9 @@
         return {{"count", 0}};
     std::sort(values.begin(), values.end());
     return {{"count", values.size()},
-            {"p50", rank(values, 0.5)},
-            {"p95", rank(values, 0.95)},
-            {"p99", rank(values, 0.99)},
+            {"p50", nearestRank(values, 0.5)},
+            {"p95", nearestRank(values, 0.95)},
+            {"p99", nearestRank(values, 0.99)},
             {"max", values.back()}};
 }
 
@@ -44,10 +44,10 @@
     absl::MutexLock lock(&m_mutex);
     add(outcome, m_all);
     add(outcome, m_workspaces[outcome.workspace]);
-    if (!counts(outcome))
+    if (!countsAsWrong(outcome))
         return;
     ++m_wrong;
-    if (m_examples.size() < shownExamples)
+    if (m_examples.size() < maxExamples)
         m_examples.push_back(historyLine(outcome));
 }
 
@@ -62,26 +62,27 @@
 {
     ++group.endings[std::string(name(outcome.ending))];
     if (outcome.ending == Ending::Refused)
-        ++group.refusals[outcome.code][outcome.run.empty() ? "unknown" : outcome.run];
+        ++group.refusals[outcome.code]
+                        [outcome.effectState.empty() ? "unknown" : outcome.effectState];
     if (outcome.ending == Ending::Unsent)
         return;
     group.tokens += outcome.tokens;
     group.resends += outcome.sends - 1;
     group.startLagMs.push_back(milliseconds(outcome.startLag));
     if (outcome.timeToFirstToken)
-        group.firstTokenMs.push_back(milliseconds(*outcome.timeToFirstToken));
+        group.timeToFirstTokenMs.push_back(milliseconds(*outcome.timeToFirstToken));
     for (const absl::Duration gap : outcome.timeBetweenTokens)
-        group.betweenTokensMs.push_back(milliseconds(gap));
+        group.timeBetweenTokensMs.push_back(milliseconds(gap));
     if (outcome.ending != Ending::Completed)
         return;
-    const double took = milliseconds(outcome.end - outcome.begin);
+    const double latencyMs = milliseconds(outcome.end - outcome.begin);
     if (outcome.kind == RequestKind::Whole)
-        group.wholeMs.push_back(took);
+        group.wholeMs.push_back(latencyMs);
     if (outcome.kind == RequestKind::Service)
-        group.serviceMs.push_back(took);
+        group.serviceMs.push_back(latencyMs);
 }
 
-bool LoadSummary::counts(const RequestOutcome &outcome) const
+bool LoadSummary::countsAsWrong(const RequestOutcome &outcome) const
 {
     return isWrong(outcome.ending) || (m_cutIsWrong && outcome.ending == Ending::Cut);
 }
@@ -106,16 +107,16 @@
 Json LoadSummary::groupJson(const Group &group)
 {
     Json refusals = Json::array();
-    for (const auto &[code, runs] : group.refusals) {
-        for (const auto &[run, count] : runs)
-            refusals.push_back({{"code", code}, {"run", run}, {"count", count}});
+    for (const auto &[code, states] : group.refusals) {
+        for (const auto &[state, count] : states)
+            refusals.push_back({{"code", code}, {"run", state}, {"count", count}});
     }
     return {{"outcomes", group.endings},
             {"refusals", refusals},
             {"tokens", group.tokens},
             {"resends", group.resends},
-            {"ttft_ms", quantiles(group.firstTokenMs)},
-            {"tbt_ms", quantiles(group.betweenTokensMs)},
+            {"ttft_ms", quantiles(group.timeToFirstTokenMs)},
+            {"tbt_ms", quantiles(group.timeBetweenTokensMs)},
             {"whole_ms", quantiles(group.wholeMs)},
             {"service_ms", quantiles(group.serviceMs)},
             {"start_lag_ms", quantiles(group.startLagMs)}};
--- a/src/load/loadsummary.h
+++ b/src/load/loadsummary.h
@@ -13,16 +13,17 @@
 
 namespace rattanrill::load {
 
-/// Adds up outcomes, per workspace and overall.
+/// Accumulates outcomes per workspace and overall. Safe to use from several threads.
 class LoadSummary
 {
 public:
-    /// \a cutIsWrong: a stream that was cut counts as a wrong answer.
+    /// \a cutIsWrong: whether an answer that was cut off counts as wrong.
     explicit LoadSummary(bool cutIsWrong = false);
 
     void add(const RequestOutcome &outcome);
     void add(const BatchOutcome &outcome);
-    /// Wrong answers: short or foreign completions, batch items lost, doubled or wrong.
+    /// Number of wrong answers: those that are short or foreign (or cut off, if so set), and batch
+    /// items that are missing, duplicate or wrong.
     std::int64_t wrong() const;
     Json json() const;
 
@@ -34,8 +35,8 @@
         std::int64_t tokens = 0;
         std::int64_t resends = 0;
         std::vector<double> startLagMs;
-        std::vector<double> firstTokenMs;
-        std::vector<double> betweenTokensMs;
+        std::vector<double> timeToFirstTokenMs;
+        std::vector<double> timeBetweenTokensMs;
         std::vector<double> wholeMs;
         std::vector<double> serviceMs;
     };
@@ -44,7 +45,7 @@
     static Json groupJson(const Group &group);
     Json workspacesJson() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Json batchesJson() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    bool counts(const RequestOutcome &outcome) const;
+    bool countsAsWrong(const RequestOutcome &outcome) const;
 
     const bool m_cutIsWrong;
     mutable absl::Mutex m_mutex;
@@ -52,11 +53,11 @@
     std::map<std::string, Group> m_workspaces ABSL_GUARDED_BY(m_mutex);
     std::vector<BatchOutcome> m_batches ABSL_GUARDED_BY(m_mutex);
     std::int64_t m_wrong ABSL_GUARDED_BY(m_mutex) = 0;
-    /// The first wrong answers, for people.
+    /// History lines of the first wrong answers.
     std::vector<Json> m_examples ABSL_GUARDED_BY(m_mutex);
 };
 
-/// count, p50, p95, p99 and max of \a values by nearest rank.
+/// Returns count, p50, p95, p99 and max of \a values; the quantiles use the nearest rank.
 Json quantiles(std::vector<double> values);
 
 } // namespace rattanrill::load
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -26,7 +26,7 @@
 
 po::options_description optionsDescription()
 {
-    po::options_description options("Options (those of the plan replace members of the plan file)");
+    po::options_description options("Options (values given here override those of the plan file)");
     auto add = options.add_options();
     add("plan", po::value<std::string>(), "plan file (JSON)");
     add("target", po::value<std::vector<std::string>>(), "base URL, repeatable");
@@ -34,8 +34,8 @@
     add("rate", po::value<double>(), "requests per second of each --workspace");
     add("model", po::value<std::string>(), "model of the completions");
     add("prompts", po::value<std::string>(), "prompts (JSONL)");
-    add("duration", po::value<double>(), "seconds");
-    add("timeout", po::value<double>(), "seconds until an answer is given up");
+    add("duration", po::value<double>(), "duration of the run in seconds");
+    add("timeout", po::value<double>(), "seconds to wait for an answer");
     add("stream-share", po::value<double>(), "share of streamed completions, 0 to 1");
     add("seed", po::value<std::int64_t>(), "seed of the schedule");
     add("summary", po::value<std::string>(), "summary file (JSON); default: standard output");
@@ -141,7 +141,7 @@
 int runPlan(const LoadPlan &plan, const std::vector<PlannedRequest> &schedule,
             const po::variables_map &values)
 {
-    // The HTTP library ignores it in servers only; a lost connection must not end the process.
+    // A lost connection must not end the process; the HTTP library ignores SIGPIPE in servers only.
     std::signal(SIGPIPE, SIG_IGN);
     LoadSummary summary(plan.cutIsWrong);
     HistoryFile history(textOption(values, "history"));
@@ -153,7 +153,8 @@
     json["duration_s"] = absl::ToDoubleSeconds(plan.duration);
     json["targets"] = plan.targets;
     if (!history.good() || !writeSummary(json, textOption(values, "summary")))
-        return report(mayHaveRun(ErrorCode::IoError, "cannot write the results"), exitFailure);
+        return report(mayHaveRun(ErrorCode::IoError, "cannot write the summary or history file"),
+                      exitFailure);
     return summary.wrong() == 0 ? exitOk : exitFailure;
 }
 
@@ -161,7 +162,8 @@
 {
     if (values.count("help") > 0) {
         std::cout << programName
-                  << ": sends load to callers' HTTP and checks the answers\n\nUsage: "
+                  << ": sends load over the HTTP interface for callers and checks the "
+                     "answers\n\nUsage: "
                   << programName << " --plan FILE [options]\n\n"
                   << options;
         return true;
--- a/src/load/promptfile.h
+++ b/src/load/promptfile.h
@@ -7,14 +7,14 @@
 
 namespace rattanrill::load {
 
-/// Lines of a JSONL file; blank lines are skipped. Fails with IoError when it cannot be read and
-/// with InvalidRequest, naming file and line, when a line is not a JSON object.
+/// Reads the lines of a JSONL file; blank lines are skipped. Fails with IoError when the file
+/// cannot be read and with InvalidRequest, naming file and line, when a line is not a JSON object.
 Result<std::vector<Json>> readJsonLines(const std::string &file);
 
-/// As readJsonLines(), from text; \a source names where it came from.
+/// Like readJsonLines(), but reads \a text; \a source names its origin in errors.
 Result<std::vector<Json>> parseJsonLines(const std::string &text, const std::string &source);
 
-/// Whole content of \a file. Fails with IoError.
+/// Returns the content of \a file. Fails with IoError.
 Result<std::string> readTextFile(const std::string &file);
 
 } // namespace rattanrill::load
--- a/src/load/requestoutcome.cpp
+++ b/src/load/requestoutcome.cpp
@@ -35,20 +35,13 @@
 Json historyLine(const RequestOutcome &outcome)
 {
     Json line = {
-            {"begin", timeText(outcome.begin)},
-            {"end", timeText(outcome.end)},
-            {"request_id", outcome.requestId},
-            {"answered_id", outcome.answeredId},
-            {"workspace", outcome.workspace},
-            {"kind", name(outcome.kind)},
-            {"target", outcome.target},
-            {"outcome", name(outcome.ending)},
-            {"status", outcome.status},
-            {"code", outcome.code},
-            {"run", outcome.run},
-            {"tokens", outcome.tokens},
-            {"sends", outcome.sends},
-            {"detail", outcome.detail},
+            {"begin", timeText(outcome.begin)}, {"end", timeText(outcome.end)},
+            {"request_id", outcome.requestId},  {"answered_id", outcome.answeredId},
+            {"workspace", outcome.workspace},   {"kind", name(outcome.kind)},
+            {"target", outcome.target},         {"outcome", name(outcome.ending)},
+            {"status", outcome.status},         {"code", outcome.code},
+            {"run", outcome.effectState},       {"tokens", outcome.tokens},
+            {"sends", outcome.sends},           {"detail", outcome.detail},
     };
     if (outcome.timeToFirstToken)
         line["ttft_ms"] = absl::ToDoubleMilliseconds(*outcome.timeToFirstToken);
--- a/src/load/requestoutcome.h
+++ b/src/load/requestoutcome.h
@@ -14,15 +14,16 @@
 
 /// How a request ended.
 enum class Ending {
-    /// The whole, correct answer.
+    /// The answer is complete and correct.
     Completed,
-    /// A typed error.
+    /// The answer is a typed error.
     Refused,
-    /// The answer claimed to be whole and ended early.
+    /// The answer was marked as complete but lacks part of the expected text.
     Short,
-    /// Text of another answer, or not in the format.
+    /// The answer has text that was not expected, such as that of another request, or an invalid
+    /// format.
     Foreign,
-    /// The connection ended within the answer.
+    /// The connection ended before the answer was complete.
     Cut,
     /// No answer: connection refused, lost or timed out.
     Failed,
@@ -31,7 +32,7 @@
 };
 
 std::string_view name(Ending ending);
-/// Whether the ending is a wrong answer, which no failure excuses.
+/// Whether the ending is a wrong answer: Short or Foreign. No fault of a component justifies one.
 bool isWrong(Ending ending);
 
 struct RequestOutcome
@@ -40,27 +41,27 @@
     Ending ending = Ending::Failed;
     std::string workspace;
     std::string requestId;
-    /// The id that the answer carried.
+    /// Request id in the answer.
     std::string answeredId;
     std::string target;
     int status = 0;
-    /// Refused: code and run state of the error.
+    /// Refused: code of the error, and whether the request may have been executed ("run" member).
     std::string code;
-    std::string run;
+    std::string effectState;
     std::string detail;
     std::int64_t tokens = 0;
     int sends = 1;
-    /// Delay of the send against the plan.
+    /// Delay between the planned and the actual time of the send.
     absl::Duration startLag;
     absl::Time begin;
     absl::Time end;
-    /// Streams: from the send to the first token.
+    /// Streams: time from the send to the first token.
     std::optional<absl::Duration> timeToFirstToken;
-    /// Streams: gaps between tokens.
+    /// Streams: times between consecutive tokens.
     std::vector<absl::Duration> timeBetweenTokens;
 };
 
-/// Line of the history file.
+/// Returns the line of the history file for \a outcome.
 Json historyLine(const RequestOutcome &outcome);
 
 } // namespace rattanrill::load
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -21,17 +21,21 @@
 
 constexpr std::int64_t defaultMaxTokens = 64;
 
-/// Numbers that are equal on every platform; the library's distributions are not.
-class Generator
+/// Random numbers that are the same on every platform, which the distributions of the standard
+/// library do not guarantee.
+class RandomGenerator
 {
 public:
-    Generator(std::uint64_t seed, std::string_view purpose)
+    RandomGenerator(std::uint64_t seed, std::string_view purpose)
         : m_random(stableHash(purpose, seed))
     {}
 
-    /// In [0, 1).
-    double unit() { return static_cast<double>(m_random() >> 11) * 0x1.0p-53; }
-    std::size_t below(std::size_t size) { return static_cast<std::size_t>(m_random() % size); }
+    /// Returns a number in [0, 1).
+    double uniform() { return static_cast<double>(m_random() >> 11) * 0x1.0p-53; }
+    std::size_t uniformBelow(std::size_t size)
+    {
+        return static_cast<std::size_t>(m_random() % size);
+    }
 
 private:
     std::mt19937_64 m_random;
@@ -40,33 +44,35 @@
 double rateAt(const WorkspacePlan &workspace, absl::Duration at)
 {
     const auto &surge = workspace.surge;
-    const bool surges = surge && at >= surge->from && at < surge->to;
-    return workspace.ratePerSecond * (surges ? surge->factor : 1);
+    const bool inSurge = surge && at >= surge->from && at < surge->to;
+    return workspace.ratePerSecond * (inSurge ? surge->factor : 1);
 }
 
-absl::Duration gap(Generator &generator, double rate, bool even)
+absl::Duration arrivalInterval(RandomGenerator &generator, double rate, bool even)
 {
-    return absl::Seconds(even ? 1 / rate : -std::log(1 - generator.unit()) / rate);
+    return absl::Seconds(even ? 1 / rate : -std::log(1 - generator.uniform()) / rate);
 }
 
-/// Times in the run at the rate that \a rateOf gives for each time.
+/// Returns the times of the requests since the start of the run; \a rateOf returns the rate at a
+/// given time.
 template <typename RateOf>
-std::vector<absl::Duration> arrivals(const LoadPlan &plan, Generator &generator, RateOf rateOf)
+std::vector<absl::Duration> arrivalTimes(const LoadPlan &plan, RandomGenerator &generator,
+                                         RateOf rateOf)
 {
-    // With a rate of 0 for a while, look again this much later.
+    // Interval at which the rate is read again while it is 0.
     constexpr absl::Duration idleStep = absl::Milliseconds(100);
     std::vector<absl::Duration> times;
     absl::Duration at;
     while (at < plan.duration) {
         const double rate = rateOf(at);
-        at += rate > 0 ? gap(generator, rate, plan.evenArrivals) : idleStep;
+        at += rate > 0 ? arrivalInterval(generator, rate, plan.evenArrivals) : idleStep;
         if (rate > 0 && at <= plan.duration)
             times.push_back(at);
     }
     return times;
 }
 
-/// Body of a completion made from a prompt line; \a reference is added to the prompt.
+/// Returns the body of a completion request for a prompt line; \a reference is added to the prompt.
 Json bodyOf(const LoadPlan &plan, const Json &line, const std::string &reference, bool stream)
 {
     Json body = line;
@@ -83,8 +89,8 @@
     return body;
 }
 
-Result<PlannedRequest> completion(const LoadPlan &plan, const WorkspacePlan &workspace,
-                                  const Json &line, const std::string &id, bool stream)
+Result<PlannedRequest> makeCompletion(const LoadPlan &plan, const WorkspacePlan &workspace,
+                                      const Json &line, const std::string &id, bool stream)
 {
     const std::string reference = plan.uniquePrompts ? concat("Reference ", id) : std::string();
     const Json body = bodyOf(plan, line, reference, stream);
@@ -107,15 +113,15 @@
         return {};
     if (prompts.empty())
         return fail(notRun(ErrorCode::InvalidRequest, "the prompt file is empty"));
-    Generator generator(plan.seed, concat("completions/", workspace.name));
+    RandomGenerator generator(plan.seed, concat("completions/", workspace.name));
     const auto times =
-            arrivals(plan, generator, [&](absl::Duration at) { return rateAt(workspace, at); });
+            arrivalTimes(plan, generator, [&](absl::Duration at) { return rateAt(workspace, at); });
     for (const absl::Duration at : times) {
-        const Json &line = prompts[generator.below(prompts.size())];
-        const bool stream = generator.unit() < plan.streamShare;
+        const Json &line = prompts[generator.uniformBelow(prompts.size())];
+        const bool stream = generator.uniform() < plan.streamShare;
         const std::string id =
                 concat("load-", plan.seed, "-", workspace.name, "-", requests.size());
-        BOOST_LEAF_AUTO(request, completion(plan, workspace, line, id, stream));
+        BOOST_LEAF_AUTO(request, makeCompletion(plan, workspace, line, id, stream));
         request.at = at;
         requests.push_back(std::move(request));
     }
@@ -125,9 +131,10 @@
 void addServiceCalls(const LoadPlan &plan, const ServiceCallPlan &call,
                      std::vector<PlannedRequest> &requests)
 {
-    Generator generator(plan.seed, concat("service/", call.workspace, call.path, call.idempotent));
+    RandomGenerator generator(plan.seed,
+                              concat("service/", call.workspace, call.path, call.idempotent));
     const auto times =
-            arrivals(plan, generator, [&](absl::Duration) { return call.ratePerSecond; });
+            arrivalTimes(plan, generator, [&](absl::Duration) { return call.ratePerSecond; });
     for (const absl::Duration at : times) {
         PlannedRequest request;
         request.at = at;
--- a/src/load/schedule.h
+++ b/src/load/schedule.h
@@ -19,7 +19,7 @@
 /// One request that the plan sends.
 struct PlannedRequest
 {
-    /// Since the start of the run.
+    /// Time of the send since the start of the run.
     absl::Duration at;
     RequestKind kind = RequestKind::Whole;
     std::string requestId;
@@ -28,17 +28,19 @@
     std::string method = "POST";
     std::string path;
     std::string body;
-    /// Empty: none.
+    /// Empty when the request has none.
     std::string idempotencyKey;
     int resends = 0;
-    /// Completions: what the answer is checked against.
+    /// Completions: prompt and number of tokens from which the expected answer is computed.
     std::string prompt;
     std::int64_t maxTokens = 0;
+    /// Index of the target in the plan.
     std::size_t target = 0;
 };
 
-/// All requests of the plan in order of time. The same plan and prompts give the same requests:
-/// each workspace and service call has a generator of its own, seeded from the plan's seed.
+/// Returns all requests of the plan, ordered by time. The same plan and prompts yield the same
+/// requests. Each workspace and service call has its own random generator, seeded from the seed of
+/// the plan.
 /// Fails with InvalidRequest when a prompt line has neither "prompt" nor "messages".
 Result<std::vector<PlannedRequest>> makeSchedule(const LoadPlan &plan,
                                                  const std::vector<Json> &prompts);
--- a/src/load/streamreader.cpp
+++ b/src/load/streamreader.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view dataPrefix = "data: ";
 
-/// First element of "choices"; null when there is none.
+/// Returns the first element of "choices"; null when there is none.
 Json firstChoice(const Json &event)
 {
     const Json choices = event.value("choices", Json::array());
@@ -49,7 +49,7 @@
         return 0;
     line.remove_prefix(dataPrefix.size());
     if (m_done) {
-        noteFault("event after [DONE]");
+        recordFormatError("event after [DONE]");
         return 0;
     }
     if (line == "[DONE]") {
@@ -59,7 +59,7 @@
     const auto event = outcomeOf([&] { return parseJson(line, "event"); });
     if (event.ok() && event.value().is_object())
         return readEvent(event.value());
-    noteFault("event is not a JSON object");
+    recordFormatError("event is not a JSON object");
     return 0;
 }
 
@@ -76,19 +76,20 @@
         m_finishReason = choice.at("finish_reason");
     if (text.empty())
         return 0;
-    // Entries may leave the index out; where it is, a repeated or missing token shows at once.
+    // The index is optional. Where it is present, it reveals a repeated or missing token.
     const Json index = event.value("index", Json());
     if (index.is_number_integer() && index.get<std::int64_t>() != m_tokens)
-        noteFault(concat("index ", index.get<std::int64_t>(), " where ", m_tokens, " was due"));
+        recordFormatError(
+                concat("index ", index.get<std::int64_t>(), " received, ", m_tokens, " expected"));
     m_text += text;
     ++m_tokens;
     return 1;
 }
 
-void StreamReader::noteFault(std::string fault)
+void StreamReader::recordFormatError(std::string message)
 {
-    if (m_fault.empty())
-        m_fault = std::move(fault);
+    if (m_formatError.empty())
+        m_formatError = std::move(message);
 }
 
 } // namespace rattanrill::load
--- a/src/load/streamreader.h
+++ b/src/load/streamreader.h
@@ -13,23 +13,23 @@
 class StreamReader
 {
 public:
-    /// Takes \a bytes; returns the number of tokens that they completed.
+    /// Parses \a bytes; returns the number of tokens that they completed.
     int feed(std::string_view bytes);
 
     const std::string &text() const { return m_text; }
     std::int64_t tokens() const { return m_tokens; }
     const std::string &finishReason() const { return m_finishReason; }
-    /// "data: [DONE]" was seen.
+    /// Whether "data: [DONE]" was received.
     bool done() const { return m_done; }
     /// The typed error that ended the stream.
     const std::optional<Json> &error() const { return m_error; }
-    /// What was not as the format says; empty: nothing.
-    const std::string &fault() const { return m_fault; }
+    /// First violation of the stream format; empty when there was none.
+    const std::string &formatError() const { return m_formatError; }
 
 private:
     int readLine(std::string_view line);
     int readEvent(const Json &event);
-    void noteFault(std::string fault);
+    void recordFormatError(std::string message);
 
     std::string m_pending;
     std::string m_text;
@@ -37,7 +37,7 @@
     std::string m_finishReason;
     bool m_done = false;
     std::optional<Json> m_error;
-    std::string m_fault;
+    std::string m_formatError;
 };
 
 } // namespace rattanrill::load
--- a/tests/load/answerjudge_test.cpp
+++ b/tests/load/answerclassifier_test.cpp
@@ -1,4 +1,4 @@
-#include "answerjudge.h"
+#include "answerclassifier.h"
 #include "batchoutcome.h"
 #include "loadsummary.h"
 
@@ -45,14 +45,14 @@
     for (std::size_t i = 0; i < events.size(); i += 7)
         reader.feed(std::string_view(events).substr(i, 7));
     RequestOutcome outcome;
-    judgeStream(planned(), reader, intact, outcome);
+    classifyStream(planned(), reader, intact, outcome);
     return outcome.ending;
 }
 
 Ending judgedWhole(const std::string &text)
 {
     RequestOutcome outcome;
-    judgeWhole(planned(), dumpJson({{"choices", {{{"text", text}}}}}), outcome);
+    classifyCompletion(planned(), dumpJson({{"choices", {{{"text", text}}}}}), outcome);
     return outcome.ending;
 }
 
@@ -100,20 +100,20 @@
 {
     RequestOutcome outcome;
     Json body = {{"path", "/orders"}, {"echo", fakes::hashText("b")}};
-    judgeService(planned(), dumpJson(body), outcome);
+    classifyServiceAnswer(planned(), dumpJson(body), outcome);
     BOOST_TEST((outcome.ending == Ending::Completed));
     body["echo"] = fakes::hashText("c");
-    judgeService(planned(), dumpJson(body), outcome);
+    classifyServiceAnswer(planned(), dumpJson(body), outcome);
     BOOST_TEST((outcome.ending == Ending::Foreign));
 }
 
 BOOST_AUTO_TEST_CASE(refusalKeepsCodeAndRunState)
 {
     RequestOutcome outcome;
-    judgeRefusal(R"({"error":{"code":"rate_limited","run":"not_run"}})", outcome);
+    classifyErrorAnswer(R"({"error":{"code":"rate_limited","run":"not_run"}})", outcome);
     BOOST_TEST(outcome.code == "rate_limited");
-    BOOST_TEST(outcome.run == "not_run");
-    judgeRefusal("gateway timeout", outcome);
+    BOOST_TEST(outcome.effectState == "not_run");
+    classifyErrorAnswer("gateway timeout", outcome);
     BOOST_TEST(outcome.code == "untyped");
 }
 
