--- a/tests/load/answerclassifier_test.cpp
+++ b/tests/load/answerclassifier_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-PlannedRequest planned()
+PlannedRequest plannedRequest()
 {
     PlannedRequest request;
     request.prompt = "p";
@@ -34,25 +34,25 @@
             "\n\n");
 }
 
-const std::string done = "data: [DONE]\n\n";
-const std::string error =
+const std::string doneEvent = "data: [DONE]\n\n";
+const std::string errorEvent =
         "data: {\"error\":{\"code\":\"stream_broken\",\"run\":\"may_have_run\"}}\n\n";
 
-Ending judged(const std::string &events, bool intact = true)
+Ending classifyEvents(const std::string &events, bool intact = true)
 {
     StreamReader reader;
-    // In pieces, as a socket delivers them.
+    // The events are fed in small pieces because a socket may split them anywhere.
     for (std::size_t i = 0; i < events.size(); i += 7)
         reader.feed(std::string_view(events).substr(i, 7));
     RequestOutcome outcome;
-    classifyStream(planned(), reader, intact, outcome);
+    classifyStream(plannedRequest(), reader, intact, outcome);
     return outcome.ending;
 }
 
-Ending judgedWhole(const std::string &text)
+Ending classifyText(const std::string &text)
 {
     RequestOutcome outcome;
-    classifyCompletion(planned(), dumpJson({{"choices", {{{"text", text}}}}}), outcome);
+    classifyCompletion(plannedRequest(), dumpJson({{"choices", {{{"text", text}}}}}), outcome);
     return outcome.ending;
 }
 
@@ -69,45 +69,51 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(AnswerJudgeTest)
+BOOST_AUTO_TEST_SUITE(AnswerClassifierTest)
 
-BOOST_AUTO_TEST_CASE(streamsAreJudgedByTextAndEnd)
+// Guards against a stream that is accepted although it is incomplete, has no [DONE] or has tokens
+// of another answer, and against a broken connection that is reported as a wrong answer.
+BOOST_AUTO_TEST_CASE(streamIsClassifiedByTextAndEnd)
 {
     const std::string two = tokenEvent("p", 0) + tokenEvent("p", 1);
     const std::string three = two + tokenEvent("p", 2);
-    BOOST_TEST((judged(three + done) == Ending::Completed));
-    BOOST_TEST((judged(two + done) == Ending::Short));
-    BOOST_TEST((judged(two) == Ending::Cut));
-    BOOST_TEST((judged(three) == Ending::Cut));
-    BOOST_TEST((judged(three + done, false) == Ending::Cut));
-    BOOST_TEST((judged(two + error) == Ending::Refused));
-    BOOST_TEST((judged(two + tokenEvent("q", 2) + done) == Ending::Foreign));
-    // A foreign token stays wrong when an error follows.
-    BOOST_TEST((judged(tokenEvent("q", 0) + error) == Ending::Foreign));
-    BOOST_TEST((judged(two + tokenEvent("p", 1) + done) == Ending::Foreign));
-    BOOST_TEST((judged(three + done + tokenEvent("p", 3)) == Ending::Foreign));
+    BOOST_TEST((classifyEvents(three + doneEvent) == Ending::Completed));
+    BOOST_TEST((classifyEvents(two + doneEvent) == Ending::Short));
+    BOOST_TEST((classifyEvents(two) == Ending::Cut));
+    BOOST_TEST((classifyEvents(three) == Ending::Cut));
+    BOOST_TEST((classifyEvents(three + doneEvent, false) == Ending::Cut));
+    BOOST_TEST((classifyEvents(two + errorEvent) == Ending::Refused));
+    BOOST_TEST((classifyEvents(two + tokenEvent("q", 2) + doneEvent) == Ending::Foreign));
+    // A foreign token makes the answer wrong even when an error follows.
+    BOOST_TEST((classifyEvents(tokenEvent("q", 0) + errorEvent) == Ending::Foreign));
+    BOOST_TEST((classifyEvents(two + tokenEvent("p", 1) + doneEvent) == Ending::Foreign));
+    BOOST_TEST((classifyEvents(three + doneEvent + tokenEvent("p", 3)) == Ending::Foreign));
 }
 
-BOOST_AUTO_TEST_CASE(wholeAnswersAreJudgedByText)
+// Guards against a completion that is accepted although its text is truncated or belongs to another
+// prompt.
+BOOST_AUTO_TEST_CASE(wholeAnswerIsClassifiedByText)
 {
-    BOOST_TEST((judgedWhole(expectedText("p", 0, 3)) == Ending::Completed));
-    BOOST_TEST((judgedWhole(expectedText("p", 0, 2)) == Ending::Short));
-    BOOST_TEST((judgedWhole(expectedText("q", 0, 3)) == Ending::Foreign));
-    BOOST_TEST((judgedWhole("") == Ending::Short));
+    BOOST_TEST((classifyText(expectedText("p", 0, 3)) == Ending::Completed));
+    BOOST_TEST((classifyText(expectedText("p", 0, 2)) == Ending::Short));
+    BOOST_TEST((classifyText(expectedText("q", 0, 3)) == Ending::Foreign));
+    BOOST_TEST((classifyText("") == Ending::Short));
 }
 
-BOOST_AUTO_TEST_CASE(serviceAnswerMustEchoTheBody)
+// Guards against a service answer that is accepted although it belongs to another request.
+BOOST_AUTO_TEST_CASE(serviceAnswerMustEchoBody)
 {
     RequestOutcome outcome;
     Json body = {{"path", "/orders"}, {"echo", fakes::hashText("b")}};
-    classifyServiceAnswer(planned(), dumpJson(body), outcome);
+    classifyServiceAnswer(plannedRequest(), dumpJson(body), outcome);
     BOOST_TEST((outcome.ending == Ending::Completed));
     body["echo"] = fakes::hashText("c");
-    classifyServiceAnswer(planned(), dumpJson(body), outcome);
+    classifyServiceAnswer(plannedRequest(), dumpJson(body), outcome);
     BOOST_TEST((outcome.ending == Ending::Foreign));
 }
 
-BOOST_AUTO_TEST_CASE(refusalKeepsCodeAndRunState)
+// Guards against refusals that are counted under no code: an error from a proxy has no typed body.
+BOOST_AUTO_TEST_CASE(refusalRecordsCodeAndRunState)
 {
     RequestOutcome outcome;
     classifyErrorAnswer(R"({"error":{"code":"rate_limited","run":"not_run"}})", outcome);
@@ -117,7 +123,8 @@
     BOOST_TEST(outcome.code == "untyped");
 }
 
-// Guards against a job that is called complete with an item lost, doubled or answered for another.
+// Guards against a job that is reported as correct although an item is missing, has two results or
+// has the answer to another item.
 BOOST_AUTO_TEST_CASE(batchResultsAreMatchedItemByItem)
 {
     const std::vector<Json> input = {batchLine("a"), batchLine("b"), batchLine("c"), batchLine("d"),
@@ -136,7 +143,8 @@
     BOOST_TEST(wrongItems(outcome) == 4);
 }
 
-BOOST_AUTO_TEST_CASE(quantilesAreNearestRank)
+// Guards against quantiles that are off by one rank or computed from unsorted values.
+BOOST_AUTO_TEST_CASE(quantilesUseNearestRank)
 {
     std::vector<double> values;
     for (int i = 100; i >= 1; --i)
--- a/tests/load/loadrunner_test.cpp
+++ b/tests/load/loadrunner_test.cpp
@@ -22,7 +22,7 @@
     return settings;
 }
 
-/// The runner against a fake engine in this process.
+/// Starts a fake engine server in this process and runs load against it.
 struct Fixture
 {
     Fixture()
@@ -81,6 +81,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadRunnerTest, Fixture)
 
+// Guards against planned requests that are dropped, sent twice or missing from the summary.
 BOOST_AUTO_TEST_CASE(everyPlannedRequestIsSentAndCounted)
 {
     std::int64_t wrong = -1;
@@ -92,6 +93,7 @@
     BOOST_TEST(records.lastSeq() == 20);
 }
 
+// Guards against refusals that are counted as wrong answers or lose their code or run state.
 BOOST_AUTO_TEST_CASE(refusalsAreCountedByCodeAndRunState)
 {
     setFault({{"refuse", true}});
@@ -102,10 +104,11 @@
     BOOST_TEST(wrong == 0);
 }
 
-// Guards against a check that passes every answer.
-BOOST_AUTO_TEST_CASE(crossedAnswersAreFoundWrong)
+// Guards against a check that accepts every answer: the fake engine swaps the answers of two
+// requests.
+BOOST_AUTO_TEST_CASE(crossedAnswersCountAsWrong)
 {
-    // Slow, so that answers overlap.
+    // The engine is slowed down so that answers overlap in time.
     setFault({{"cross_answers", 1}, {"slow_factor", 10}});
     std::int64_t wrong = 0;
     const Json summary = runLoad(wrong);
--- a/tests/load/schedule_test.cpp
+++ b/tests/load/schedule_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-LoadPlan planOf(const Json &changes)
+LoadPlan makePlan(const Json &changes)
 {
     Json json = {{"targets", {"http://127.0.0.1:1", "http://127.0.0.1:2"}},
                  {"workspaces", {{{"name", "a"}, {"key", "k"}, {"ratePerSecond", 20}}}},
@@ -50,7 +50,7 @@
     return bodies;
 }
 
-std::ptrdiff_t countBetween(const std::vector<PlannedRequest> &schedule, int from, int to)
+std::ptrdiff_t countInPeriod(const std::vector<PlannedRequest> &schedule, int from, int to)
 {
     return std::count_if(schedule.begin(), schedule.end(), [&](const PlannedRequest &request) {
         return request.at >= absl::Seconds(from) && request.at < absl::Seconds(to);
@@ -61,42 +61,46 @@
 
 BOOST_AUTO_TEST_SUITE(ScheduleTest)
 
-// Guards against runs that cannot be repeated.
-BOOST_AUTO_TEST_CASE(sameSeedGivesTheSameRequests)
+// Guards against runs that cannot be reproduced because the schedule does not depend on the seed
+// alone.
+BOOST_AUTO_TEST_CASE(sameSeedProducesSameRequests)
 {
-    const auto first = bodiesOf(scheduleOf(planOf(Json::object())), "a");
+    const auto first = bodiesOf(scheduleOf(makePlan(Json::object())), "a");
     BOOST_TEST(first.size() > 100u);
-    BOOST_TEST(first == bodiesOf(scheduleOf(planOf(Json::object())), "a"));
-    BOOST_TEST(first != bodiesOf(scheduleOf(planOf({{"seed", 4}})), "a"));
+    BOOST_TEST(first == bodiesOf(scheduleOf(makePlan(Json::object())), "a"));
+    BOOST_TEST(first != bodiesOf(scheduleOf(makePlan({{"seed", 4}})), "a"));
 }
 
-// Guards against a comparison spoilt because another workspace's traffic shifted this one's.
-BOOST_AUTO_TEST_CASE(addedWorkspaceLeavesTheOthersAsTheyWere)
+// Guards against runs that cannot be compared because the traffic of an added workspace shifts that
+// of the others, as with a random generator that they share.
+BOOST_AUTO_TEST_CASE(addedWorkspaceDoesNotChangeOtherWorkspaces)
 {
     const Json two = {{"workspaces",
                        {{{"name", "a"}, {"key", "k"}, {"ratePerSecond", 20}},
                         {{"name", "b"}, {"key", "l"}, {"ratePerSecond", 5}}}}};
-    BOOST_TEST(bodiesOf(scheduleOf(planOf(Json::object())), "a")
-               == bodiesOf(scheduleOf(planOf(two)), "a"));
+    BOOST_TEST(bodiesOf(scheduleOf(makePlan(Json::object())), "a")
+               == bodiesOf(scheduleOf(makePlan(two)), "a"));
 }
 
-BOOST_AUTO_TEST_CASE(surgeMultipliesTheRateForItsTime)
+// Guards against a surge that is ignored or also raises the rate outside its period.
+BOOST_AUTO_TEST_CASE(surgeMultipliesRateDuringItsPeriod)
 {
     const Json surge = {{"fromSeconds", 4}, {"toSeconds", 6}, {"factor", 5}};
     const Json changes = {
             {"evenArrivals", true},
             {"workspaces",
              {{{"name", "a"}, {"key", "k"}, {"ratePerSecond", 20}, {"surge", surge}}}}};
-    const auto schedule = scheduleOf(planOf(changes));
-    BOOST_TEST(std::abs(countBetween(schedule, 0, 4) - 80) <= 1);
-    BOOST_TEST(std::abs(countBetween(schedule, 4, 6) - 200) <= 1);
+    const auto schedule = scheduleOf(makePlan(changes));
+    BOOST_TEST(std::abs(countInPeriod(schedule, 0, 4) - 80) <= 1);
+    BOOST_TEST(std::abs(countInPeriod(schedule, 4, 6) - 200) <= 1);
 }
 
-// Guards against equal prompts, whose crossed answers would pass the check.
+// Guards against equal prompts: their expected answers are equal, so that swapped answers would
+// pass the check.
 BOOST_AUTO_TEST_CASE(promptsAreUniqueAndMatchTheirBody)
 {
     std::set<std::string> seen;
-    for (const PlannedRequest &request : scheduleOf(planOf(Json::object()))) {
+    for (const PlannedRequest &request : scheduleOf(makePlan(Json::object()))) {
         BOOST_TEST(seen.insert(request.prompt).second);
         const Json body = Json::parse(request.body);
         BOOST_TEST(body.at("model") == "m");
@@ -105,14 +109,15 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(onlyNonIdempotentCallsCarryAKey)
+// Guards against a non-idempotent call without a key, which must not be resent after a lost answer.
+BOOST_AUTO_TEST_CASE(onlyNonIdempotentCallsHaveIdempotencyKey)
 {
     const Json changes = {
             {"services",
              {{{"workspace", "a"}, {"path", "/o"}, {"ratePerSecond", 5}, {"idempotent", false}},
               {{"workspace", "a"}, {"path", "/s"}, {"ratePerSecond", 5}}}}};
     int calls = 0;
-    for (const PlannedRequest &request : scheduleOf(planOf(changes))) {
+    for (const PlannedRequest &request : scheduleOf(makePlan(changes))) {
         if (request.kind != RequestKind::Service)
             continue;
         ++calls;
@@ -121,7 +126,8 @@
     BOOST_TEST(calls > 20);
 }
 
-BOOST_AUTO_TEST_CASE(unknownWorkspaceIsRefused)
+// Guards against a plan that is accepted although the key of a batch's workspace is unknown.
+BOOST_AUTO_TEST_CASE(batchWithUnknownWorkspaceIsRefused)
 {
     Json json = {{"targets", {"http://127.0.0.1:1"}},
                  {"workspaces", {{{"name", "a"}, {"key", "k"}}}},
