--- a/include/rattanrill/fakes/balancer.h
+++ b/include/rattanrill/fakes/balancer.h
@@ -68,7 +68,7 @@
     };
 
     std::vector<Instance> liveInstances() const;
-    std::optional<RelayAddress> choose();
+    std::optional<RelayAddress> chooseTarget();
     void checkAll();
     void check(const Instance &instance);
     void recordHealthCheck(const std::string &name, bool passed);
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -131,7 +131,10 @@
 
     LoadSample load(absl::Time now) const { return m_history.report(now); }
     CacheEventPage cacheEvents(absl::Time now, std::int64_t after) const;
-    OrderAnswer order(absl::Time now, const Order &order) { return m_orders.apply(now, order); }
+    OrderAnswer order(absl::Time now, const Order &order)
+    {
+        return m_loadedModels.apply(now, order);
+    }
     const EngineModelSettings &settings() const { return m_settings; }
 
     // Fault injection.
@@ -155,7 +158,7 @@
         std::int64_t promptTokens = 0;
     };
 
-    static std::int64_t kvNeed(const EngineRequest &request);
+    static std::int64_t requiredKvTokens(const EngineRequest &request);
     Result<void> checkRequest(absl::Time now, const EngineRequest &request) const;
     bool isKnown(const std::string &requestId) const;
     std::optional<Sequence> remove(const std::string &requestId);
@@ -173,7 +176,7 @@
     PrefixCache m_cache;
     CacheEventFeed m_cacheEvents;
     LoadHistory m_history;
-    LoadedModels m_orders;
+    LoadedModels m_loadedModels;
     std::deque<Sequence> m_waiting;
     std::vector<Sequence> m_running;
     std::vector<EngineEvent> m_events;
--- a/include/rattanrill/fakes/enginerunner.h
+++ b/include/rattanrill/fakes/enginerunner.h
@@ -48,7 +48,7 @@
     /// Destination of the events of one request.
     struct Route
     {
-        std::shared_ptr<EngineEventQueue> stream;
+        std::shared_ptr<EngineEventQueue> queue;
         std::shared_ptr<const EngineRequest> request;
         std::int64_t recordSeq = 0;
         bool running = false;
@@ -57,7 +57,7 @@
     void run();
     void step() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void deliver(const EngineEvent &event) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void noteEvent(const EngineEvent &event, Route &route) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void recordEvent(const EngineEvent &event, Route &route) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void swapAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const EngineModelSettings m_settings;
--- a/include/rattanrill/fakes/faults.h
+++ b/include/rattanrill/fakes/faults.h
@@ -43,7 +43,7 @@
     /// End of the freeze; InfinitePast when none was set.
     absl::Time frozenUntil() const;
     /// Decrements swapAnswers and returns true; returns false when it is already 0.
-    bool takeAnswerSwap();
+    bool consumeAnswerSwap();
     /// Blocks until the freeze ends; returns immediately when the process is not frozen.
     void waitWhileFrozen(absl::Time now) const;
 
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -54,8 +54,8 @@
     const ServiceSettings &settings() const { return m_settings; }
 
 private:
-    Result<void> takeSlot(std::int64_t ticket) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void work() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    Result<void> acquireSlot(std::int64_t ticket) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void waitServiceTime() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void swapAnswers() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     void recordLoad() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
--- a/include/rattanrill/fleet/fleetservice.h
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -41,7 +41,7 @@
 class FleetService
 {
 public:
-    FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
+    FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &discovery,
                  FleetServiceSettings settings, const Clock &clock);
     ~FleetService();
     FleetService(const FleetService &) = delete;
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -44,33 +44,33 @@
     bool isCurrent(const wire::FleetSyncRequest &request) const;
     wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
     /// Processes of \a role as candidates for the voters of their group. Empty until the view is
-    /// settled, because a voter that has not sent a heartbeat yet would be taken for lost.
+    /// complete, because a voter that has not sent a heartbeat yet would be taken for lost.
     std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
     /// Replica ids of the first voters of the store group, when it can be founded now: 3 live
     /// stores or, once 3 s of this term have passed, as many as are alive. Empty otherwise.
     std::vector<std::string> storeFounders(absl::Time now) const;
 
 private:
-    struct Known
+    struct MemberEntry
     {
         wire::FleetMemberStatus live;
-        absl::Time heardAt;
+        absl::Time lastHeartbeatAt;
     };
 
-    void noteStoreLeader(const wire::FleetSyncRequest &request);
+    void updateStoreLeader(const wire::FleetSyncRequest &request);
     bool isRetiring(const std::string &replica) const;
-    void changed() { ++m_sequence; }
+    void incrementSequence() { ++m_sequence; }
 
     const absl::Duration m_memberTimeout;
     std::uint64_t m_term = 0;
     std::uint64_t m_sequence = 0;
-    absl::Time m_begunAt;
+    absl::Time m_termStartedAt;
     bool m_hasAllMembers = false;
     wire::FleetSnapshot m_records;
     bool m_upstreamsKnown = false;
     std::vector<wire::FleetUpstream> m_upstreams;
     /// By instance.
-    std::map<std::string, Known> m_members;
+    std::map<std::string, MemberEntry> m_members;
     std::uint64_t m_storeTerm = 0;
     std::vector<std::string> m_storeReplicas;
 };
--- a/include/rattanrill/fleet/replicaidentity.h
+++ b/include/rattanrill/fleet/replicaidentity.h
@@ -29,10 +29,10 @@
 /// Returns the peer address that a replica id contains.
 std::string peerAddressOf(const replication::ReplicaId &replica);
 
-/// Reads the identity in \a folder. When there is none, stores \a fresh there, synced to disk, and
-/// returns it. Fails with IoError or CorruptData.
+/// Reads the identity in \a folder. When there is none, stores \a newIdentity there, synced to
+/// disk, and returns it. Fails with IoError or CorruptData.
 Result<ReplicaIdentity> loadOrCreateIdentity(const std::string &folder,
-                                             const ReplicaIdentity &fresh);
+                                             const ReplicaIdentity &newIdentity);
 
 /// Replaces the identity in \a folder and syncs it to disk before returning. Fails with IoError.
 Result<void> saveIdentity(const std::string &folder, const ReplicaIdentity &identity);
--- a/include/rattanrill/gateway/gateway.h
+++ b/include/rattanrill/gateway/gateway.h
@@ -45,8 +45,8 @@
                      const serving::ReadJobCall &call, const std::string &workspace);
     void readItem(const std::shared_ptr<net::Exchange> &exchange, const serving::ReadItemCall &call,
                   const std::string &workspace);
-    void endJob(const std::shared_ptr<net::Exchange> &exchange, const serving::CancelJobCall &call,
-                const std::string &workspace);
+    void cancelJob(const std::shared_ptr<net::Exchange> &exchange,
+                   const serving::CancelJobCall &call, const std::string &workspace);
     void refuse(const std::shared_ptr<net::Exchange> &exchange, const std::string &requestId,
                 const Failure &failure, absl::Duration retryAfter);
 
--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -40,20 +40,20 @@
 
 /// Creates a process that receives callers' requests.
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
-                                          const ProcessContext &parts);
+                                          const ProcessContext &context);
 /// Creates a process that holds a replica of the fleet group and serves operators.
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
-                                            const ProcessContext &parts);
+                                            const ProcessContext &context);
 /// Creates a process that holds a replica of the store group. The leader of the group runs batch
 /// items and grants slots.
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessContext &parts);
+                                          const ProcessContext &context);
 
 /// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
 /// the settings again and returns their peer addresses.
 using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
                                                     const ProcessContext &);
-int runProcess(const ProcessSettings &settings, const ProcessContext &parts, ProcessFactory make,
-               std::function<std::vector<std::string>()> readSeeds);
+int runProcess(const ProcessSettings &settings, const ProcessContext &context,
+               ProcessFactory makeProcess, std::function<std::vector<std::string>()> readSeeds);
 
 } // namespace rattanrill::gateway
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -61,9 +61,9 @@
     void firstToken(TaskKind kind, std::int64_t prefillTokens);
     void taskEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens);
 
-    bool hasReport() const { return m_reports > 0; }
+    bool hasReport() const { return m_reportCount > 0; }
     /// Number of reports accepted so far.
-    std::uint64_t reports() const { return m_reports; }
+    std::uint64_t reportCount() const { return m_reportCount; }
     const EngineLoad &load() const { return m_load; }
     /// Time that the last report describes.
     absl::Time reportedAt() const { return m_reportedAt; }
@@ -99,12 +99,12 @@
     EngineInfo m_info;
     OutlierDetector m_outlier;
     EngineLoad m_load;
-    std::uint64_t m_reports = 0;
+    std::uint64_t m_reportCount = 0;
     absl::Time m_reportedAt = absl::InfinitePast();
     /// This array and the next two are indexed by TaskKind.
-    std::array<std::int64_t, 2> m_own{};
-    std::array<std::int64_t, 2> m_ownPrefill{};
-    std::array<std::int64_t, 2> m_ownChange{};
+    std::array<std::int64_t, 2> m_localTasks{};
+    std::array<std::int64_t, 2> m_localPrefillTokens{};
+    std::array<std::int64_t, 2> m_localTaskChange{};
     std::int64_t m_changedTokens = 0;
     /// Changes since the time that the last report describes, oldest first.
     std::deque<Change> m_changes;
--- a/include/rattanrill/policy/fairqueue.h
+++ b/include/rattanrill/policy/fairqueue.h
@@ -30,7 +30,7 @@
         ByArrival,
     };
 
-    /// Adds a waiting task. \a deadline is its deadline, which orders it within its workspace.
+    /// Adds a waiting task. Within its workspace, the earliest \a deadline goes first.
     void push(const std::string &workspace, TaskId task, absl::Time deadline,
               TieBreak tieBreak = TieBreak::ByArrival);
     /// Removes a waiting task. Returns false when the task is not in the queue.
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -8,7 +8,7 @@
 struct OutlierSettings
 {
     /// Number of consecutive failures after which an upstream is ejected.
-    int failuresInRow = 3;
+    int consecutiveFailures = 3;
     /// An upstream whose smoothed time to first token exceeds this many times that of the fleet is
     /// treated as slow.
     double slowFactor = 3.0;
@@ -49,7 +49,7 @@
     void eject(absl::Time now);
 
     OutlierSettings m_settings;
-    int m_failuresInRow = 0;
+    int m_consecutiveFailures = 0;
     int m_ejections = 0;
     int m_samples = 0;
     absl::Duration m_smoothed;
--- a/include/rattanrill/policy/prefixindex.h
+++ b/include/rattanrill/policy/prefixindex.h
@@ -46,7 +46,7 @@
                               const std::vector<std::uint64_t> &hashes) const;
 
 private:
-    struct Guess
+    struct Estimate
     {
         std::int64_t tokens = 0;
         absl::Time expires;
@@ -54,11 +54,11 @@
     struct Cache
     {
         std::uint64_t nextSequence = 0;
-        std::unordered_map<std::uint64_t, Guess> guesses;
+        std::unordered_map<std::uint64_t, Estimate> estimates;
     };
 
     void store(absl::Time now, Cache &cache, std::uint64_t hash, std::int64_t tokens);
-    void afterGap(absl::Time now, Cache &cache) const;
+    void halveLifetimes(absl::Time now, Cache &cache) const;
     void trim(absl::Time now, Cache &cache) const;
 
     absl::Duration m_lifetime;
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -33,7 +33,7 @@
     /// Number of waiting online tasks above which new ones are rejected at once.
     std::size_t onlineQueueSize = 512;
     /// Round-trip time from the entry to an engine plus the engine's report interval.
-    absl::Duration loadLag = absl::Milliseconds(250);
+    absl::Duration loadReportDelay = absl::Milliseconds(250);
     /// Preemption exports the KV cache of batch tasks with at least this many tokens of context,
     /// and cancels the others.
     std::int64_t kvExportTokens = 512;
@@ -170,8 +170,8 @@
 
     /// Reports the load of \a engine. \a load.age is the age of the report's values.
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load);
-    void cacheEvents(absl::Time now, const std::string &engine,
-                     const std::vector<CacheEvent> &events);
+    void cacheEventsReported(absl::Time now, const std::string &engine,
+                             const std::vector<CacheEvent> &events);
 
     /// Adds a new task. It ends with RejectTask, or with the caller's finished() or cancelled().
     void arrived(absl::Time now, const Task &task);
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -215,14 +215,14 @@
         struct Report
         {
             absl::Time at = absl::InfinitePast();
-            std::int64_t foreign = 0;
+            std::int64_t foreignRequests = 0;
         };
         std::array<Report, 2> reports;
         /// Requests from this scheduler that the upstream got before its first load report since
         /// beginTakeover() and still runs.
         int probes = 0;
 
-        std::int64_t held() const
+        std::int64_t occupiedSlots() const
         {
             return static_cast<std::int64_t>(online.size() + batch.size());
         }
@@ -254,25 +254,25 @@
     void enqueue(absl::Time now, Service &service, Item &item);
     void enqueueLate(Service &service, Item &item);
     bool isLate(absl::Time now, const Service &service, const Item &item) const;
-    void moveLate(absl::Time now, Service &service);
+    void moveLateTasks(absl::Time now, Service &service);
     Item *nextBatch(absl::Time now, Service &service);
-    bool isOverfull(absl::Time now, const Upstream &upstream) const;
+    bool isOvercommitted(absl::Time now, const Upstream &upstream) const;
     std::int64_t unprobedSlots(absl::Time now, const Service &service) const;
     bool isLoadUnknown(absl::Time now, const Upstream &upstream) const;
     Upstream *freeUpstream(absl::Time now, const Service &service, const Item &item) const;
     Upstream *preemptibleUpstream(absl::Time now, const Service &service, const Item &item) const;
-    std::int64_t foreign(absl::Time now, const Upstream &upstream) const;
+    std::int64_t foreignRequests(absl::Time now, const Upstream &upstream) const;
     bool accepts(absl::Time now, const Upstream &upstream, const Item &item) const;
     void decideOnline(absl::Time now, Service &service);
     void decideBatch(absl::Time now, Service &service);
     void rejectUnservable(absl::Time now, Service &service);
     void rejectExpired(absl::Time now);
-    void refuse(absl::Time now, Service &service, Item &item);
+    void reject(absl::Time now, Service &service, Item &item);
     void preemptOne(absl::Time now, Upstream &upstream);
     void grant(absl::Time now, Service &service, Item &item, Upstream &upstream);
     void dequeue(Service &service, Item &item);
-    void leaveSlot(Item &item);
-    void forget(Item &item);
+    void releaseSlot(Item &item);
+    void removeItem(Item &item);
     absl::Duration spacing(const Service &service) const;
 
     const SlotSchedulerSettings m_settings;
@@ -281,7 +281,7 @@
     std::map<std::string, std::unique_ptr<Item>> m_items;
     std::map<TaskId, Item *> m_numbers;
     /// Waiting online tasks by deadline.
-    std::set<std::pair<absl::Time, TaskId>> m_onlineDue;
+    std::set<std::pair<absl::Time, TaskId>> m_onlineDeadlines;
     absl::Time m_takeoverAt = absl::InfinitePast();
     TaskId m_nextNumber = 1;
     std::vector<SlotDecision> m_decisions;
--- a/include/rattanrill/service/serviceclient.h
+++ b/include/rattanrill/service/serviceclient.h
@@ -87,7 +87,7 @@
     /// at its address.
     Outcome<Done> probe();
     /// Number of answers that were dropped because they carried the id of another request.
-    std::uint64_t droppedAnswers() const;
+    std::uint64_t droppedResponses() const;
 
 private:
     struct Impl;
--- a/include/rattanrill/serving/slotbroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -81,9 +81,9 @@
     void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
                       const CapacityShare &share);
 
-    /// Requests a slot. \a answer receives the outcome Waiting when the requester must repeat the
+    /// Requests a slot. \a callback receives the outcome Waiting when the requester must repeat the
     /// request with SlotRequest::again set.
-    void acquire(const wire::SlotRequest &request, ResponseCallback answer);
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback);
     void release(const wire::SlotRelease &release);
     /// Adopts slots that a process obtained from a previous broker or from its local share.
     void restoreHeldSlots(const wire::HeldSlots &held);
@@ -98,7 +98,7 @@
     const policy::SlotScheduler &scheduler() const { return m_scheduler; }
 
 private:
-    struct Online
+    struct OnlineRequest
     {
         std::string instance;
         std::string workspace;
@@ -106,9 +106,9 @@
         bool isGranted = false;
         absl::Time expires;
         /// Null while no request is pending, between an outcome Waiting and the repeated request.
-        ResponseCallback answer;
+        ResponseCallback callback;
         /// Decision that was made while no request was pending; returned to the repeated request.
-        std::optional<wire::SlotResponse> decided;
+        std::optional<wire::SlotResponse> pendingResponse;
         TimerService::TimerId waitTimer = 0;
     };
 
@@ -122,7 +122,7 @@
     void respond(const std::string &id, const wire::SlotResponse &response);
     void startWaitTimer(const std::string &id);
     void removeRequest(const std::string &id);
-    policy::TokenBucket freshBucket(const policy::RateContract &contract) const;
+    policy::TokenBucket initialBucket(const policy::RateContract &contract) const;
     void armTimer();
     void sweep();
 
@@ -134,7 +134,7 @@
     CapacityShare m_share;
     std::map<std::string, policy::TokenBucket> m_buckets;
     /// By task id.
-    std::map<std::string, Online> m_online;
+    std::map<std::string, OnlineRequest> m_online;
     std::map<std::string, BatchHandlers> m_batch;
     TimerService::TimerId m_decisionTimer = 0;
     TimerService::TimerId m_sweepTimer = 0;
--- a/include/rattanrill/serving/slotclient.h
+++ b/include/rattanrill/serving/slotclient.h
@@ -14,8 +14,8 @@
 /// Settings of a SlotClient.
 struct SlotClientSettings
 {
-    /// Time for the round trip to the broker. The timeout of a call is this time plus the slice for
-    /// which the broker may hold a request.
+    /// Time for the round trip to the broker. The timeout of a call is this time plus
+    /// maxResponseDelay, for which the broker may delay its response.
     absl::Duration roundTripAllowance = absl::Milliseconds(60);
     /// Local share of the slots, as a multiple of an equal share. It is larger than an equal share
     /// because callers are distributed unevenly over entry processes, and because batch tasks stop
@@ -48,7 +48,7 @@
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
     /// \a entries: number of entry processes that share the upstreams.
     void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams, std::size_t entries);
-    void acquire(const wire::SlotRequest &request, ResponseCallback answer);
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback);
     /// Releases a slot. May also be called for a request whose outcome has not arrived.
     void release(const wire::SlotRelease &release);
     void reportLoad(const wire::UpstreamLoad &load);
--- a/src/entry/entrysettings.cpp
+++ b/src/entry/entrysettings.cpp
@@ -197,7 +197,7 @@
     entry.http.maxBodyBytes = entry.batch.maxFileBytes;
     entry.scheduler.failureDomain = entry.failureDomain;
     entry.scheduler.onlineTailWeight = settings.value("onlineTailWeight", 0.5);
-    entry.scheduler.loadLag = entry.timings.loadPoll + absl::Milliseconds(50);
+    entry.scheduler.loadReportDelay = entry.timings.loadPoll + absl::Milliseconds(50);
     return entry;
 }
 
--- a/src/entry/loadpoller.cpp
+++ b/src/entry/loadpoller.cpp
@@ -114,7 +114,7 @@
         events.push_back({event.sequence, kind, event.prefixHash, event.tokens});
     }
     m_dispatcher.updateScheduler([&](policy::Scheduler &scheduler, absl::Time now) {
-        scheduler.cacheEvents(now, name, events);
+        scheduler.cacheEventsReported(now, name, events);
     });
     absl::MutexLock lock(&m_mutex);
     m_lastEvent[name] = page.value().next;
--- a/src/fakes/balancer.cpp
+++ b/src/fakes/balancer.cpp
@@ -18,7 +18,7 @@
     , m_lister(std::move(lister))
     , m_timers(timers)
     , m_checkers(checkerThreads, maxQueuedChecks)
-    , m_relay(m_settings.listen, [this] { return choose(); })
+    , m_relay(m_settings.listen, [this] { return chooseTarget(); })
 {}
 
 Balancer::~Balancer()
@@ -60,7 +60,7 @@
     return live;
 }
 
-std::optional<RelayAddress> Balancer::choose()
+std::optional<RelayAddress> Balancer::chooseTarget()
 {
     const std::vector<Instance> live = liveInstances();
     absl::MutexLock lock(&m_mutex);
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -48,7 +48,7 @@
     , m_cache(m_settings.limits.prefixCacheTokens)
     , m_cacheEvents(m_settings.timings.cacheEventDelay, m_settings.cacheEventLoss, m_settings.seed)
     , m_history(m_settings.timings.loadReportLag)
-    , m_orders(m_settings.models, m_settings.checksFence, m_settings.timings.modelLoad)
+    , m_loadedModels(m_settings.models, m_settings.checksFence, m_settings.timings.modelLoad)
 {}
 
 Result<void> EngineModel::submit(absl::Time now, EngineRequest request)
@@ -104,24 +104,24 @@
         m_stepEnd = std::max(m_stepEnd, time);
 }
 
-std::int64_t EngineModel::kvNeed(const EngineRequest &request)
+std::int64_t EngineModel::requiredKvTokens(const EngineRequest &request)
 {
     return fakes::promptTokens(request.prompt.size()) + request.maxTokens;
 }
 
 Result<void> EngineModel::checkRequest(absl::Time now, const EngineRequest &request) const
 {
-    if (!m_orders.serves(now, request.model))
+    if (!m_loadedModels.serves(now, request.model))
         return fail(notRun(ErrorCode::UnknownModel,
                            concat("model \"", request.model, "\" is not loaded")));
     if (isKnown(request.requestId))
         return fail(notRun(ErrorCode::DuplicateRequest,
                            concat("request id \"", request.requestId, "\" is in use")));
-    if (kvNeed(request) > m_settings.limits.kvCapacityTokens)
-        return fail(
-                notRun(ErrorCode::InvalidRequest, concat("request needs ", kvNeed(request),
-                                                         " tokens of KV memory, the engine has ",
-                                                         m_settings.limits.kvCapacityTokens)));
+    if (requiredKvTokens(request) > m_settings.limits.kvCapacityTokens)
+        return fail(notRun(ErrorCode::InvalidRequest,
+                           concat("request needs ", requiredKvTokens(request),
+                                  " tokens of KV memory, the engine has ",
+                                  m_settings.limits.kvCapacityTokens)));
     if (static_cast<std::int64_t>(m_waiting.size()) >= m_settings.limits.maxWaiting)
         return fail(notRun(ErrorCode::UpstreamBusy, "queue is full"));
     return {};
@@ -194,7 +194,7 @@
     std::int64_t reserved = reservedTokens();
     while (!m_waiting.empty()
            && static_cast<std::int64_t>(m_running.size()) < m_settings.limits.maxBatch) {
-        reserved += kvNeed(m_waiting.front().request);
+        reserved += requiredKvTokens(m_waiting.front().request);
         // Requests are admitted strictly in order of arrival: one that does not fit blocks those
         // behind it.
         if (reserved > m_settings.limits.kvCapacityTokens)
@@ -239,7 +239,7 @@
 {
     std::int64_t tokens = 0;
     for (const Sequence &sequence : m_running)
-        tokens += kvNeed(sequence.request);
+        tokens += requiredKvTokens(sequence.request);
     return tokens;
 }
 
--- a/src/fakes/enginerunner.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -29,16 +29,16 @@
                                                                std::int64_t recordSeq)
 {
     Route route;
-    route.stream = std::make_shared<EngineEventQueue>();
+    route.queue = std::make_shared<EngineEventQueue>();
     route.request = std::make_shared<const EngineRequest>(request);
     route.recordSeq = recordSeq;
     const std::string id = request.requestId;
     absl::MutexLock lock(&m_mutex);
     BOOST_LEAF_CHECK(m_model.submit(m_clock.now(), std::move(request)));
-    std::shared_ptr<EngineEventQueue> stream = route.stream;
+    std::shared_ptr<EngineEventQueue> queue = route.queue;
     m_routes[id] = std::move(route);
     m_changed.Signal();
-    return stream;
+    return queue;
 }
 
 std::optional<std::int64_t> EngineRunner::cancel(const std::string &requestId)
@@ -112,14 +112,14 @@
     const auto route = m_routes.find(event.requestId);
     if (route == m_routes.end())
         return;
-    noteEvent(event, route->second);
-    route->second.stream->push(m_clock.now() + m_faults.state().lateAnswer,
-                               {event, route->second.request});
+    recordEvent(event, route->second);
+    route->second.queue->push(m_clock.now() + m_faults.state().lateAnswer,
+                              {event, route->second.request});
     if (event.kind == EngineEvent::Kind::Finished)
         m_routes.erase(route);
 }
 
-void EngineRunner::noteEvent(const EngineEvent &event, Route &route)
+void EngineRunner::recordEvent(const EngineEvent &event, Route &route)
 {
     if (event.kind == EngineEvent::Kind::Started) {
         route.running = true;
@@ -139,9 +139,9 @@
             first = &route;
             continue;
         }
-        if (!m_faults.takeAnswerSwap())
+        if (!m_faults.consumeAnswerSwap())
             return;
-        std::swap(first->stream, route.stream);
+        std::swap(first->queue, route.queue);
         first = nullptr;
     }
 }
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -85,7 +85,7 @@
     return m_frozenUntil;
 }
 
-bool Faults::takeAnswerSwap()
+bool Faults::consumeAnswerSwap()
 {
     absl::MutexLock lock(&m_mutex);
     if (m_state.swapAnswers <= 0)
--- a/src/fakes/servicemodel.cpp
+++ b/src/fakes/servicemodel.cpp
@@ -16,12 +16,12 @@
 {
     absl::MutexLock lock(&m_mutex);
     const std::int64_t ticket = m_nextTicket;
-    BOOST_LEAF_CHECK(takeSlot(ticket));
+    BOOST_LEAF_CHECK(acquireSlot(ticket));
     m_running[ticket] = &answer;
     recordLoad();
     started();
     swapAnswers();
-    work();
+    waitServiceTime();
     m_running.erase(ticket);
     recordLoad();
     m_changed.SignalAll();
@@ -34,7 +34,7 @@
     return m_history.report(m_clock.now());
 }
 
-Result<void> ServiceModel::takeSlot(std::int64_t ticket)
+Result<void> ServiceModel::acquireSlot(std::int64_t ticket)
 {
     if (m_nextTicket - m_servedTickets >= m_settings.maxWaiting)
         return fail(notRun(ErrorCode::UpstreamBusy, "queue is full"));
@@ -48,7 +48,7 @@
     return {};
 }
 
-void ServiceModel::work()
+void ServiceModel::waitServiceTime()
 {
     const absl::Time end = m_clock.now() + m_faults.state().slowFactor * m_settings.serviceTime;
     for (absl::Duration left = end - m_clock.now(); left > absl::ZeroDuration();
@@ -58,7 +58,7 @@
 
 void ServiceModel::swapAnswers()
 {
-    if (m_running.size() < 2 || !m_faults.takeAnswerSwap())
+    if (m_running.size() < 2 || !m_faults.consumeAnswerSwap())
         return;
     std::swap(*m_running.begin()->second, *m_running.rbegin()->second);
 }
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -238,9 +238,10 @@
     bool upstreamsReadable = true;
 };
 
-FleetService::FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &list,
-                           FleetServiceSettings settings, const Clock &clock)
-    : m_impl(std::make_shared<Impl>(loop, replica, list, settings, clock))
+FleetService::FleetService(net::EventLoop &loop, GroupReplica &replica,
+                           UpstreamDiscovery &discovery, FleetServiceSettings settings,
+                           const Clock &clock)
+    : m_impl(std::make_shared<Impl>(loop, replica, discovery, settings, clock))
 {}
 
 FleetService::~FleetService()
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -37,7 +37,7 @@
 {
     m_term = term;
     m_sequence = 1;
-    m_begunAt = now;
+    m_termStartedAt = now;
     m_hasAllMembers = false;
     m_upstreamsKnown = false;
     m_upstreams.clear();
@@ -58,7 +58,7 @@
     const std::string document = hasDocument ? records.configuration : m_records.configuration;
     m_records = records;
     m_records.configuration = document;
-    changed();
+    incrementSequence();
 }
 
 void FleetView::setUpstreams(std::vector<wire::FleetUpstream> upstreams)
@@ -70,7 +70,7 @@
     if (isSame)
         return;
     m_upstreams = std::move(upstreams);
-    changed();
+    incrementSequence();
 }
 
 void FleetView::recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now)
@@ -79,58 +79,58 @@
         return;
     if (request.leaving) {
         if (m_members.erase(request.self.instance) > 0)
-            changed();
+            incrementSequence();
         return;
     }
     const bool leadsStores = request.leadsStores && request.storeTerm >= m_storeTerm;
     if (leadsStores)
-        noteStoreLeader(request);
-    Known &known = m_members[request.self.instance];
+        updateStoreLeader(request);
+    MemberEntry &memberEntry = m_members[request.self.instance];
     wire::FleetMemberStatus status;
     status.member = request.self;
     status.alive = true;
     status.leadsStores = leadsStores;
-    if (!sameMember(known.live, status))
-        changed();
-    known.live = std::move(status);
-    known.heardAt = now;
+    if (!sameMember(memberEntry.live, status))
+        incrementSequence();
+    memberEntry.live = std::move(status);
+    memberEntry.lastHeartbeatAt = now;
 }
 
 /// A former leader of the store group that is partitioned or has stopped counts as alive until the
 /// member timeout. Therefore only the leader of the highest term is reported as the store leader.
-void FleetView::noteStoreLeader(const wire::FleetSyncRequest &request)
+void FleetView::updateStoreLeader(const wire::FleetSyncRequest &request)
 {
     m_storeTerm = request.storeTerm;
     if (m_storeReplicas != request.storeReplicas) {
         m_storeReplicas = request.storeReplicas;
-        changed();
+        incrementSequence();
     }
-    for (auto &[instance, known] : m_members) {
-        if (known.live.leadsStores && instance != request.self.instance) {
-            known.live.leadsStores = false;
-            changed();
+    for (auto &[instance, memberEntry] : m_members) {
+        if (memberEntry.live.leadsStores && instance != request.self.instance) {
+            memberEntry.live.leadsStores = false;
+            incrementSequence();
         }
     }
 }
 
 void FleetView::expire(absl::Time now)
 {
-    if (!m_hasAllMembers && now - m_begunAt > m_memberTimeout) {
+    if (!m_hasAllMembers && now - m_termStartedAt > m_memberTimeout) {
         m_hasAllMembers = true;
-        changed();
+        incrementSequence();
     }
     for (auto entry = m_members.begin(); entry != m_members.end();) {
-        Known &known = entry->second;
-        const absl::Duration sinceHeartbeat = now - known.heardAt;
-        if (known.live.alive && sinceHeartbeat > m_memberTimeout) {
-            known.live.alive = false;
-            known.live.leadsStores = false;
-            changed();
+        MemberEntry &memberEntry = entry->second;
+        const absl::Duration sinceHeartbeat = now - memberEntry.lastHeartbeatAt;
+        if (memberEntry.live.alive && sinceHeartbeat > m_memberTimeout) {
+            memberEntry.live.alive = false;
+            memberEntry.live.leadsStores = false;
+            incrementSequence();
         }
         const bool isExpired = sinceHeartbeat > m_memberTimeout * removalTimeouts;
         entry = isExpired ? m_members.erase(entry) : std::next(entry);
         if (isExpired)
-            changed();
+            incrementSequence();
     }
 }
 
@@ -155,8 +155,8 @@
         response.configuration = m_records.configuration;
     if (isCurrent(request))
         return response;
-    for (const auto &[instance, known] : m_members) {
-        wire::FleetMemberStatus status = known.live;
+    for (const auto &[instance, memberEntry] : m_members) {
+        wire::FleetMemberStatus status = memberEntry.live;
         const std::string &replica = status.member.replica;
         status.retiring = isRetiring(replica);
         status.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
@@ -173,10 +173,10 @@
 std::vector<VoterCandidate> FleetView::voterCandidates(wire::MemberRole role) const
 {
     std::vector<VoterCandidate> candidates;
-    for (const auto &[instance, known] : m_members) {
-        const wire::FleetMember &member = known.live.member;
+    for (const auto &[instance, memberEntry] : m_members) {
+        const wire::FleetMember &member = memberEntry.live.member;
         if (m_hasAllMembers && member.role == role)
-            candidates.push_back({member.replica, member.failureDomain, known.live.alive,
+            candidates.push_back({member.replica, member.failureDomain, memberEntry.live.alive,
                                   isRetiring(member.replica)});
     }
     return candidates;
@@ -187,12 +187,12 @@
     std::vector<std::string> founders;
     if (!m_records.storeFounders.empty())
         return founders;
-    for (const auto &[instance, known] : m_members) {
-        const bool isStore = known.live.member.role == wire::MemberRole::Store;
-        if (isStore && known.live.alive && founders.size() < targetFounders)
-            founders.push_back(known.live.member.replica);
+    for (const auto &[instance, memberEntry] : m_members) {
+        const bool isStore = memberEntry.live.member.role == wire::MemberRole::Store;
+        if (isStore && memberEntry.live.alive && founders.size() < targetFounders)
+            founders.push_back(memberEntry.live.member.replica);
     }
-    const bool timedOut = now - m_begunAt >= foundingTimeout;
+    const bool timedOut = now - m_termStartedAt >= foundingTimeout;
     if (founders.size() < targetFounders && !timedOut)
         founders.clear();
     return founders;
--- a/src/fleet/replicaidentity.cpp
+++ b/src/fleet/replicaidentity.cpp
@@ -105,7 +105,7 @@
 }
 
 Result<ReplicaIdentity> loadOrCreateIdentity(const std::string &folder,
-                                             const ReplicaIdentity &fresh)
+                                             const ReplicaIdentity &newIdentity)
 {
     if (mkdir(folder.c_str(), 0750) != 0 && errno != EEXIST)
         return fail(ioFailure("cannot create", folder));
@@ -116,8 +116,8 @@
         text << file.rdbuf();
         return parseIdentity(text.str(), path);
     }
-    BOOST_LEAF_CHECK(saveIdentity(folder, fresh));
-    return fresh;
+    BOOST_LEAF_CHECK(saveIdentity(folder, newIdentity));
+    return newIdentity;
 }
 
 } // namespace rattanrill::fleet
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -133,7 +133,7 @@
         return readResults(exchange, *read, workspace.name);
     if (const auto *item = std::get_if<serving::ReadItemCall>(&call.value()))
         return readItem(exchange, *item, workspace.name);
-    endJob(exchange, std::get<serving::CancelJobCall>(call.value()), workspace.name);
+    cancelJob(exchange, std::get<serving::CancelJobCall>(call.value()), workspace.name);
 }
 
 void Gateway::submit(const std::shared_ptr<net::Exchange> &exchange, wire::JobRecord job,
@@ -180,8 +180,8 @@
             });
 }
 
-void Gateway::endJob(const std::shared_ptr<net::Exchange> &exchange,
-                     const serving::CancelJobCall &call, const std::string &workspace)
+void Gateway::cancelJob(const std::shared_ptr<net::Exchange> &exchange,
+                        const serving::CancelJobCall &call, const std::string &workspace)
 {
     m_jobs.cancel(wire::EndJobRequest{workspace, call.job}, storeTimeout,
                   [this, exchange, id = call.job](const Outcome<Done> &outcome) {
--- a/src/gateway/processcore.cpp
+++ b/src/gateway/processcore.cpp
@@ -16,7 +16,7 @@
 /// an upstream that has not recovered costs a part of the latency objective.
 const policy::OutlierSettings upstreamOutlier = [] {
     policy::OutlierSettings settings;
-    settings.failuresInRow = 2;
+    settings.consecutiveFailures = 2;
     settings.firstEjection = absl::Milliseconds(500);
     settings.maxEjection = absl::Seconds(3);
     settings.rampUpTime = absl::Seconds(1);
--- a/src/gateway/runprocess.cpp
+++ b/src/gateway/runprocess.cpp
@@ -15,9 +15,9 @@
 } // namespace
 
 int runProcess(const ProcessSettings &settings, const ProcessContext &processContext,
-               ProcessFactory make, std::function<std::vector<std::string>()> readSeeds)
+               ProcessFactory makeProcess, std::function<std::vector<std::string>()> readSeeds)
 {
-    const std::unique_ptr<Process> process = make(settings, processContext);
+    const std::unique_ptr<Process> process = makeProcess(settings, processContext);
     bool isStopping = false;
     const auto reload = [&, readSeeds = std::move(readSeeds)] {
         const std::vector<std::string> seeds = readSeeds();
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 BatchAllowance::BatchAllowance(const SchedulerSettings &settings)
-    : m_lagSeconds(absl::ToDoubleSeconds(settings.loadLag))
+    : m_lagSeconds(absl::ToDoubleSeconds(settings.loadReportDelay))
     , m_prefillTokensPerSecond(settings.prefillTokensPerSecond)
     , m_reserveDeviations(interpolate(1, 2.5, settings.onlineTailWeight))
     , m_prefillRateFactor(interpolate(0.9, 2, settings.onlineTailWeight))
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -29,7 +29,7 @@
         return;
     m_load = load;
     m_reportedAt = reportedAt;
-    ++m_reports;
+    ++m_reportCount;
     while (!m_changes.empty() && m_changes.front().at <= reportedAt)
         dropOldestChange();
 }
@@ -37,13 +37,13 @@
 void EngineState::taskStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                               std::int64_t totalTokens)
 {
-    m_ownPrefill[index(kind)] += prefillTokens;
+    m_localPrefillTokens[index(kind)] += prefillTokens;
     addChange({now, kind, 1, totalTokens});
 }
 
 void EngineState::firstToken(TaskKind kind, std::int64_t prefillTokens)
 {
-    m_ownPrefill[index(kind)] -= prefillTokens;
+    m_localPrefillTokens[index(kind)] -= prefillTokens;
 }
 
 void EngineState::taskEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens)
@@ -53,17 +53,17 @@
 
 std::int64_t EngineState::localTasks(TaskKind kind) const
 {
-    return m_own[index(kind)];
+    return m_localTasks[index(kind)];
 }
 
 std::int64_t EngineState::localPrefillTokens(TaskKind kind) const
 {
-    return m_ownPrefill[index(kind)];
+    return m_localPrefillTokens[index(kind)];
 }
 
 std::int64_t EngineState::localTaskChange(TaskKind kind) const
 {
-    return m_ownChange[index(kind)];
+    return m_localTaskChange[index(kind)];
 }
 
 double EngineState::reportedRequests() const
@@ -94,8 +94,8 @@
 
 void EngineState::addChange(const Change &change)
 {
-    m_own[index(change.kind)] += change.delta;
-    m_ownChange[index(change.kind)] += change.delta;
+    m_localTasks[index(change.kind)] += change.delta;
+    m_localTaskChange[index(change.kind)] += change.delta;
     m_changedTokens += change.tokens;
     m_changes.push_back(change);
     while (m_changes.front().at < change.at - changeLifetime)
@@ -105,7 +105,7 @@
 void EngineState::dropOldestChange()
 {
     const Change &oldest = m_changes.front();
-    m_ownChange[index(oldest.kind)] -= oldest.delta;
+    m_localTaskChange[index(oldest.kind)] -= oldest.delta;
     m_changedTokens -= oldest.tokens;
     m_changes.pop_front();
 }
--- a/src/policy/outlierdetector.cpp
+++ b/src/policy/outlierdetector.cpp
@@ -22,15 +22,15 @@
 
 void OutlierDetector::succeeded(absl::Time now)
 {
-    m_failuresInRow = 0;
+    m_consecutiveFailures = 0;
     if (now > m_ejectedUntil + m_settings.rampUpTime)
         m_ejections = 0;
 }
 
 void OutlierDetector::failed(absl::Time now, bool crashed)
 {
-    ++m_failuresInRow;
-    if (crashed || m_failuresInRow >= m_settings.failuresInRow)
+    ++m_consecutiveFailures;
+    if (crashed || m_consecutiveFailures >= m_settings.consecutiveFailures)
         eject(now);
 }
 
@@ -61,7 +61,7 @@
     const absl::Duration ejection = m_settings.firstEjection * (1 << std::min(m_ejections, 10));
     m_ejectedUntil = now + std::min(ejection, m_settings.maxEjection);
     ++m_ejections;
-    m_failuresInRow = 0;
+    m_consecutiveFailures = 0;
     m_samples = 0;
 }
 
--- a/src/policy/prefixindex.cpp
+++ b/src/policy/prefixindex.cpp
@@ -24,12 +24,12 @@
     for (const CacheEvent &event : events) {
         const bool gap = cache.nextSequence != 0 && event.sequence > cache.nextSequence;
         if (gap)
-            afterGap(now, cache);
+            halveLifetimes(now, cache);
         cache.nextSequence = std::max(cache.nextSequence, event.sequence + 1);
         if (event.kind == CacheEvent::Kind::Stored)
             store(now, cache, event.prefixHash, event.tokens);
         else
-            cache.guesses.erase(event.prefixHash);
+            cache.estimates.erase(event.prefixHash);
     }
     trim(now, cache);
 }
@@ -58,38 +58,38 @@
     if (cache == m_caches.end())
         return 0;
     for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash) {
-        const auto guess = cache->second.guesses.find(*hash);
-        if (guess != cache->second.guesses.end() && guess->second.expires > now)
-            return guess->second.tokens;
+        const auto estimate = cache->second.estimates.find(*hash);
+        if (estimate != cache->second.estimates.end() && estimate->second.expires > now)
+            return estimate->second.tokens;
     }
     return 0;
 }
 
 void PrefixIndex::store(absl::Time now, Cache &cache, std::uint64_t hash, std::int64_t tokens)
 {
-    cache.guesses[hash] = Guess{tokens, now + m_lifetime};
+    cache.estimates[hash] = Estimate{tokens, now + m_lifetime};
 }
 
-void PrefixIndex::afterGap(absl::Time now, Cache &cache) const
+void PrefixIndex::halveLifetimes(absl::Time now, Cache &cache) const
 {
-    for (auto &[hash, guess] : cache.guesses)
-        guess.expires = now + std::max(guess.expires - now, absl::ZeroDuration()) / 2;
+    for (auto &[hash, estimate] : cache.estimates)
+        estimate.expires = now + std::max(estimate.expires - now, absl::ZeroDuration()) / 2;
 }
 
 void PrefixIndex::trim(absl::Time now, Cache &cache) const
 {
-    if (cache.guesses.size() <= m_limit)
+    if (cache.estimates.size() <= m_limit)
         return;
     // At half its lifetime, a guess is worth less than the memory that it uses.
     const absl::Time limit = now + m_lifetime / 2;
-    for (auto guess = cache.guesses.begin(); guess != cache.guesses.end();) {
-        if (guess->second.expires < limit)
-            guess = cache.guesses.erase(guess);
+    for (auto estimate = cache.estimates.begin(); estimate != cache.estimates.end();) {
+        if (estimate->second.expires < limit)
+            estimate = cache.estimates.erase(estimate);
         else
-            ++guess;
+            ++estimate;
     }
-    if (cache.guesses.size() > m_limit)
-        cache.guesses.clear();
+    if (cache.estimates.size() > m_limit)
+        cache.estimates.clear();
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -63,8 +63,8 @@
     record->roundingOffset = std::uniform_real_distribution<double>(0, 1)(m_state->random);
 }
 
-void Scheduler::cacheEvents(absl::Time now, const std::string &engine,
-                            const std::vector<CacheEvent> &events)
+void Scheduler::cacheEventsReported(absl::Time now, const std::string &engine,
+                                    const std::vector<CacheEvent> &events)
 {
     m_state->prefixes.apply(now, engine, events);
 }
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -77,7 +77,7 @@
         service(info.service).upstreams.push_back(upstream.get());
     }
     for (auto entry = m_upstreams.begin(); entry != m_upstreams.end();) {
-        const bool isUnused = entry->second->removed && entry->second->held() == 0;
+        const bool isUnused = entry->second->removed && entry->second->occupiedSlots() == 0;
         entry = isUnused ? m_upstreams.erase(entry) : std::next(entry);
     }
 }
@@ -106,7 +106,7 @@
     if (isOnline(task)) {
         item.queue = Queue::Online;
         service.online[task.priority].push(task.workspace, item.number, now);
-        m_onlineDue.emplace(task.deadline, item.number);
+        m_onlineDeadlines.emplace(task.deadline, item.number);
         ++service.onlineWaiting;
         return;
     }
@@ -152,7 +152,7 @@
         return;
     case Queue::Online:
         service.online[item.task.priority].remove(item.number);
-        m_onlineDue.erase({item.task.deadline, item.number});
+        m_onlineDeadlines.erase({item.task.deadline, item.number});
         --service.onlineWaiting;
         return;
     case Queue::Batch:
@@ -170,20 +170,20 @@
     --service.batchWaiting;
 }
 
-void SlotScheduler::forget(Item &item)
+void SlotScheduler::removeItem(Item &item)
 {
     m_numbers.erase(item.number);
     m_items.erase(std::string(item.task.id));
 }
 
-void SlotScheduler::leaveSlot(Item &item)
+void SlotScheduler::releaseSlot(Item &item)
 {
     Upstream &upstream = *item.upstream;
     upstream.online.erase(&item);
     upstream.batch.erase(&item);
     upstream.probes -= std::exchange(item.isProbe, false) ? 1 : 0;
     item.upstream = nullptr;
-    if (upstream.removed && upstream.held() == 0)
+    if (upstream.removed && upstream.occupiedSlots() == 0)
         m_upstreams.erase(std::string(upstream.info.id));
 }
 
@@ -198,7 +198,7 @@
     if (reason == ReleaseReason::Completed)
         item.upstream->outlier.succeeded(now);
     else if (reason == ReleaseReason::Unreachable
-             || (reason == ReleaseReason::Failed && !isOverfull(now, *item.upstream)))
+             || (reason == ReleaseReason::Failed && !isOvercommitted(now, *item.upstream)))
         item.upstream->outlier.failed(now, reason == ReleaseReason::Unreachable);
     if (reason == ReleaseReason::Completed) {
         Service &taskService = service(item.task.service);
@@ -207,8 +207,8 @@
         const absl::Duration holdTime = item.task.priorRunTime + (now - item.since);
         mean = mean == absl::ZeroDuration() ? holdTime : mean + (holdTime - mean) * sampleWeight;
     }
-    leaveSlot(item);
-    forget(item);
+    releaseSlot(item);
+    removeItem(item);
 }
 
 void SlotScheduler::cancel(const std::string &task)
@@ -220,8 +220,8 @@
     if (item.upstream == nullptr)
         dequeue(service(item.task.service), item);
     else
-        leaveSlot(item);
-    forget(item);
+        releaseSlot(item);
+    removeItem(item);
 }
 
 void SlotScheduler::loadReported(absl::Time now, const std::string &upstream, std::int64_t requests)
@@ -231,14 +231,14 @@
         return;
     auto &reports = found->second->reports;
     reports[0] = reports[1];
-    reports[1] = {now, std::max<std::int64_t>(requests - found->second->held(), 0)};
+    reports[1] = {now, std::max<std::int64_t>(requests - found->second->occupiedSlots(), 0)};
 }
 
 /// Returns true when requests of other senders occupy slots that this scheduler has granted too. A
 /// task that gets no response there does not indicate a fault of the upstream.
-bool SlotScheduler::isOverfull(absl::Time now, const Upstream &upstream) const
+bool SlotScheduler::isOvercommitted(absl::Time now, const Upstream &upstream) const
 {
-    return upstream.held() + foreign(now, upstream) > upstream.info.slots;
+    return upstream.occupiedSlots() + foreignRequests(now, upstream) > upstream.info.slots;
 }
 
 bool SlotScheduler::isLoadUnknown(absl::Time now, const Upstream &upstream) const
@@ -247,16 +247,16 @@
            && upstream.reports[1].at < m_takeoverAt;
 }
 
-std::int64_t SlotScheduler::foreign(absl::Time now, const Upstream &upstream) const
+std::int64_t SlotScheduler::foreignRequests(absl::Time now, const Upstream &upstream) const
 {
     const auto &reports = upstream.reports;
     const bool isFirst =
             reports[0].at < m_takeoverAt && now - m_takeoverAt < m_settings.takeoverGracePeriod;
     if (isFirst && reports[1].at >= m_takeoverAt)
-        return reports[1].foreign;
+        return reports[1].foreignRequests;
     if (now - reports[0].at > m_settings.reportLifetime)
         return 0;
-    return std::min(reports[0].foreign, reports[1].foreign);
+    return std::min(reports[0].foreignRequests, reports[1].foreignRequests);
 }
 
 bool SlotScheduler::accepts(absl::Time now, const Upstream &upstream, const Item &item) const
@@ -281,7 +281,7 @@
         const double share = upstream->outlier.trafficShare(now);
         const auto capacity = static_cast<std::int64_t>(
                 std::ceil(static_cast<double>(upstream->info.slots) * share));
-        const std::int64_t load = upstream->held() + foreign(now, *upstream);
+        const std::int64_t load = upstream->occupiedSlots() + foreignRequests(now, *upstream);
         if (!accepts(now, *upstream, item) || load >= capacity - onlineReserve)
             continue;
         if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.probes)
@@ -325,8 +325,8 @@
             [&](const Item *left, const Item *right) { return runTime(left) < runTime(right); });
     Item &item = **least;
     m_decisions.emplace_back(PreemptSlot{item.task.id});
-    leaveSlot(item);
-    forget(item);
+    releaseSlot(item);
+    removeItem(item);
 }
 
 void SlotScheduler::grant(absl::Time now, Service &service, Item &item, Upstream &upstream)
@@ -389,7 +389,7 @@
 
 /// Moves tasks that can no longer meet their deadline to the late queue: all interrupted ones, and
 /// those at the front of the batch queue.
-void SlotScheduler::moveLate(absl::Time now, Service &service)
+void SlotScheduler::moveLateTasks(absl::Time now, Service &service)
 {
     const auto late =
             std::stable_partition(service.interrupted.begin(), service.interrupted.end(),
@@ -410,7 +410,7 @@
 /// a late one. Every grantsPerLateTask grants, a late task goes first.
 SlotScheduler::Item *SlotScheduler::nextBatch(absl::Time now, Service &service)
 {
-    moveLate(now, service);
+    moveLateTasks(now, service);
     const std::optional<TaskId> late = service.late.front();
     if (late && service.grantsSinceLate >= grantsPerLateTask)
         return itemOf(*late);
@@ -440,7 +440,7 @@
     std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams) {
         if (!upstream->info.leaving && isLoadUnknown(now, *upstream))
-            slots += std::max<std::int64_t>(upstream->info.slots - upstream->held(), 0);
+            slots += std::max<std::int64_t>(upstream->info.slots - upstream->occupiedSlots(), 0);
     }
     return slots;
 }
@@ -459,20 +459,20 @@
                     spacing(service) * static_cast<double>(std::max<std::int64_t>(ahead, 0));
             if (now + wait <= item.task.deadline)
                 break;
-            refuse(now, service, item);
+            reject(now, service, item);
         }
     }
 }
 
 void SlotScheduler::rejectExpired(absl::Time now)
 {
-    while (!m_onlineDue.empty() && m_onlineDue.begin()->first <= now) {
-        Item &item = *itemOf(m_onlineDue.begin()->second);
-        refuse(now, service(item.task.service), item);
+    while (!m_onlineDeadlines.empty() && m_onlineDeadlines.begin()->first <= now) {
+        Item &item = *itemOf(m_onlineDeadlines.begin()->second);
+        reject(now, service(item.task.service), item);
     }
 }
 
-void SlotScheduler::refuse(absl::Time now, Service &service, Item &item)
+void SlotScheduler::reject(absl::Time now, Service &service, Item &item)
 {
     absl::Duration wait = noUpstreamRetryAfter;
     const absl::Duration interval = spacing(service);
@@ -484,7 +484,7 @@
     }
     m_decisions.emplace_back(RejectSlot{item.task.id, wait});
     dequeue(service, item);
-    forget(item);
+    removeItem(item);
 }
 
 std::vector<SlotDecision> SlotScheduler::decide(absl::Time now)
@@ -502,7 +502,7 @@
 
 absl::Time SlotScheduler::nextDecision() const
 {
-    return m_onlineDue.empty() ? absl::InfiniteFuture() : m_onlineDue.begin()->first;
+    return m_onlineDeadlines.empty() ? absl::InfiniteFuture() : m_onlineDeadlines.begin()->first;
 }
 
 std::size_t SlotScheduler::waiting(const std::string &service, TaskKind kind) const
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -140,7 +140,7 @@
     SchedulerSettings settings;
     settings.failureDomain = concat("domain-", entry.domain);
     settings.onlineTailWeight = m_options.onlineTailWeight.value_or(m_deployment.onlineTailWeight);
-    settings.loadLag = m_deployment.engine.reportInterval + m_deployment.engine.reportLag;
+    settings.loadReportDelay = m_deployment.engine.reportInterval + m_deployment.engine.reportLag;
     return settings;
 }
 
--- a/src/policybench/schedulerpolicy.h
+++ b/src/policybench/schedulerpolicy.h
@@ -36,7 +36,7 @@
     }
     void cacheEvent(absl::Time now, const std::string &engine, const CacheEvent &event) override
     {
-        m_scheduler.cacheEvents(now, engine, {event});
+        m_scheduler.cacheEventsReported(now, engine, {event});
     }
     void arrived(absl::Time now, const Task &task) override { m_scheduler.arrived(now, task); }
     void firstToken(absl::Time now, TaskId task, int attempt) override
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -199,7 +199,7 @@
     return Done{};
 }
 
-std::uint64_t ServiceClient::droppedAnswers() const
+std::uint64_t ServiceClient::droppedResponses() const
 {
     return m_impl->dropped;
 }
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -65,7 +65,7 @@
     const absl::Time now = m_clock.now();
     for (const Workspace &workspace : m_deployment->deployment().workspaces) {
         const policy::RateContract contract = contractOf(workspace);
-        const auto [found, isNew] = m_buckets.try_emplace(workspace.name, freshBucket(contract));
+        const auto [found, isNew] = m_buckets.try_emplace(workspace.name, initialBucket(contract));
         if (!isNew)
             found->second.setContract(now, contract);
     }
@@ -73,7 +73,7 @@
 
 /// Returns the rate bucket with which a broker starts. It holds less than the burst, because the
 /// previous broker may just have granted the whole burst.
-policy::TokenBucket SlotBroker::freshBucket(const policy::RateContract &contract) const
+policy::TokenBucket SlotBroker::initialBucket(const policy::RateContract &contract) const
 {
     const double window = absl::ToDoubleSeconds(m_settings.rateWindow);
     const double tolerance =
@@ -113,24 +113,25 @@
     return &m_buckets.at(workspace);
 }
 
-void SlotBroker::acquire(const wire::SlotRequest &request, ResponseCallback answer)
+void SlotBroker::acquire(const wire::SlotRequest &request, ResponseCallback callback)
 {
     const absl::Time now = m_clock.now();
     const std::string id = taskId(request.instance, request.requestId);
     const auto existing = m_online.find(id);
     if (request.again && existing != m_online.end()) {
-        existing->second.answer = std::move(answer);
-        if (const auto decided = std::exchange(existing->second.decided, std::nullopt))
-            return respond(id, *decided);
+        existing->second.callback = std::move(callback);
+        if (const auto pendingResponse =
+                    std::exchange(existing->second.pendingResponse, std::nullopt))
+            return respond(id, *pendingResponse);
         return startWaitTimer(id);
     }
     removeRequest(id);
-    Online &online = m_online[id];
+    OnlineRequest &online = m_online[id];
     online.instance = request.instance;
     online.workspace = request.workspace;
     online.chargesRate = request.chargesRate;
     online.expires = now + absl::Milliseconds(request.deadlineMs) + m_settings.releaseSlack;
-    online.answer = std::move(answer);
+    online.callback = std::move(callback);
     policy::TokenBucket *rateBucket = request.chargesRate ? bucket(request.workspace) : nullptr;
     if (rateBucket != nullptr && rateBucket->level(now) < 1)
         return rejectOverRate(id, absl::Seconds((1 - rateBucket->level(now))
@@ -157,7 +158,7 @@
 void SlotBroker::startWaitTimer(const std::string &id)
 {
     const auto found = m_online.find(id);
-    if (found == m_online.end() || !found->second.answer)
+    if (found == m_online.end() || !found->second.callback)
         return;
     found->second.waitTimer = m_timers.subscribeOnce(m_settings.maxResponseDelay, [this, id] {
         const auto pending = m_online.find(id);
@@ -166,8 +167,8 @@
         pending->second.waitTimer = 0;
         wire::SlotResponse response;
         response.verdict = wire::SlotOutcome::Waiting;
-        if (const ResponseCallback answer = std::exchange(pending->second.answer, nullptr))
-            answer(response);
+        if (const ResponseCallback callback = std::exchange(pending->second.callback, nullptr))
+            callback(response);
     });
 }
 
@@ -178,18 +179,18 @@
     const auto found = m_online.find(id);
     if (found == m_online.end())
         return;
-    Online &online = found->second;
+    OnlineRequest &online = found->second;
     online.isGranted = response.verdict == wire::SlotOutcome::Granted;
     if (online.waitTimer != 0)
         m_timers.unsubscribe(std::exchange(online.waitTimer, 0));
-    const ResponseCallback answer = std::exchange(online.answer, nullptr);
-    if (!answer) {
-        online.decided = response;
+    const ResponseCallback callback = std::exchange(online.callback, nullptr);
+    if (!callback) {
+        online.pendingResponse = response;
         return;
     }
     if (!online.isGranted)
         m_online.erase(found);
-    answer(response);
+    callback(response);
 }
 
 /// Removes a request. If a response is pending, the requester receives the outcome NoSlot.
@@ -200,7 +201,7 @@
         return;
     if (found->second.waitTimer != 0)
         m_timers.unsubscribe(found->second.waitTimer);
-    const ResponseCallback pending = std::exchange(found->second.answer, nullptr);
+    const ResponseCallback pending = std::exchange(found->second.callback, nullptr);
     m_online.erase(found);
     if (pending)
         pending(wire::SlotResponse());
@@ -229,7 +230,7 @@
         m_scheduler.adopt(now, task, slot.upstream);
         if (!m_scheduler.contains(id))
             continue;
-        Online &online = m_online[id];
+        OnlineRequest &online = m_online[id];
         online.instance = held.instance;
         online.workspace = slot.workspace;
         online.isGranted = true;
@@ -305,7 +306,7 @@
     const auto found = m_online.find(decision.task);
     if (found == m_online.end())
         return m_scheduler.cancel(decision.task);
-    Online &online = found->second;
+    OnlineRequest &online = found->second;
     policy::TokenBucket *rateBucket = online.chargesRate ? bucket(online.workspace) : nullptr;
     if (rateBucket != nullptr) {
         const policy::RateGrant grant = rateBucket->take(m_clock.now(), 1);
--- a/tests/fleet/membershipchange_test.cpp
+++ b/tests/fleet/membershipchange_test.cpp
@@ -141,8 +141,9 @@
 {
     const auto folder = std::filesystem::temp_directory_path() / "rattanrill-identity-test";
     std::filesystem::remove_all(folder);
-    const auto load = [&](const ReplicaIdentity &fresh) {
-        const auto loaded = outcomeOf([&] { return loadOrCreateIdentity(folder.string(), fresh); });
+    const auto load = [&](const ReplicaIdentity &newIdentity) {
+        const auto loaded =
+                outcomeOf([&] { return loadOrCreateIdentity(folder.string(), newIdentity); });
         BOOST_REQUIRE(loaded.ok());
         return loaded.value();
     };
