--- a/src/ctl/commandtable.cpp
+++ b/src/ctl/commandtable.cpp
@@ -5,21 +5,21 @@
 namespace rattanrill::ctl {
 namespace {
 
-constexpr const char *readErrors = "`no_quorum` or `not_leader` when no instance leads.";
+constexpr const char *readErrors = "`no_quorum` or `not_leader` when the group has no leader.";
 constexpr const char *writeErrors =
-        "`conflict` when the record has another revision than the base revision; "
-        "`duplicate_request` when the request id belongs to another write; `invalid_request`.";
+        "`conflict` when the revision of the record differs from the base revision; "
+        "`duplicate_request` when the request id was used for another write; `invalid_request`.";
 constexpr const char *removeErrors =
-        "`not_found`; `conflict` when the record has another revision than the base revision.";
+        "`not_found`; `conflict` when the revision of the record differs from the base revision.";
 
 CommandSpec listCommand(const std::string &noun, const std::string &path,
-                        const std::string &summary, const std::string &text,
+                        const std::string &summary, const std::string &description,
                         std::vector<std::string> columns)
 {
     CommandSpec spec;
     spec.words = noun + " list";
     spec.summary = summary;
-    spec.description = text;
+    spec.description = description;
     spec.errors = readErrors;
     spec.example = "rattanrillctl " + spec.words;
     spec.method = "GET";
@@ -48,15 +48,16 @@
     spec.summary = "Write the contract of a workspace";
     spec.description =
             "Writes a new contract or replaces the whole contract of the workspace. Rate and "
-            "burst hold over the whole fleet.";
+            "burst apply to the whole fleet.";
     spec.positionals = {{"WORKSPACE", "", ValueKind::Text, "name of the workspace"}};
     spec.options = {
             {"--rate", "N", ValueKind::Number, "rate_per_second", "requests per second", "", true},
             {"--burst", "N", ValueKind::Number, "burst",
              "requests that may exceed the rate at once", "", true},
             {"--batch-share", "N", ValueKind::Number, "batch_share",
-             "weight of the workspace's batch work against that of others; 0 grants none", "0",
-             false},
+             "weight of the workspace's batch work relative to other workspaces; 0 grants no batch "
+             "work",
+             "0", false},
             {"--retention-seconds", "N", ValueKind::Integer, "retention_seconds",
              "how long batch results stay readable after the job has ended, in seconds",
              "604800 (7 days)", false},
@@ -73,8 +74,8 @@
 {
     CommandSpec spec = writeCommand("contract withdraw", "DELETE", "contracts", "workspace");
     spec.summary = "Withdraw a contract and its keys";
-    spec.description =
-            "The workspace is granted nothing any more; all its keys are withdrawn with it.";
+    spec.description = "Revokes everything that the contract grants to the workspace, and "
+                       "withdraws all its keys.";
     spec.positionals = {{"WORKSPACE", "", ValueKind::Text, "name of the workspace"}};
     spec.example = "rattanrillctl contract withdraw lantern-crew";
     return spec;
@@ -85,11 +86,13 @@
     CommandSpec spec = writeCommand("key add", "POST", "keys", "");
     spec.summary = "Add a caller's key to a workspace";
     spec.description =
-            "Draws a new key and shows it once; only its hash is stored. When the answer was "
-            "lost and the request is repeated, the key cannot be shown: the command then fails "
-            "and names the key id, to be withdrawn.";
+            "Generates a new key and shows it once; only its hash is stored. When the answer is "
+            "lost and "
+            "the request is repeated, the key cannot be shown again: the command then fails and "
+            "reports the key id, so that the key can be withdrawn.";
     spec.positionals = {{"WORKSPACE", "workspace", ValueKind::Text, "name of the workspace"}};
-    spec.errors = "`not_found` without a contract; `conflict` when the contract is withdrawn.";
+    spec.errors = "`not_found` when the workspace has no contract; `conflict` when the contract is "
+                  "withdrawn.";
     spec.example = "rattanrillctl key add lantern-crew";
     spec.handler = &Session::addKey;
     return spec;
@@ -99,7 +102,7 @@
 {
     CommandSpec spec = writeCommand("key withdraw", "DELETE", "keys", "key_id");
     spec.summary = "Withdraw a key";
-    spec.description = "The key stops working within seconds, also for callers that are connected.";
+    spec.description = "The key stops working within seconds, also on open connections.";
     spec.positionals = {{"KEY_ID", "", ValueKind::Text, "id of the key, from `key list`"}};
     spec.example = "rattanrillctl key withdraw key_0123456789abcdef";
     return spec;
@@ -109,8 +112,8 @@
 {
     CommandSpec spec = writeCommand("config put", "PUT", "configs", "name");
     spec.summary = "Write a configuration value";
-    spec.description =
-            "Writes a new value or replaces one; it is in force everywhere within seconds.";
+    spec.description = "Writes a new value or replaces one; it is in force on all entry instances "
+                       "within seconds.";
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the value"},
                         {"VALUE", "value", ValueKind::Json, "JSON text"}};
     spec.example = "rattanrillctl config put batch '{\"reserve\": 0.2}'";
@@ -123,14 +126,14 @@
     spec.words = "config wait";
     spec.summary = "Wait until a revision is in force on all entry instances";
     spec.description =
-            "Asks the leading control instance until the heartbeats of all members report the "
+            "Polls the leader of the directory until the heartbeats of all members report the "
             "revision.";
     spec.options = {
             {"--revision", "N", ValueKind::Integer, "", "directory revision", "", true},
             {"--timeout", "SECONDS", ValueKind::Number, "", "how long to wait, in seconds", "10",
              false},
     };
-    spec.errors = "`timeout` with the instances that lack the revision.";
+    spec.errors = "`timeout` with the instances on which the revision is not in force.";
     spec.example = "rattanrillctl config wait --revision 42 --timeout 20";
     spec.method = "GET";
     spec.path = "in_force";
@@ -146,23 +149,22 @@
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the route"}};
     spec.options = {
             {"--path-prefix", "PATH", ValueKind::Text, "path_prefix",
-             "start of the callers' paths; whole segments are compared", "", true},
+             "prefix of the request paths; whole segments are compared", "", true},
             {"--service", "NAME", ValueKind::Text, "service", "name of the service", "", true},
-            {"--open", "", ValueKind::Flag, "open", "open to all: no key is asked for", "off",
-             false},
+            {"--open", "", ValueKind::Flag, "open", "requests need no key", "off", false},
             {"--idempotent", "", ValueKind::Flag, "idempotent",
-             "a call may be repeated without a second effect", "off", false},
+             "a repeated call has no further effect", "off", false},
     };
     spec.example = "rattanrillctl route put desk --path-prefix /desk/ --service order-desk";
     return spec;
 }
 
 CommandSpec removeCommand(const std::string &noun, const std::string &path,
-                          const std::string &summary, const std::string &text)
+                          const std::string &summary, const std::string &description)
 {
     CommandSpec spec = writeCommand(noun + " remove", "DELETE", path, "name");
     spec.summary = summary;
-    spec.description = text;
+    spec.description = description;
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the " + noun}};
     spec.example = "rattanrillctl " + spec.words + " example-1";
     return spec;
@@ -173,8 +175,8 @@
     CommandSpec spec = writeCommand("upstream put", "PUT", "upstreams", "name");
     spec.summary = "Write an upstream";
     spec.description =
-            "Adds an engine or a service, or changes one. A leaving upstream gets no new work "
-            "after a few seconds.";
+            "Adds an engine or a service, or changes one. A leaving upstream receives no new "
+            "requests after a few seconds.";
     spec.positionals = {{"NAME", "", ValueKind::Text, "name of the upstream"}};
     spec.options = {
             {"--kind", "engine|service", ValueKind::Text, "kind", "kind of upstream", "engine",
@@ -183,11 +185,12 @@
              true},
             {"--host", "IP", ValueKind::Text, "host", "IP address", "", true},
             {"--port", "N", ValueKind::Integer, "port", "TCP port", "", true},
-            {"--failure-domain", "NAME", ValueKind::Text, "failure_domain", "its failure domain",
-             "", true},
-            {"--state", "active|leaving", ValueKind::Text, "state", "state", "active", false},
+            {"--failure-domain", "NAME", ValueKind::Text, "failure_domain",
+             "failure domain of the upstream", "", true},
+            {"--state", "active|leaving", ValueKind::Text, "state", "state of the upstream",
+             "active", false},
             {"--checks-fence", "", ValueKind::Flag, "checks_fence",
-             "the upstream rejects commands with an old fencing number", "off", false},
+             "the upstream rejects commands with an outdated fencing token", "off", false},
     };
     spec.example = "rattanrillctl upstream put engine-1 --kind engine --serves lamplight-lm "
                    "--host 127.0.30.1 --port 9000 --failure-domain tx-central-a";
@@ -198,8 +201,8 @@
 {
     CommandSpec spec = writeCommand("held release", "DELETE", "held", "fingerprint");
     spec.summary = "Release a held request";
-    spec.description =
-            "The request with this fingerprint may run again; its crashes are forgotten.";
+    spec.description = "The request with this fingerprint may run again; the record of its crashes "
+                       "is deleted.";
     spec.positionals = {{"FINGERPRINT", "", ValueKind::Text, "from `held list`"}};
     spec.example = "rattanrillctl held release 6f1d9c0e";
     return spec;
@@ -210,10 +213,10 @@
     CommandSpec spec;
     spec.words = "status";
     spec.summary = "Show groups, leaders, members and the revision";
-    spec.description =
-            "Shows the groups as the asked instance sees them. The revision is missing when no "
-            "leader confirms it.";
-    spec.errors = "none besides an unreachable instance.";
+    spec.description = "Shows the state of the groups on the instance that answers. The revision "
+                       "is shown only when "
+                       "a leader confirms it.";
+    spec.errors = "None, unless no control instance can be reached.";
     spec.example = "rattanrillctl --json status";
     spec.method = "GET";
     spec.path = "status";
@@ -238,14 +241,16 @@
 {
     CommandSpec spec = writeCommand("replica add", "POST", "replicas", "");
     spec.summary = "Add a replica to a group";
-    spec.description = "The replica receives the state first and votes after it has caught up. The "
+    spec.description = "The replica first receives the state of the group and becomes a voter once "
+                       "it has caught up. The "
                        "settings of all control instances must list it.";
     spec.positionals = {{"GROUP", "group", ValueKind::Text, "directory or batch-N"},
                         {"REPLICA", "replica", ValueKind::Text, "instance name"}};
     spec.options = {{"--replaces", "REPLICA", ValueKind::Text, "replaces",
-                     "replica that is removed in turn", "none", false}};
-    spec.errors = "`invalid_request` for a replica that the settings do not list; `timeout` while "
-                  "it catches up.";
+                     "replica that is removed once the new one is a voter", "none", false}};
+    spec.errors = "`invalid_request` for a replica that the settings do not list; `timeout` when "
+                  "the replica "
+                  "does not catch up in time.";
     spec.example = "rattanrillctl replica add directory control-4 --replaces control-2";
     return spec;
 }
@@ -267,13 +272,14 @@
     CommandSpec spec;
     spec.words = "help";
     spec.summary = "Show commands and options";
-    spec.description = "Without `--markdown` it shows the list of commands; with it, the pages of "
-                       "docs/commands or, with `--command`, one of them.";
+    spec.description = "Shows the list of commands. With `--markdown`, prints the pages of "
+                       "docs/commands or, with "
+                       "`--command` as well, the page of one command.";
     spec.options = {
             {"--markdown", "", ValueKind::Flag, "", "print pages in Markdown", "off", false},
             {"--command", "WORDS", ValueKind::Text, "", "one command, such as \"key add\"", "all",
              false}};
-    spec.errors = "none.";
+    spec.errors = "None.";
     spec.example = "rattanrillctl help --markdown --command \"key add\"";
     spec.handler = &Session::help;
     return spec;
@@ -289,7 +295,7 @@
             contractPut(),
             contractWithdraw(),
             listCommand("key", "keys", "List keys",
-                        "Shows ids and workspaces of all keys, never a key.",
+                        "Shows the ids and workspaces of all keys, but not the keys.",
                         {"key_id", "workspace", "withdrawn", "revision"}),
             keyAdd(),
             keyWithdraw(),
@@ -301,21 +307,23 @@
                         {"name", "path_prefix", "service", "open", "idempotent", "revision"}),
             routePut(),
             removeCommand("route", "routes", "Remove a route",
-                          "Requests under its prefix find no route any more."),
+                          "Requests with its path prefix no longer match this route."),
             listCommand("upstream", "upstreams", "List upstreams", "Shows all upstreams.",
                         {"name", "kind", "serves", "host", "port", "failure_domain", "state",
                          "revision"}),
             upstreamPut(),
-            removeCommand("upstream", "upstreams", "Remove an upstream",
-                          "Entry instances send it nothing any more. Let it leave first "
-                          "(`upstream put --state leaving`), so that its work can finish."),
+            removeCommand(
+                    "upstream", "upstreams", "Remove an upstream",
+                    "Entry instances send it no more requests. First set its state to leaving "
+                    "(`upstream put --state leaving`), so that its running requests can finish."),
             listCommand("member", "members", "List members",
                         "Shows the entry instances that the directory has acknowledged.",
                         {"instance", "failure_domain", "peer_address", "http_address",
                          "incarnation", "revision"}),
             listCommand("held", "held", "List held requests",
-                        "Shows fingerprints of requests that crashed upstreams; those that crashed "
-                        "two are held.",
+                        "Shows the fingerprints of requests that crashed upstreams; those that "
+                        "crashed two "
+                        "upstreams are held: they are refused everywhere.",
                         {"fingerprint", "held", "crashed_upstreams", "expires_at_ms", "revision"}),
             heldRelease(),
             statusCommand(),
@@ -340,7 +348,7 @@
 {
     static const std::vector<OptionSpec> options = {
             {"--server", "HOST:PORT", ValueKind::Text, "",
-             "operators' address of a control instance; may be repeated, the servers are tried in "
+             "operator address of a control instance; may be repeated, the servers are tried in "
              "turn",
              "", false},
             {"--token-file", "FILE", ValueKind::Text, "", "file with the operator token", "",
@@ -350,7 +358,7 @@
              "revision of the record that a write is based on; 0 for a new record",
              "the current revision, read first", false},
             {"--request-id", "TEXT", ValueKind::Text, "",
-             "id of a write; a write that is sent again with it has its effect once", "random",
+             "id of a write; a write that is repeated with the same id takes effect once", "random",
              false},
             {"--help", "", ValueKind::Flag, "", "show the help of a command", "off", false},
     };
--- a/src/ctl/help.cpp
+++ b/src/ctl/help.cpp
@@ -9,7 +9,7 @@
 namespace rattanrill::ctl {
 namespace {
 
-/// Characters.
+/// In characters.
 constexpr std::size_t columnWidth = 34;
 
 std::string padded(std::string text)
