--- a/src/control/controlsettings.cpp
+++ b/src/control/controlsettings.cpp
@@ -21,36 +21,36 @@
   "properties": {
     "instance": {
       "type": "string", "minLength": 1, "maxLength": 256,
-      "description": "Name of this instance and id of its replica in every group. A replica whose data folder was lost comes back under a new name."
+      "description": "Name of this instance and id of its replica in every group. After the loss of its data folder, a replica must return under a new name."
     },
     "failureDomain": {
       "type": "string", "minLength": 1, "description": "Failure domain of this instance."
     },
     "log": {
       "type": "object", "additionalProperties": false,
-      "description": "Where JSON log lines go.",
+      "description": "Destination and lowest level of the JSON log.",
       "properties": {
         "level": {
           "type": "string", "enum": ["debug", "info", "warning", "error"], "default": "info",
           "description": "Lowest level that is written."
         },
         "file": {
-          "type": "string", "default": "", "description": "Log file; empty: standard error."
+          "type": "string", "default": "", "description": "Log file; empty: standard output."
         }
       }
     },
     "dataFolder": {
       "type": "string", "minLength": 1,
-      "description": "Folder on a disk for the logs and snapshots of all groups; made when missing."
+      "description": "Folder on a disk for the logs and snapshots of all groups; created when missing."
     },
     "peer": {
       "type": "object", "additionalProperties": false, "required": ["host", "port"],
-      "description": "Where other processes of the deployment connect.",
+      "description": "Address on which the other processes of the deployment connect.",
       "properties": {
         "host": { "type": "string", "minLength": 1, "description": "IP address to listen on." },
         "port": {
           "type": "integer", "minimum": 0, "maximum": 65535,
-          "description": "TCP port; 0 takes a free one."
+          "description": "TCP port; 0 selects a free port."
         }
       }
     },
@@ -61,31 +61,31 @@
         "host": { "type": "string", "minLength": 1, "description": "IP address to listen on." },
         "port": {
           "type": "integer", "minimum": 0, "maximum": 65535,
-          "description": "TCP port; 0 takes a free one."
+          "description": "TCP port; 0 selects a free port."
         },
         "token": {
           "type": "string", "minLength": 16,
-          "description": "Token that operators present; or tokenFile."
+          "description": "Token that operators present; alternative to tokenFile."
         },
         "tokenFile": {
           "type": "string", "minLength": 1, "description": "File that holds the token."
         },
         "maxConnections": {
           "type": "integer", "minimum": 4, "maximum": 1024, "default": 64,
-          "description": "Connections served at once; each holds a thread."
+          "description": "Maximum number of connections served at the same time; each uses a thread."
         }
       }
     },
     "clusterSecret": {
       "type": "string", "minLength": 16,
-      "description": "Secret that all processes of the deployment share; or clusterSecretFile."
+      "description": "Secret that all processes of the deployment share; alternative to clusterSecretFile."
     },
     "clusterSecretFile": {
       "type": "string", "minLength": 1, "description": "File that holds the cluster secret."
     },
     "replicas": {
       "type": "array", "minItems": 1, "maxItems": 64,
-      "description": "All control instances, this one included. Those listed at the first start are the voters of the groups.",
+      "description": "All control instances, this one included. Those listed at the first start are the initial voters of the groups.",
       "items": {
         "type": "object", "additionalProperties": false,
         "required": ["id", "peerAddress", "operatorAddress", "failureDomain"],
@@ -108,15 +108,15 @@
     },
     "partitions": {
       "type": "integer", "minimum": 1, "maximum": 256,
-      "description": "Number of partition groups; equal on all instances and never changed."
+      "description": "Number of partition groups; must be the same on all instances and must never change."
     },
     "join": {
       "type": "boolean", "default": false,
-      "description": "This instance is new in a deployment that exists: its groups start without voters and wait until an operator adds it."
+      "description": "This instance joins an existing deployment: its replicas start without voters and wait until an operator adds them."
     },
     "memberTimeoutMs": {
       "type": "integer", "minimum": 500, "maximum": 60000, "default": 4000,
-      "description": "An entry instance that sent no heartbeat for this long is removed from the members, in milliseconds."
+      "description": "An entry instance that has sent no heartbeat for this time is removed from the members, in milliseconds."
     },
     "ownerLeaseMs": {
       "type": "integer", "minimum": 200, "maximum": 30000, "default": 2000,
@@ -128,15 +128,15 @@
     },
     "electionTimeoutMs": {
       "type": "integer", "minimum": 50, "maximum": 30000, "default": 400,
-      "description": "A follower that hears no leader for this long to twice this long starts an election, in milliseconds; at least three heartbeats."
+      "description": "A follower that has received nothing from a leader for a random time between this value and twice this value starts an election, in milliseconds; at least three heartbeat periods."
     },
     "advanceTimeMs": {
       "type": "integer", "minimum": 50, "maximum": 10000, "default": 500,
-      "description": "How often time advances in a partition with work, in milliseconds; leases expire that much late at most."
+      "description": "Period of time commands in a partition that received commands recently, in milliseconds; leases expire at most this much late."
     },
     "snapshotAfterBytes": {
       "type": "integer", "minimum": 65536, "maximum": 4294967296, "default": 16777216,
-      "description": "A snapshot is taken after this many bytes of log."
+      "description": "Size of the log after which a snapshot is taken, in bytes."
     }
   }
 })";
