--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -40,20 +40,20 @@
 
 /// Creates a process that receives callers' requests.
 std::unique_ptr<Process> makeEntryProcess(const ProcessSettings &settings,
-                                          const ProcessContext &context);
+                                          const ProcessContext &processContext);
 /// Creates a process that holds a replica of the fleet group and serves operators.
 std::unique_ptr<Process> makeControlProcess(const ProcessSettings &settings,
-                                            const ProcessContext &context);
+                                            const ProcessContext &processContext);
 /// Creates a process that holds a replica of the store group. The leader of the group runs batch
 /// items and grants slots.
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessContext &context);
+                                          const ProcessContext &processContext);
 
 /// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
 /// the settings again and returns their peer addresses.
 using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
                                                     const ProcessContext &);
-int runProcess(const ProcessSettings &settings, const ProcessContext &context,
+int runProcess(const ProcessSettings &settings, const ProcessContext &processContext,
                ProcessFactory makeProcess, std::function<std::vector<std::string>()> readSeeds);
 
 } // namespace rattanrill::gateway
--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -29,7 +29,7 @@
 struct DesiredState
 {
     std::string engine;
-    /// Whether the engine rejects commands with a fencing number older than one it has seen.
+    /// Whether the engine rejects commands with a fencing token older than one it has seen.
     bool checksFence = false;
     /// Desired value of each kind. Kinds that are not listed are left as they are.
     std::map<EngineCommandKind, std::string> values;
@@ -42,7 +42,7 @@
     EngineCommandKind kind = EngineCommandKind::LoadModel;
     /// Value to set: name of the model, adapter, version or role.
     std::string name;
-    /// Fencing number that the directory issued with the desired states.
+    /// Fencing token that the directory issued with the desired states.
     std::uint64_t fence = 0;
 };
 
@@ -57,7 +57,7 @@
 };
 
 /// Decides which commands to send so that engines reach their desired state. Each engine has at
-/// most one outstanding command. An engine that checks fencing numbers rejects older commands
+/// most one outstanding command. An engine that checks fencing tokens rejects older commands
 /// itself. An engine that ignores them could execute an older command late and undo a newer one, so
 /// a new command is withheld until the older one has been answered or can no longer arrive.
 class EngineReconciler
@@ -66,8 +66,8 @@
     /// Assumes that a previous sender may have sent its last command at \a now.
     EngineReconciler(EngineReconcilerSettings settings, absl::Time now);
 
-    /// Replaces the desired states. \a fence is the fencing number that the directory issued with
-    /// them; a number lower than an earlier one is ignored.
+    /// Replaces the desired states. \a fence is the fencing token that the directory issued with
+    /// them; a token lower than an earlier one is ignored.
     void setDesired(absl::Time now, const std::vector<DesiredState> &desired, std::uint64_t fence);
     /// Returns the commands to send now, at most one per engine.
     std::vector<EngineCommand> decide(absl::Time now);
--- a/include/rattanrill/policy/prefixindex.h
+++ b/include/rattanrill/policy/prefixindex.h
@@ -26,13 +26,13 @@
 };
 
 /// Estimated contents of the engines' prefix caches. Cache events arrive late and with gaps, so
-/// every record is a guess that expires. After a gap, the remaining lifetime of the older guesses
-/// about the engine is halved.
+/// every record is an estimate that expires. After a gap, the remaining lifetime of the older
+/// estimates about the engine is halved.
 class PrefixIndex
 {
 public:
-    /// A guess expires after \a lifetime. An engine with more than \a limit guesses loses those
-    /// past half their lifetime, or all when still too many are left.
+    /// An estimate expires after \a lifetime. An engine with more than \a limit estimates loses
+    /// those past half their lifetime, or all when still too many are left.
     explicit PrefixIndex(absl::Duration lifetime = absl::Minutes(5), std::size_t limit = 20000);
 
     void apply(absl::Time now, const std::string &engine, const std::vector<CacheEvent> &events);
--- a/src/batch/leasetable.h
+++ b/src/batch/leasetable.h
@@ -21,7 +21,7 @@
     std::string holder;
 };
 
-/// Leases by fencing number, and the numbers ordered by expiry time.
+/// Leases by number, which serves as the fencing token, and the numbers ordered by expiry time.
 class LeaseTable
 {
 public:
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 BatchAllowance::BatchAllowance(const SchedulerSettings &settings)
-    : m_lagSeconds(absl::ToDoubleSeconds(settings.loadReportDelay))
+    : m_loadReportDelaySeconds(absl::ToDoubleSeconds(settings.loadReportDelay))
     , m_prefillTokensPerSecond(settings.prefillTokensPerSecond)
     , m_reserveDeviations(interpolate(1, 2.5, settings.onlineTailWeight))
     , m_prefillRateFactor(interpolate(0.9, 2, settings.onlineTailWeight))
@@ -33,7 +33,7 @@
 
 double BatchAllowance::onlineReserve(double onlineRatePerEngine) const
 {
-    const double arrivals = onlineRatePerEngine * m_lagSeconds;
+    const double arrivals = onlineRatePerEngine * m_loadReportDelaySeconds;
     return m_reserveDeviations * std::sqrt(arrivals) + 1;
 }
 
--- a/src/policy/batchallowance.h
+++ b/src/policy/batchallowance.h
@@ -18,8 +18,8 @@
     explicit BatchAllowance(const SchedulerSettings &settings);
 
     /// Number of slots of an engine that are kept free for online tasks that arrive before the next
-    /// report includes them. Arrivals during the load lag are close to a Poisson process, so their
-    /// standard deviation is the square root of their expected number.
+    /// report includes them. Arrivals during the load report delay are close to a Poisson process,
+    /// so their standard deviation is the square root of their expected number.
     double onlineReserve(double onlineRatePerEngine) const;
     /// Number of batch tasks that this entry may start on \a engine now, as limited by the slots; 0
     /// or less when only the online reserve is free. Every entry uses only its share of the free
@@ -36,7 +36,7 @@
     static std::int64_t prefillLimit();
 
 private:
-    double m_lagSeconds;
+    double m_loadReportDelaySeconds;
     double m_prefillTokensPerSecond;
     /// Online reserve, in standard deviations of the number of arrivals.
     double m_reserveDeviations;
--- a/tests/policy/enginereconciler_test.cpp
+++ b/tests/policy/enginereconciler_test.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(EngineReconcilerTest)
 
-// Guards against an older command that arrives late at an engine which ignores fencing numbers and
+// Guards against an older command that arrives late at an engine which ignores fencing tokens and
 // undoes a newer command.
 BOOST_AUTO_TEST_CASE(engineThatIgnoresFencesGetsNoCommandBeforeTheOlderOneEnds)
 {
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -127,7 +127,7 @@
 }
 
 // Guards against prefixes that count as cached although their eviction events were lost. After a
-// gap in the sequence numbers, older guesses expire sooner.
+// gap in the sequence numbers, older estimates expire sooner.
 BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensTheLifetimeOfGuesses)
 {
     const absl::Duration lifetime = absl::Seconds(100);
