--- a/src/directory/directorystatemachine.cpp
+++ b/src/directory/directorystatemachine.cpp
@@ -24,8 +24,8 @@
 }
 
 /// Returns the hash of a write without the fields that differ when the write is sent again: the
-/// time and the base revision and, for AddKey, the key. A resent AddKey carries a newly generated
-/// key, because the first one was not stored in plain text.
+/// time, the base revision and whether it is checked, and for AddKey the id and hash of the key. A
+/// resent AddKey carries a newly generated key, because the first one was not stored in plain text.
 std::uint64_t contentHash(wire::DirectoryCommand command)
 {
     command.nowMs = 0;
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -122,8 +122,8 @@
         return mayHaveRun(ErrorCode::StreamBroken, detail);
     }
 
-    /// Makes a short call and returns the JSON value of the answer, which is not checked further;
-    /// it is a discarded value when the body is not JSON.
+    /// Makes a short call and returns the body of the answer as JSON, of any type; a discarded
+    /// value when the body is not JSON.
     Outcome<Json> call(const std::string &method, const std::string &path, const Json &body) const
     {
         httplib::Client client(options.host, options.port);
--- a/src/fleet/membershipchange.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -26,7 +26,7 @@
     return nullptr;
 }
 
-/// True when another replica uses the voter's address, because the voter's disk was lost.
+/// True when another replica uses the voter's address, which means that the voter's disk was lost.
 bool isSuperseded(const replication::ReplicaId &voter,
                   const std::vector<VoterCandidate> &candidates)
 {
--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -16,8 +16,8 @@
 constexpr absl::Duration drainDelay = absl::Milliseconds(2500);
 constexpr absl::Duration drainCheckPeriod = absl::Milliseconds(100);
 /// A new leader of the fleet group reads the platform's list of upstreams within this time. After
-/// it, requests are served without the list, so that those which the configuration does not allow
-/// can be refused.
+/// that time, requests are served even without the list, so that those which the configuration does
+/// not allow can be refused.
 constexpr absl::Duration upstreamListTimeout = absl::Milliseconds(500);
 /// Fraction of the shutdown timeout after which open requests are abandoned, so that the process
 /// ends by itself.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,8 +18,8 @@
 /// Retry-After while this entry process has no configuration yet, and while no store can respond.
 constexpr absl::Duration startRetryAfter = absl::Seconds(1);
 constexpr absl::Duration storeRetryAfter = absl::Milliseconds(500);
-/// Retry-After of a job that exceeds a limit on waiting work. Items that run for several seconds
-/// must end before it can be accepted.
+/// Retry-After of a job that exceeds the limit of waiting tokens. Items that run for several
+/// seconds must end before it can be accepted.
 constexpr absl::Duration jobRetryAfter = absl::Seconds(1);
 /// Timeout of a call to the stores, in addition to the time for which the caller lets it wait.
 constexpr absl::Duration storeTimeout = absl::Milliseconds(2500);
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr absl::Duration maxReadWait = absl::Seconds(2);
-/// Finished and ended jobs are removed this long after they were accepted.
+/// Jobs that are finished or were ended by a cancellation are removed this long after they were
+/// accepted.
 constexpr absl::Duration retentionPeriod = absl::Minutes(10);
 constexpr absl::Duration cleanupPeriod = absl::Seconds(30);
 constexpr absl::Duration listRetryDelay = absl::Milliseconds(100);
@@ -45,8 +46,8 @@
         return notRun(ErrorCode::NotLeader, context.replica.status().leader);
     }
 
-    /// Decodes a request that only the leader serves. Returns nothing after responding with a
-    /// failure itself.
+    /// Decodes a request that only the leader serves. If it is malformed or this replica can't
+    /// serve it, responds with the failure and returns nullopt.
     template <typename Message>
     std::optional<Message> decodeOnLeader(const std::string &body,
                                           const peer::ResponseCallback &reply) const
--- a/src/policy/batchallowance.h
+++ b/src/policy/batchallowance.h
@@ -22,9 +22,10 @@
     /// so their standard deviation is the square root of their expected number.
     double onlineReserve(double onlineRatePerEngine) const;
     /// Number of batch tasks that this entry may start on \a engine now, as limited by the slots; 0
-    /// or less when only the online reserve is free. Every entry uses only its share of the free
-    /// slots, so that all entries together do not exceed them. \a unreportedOnline is the estimated
-    /// number of online tasks that other entries have sent to the engine since its last report.
+    /// or less when only the online reserve is free, and 0 without a load report or with too much
+    /// KV memory in use. Every entry uses only its share of the free slots, so that all entries
+    /// together do not exceed them. \a unreportedOnline is the estimated number of online tasks
+    /// that other entries have sent to the engine since its last report.
     int batchCapacity(const EngineRecord &engine, double onlineRatePerEngine,
                       double unreportedOnline, std::size_t entries) const;
     /// Time between two batch starts of this entry on one engine, so that entries do not start
--- a/src/policy/prefillwindows.cpp
+++ b/src/policy/prefillwindows.cpp
@@ -8,13 +8,15 @@
 
 namespace {
 
-/// Several decode steps, but short compared with the run time of a batch item, because a slot that
-/// becomes free outside the window stays empty until the next window.
+/// Length of a window, by online tail weight. Several decode steps, but short compared with the run
+/// time of a batch item, because a slot that becomes free outside the window stays empty until the
+/// next window.
 constexpr double maxWindowSeconds = 0.25;
 constexpr double minWindowSeconds = 0.12;
 constexpr double minGroups = 3;
 constexpr double maxGroups = 9;
-/// Prefill of a prompt that is started at the end of the window takes one to two decode steps.
+/// Time after the end of a window during which a batch prompt may still be in prefill: the prefill
+/// of a prompt that is started at the end takes one to two decode steps.
 constexpr double minPrefillSeconds = 0.06;
 constexpr double maxPrefillSeconds = 0.1;
 
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -13,9 +13,8 @@
 
 /// Weight of a new sample in the smoothed times.
 constexpr double sampleWeight = 0.05;
-/// Number of tokens that a suspect must deliver beyond those delivered before the crash until it
-/// may run alongside other suspects again. The crash still counts against it until it has
-/// completed.
+/// A suspect may run alongside other suspects again once it has delivered this many tokens more
+/// than before the crash. The crash still counts against it until it has completed.
 constexpr std::int64_t tokensPastCrash = 16;
 
 absl::Duration smoothed(absl::Duration old, absl::Duration sample)
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -234,8 +234,9 @@
     reports[1] = {now, std::max<std::int64_t>(requests - found->second->occupiedSlots(), 0)};
 }
 
-/// Returns true when requests of other senders occupy slots that this scheduler has granted too. A
-/// task that gets no response there does not indicate a fault of the upstream.
+/// Returns true when the granted slots and the requests of other senders together exceed the slots
+/// of the upstream. A task that gets no response there may be queued behind those requests, so it
+/// does not indicate a fault of the upstream.
 bool SlotScheduler::isOvercommitted(absl::Time now, const Upstream &upstream) const
 {
     return upstream.occupiedSlots() + foreignRequests(now, upstream) > upstream.info.slots;
@@ -387,8 +388,8 @@
     return now + remaining > item.task.deadline;
 }
 
-/// Moves tasks that can no longer meet their deadline to the late queue: all interrupted ones, and
-/// those at the front of the batch queue.
+/// Moves tasks that can no longer meet their deadline to the late queue. Checks all interrupted
+/// tasks, but the batch queue only up to its first task that is in time.
 void SlotScheduler::moveLateTasks(absl::Time now, Service &service)
 {
     const auto late =
--- a/src/replication/filestorage.cpp
+++ b/src/replication/filestorage.cpp
@@ -112,7 +112,9 @@
             continue;
         bool isUnused = false;
         if (name == firstSegment) {
-            // The identity is written last, so a segment without one has never been used.
+            // The identity is written after the first segment, so an interrupted initialization
+            // leaves a segment that has only a header. A longer one was used and has lost its
+            // identity file.
             BOOST_LEAF_AUTO(bytes, m_fileSystem.read(path(name)));
             const std::string head = encodeSegmentHeader(1, 0);
             isUnused = bytes.size() == head.size();
--- a/src/replication/persisttracker.h
+++ b/src/replication/persisttracker.h
@@ -37,7 +37,7 @@
     /// Holds \a message until term and vote are on disk. Does not wait for entries, so that a slow
     /// sync does not stop heartbeats.
     void holdUntilTermPersisted(Message message);
-    /// Returns the messages whose write is on disk.
+    /// Removes and returns the messages whose write is on disk.
     std::vector<Message> takeReleased();
 
 private:
--- a/src/replication/readtracker.h
+++ b/src/replication/readtracker.h
@@ -38,8 +38,8 @@
     {}
 
     // Leader
-    /// Defers a read until the leader has committed an entry of its term, and with that the commit
-    /// index is certain.
+    /// Defers a read until the leader has committed an entry of its term. Before that, its commit
+    /// index may lack entries that its predecessor committed.
     void addDeferred(LeaderRead read) { m_deferred.push_back(std::move(read)); }
     std::vector<LeaderRead> takeDeferred();
     void add(LeaderRead read) { m_waiting.push_back(std::move(read)); }
--- a/src/replication/storage.h
+++ b/src/replication/storage.h
@@ -23,7 +23,8 @@
 
 /// Durable storage of a replica. Calls are never concurrent. A change survives a loss of power once
 /// the call has succeeded. A call that fails with DiskFull has no effect and may be retried. After
-/// any other failure of write(), install() or saveSnapshot(), all later calls of these fail.
+/// any other failure of write(), install() or saveSnapshot(), all later calls of these functions
+/// fail.
 class Storage
 {
 public:
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -18,8 +18,8 @@
 /// after it. The rest of the objective is left for the next attempt.
 constexpr double firstEventTimeoutFraction = 0.6;
 constexpr double interEventTimeoutFraction = 0.6;
-/// The same for responses that are not streams, where processing times of several times the mean
-/// are common.
+/// The same for responses that are not streams, as a multiple of the latency objective, because
+/// processing times of several times the mean are common there.
 constexpr double completeResponseTimeoutFactor = 2.5;
 /// A caller with more unsent response bytes than this does not read its response and is treated as
 /// disconnected.
--- a/tests/fleet/fleetservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -73,14 +73,14 @@
 
 BOOST_AUTO_TEST_SUITE(FleetServiceTest)
 
-// Guards against a control process that fails polls at once while it knows no leader. After a power
-// loss all processes wait for the first leader; they would poll repeatedly and find the leader only
-// with their next poll.
+// Guards against a control process that fails polls at once while the leader is unknown. After a
+// power loss all processes wait for the first leader; they would poll repeatedly and find the
+// leader only with their next poll.
 BOOST_AUTO_TEST_CASE(pollIsHeldWhileNoLeaderIsKnown)
 {
     net::LoopThread loopThread;
     peer::ChannelPool channels(transport("c"));
-    // The replica is never opened, so that it knows no leader.
+    // The replica is never opened, so that its leader stays unknown.
     GroupReplica replica(loopThread.loop(), channels, GroupReplicaSettings(),
                          SystemClock::instance());
     FailingDiscovery discovery;
--- a/tests/platform/platform_test.py
+++ b/tests/platform/platform_test.py
@@ -218,7 +218,7 @@
         self.assertFalse([r for r in Upstream.received if r[1]["Request-Id"] in ("r-2", "r-3")])
 
     def test_configuration_is_replaced_only_by_a_newer_valid_one(self):
-        """Guards against a configuration that an older or an invalid one replaces."""
+        """Guards against a configuration that is replaced by an older or an invalid one."""
         base = self.configuration_version()
         self.assertEqual(
             self.put_configuration(configuration(base + 5, (KEY, "second-key")), 2), 200)
@@ -302,7 +302,7 @@
             wait_until(lambda: self.is_ready(2))
 
     def test_request_with_ambiguous_length_is_refused(self):
-        """Guards against accepting a request whose two headers state different body lengths."""
+        """Guards against a request with two body lengths that blocks the entry or is forwarded."""
         with socket.create_connection((self.address("entry", 1), CALLER_PORT), 5) as raw:
             raw.sendall(b"POST /ask/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n"
                         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
