--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -15,8 +15,8 @@
 constexpr absl::Duration maxCheckGap = absl::Seconds(1);
 /// Members in an older view may have changed since; nothing is removed on its basis.
 constexpr absl::Duration maxViewAge = absl::Seconds(2);
-/// Bounds the memory for incarnations that have left; far more than leave within one member
-/// timeout.
+/// Bounds the memory for incarnations that have left: the set is cleared when it reaches this size.
+/// Far more than leave within one member timeout.
 constexpr std::size_t maxLeftIncarnations = 10000;
 
 std::string heartbeatAnswer(std::uint64_t revision)
--- a/src/control/memberwatch.h
+++ b/src/control/memberwatch.h
@@ -74,7 +74,8 @@
     /// Incarnations that have left; a late heartbeat must not add them again.
     std::set<std::string> m_leftIncarnations ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_term ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Earliest time from which the member timeout of any member runs.
+    /// No member timeout starts before this time, whenever the last heartbeat was. Set at a change
+    /// of the term and after this process was suspended.
     absl::Time m_graceStart ABSL_GUARDED_BY(m_mutex);
     absl::Time m_lastCheck ABSL_GUARDED_BY(m_mutex);
 };
--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -158,7 +158,7 @@
 {
     call.lastFailure = failure;
     const bool allInstancesTried = call.attempts % static_cast<int>(m_addresses.size() + 1) == 0;
-    // After the loss of a proposal or of the quorum the group needs time to recover. To call
+    // After the loss of a proposal or of the quorum the group needs time to recover, and calling
     // another instance does not help.
     const bool pause = allInstancesTried || failure.code == ErrorCode::NoQuorum
                        || failure.code == ErrorCode::ProposalLost;
--- a/src/entry/batchitem.h
+++ b/src/entry/batchitem.h
@@ -22,8 +22,8 @@
 
     Kind kind = Kind::Result;
     wire::ItemResult result;
-    /// Release: whether the attempt counts towards the maximum number of failed attempts, and the
-    /// name of its error code.
+    /// For Release only: whether the attempt counts towards the maximum number of failed attempts,
+    /// and the name of the error code.
     bool failedAttempt = false;
     std::string reason;
 };
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -145,8 +145,8 @@
 void CallerServer::serve(ConnectionStream &stream)
 {
     const int socket = stream.socket();
-    // A connection that was accepted just before the listener closed has only a short time to send
-    // a request.
+    // A connection that was accepted after closeAfterAnswers(), for example just before the
+    // listener closed, has only a short time to send a request.
     const bool open = m_connections.add(socket);
     const absl::Duration wait = open ? m_options.keepAliveTimeout : lateRequestTimeout;
     while (stream.waitForRequest(wait)) {
--- a/src/entry/claims.h
+++ b/src/entry/claims.h
@@ -17,8 +17,8 @@
     std::string idempotencyKey;
     /// Hash of method, path and body.
     std::string requestHash;
-    /// Unique for each attempt to run the request, so that a resent claim of the same holder wins
-    /// again.
+    /// Unique for each attempt to claim the key, so that a resent command of the same attempt wins
+    /// the claim again.
     std::string holder;
 };
 
--- a/src/entry/connectionstream.h
+++ b/src/entry/connectionstream.h
@@ -27,7 +27,8 @@
     /// Waits for the first byte of a request; returns false at the end of the stream or on a
     /// timeout.
     bool waitForRequest(absl::Duration timeout);
-    /// Whether the caller has closed its side of the connection.
+    /// Whether the caller has closed its side of the connection or the connection has failed. False
+    /// while received data is still unread.
     bool callerGone() const;
     /// Closes the connection after the current answer, for instance because the body of the request
     /// was not read.
--- a/src/entry/engineattempt.cpp
+++ b/src/entry/engineattempt.cpp
@@ -36,7 +36,7 @@
             handle = exported.value().handle;
     }
     // An engine that has not received the request yet, or that no longer responds, cannot end the
-    // stream.
+    // stream, so it is aborted on this side.
     if (handle.empty() && !cancelOnEngine())
         m_abortSignal.abort();
     absl::MutexLock lock(&m_mutex);
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -15,8 +15,8 @@
 /// A membership change reaches all entries within a few tens of milliseconds.
 constexpr absl::Duration ownerRetryInterval = absl::Milliseconds(20);
 
-/// Failure for a request without a grant. The owner grants nothing when it is another process by
-/// now, answers late or has another view; in all these cases the request has not run.
+/// Failure for a request without a grant. There is no grant when the owner's process was replaced,
+/// the owner answers late or its view differs; in all these cases the request has not run.
 Failure rateUnknown(const std::string &detail)
 {
     return notRun(ErrorCode::RateUnknown,
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -14,8 +14,8 @@
 /// Maximum number of membership changes in the history. A workspace that was owned before the
 /// oldest one counts as owned since the oldest one.
 constexpr std::size_t maxHistoryLength = 16;
-/// How long a received bucket is kept until its first request. Its level also grows without a
-/// request.
+/// How long a received bucket is kept for its first request. A bucket that is created without it
+/// starts empty soon after the transfer and has grown since, also without requests.
 constexpr absl::Duration receivedBucketRetention = absl::Minutes(10);
 
 bool owns(const std::string &instance, const std::vector<std::string> &members,
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -141,7 +141,7 @@
 int runPlan(const LoadPlan &plan, const std::vector<PlannedRequest> &schedule,
             const po::variables_map &values)
 {
-    // A lost connection must not end the process; the HTTP library ignores SIGPIPE in servers only.
+    // A lost connection must not end the process; httplib ignores SIGPIPE in servers only.
     std::signal(SIGPIPE, SIG_IGN);
     LoadSummary summary(plan.cutIsWrong);
     HistoryFile history(textOption(values, "history"));
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <utility>
 
-// Uses Boost's string view, which needs the complete stream types of <ostream>.
+// This header uses Boost's string view, which needs the complete stream types of <ostream>.
 #include <boost/beast/http/status.hpp>
 
 namespace rattanrill::net {
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -55,7 +55,7 @@
     ResponseParser::Handlers parserHandlers;
     parserHandlers.head = [this](const ResponseHead &head) { return handleHead(head); };
     parserHandlers.body = [this](std::string_view bytes) {
-        // A handler may close the connection while it runs.
+        // The copy keeps the handler alive, because it may close the connection while it runs.
         const auto current = m_handlers;
         if (current && current->body)
             current->body(bytes);
--- a/src/report/objectives.h
+++ b/src/report/objectives.h
@@ -25,7 +25,8 @@
     double ttftTarget = 0.95;
     double tbtSeconds = 0.067;
     double tbtTarget = 0.95;
-    /// Share of requests that were not refused while within the contract's rate.
+    /// Share of requests that are good; a request is bad when it is refused although it is within
+    /// the contract's rate.
     double servedInsideRateTarget = 0.999;
     /// Share of batch items that ended before their due time.
     double batchOnTimeTarget = 0.999;
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -250,7 +250,7 @@
     BOOST_TEST(full == 1);
 }
 
-// Guards against an address in use and an invalid host that cannot be told apart by their codes.
+// Guards against an address in use and an invalid host that fail with the same error code.
 BOOST_AUTO_TEST_CASE(usedPortAndInvalidHostFailWithTheirCodes)
 {
     EchoServer echo;
