--- a/include/rattanrill/base/errorcode.h
+++ b/include/rattanrill/base/errorcode.h
@@ -5,14 +5,14 @@
 
 namespace rattanrill {
 
-/// Every way an operation can fail. The names are part of the caller and operator interfaces.
+/// Reasons why an operation can fail. Their names are part of the caller and operator interfaces.
 enum class ErrorCode {
     // Requests
     InvalidRequest,
     BodyTooLarge,
     MissingKey,
     InvalidKey,
-    KeyWithdrawn,
+    KeyRevoked,
     KeysNotFresh,
     NotFound,
     UnknownModel,
@@ -21,14 +21,14 @@
     RateLimited,
     RateUnknown,
     Overloaded,
-    RequestHeld,
+    RequestQuarantined,
     DuplicateRequest,
     Draining,
     UpstreamUnavailable,
     UpstreamFailed,
     UpstreamBusy,
     StreamBroken,
-    ClientGone,
+    ClientDisconnected,
     // Batch
     InvalidItem,
     DuplicateItem,
@@ -42,7 +42,7 @@
     NotLeader,
     NoQuorum,
     StaleRevision,
-    StaleFence,
+    StaleFencingToken,
     NotMember,
     ProposalLost,
     // Peers
@@ -57,7 +57,7 @@
     // Storage
     CorruptData,
     UnsupportedFormat,
-    SyncFailed,
+    FsyncFailed,
     DiskFull,
     IoError,
     IdentityMismatch,
@@ -69,17 +69,17 @@
     Internal,
 };
 
-/// Whether the refused operation may have had an effect.
-enum class RunState {
+/// Whether the failed operation may have had an effect.
+enum class EffectState {
     NotRun,
     MayHaveRun,
 };
 
 std::string_view name(ErrorCode code);
 std::optional<ErrorCode> errorCodeFromName(std::string_view name);
-std::string_view name(RunState state);
+std::string_view name(EffectState state);
 
-/// HTTP status that carries \a code to a caller or an operator.
+/// HTTP status with which \a code is reported to a caller or an operator.
 int httpStatus(ErrorCode code);
 
 } // namespace rattanrill
--- /dev/null
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -0,0 +1,91 @@
+#pragma once
+
+#include "rattanrill/base/clock.h"
+#include "rattanrill/net/eventloop.h"
+#include "rattanrill/peer/channelpool.h"
+#include "rattanrill/wire/fleetmessages.h"
+
+#include "absl/time/time.h"
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace rattanrill::fleet {
+
+/// Settings of a FleetClient.
+struct FleetClientSettings
+{
+    /// Member record that this process sends to the leader.
+    wire::FleetMember self;
+    /// Peer addresses of processes that may hold a replica of the fleet group. The client discovers
+    /// further ones from the list of members.
+    std::vector<std::string> seeds;
+    /// How long the leader may hold a poll before it responds. This is also the heartbeat period,
+    /// because each poll is a heartbeat.
+    absl::Duration pollWait = absl::Milliseconds(500);
+    /// A poll without a response after this long has failed.
+    absl::Duration pollTimeout = absl::Milliseconds(1200);
+    /// Delay after a failed round of polls; doubles with each further failure up to maxBackoff.
+    absl::Duration minBackoff = absl::Milliseconds(40);
+    absl::Duration maxBackoff = absl::Milliseconds(150);
+};
+
+/// Copy of the deployment's state that one process holds.
+struct FleetState
+{
+    std::uint64_t configurationVersion = 0;
+    std::string configuration;
+    std::vector<wire::FleetMemberStatus> members;
+    /// The list of members is complete.
+    bool membersComplete = false;
+    /// Replica ids of the first voters of the store group; empty until it is founded.
+    std::vector<std::string> storeFounders;
+    /// The platform's list of upstreams has been received at least once.
+    bool upstreamsKnown = false;
+    std::vector<wire::FleetUpstream> upstreams;
+};
+
+/// Registers this process with the leader of the fleet group and keeps a copy of the deployment's
+/// state up to date by long polls. Finds the leader through the seeds, the control processes in the
+/// list of members, and the hints that non-leaders return. Used on the event loop only.
+class FleetClient
+{
+public:
+    using Listener = std::function<void(const FleetState &state)>;
+
+    FleetClient(net::EventLoop &loop, peer::ChannelPool &channels, FleetClientSettings settings,
+                const Clock &clock);
+    ~FleetClient();
+    FleetClient(const FleetClient &) = delete;
+    FleetClient &operator=(const FleetClient &) = delete;
+
+    /// Adds \a listener, which is called after each change of the state. Call before start().
+    void onChange(Listener listener);
+    /// Sets the function that fills in, for each poll, whether this process leads the store group,
+    /// with which term and which replicas.
+    void setStoreReport(std::function<void(wire::FleetSyncRequest &)> report);
+    void start();
+    /// Sends the leader a heartbeat at once, with the same content as the next poll. Does nothing
+    /// while no leader is known.
+    void sendHeartbeat();
+    /// Notifies the leader that this process leaves the deployment, and stops polling.
+    void leave();
+    void stop();
+    /// Replaces the seeds, after the settings have changed.
+    void setSeeds(std::vector<std::string> seeds);
+    const FleetState &state() const;
+    /// Time since the sending of the last poll that received a response; infinite before the first
+    /// one.
+    absl::Duration staleness() const;
+    /// Last known peer address of the leader of the fleet group; empty when unknown.
+    std::string leaderAddress() const;
+
+private:
+    struct Impl;
+
+    std::shared_ptr<Impl> m_impl;
+};
+
+} // namespace rattanrill::fleet
--- /dev/null
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -0,0 +1,64 @@
+#pragma once
+
+#include "rattanrill/base/clock.h"
+#include "rattanrill/fleet/fleetview.h"
+#include "rattanrill/fleet/groupreplica.h"
+#include "rattanrill/net/eventloop.h"
+#include "rattanrill/peer/server.h"
+
+#include "absl/time/time.h"
+
+#include <functional>
+#include <memory>
+#include <vector>
+
+namespace rattanrill::fleet {
+
+/// Reads the platform's list of upstreams.
+class UpstreamDiscovery
+{
+public:
+    using Callback = std::function<void(Outcome<std::vector<wire::FleetUpstream>>)>;
+
+    virtual ~UpstreamDiscovery() = default;
+    /// Reads the list asynchronously. \a callback runs on the event loop, exactly once.
+    virtual void read(Callback callback) = 0;
+};
+
+/// Settings of a FleetService.
+struct FleetServiceSettings
+{
+    /// A process that has sent no heartbeat for this long is considered not alive.
+    absl::Duration memberTimeout = absl::Seconds(2);
+    /// Interval at which the leader reads the platform's list. Only the leader reads it, because
+    /// the platform limits the calls of all processes together and charges for each one.
+    absl::Duration discoveryPeriod = absl::Seconds(1);
+};
+
+/// Serves the polls of FleetClient on the leader of the fleet group. Maintains the FleetView, reads
+/// the platform's list on behalf of all processes, and founds the store group. Used on the event
+/// loop only.
+class FleetService
+{
+public:
+    FleetService(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &discovery,
+                 FleetServiceSettings settings, const Clock &clock);
+    ~FleetService();
+    FleetService(const FleetService &) = delete;
+    FleetService &operator=(const FleetService &) = delete;
+
+    void install(peer::Server &server);
+    void start();
+    void stop();
+    /// Processes with the control role, as candidates for the voters of the fleet group.
+    std::vector<VoterCandidate> controlCandidates() const;
+    /// Valid on the leader only.
+    const FleetView &view() const;
+
+private:
+    struct Impl;
+
+    std::shared_ptr<Impl> m_impl;
+};
+
+} // namespace rattanrill::fleet
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rattanrill/fleet/membershipkeeper.h"
+#include "rattanrill/fleet/membershipchange.h"
 #include "rattanrill/wire/fleetmessages.h"
 
 #include "absl/time/time.h"
@@ -12,60 +12,65 @@
 
 namespace rattanrill::fleet {
 
-/// What the leader of the fleet group knows of the deployment: the group's records, the processes
-/// that it hears of and the platform's list of upstreams. Any change raises the sequence, by which
-/// followers see that they are behind. Apart from input and output.
+/// The leader's view of the deployment: the records of the fleet group, the processes that send
+/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number,
+/// which shows a FleetClient that its copy is out of date. Performs no input or output.
 class FleetView
 {
 public:
-    /// \a memberTimeout: a process that was silent for this long is not alive.
+    /// \a memberTimeout: a process that has sent no heartbeat for longer than this is considered
+    /// not alive.
     explicit FleetView(absl::Duration memberTimeout);
 
-    /// Starts over for a term of leadership; what was heard in another one is forgotten.
-    void begin(std::uint64_t term, absl::Time now);
+    /// Resets the view for a new term of leadership. Members and upstreams of earlier terms are
+    /// discarded.
+    void beginTerm(std::uint64_t term, absl::Time now);
     std::uint64_t term() const { return m_term; }
     std::uint64_t sequence() const { return m_sequence; }
 
-    void setRecords(const wire::FleetRecords &records);
-    const wire::FleetRecords &records() const { return m_records; }
-    /// The platform's list, as read just now.
+    void setRecords(const wire::FleetSnapshot &records);
+    const wire::FleetSnapshot &records() const { return m_records; }
+    /// Replaces the platform's list of upstreams with the result of the latest read.
     void setUpstreams(std::vector<wire::FleetUpstream> upstreams);
-    void heard(const wire::SyncRequest &request, absl::Time now);
-    /// Marks silent processes; forgets those that were silent for very long.
+    void recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now);
+    /// Marks processes as not alive after the member timeout without a heartbeat; removes them
+    /// after 10 times the member timeout.
     void expire(absl::Time now);
 
-    /// This leader has led for long enough to have heard of every process that lives.
-    bool isSettled() const { return m_settled; }
-    bool isCurrent(const wire::SyncRequest &request) const;
-    wire::SyncResponse answer(const wire::SyncRequest &request) const;
-    /// Processes of \a role, for decisions on the voters of their group; none before the view is
-    /// settled, when a voter that has not called yet would look lost.
-    std::vector<VoterCandidate> candidates(wire::MemberRole role) const;
-    /// First voters of the store group, when it can be founded now: enough stores are there, or
-    /// those that are there have waited long enough for others. Empty otherwise.
+    /// True when this leader has led for longer than the member timeout, in which every live
+    /// process should have sent a heartbeat.
+    bool hasAllMembers() const { return m_hasAllMembers; }
+    /// True when the sender of \a request already holds this version of the view.
+    bool isCurrent(const wire::FleetSyncRequest &request) const;
+    wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
+    /// Processes of \a role as candidates for the voters of their group. Empty until the view is
+    /// complete, because a voter that has not sent a heartbeat yet would be taken for lost.
+    std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
+    /// Replica ids of the first voters of the store group, when it can be founded now: 3 live
+    /// stores or, once 3 s of this term have passed, as many as are alive. Empty otherwise.
     std::vector<std::string> storeFounders(absl::Time now) const;
 
 private:
-    struct Known
+    struct MemberEntry
     {
-        wire::LiveMember live;
-        absl::Time heardAt;
+        wire::FleetMemberStatus live;
+        absl::Time lastHeartbeatAt;
     };
 
-    void noteStoreLeader(const wire::SyncRequest &request);
+    void updateStoreLeader(const wire::FleetSyncRequest &request);
     bool isRetiring(const std::string &replica) const;
-    void changed() { ++m_sequence; }
+    void incrementSequence() { ++m_sequence; }
 
     const absl::Duration m_memberTimeout;
     std::uint64_t m_term = 0;
     std::uint64_t m_sequence = 0;
-    absl::Time m_begunAt;
-    bool m_settled = false;
-    wire::FleetRecords m_records;
+    absl::Time m_termStartedAt;
+    bool m_hasAllMembers = false;
+    wire::FleetSnapshot m_records;
     bool m_upstreamsKnown = false;
     std::vector<wire::FleetUpstream> m_upstreams;
     /// By instance.
-    std::map<std::string, Known> m_members;
+    std::map<std::string, MemberEntry> m_members;
     std::uint64_t m_storeTerm = 0;
     std::vector<std::string> m_storeReplicas;
 };
--- a/include/rattanrill/jobs/jobexecutor.h
+++ b/include/rattanrill/jobs/jobexecutor.h
@@ -3,11 +3,11 @@
 #include "rattanrill/base/clock.h"
 #include "rattanrill/base/metrics.h"
 #include "rattanrill/fleet/groupreplica.h"
+#include "rattanrill/net/connectionpool.h"
 #include "rattanrill/net/eventloop.h"
-#include "rattanrill/net/upstreampool.h"
 #include "rattanrill/serving/deployment.h"
-#include "rattanrill/serving/dialect.h"
-#include "rattanrill/serving/placebroker.h"
+#include "rattanrill/serving/protocoladapter.h"
+#include "rattanrill/serving/slotbroker.h"
 #include "rattanrill/wire/jobmessages.h"
 
 #include <functional>
@@ -16,39 +16,39 @@
 
 namespace rattanrill::jobs {
 
-/// What the executor works with. All members outlive it.
-struct ExecutorContext
+/// Dependencies of the executor. All members outlive it.
+struct JobExecutorContext
 {
     net::EventLoop &loop;
     const Clock &clock;
     Metrics &metrics;
-    const serving::Dialect &dialect;
-    net::UpstreamPool &upstreams;
-    serving::PlaceBroker &broker;
+    const serving::ProtocolAdapter &protocol;
+    net::ConnectionPool &upstreams;
+    serving::SlotBroker &broker;
     fleet::GroupReplica &replica;
     std::string failureDomain;
 };
 
-/// Runs the items of open jobs, on the leader of the store group. An item that has to leave its
-/// place goes on after its last event when it gets another one. Used on the event loop only.
+/// Runs the items of open jobs on the leader of the store group. An item whose slot is preempted
+/// resumes after its last event when it is granted another slot. Used on the event loop only.
 class JobExecutor
 {
 public:
-    explicit JobExecutor(const ExecutorContext &context);
+    explicit JobExecutor(const JobExecutorContext &context);
     ~JobExecutor();
     JobExecutor(const JobExecutor &) = delete;
     JobExecutor &operator=(const JobExecutor &) = delete;
 
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Calls \a listener with the job's id after a result was stored.
-    void onStored(std::function<void(const std::string &job)> listener);
-    /// Adds a job that was accepted; one that is known already changes nothing.
+    void onResultStored(std::function<void(const std::string &job)> listener);
+    /// Adds an accepted job. Adding the same job again has no effect.
     void add(const wire::OpenJob &job);
-    /// The job was ended: its items stop.
-    void end(const std::string &job);
-    /// This replica no longer leads: everything stops.
-    void clear();
-    std::size_t openItems() const;
+    /// Stops the items of a job that was ended.
+    void cancel(const std::string &job);
+    /// Stops all items, because this replica no longer leads the store group.
+    void stopAll();
+    std::size_t openItemCount() const;
 
 private:
     struct Impl;
--- /dev/null
+++ b/include/rattanrill/net/connectionpool.h
@@ -0,0 +1,86 @@
+#pragma once
+
+#include "rattanrill/net/eventloop.h"
+#include "rattanrill/net/message.h"
+
+#include "absl/time/time.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <string_view>
+
+namespace rattanrill::net {
+
+/// How a call to an upstream ended.
+enum class CallStatus {
+    /// The complete response arrived.
+    Complete,
+    /// No connection could be established; nothing was sent.
+    NotConnected,
+    /// The connection was closed or became unusable after a part of the request may have been
+    /// sent.
+    Broken,
+};
+
+std::string_view name(CallStatus status);
+
+/// Callbacks that receive the response to one call. They run on the event loop.
+struct CallHandlers
+{
+    /// Returns false when the response belongs to another request; the pool then waits for the next
+    /// response on the connection.
+    std::function<bool(const ResponseHead &)> head;
+    std::function<void(std::string_view)> body;
+    /// Called exactly once unless the call is cancelled.
+    std::function<void(CallStatus)> onEnd;
+};
+
+/// Timeouts and limits of a ConnectionPool.
+struct ConnectionPoolOptions
+{
+    absl::Duration connectTimeout = absl::Seconds(1);
+    /// Fraction (0 to 1) of the keep-alive time announced by the upstream during which an idle
+    /// connection is reused. Below 1, so that no request is sent while the upstream is closing the
+    /// connection.
+    double keepAliveFraction = 0.5;
+    /// Keep-alive time assumed for upstreams that announce none.
+    absl::Duration defaultKeepAlive = absl::Seconds(4);
+    /// Maximum number of idle connections per address.
+    std::size_t maxIdle = 16;
+};
+
+/// Pool of keep-alive connections to upstreams; each carries one request at a time. Use it on the
+/// event loop only.
+class ConnectionPool
+{
+public:
+    using CallId = std::uint64_t;
+
+    ConnectionPool(EventLoop &loop, ConnectionPoolOptions options);
+    ~ConnectionPool();
+    ConnectionPool(const ConnectionPool &) = delete;
+    ConnectionPool &operator=(const ConnectionPool &) = delete;
+
+    /// Sends \a request, a serialized HTTP request, to \a address ("host:port"). Errors are
+    /// reported by CallHandlers::onEnd.
+    CallId call(const std::string &address, std::string request, CallHandlers handlers);
+    /// Closes the connection of \a call, so that the upstream can detect that the response is no
+    /// longer needed. No handler of the call runs after return.
+    void cancel(CallId call);
+    /// Closes the idle connections to \a address; for an address that is no longer used.
+    void closeIdleConnections(const std::string &address);
+    /// Number of connections opened since construction, including failed attempts.
+    std::uint64_t connectionsOpened() const;
+    /// Closes all connections and cancels all open calls.
+    void stop();
+
+private:
+    struct Impl;
+
+    std::shared_ptr<Impl> m_impl;
+};
+
+} // namespace rattanrill::net
--- /dev/null
+++ b/include/rattanrill/serving/slotbroker.h
@@ -0,0 +1,144 @@
+#pragma once
+
+#include "rattanrill/base/clock.h"
+#include "rattanrill/base/timerservice.h"
+#include "rattanrill/policy/slotscheduler.h"
+#include "rattanrill/policy/tokenbucket.h"
+#include "rattanrill/serving/deployment.h"
+#include "rattanrill/wire/fleetmessages.h"
+
+#include "absl/time/time.h"
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace rattanrill::serving {
+
+/// Settings of a SlotBroker.
+struct SlotBrokerSettings
+{
+    policy::SlotSchedulerSettings scheduler;
+    /// Number of requests by which a workspace may exceed its contract in any window of length
+    /// rateWindow: rateToleranceFraction of what rate and burst allow in the window, plus
+    /// rateToleranceRequests. A broker that replaces another one starts its rate buckets with half
+    /// of this number (at most the burst); the other half is left for a second replacement in the
+    /// same window.
+    absl::Duration rateWindow = absl::Seconds(5);
+    double rateToleranceFraction = 0;
+    double rateToleranceRequests = 0;
+    /// Fraction of a request's latency objective for which it may wait for a slot; the rest covers
+    /// the transfer to the upstream and the time to its first event.
+    double maxWaitFraction = 0.7;
+    /// Upper bound of Retry-After, as a fraction of the time until the request's deadline.
+    double maxRetryAfterFraction = 0.3;
+    /// A request that has waited for a slot for this long receives the outcome Waiting; the
+    /// requester then repeats it.
+    absl::Duration maxResponseDelay = absl::Milliseconds(40);
+    /// A slot that its holder has not released is reclaimed this long after the request's deadline.
+    absl::Duration releaseSlack = absl::Seconds(2);
+};
+
+/// Fractions (0 to 1) of the deployment's rates and slots that one broker grants.
+struct CapacityShare
+{
+    /// Fraction of each workspace's rate and burst.
+    double rateFraction = 1;
+    /// Fraction of each upstream's slots, rounded up to whole slots.
+    double slotFraction = 1;
+};
+
+/// Grants the slots of the upstreams and charges the requests to the workspaces' rates. One process
+/// of the deployment grants all slots; an entry process that can't reach it uses a local broker for
+/// its share of them. Used on the event loop only.
+class SlotBroker
+{
+public:
+    using ResponseCallback = std::function<void(const wire::SlotResponse &)>;
+
+    /// Callbacks that notify a batch task of decisions on its slot.
+    struct BatchHandlers
+    {
+        std::function<void(const std::string &upstream, const std::string &address)> granted;
+        /// The task must stop using its slot at once; the broker has already removed the task.
+        std::function<void()> preempted;
+    };
+
+    SlotBroker(TimerService &timers, const Clock &clock, SlotBrokerSettings settings);
+    ~SlotBroker();
+    SlotBroker(const SlotBroker &) = delete;
+    SlotBroker &operator=(const SlotBroker &) = delete;
+
+    /// Discards all granted slots and waiting requests; batch handlers are not called. Starts with
+    /// unknown loads and with rate buckets that hold no more than the rate tolerance allows,
+    /// because another process may have granted everything a moment ago.
+    void reset();
+    void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
+    /// Sets the upstreams and the share of them and of the rates that this broker grants.
+    void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                      const CapacityShare &share);
+
+    /// Requests a slot. \a callback receives the outcome Waiting when the requester must repeat the
+    /// request with SlotRequest::again set.
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback);
+    void release(const wire::SlotRelease &release);
+    /// Adopts slots that a process obtained from a previous broker or from its local share.
+    void restoreHeldSlots(const wire::HeldSlots &held);
+    void updateLoad(const wire::UpstreamLoad &load);
+    /// Reclaims the slots of processes that are not in \a instances.
+    void setLiveInstances(const std::vector<std::string> &instances);
+
+    void acquireBatch(const policy::SlotTask &task, BatchHandlers handlers);
+    void releaseBatch(const std::string &task, policy::ReleaseReason reason);
+    void cancelBatch(const std::string &task);
+
+    const policy::SlotScheduler &scheduler() const { return m_scheduler; }
+
+private:
+    struct OnlineRequest
+    {
+        std::string instance;
+        std::string workspace;
+        bool chargesRate = false;
+        bool isGranted = false;
+        absl::Time expires;
+        /// Null while no request is pending, between an outcome Waiting and the repeated request.
+        ResponseCallback callback;
+        /// Decision that was made while no request was pending; returned to the repeated request.
+        std::optional<wire::SlotResponse> pendingResponse;
+        TimerService::TimerId waitTimer = 0;
+    };
+
+    policy::TokenBucket *bucket(const std::string &workspace);
+    policy::RateContract contractOf(const Workspace &workspace) const;
+    void decide();
+    void applyDecision(const policy::GrantSlot &decision);
+    void applyDecision(const policy::RejectSlot &decision);
+    void applyDecision(const policy::PreemptSlot &decision);
+    void rejectOverRate(const std::string &id, absl::Duration wait);
+    void respond(const std::string &id, const wire::SlotResponse &response);
+    void startWaitTimer(const std::string &id);
+    void removeRequest(const std::string &id);
+    policy::TokenBucket initialBucket(const policy::RateContract &contract) const;
+    void armTimer();
+    void sweep();
+
+    TimerService &m_timers;
+    const Clock &m_clock;
+    const SlotBrokerSettings m_settings;
+    policy::SlotScheduler m_scheduler;
+    std::shared_ptr<const DeploymentIndex> m_deployment;
+    CapacityShare m_share;
+    std::map<std::string, policy::TokenBucket> m_buckets;
+    /// By task id.
+    std::map<std::string, OnlineRequest> m_online;
+    std::map<std::string, BatchHandlers> m_batch;
+    TimerService::TimerId m_decisionTimer = 0;
+    TimerService::TimerId m_sweepTimer = 0;
+    bool m_deciding = false;
+};
+
+} // namespace rattanrill::serving
--- /dev/null
+++ b/include/rattanrill/serving/slotclient.h
@@ -0,0 +1,63 @@
+#pragma once
+
+#include "rattanrill/net/eventloop.h"
+#include "rattanrill/peer/channelpool.h"
+#include "rattanrill/serving/slotbroker.h"
+
+#include "absl/time/time.h"
+
+#include <memory>
+#include <string>
+
+namespace rattanrill::serving {
+
+/// Settings of a SlotClient.
+struct SlotClientSettings
+{
+    /// Time for the round trip to the broker. The timeout of a call is this time plus
+    /// maxResponseDelay, for which the broker may delay its response.
+    absl::Duration roundTripAllowance = absl::Milliseconds(60);
+    /// Local share of the slots, as a multiple of an equal share. It is larger than an equal share
+    /// because callers are distributed unevenly over entry processes, and because batch tasks stop
+    /// while there is no broker.
+    double localSlotFactor = 2;
+    /// After a call without a response, slots are granted from the local share for this long.
+    absl::Duration brokerRetryDelay = absl::Milliseconds(500);
+    /// Settings of the local broker. The timeout of calls to the deployment's broker uses its
+    /// maxResponseDelay too.
+    SlotBrokerSettings localBroker;
+};
+
+/// Requests slots from the deployment's broker, and falls back to the local share of the entry
+/// process while the broker can't be reached. Used on the event loop only.
+class SlotClient
+{
+public:
+    /// \a fromLocalShare: the local share made the decision because the broker was unknown or did
+    /// not respond.
+    using ResponseCallback = std::function<void(const wire::SlotResponse &, bool fromLocalShare)>;
+
+    SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
+               SlotClientSettings settings);
+    ~SlotClient();
+    SlotClient(const SlotClient &) = delete;
+    SlotClient &operator=(const SlotClient &) = delete;
+
+    /// \a address: the broker's peer address; empty when none is known.
+    void setBroker(const std::string &address);
+    void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
+    /// \a entries: number of entry processes that share the upstreams.
+    void setUpstreams(const std::vector<wire::FleetUpstream> &upstreams, std::size_t entries);
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback);
+    /// Releases a slot. May also be called for a request whose outcome has not arrived.
+    void release(const wire::SlotRelease &release);
+    void reportLoad(const wire::UpstreamLoad &load);
+    void stop();
+
+private:
+    struct Impl;
+
+    std::shared_ptr<Impl> m_impl;
+};
+
+} // namespace rattanrill::serving
--- a/src/base/errorcode.cpp
+++ b/src/base/errorcode.cpp
@@ -17,7 +17,7 @@
         {ErrorCode::BodyTooLarge, "body_too_large", 413},
         {ErrorCode::MissingKey, "missing_key", 401},
         {ErrorCode::InvalidKey, "invalid_key", 401},
-        {ErrorCode::KeyWithdrawn, "key_withdrawn", 401},
+        {ErrorCode::KeyRevoked, "key_withdrawn", 401},
         {ErrorCode::KeysNotFresh, "keys_not_fresh", 503},
         {ErrorCode::NotFound, "not_found", 404},
         {ErrorCode::UnknownModel, "unknown_model", 404},
@@ -26,14 +26,14 @@
         {ErrorCode::RateLimited, "rate_limited", 429},
         {ErrorCode::RateUnknown, "rate_unknown", 503},
         {ErrorCode::Overloaded, "overloaded", 503},
-        {ErrorCode::RequestHeld, "request_held", 422},
+        {ErrorCode::RequestQuarantined, "request_held", 422},
         {ErrorCode::DuplicateRequest, "duplicate_request", 409},
         {ErrorCode::Draining, "draining", 503},
         {ErrorCode::UpstreamUnavailable, "upstream_unavailable", 503},
         {ErrorCode::UpstreamFailed, "upstream_failed", 502},
         {ErrorCode::UpstreamBusy, "upstream_busy", 503},
         {ErrorCode::StreamBroken, "stream_broken", 502},
-        {ErrorCode::ClientGone, "client_gone", 499},
+        {ErrorCode::ClientDisconnected, "client_gone", 499},
         {ErrorCode::InvalidItem, "invalid_item", 400},
         {ErrorCode::DuplicateItem, "duplicate_item", 400},
         {ErrorCode::JobFinished, "job_finished", 409},
@@ -45,7 +45,7 @@
         {ErrorCode::NotLeader, "not_leader", 503},
         {ErrorCode::NoQuorum, "no_quorum", 503},
         {ErrorCode::StaleRevision, "stale_revision", 409},
-        {ErrorCode::StaleFence, "stale_fence", 409},
+        {ErrorCode::StaleFencingToken, "stale_fence", 409},
         {ErrorCode::NotMember, "not_member", 409},
         {ErrorCode::ProposalLost, "proposal_lost", 503},
         {ErrorCode::Timeout, "timeout", 504},
@@ -58,7 +58,7 @@
         {ErrorCode::UnknownMethod, "unknown_method", 404},
         {ErrorCode::CorruptData, "corrupt_data", 500},
         {ErrorCode::UnsupportedFormat, "unsupported_format", 500},
-        {ErrorCode::SyncFailed, "sync_failed", 500},
+        {ErrorCode::FsyncFailed, "sync_failed", 500},
         {ErrorCode::DiskFull, "disk_full", 507},
         {ErrorCode::IoError, "io_error", 500},
         {ErrorCode::IdentityMismatch, "identity_mismatch", 500},
@@ -69,9 +69,9 @@
         {ErrorCode::Internal, "internal", 500},
 };
 
-constexpr std::array<EnumName<RunState>, 2> runStateNames = {{
-        {RunState::NotRun, "not_run"},
-        {RunState::MayHaveRun, "may_have_run"},
+constexpr std::array<EnumName<EffectState>, 2> effectStateNames = {{
+        {EffectState::NotRun, "not_run"},
+        {EffectState::MayHaveRun, "may_have_run"},
 }};
 
 } // namespace
@@ -94,9 +94,9 @@
     return std::nullopt;
 }
 
-std::string_view name(RunState state)
+std::string_view name(EffectState state)
 {
-    return nameOf(runStateNames, state);
+    return nameOf(effectStateNames, state);
 }
 
 int httpStatus(ErrorCode code)
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -13,32 +13,32 @@
 namespace rattanrill::control {
 namespace {
 
-constexpr absl::Duration transferPoll = absl::Milliseconds(10);
+constexpr absl::Duration transferPollPeriod = absl::Milliseconds(10);
 
 } // namespace
 
 GroupHost::GroupHost(const ControlSettings &settings, peer::ChannelPool &channels,
-                     const Clock &clock, OpenGroup openGroup)
+                     const Clock &clock, RaftNodeFactory startRaftNode)
     : m_settings(settings)
     , m_channels(channels)
     , m_clock(clock)
-    , m_openGroup(std::move(openGroup))
+    , m_startRaftNode(std::move(startRaftNode))
 {}
 
 Result<void> GroupHost::open()
 {
     BOOST_LEAF_CHECK(
-            openOne(controlclient::directoryGroup, directory::makeDirectoryStateMachine()));
+            openReplica(controlclient::directoryGroup, directory::makeDirectoryStateMachine()));
     for (int partition = 0; partition < m_settings.partitions; ++partition)
         BOOST_LEAF_CHECK(
-                openOne(controlclient::batchGroup(partition), batch::makeBatchStateMachine()));
+                openReplica(controlclient::batchGroup(partition), batch::makeBatchStateMachine()));
     return {};
 }
 
-Result<void> GroupHost::openOne(const std::string &group,
-                                std::unique_ptr<replication::StateMachine> machine)
+Result<void> GroupHost::openReplica(const std::string &group,
+                                    std::unique_ptr<replication::StateMachine> machine)
 {
-    replication::GroupOptions options;
+    replication::RaftNodeOptions options;
     options.group = group;
     options.self = m_settings.instance;
     if (!m_settings.join) {
@@ -49,18 +49,18 @@
     options.heartbeatPeriod = m_settings.raftHeartbeat;
     options.electionTimeout = m_settings.electionTimeout;
     options.snapshotAfterBytes = m_settings.snapshotAfterBytes;
-    BOOST_LEAF_AUTO(opened, m_openGroup(options, std::move(machine), *this, m_clock));
+    BOOST_LEAF_AUTO(opened, m_startRaftNode(options, std::move(machine), *this, m_clock));
     m_groups[group] = std::move(opened);
     return {};
 }
 
-replication::ReplicatedGroup *GroupHost::find(const std::string &group) const
+replication::RaftNode *GroupHost::find(const std::string &group) const
 {
     const auto found = m_groups.find(group);
     return found == m_groups.end() ? nullptr : found->second.get();
 }
 
-replication::ReplicatedGroup &GroupHost::directory() const
+replication::RaftNode &GroupHost::directory() const
 {
     return *m_groups.at(controlclient::directoryGroup);
 }
@@ -73,7 +73,7 @@
     return names;
 }
 
-bool GroupHost::leads(const std::string &group) const
+bool GroupHost::isLeader(const std::string &group) const
 {
     const auto *found = find(group);
     return found != nullptr && found->status().role == replication::Role::Leader;
@@ -86,7 +86,8 @@
     if (target == nullptr)
         return;
     m_channels.channel(target->peerAddress)
-            ->push(wire::Method::Raft, wire::encode(wire::RaftEnvelope{group, std::move(message)}));
+            ->sendOneWay(wire::Method::Raft,
+                         wire::encode(wire::RaftEnvelope{group, std::move(message)}));
 }
 
 const Replica *GroupHost::replica(const replication::ReplicaId &id) const
@@ -107,7 +108,7 @@
     return failure;
 }
 
-bool GroupHost::leadsAny() const
+bool GroupHost::isLeaderOfAny() const
 {
     for (const auto &[name, group] : m_groups) {
         if (group->status().role == replication::Role::Leader)
@@ -125,8 +126,8 @@
         if (group->status().role == replication::Role::Leader)
             group->transferLeadership();
     }
-    while (leadsAny() && m_clock.now() < end)
-        absl::SleepFor(transferPoll);
+    while (isLeaderOfAny() && m_clock.now() < end)
+        absl::SleepFor(transferPollPeriod);
 }
 
 void GroupHost::stop()
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -26,14 +26,14 @@
         reportFailure("settings-refused", read.failure());
         return exitUsage;
     }
-    ControlNode node(std::move(settings), SystemClock::instance(), replication::openGroup);
+    ControlNode node(std::move(settings), SystemClock::instance(), replication::startRaftNode);
     const auto started = outcomeOf([&] { return node.start(); });
     if (!started.ok())
         return reportFailure("start-failed", started.failure());
     log(LogLevel::Info, "started",
         {{"peerPort", node.peerPort()}, {"operatorPort", node.operatorPort()}});
-    const int number = signal.wait();
-    log(LogLevel::Info, "stopping", {{"signal", number}});
+    const int signalNumber = signal.wait();
+    log(LogLevel::Info, "stopping", {{"signal", signalNumber}});
     node.stop();
     log(LogLevel::Info, "stopped");
     return exitOk;
--- a/src/directory/follower.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include "rattanrill/base/concat.h"
 #include "rattanrill/base/hash.h"
@@ -16,16 +16,18 @@
 namespace rattanrill::directory {
 namespace {
 
-/// Doubling stops here; the wait is at its maximum long before.
+/// Limits the doublings of the backoff, so that the shift below does not overflow. The backoff
+/// reaches its maximum long before.
 constexpr int maxDoublings = 16;
 
 } // namespace
 
-struct Follower::Impl : std::enable_shared_from_this<Impl>
+struct DirectorySubscriber::Impl : std::enable_shared_from_this<Impl>
 {
-    Impl(FollowerOptions options, PollSource &source, TimerService &timers, const Clock &clock)
+    Impl(SubscriberOptions options, DirectoryPollClient &pollClient, TimerService &timers,
+         const Clock &clock)
         : options(std::move(options))
-        , source(source)
+        , pollClient(pollClient)
         , timers(timers)
         , clock(clock)
         , random(stableHash(this->options.instance))
@@ -33,13 +35,13 @@
 
     void sendPoll()
     {
-        wire::FollowRequest request;
+        wire::PollChangesRequest request;
         absl::Time sentAt;
         {
             absl::MutexLock lock(&mutex);
             if (stopped)
                 return;
-            ++sending;
+            ++activePollCalls;
             timer = 0;
             sentAt = clock.now();
             request.afterRevision = current->revision();
@@ -47,21 +49,21 @@
         request.instance = options.instance;
         request.waitMs = absl::ToInt64Milliseconds(options.pollWait);
         const std::weak_ptr<Impl> self = weak_from_this();
-        source.poll(request, options.pollTimeout,
-                    [self, sentAt](const Outcome<wire::FollowResponse> &outcome) {
-                        if (const std::shared_ptr<Impl> impl = self.lock())
-                            impl->handleAnswer(sentAt, outcome);
-                    });
+        pollClient.poll(request, options.pollTimeout,
+                        [self, sentAt](const Outcome<wire::PollChangesResponse> &outcome) {
+                            if (const std::shared_ptr<Impl> impl = self.lock())
+                                impl->handleAnswer(sentAt, outcome);
+                        });
         absl::MutexLock lock(&mutex);
-        --sending;
+        --activePollCalls;
         idle.SignalAll();
     }
 
-    void handleAnswer(absl::Time sentAt, const Outcome<wire::FollowResponse> &outcome)
+    void handleAnswer(absl::Time sentAt, const Outcome<wire::PollChangesResponse> &outcome)
     {
         if (!beginAnswer())
             return;
-        const Outcome<View> next = nextView(outcome);
+        const Outcome<DirectoryView> next = nextView(outcome);
         if (next.ok()) {
             publish(sentAt, next.value());
             schedule(sentAt + options.minPollInterval - clock.now());
@@ -71,13 +73,13 @@
         endAnswer();
     }
 
-    /// Only this thread changes the view until endAnswer().
+    /// Returns false after stop(). Otherwise only this thread changes the view until endAnswer().
     bool beginAnswer()
     {
         absl::MutexLock lock(&mutex);
         if (stopped)
             return false;
-        answeringThread = std::this_thread::get_id();
+        handlerThread = std::this_thread::get_id();
         return true;
     }
 
@@ -86,7 +88,7 @@
         bool pollNow = false;
         {
             absl::MutexLock lock(&mutex);
-            answeringThread = std::thread::id();
+            handlerThread = std::thread::id();
             idle.SignalAll();
             pollNow = std::exchange(pollAfterAnswer, false);
         }
@@ -94,29 +96,30 @@
             sendPoll();
     }
 
-    Outcome<View> nextView(const Outcome<wire::FollowResponse> &outcome)
+    Outcome<DirectoryView> nextView(const Outcome<wire::PollChangesResponse> &outcome)
     {
         if (!outcome.ok())
             return outcome.failure();
-        const std::shared_ptr<const View> view = viewNow();
+        const std::shared_ptr<const DirectoryView> view = currentView();
         const std::uint64_t revision = outcome.value().revision;
         if (revision < view->revision()) {
-            return notRun(ErrorCode::StaleRevision, concat("answer of revision ", revision,
-                                                           ", the view has ", view->revision()));
+            return notRun(ErrorCode::StaleRevision,
+                          concat("the answer has revision ", revision,
+                                 ", but the view has revision ", view->revision()));
         }
-        return outcomeOf([&] { return view->with(outcome.value()); });
+        return outcomeOf([&] { return view->withChanges(outcome.value()); });
     }
 
-    void publish(absl::Time sentAt, const View &next)
+    void publish(absl::Time sentAt, const DirectoryView &next)
     {
-        std::shared_ptr<const View> published;
+        std::shared_ptr<const DirectoryView> published;
         {
             absl::MutexLock lock(&mutex);
             failures = 0;
-            freshAt = std::max(freshAt, sentAt);
+            lastAnsweredSentAt = std::max(lastAnsweredSentAt, sentAt);
             if (next.revision() == current->revision())
                 return;
-            current = std::make_shared<const View>(next);
+            current = std::make_shared<const DirectoryView>(next);
             published = current;
         }
         for (const Listener &listener : listeners)
@@ -138,6 +141,7 @@
         return limit * std::uniform_real_distribution<double>(0.5, 1)(random);
     }
 
+    /// Sends the next poll after \a delay, or from endAnswer() when there is no delay.
     void schedule(absl::Duration delay)
     {
         absl::MutexLock lock(&mutex);
@@ -154,7 +158,7 @@
         });
     }
 
-    std::shared_ptr<const View> viewNow() const
+    std::shared_ptr<const DirectoryView> currentView() const
     {
         absl::MutexLock lock(&mutex);
         return current;
@@ -166,8 +170,8 @@
         {
             absl::MutexLock lock(&mutex);
             stopped = true;
-            const bool fromListener = answeringThread == std::this_thread::get_id();
-            while (!fromListener && (sending > 0 || answeringThread != std::thread::id()))
+            const bool fromListener = handlerThread == std::this_thread::get_id();
+            while (!fromListener && (activePollCalls > 0 || handlerThread != std::thread::id()))
                 idle.Wait(&mutex);
             pending = std::exchange(timer, 0);
         }
@@ -175,19 +179,22 @@
             timers.unsubscribe(pending);
     }
 
-    const FollowerOptions options;
-    PollSource &source;
+    const SubscriberOptions options;
+    DirectoryPollClient &pollClient;
     TimerService &timers;
     const Clock &clock;
     /// Not changed after start().
     std::vector<Listener> listeners;
     mutable absl::Mutex mutex;
     absl::CondVar idle;
-    std::shared_ptr<const View> current ABSL_GUARDED_BY(mutex) = std::make_shared<const View>();
-    absl::Time freshAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
-    std::thread::id answeringThread ABSL_GUARDED_BY(mutex);
-    /// Calls of source.poll() that have not returned.
-    int sending ABSL_GUARDED_BY(mutex) = 0;
+    std::shared_ptr<const DirectoryView>
+            current ABSL_GUARDED_BY(mutex) = std::make_shared<const DirectoryView>();
+    /// Time at which the last poll that was answered successfully was sent.
+    absl::Time lastAnsweredSentAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
+    /// Thread that runs handleAnswer(); no thread when there is none.
+    std::thread::id handlerThread ABSL_GUARDED_BY(mutex);
+    /// Calls of pollClient.poll() that have not returned.
+    int activePollCalls ABSL_GUARDED_BY(mutex) = 0;
     TimerService::TimerId timer ABSL_GUARDED_BY(mutex) = 0;
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
     int failures ABSL_GUARDED_BY(mutex) = 0;
@@ -195,38 +202,38 @@
     bool stopped ABSL_GUARDED_BY(mutex) = false;
 };
 
-Follower::Follower(FollowerOptions options, PollSource &source, TimerService &timers,
-                   const Clock &clock)
-    : m_impl(std::make_shared<Impl>(std::move(options), source, timers, clock))
+DirectorySubscriber::DirectorySubscriber(SubscriberOptions options, DirectoryPollClient &pollClient,
+                                         TimerService &timers, const Clock &clock)
+    : m_impl(std::make_shared<Impl>(std::move(options), pollClient, timers, clock))
 {}
 
-Follower::~Follower()
+DirectorySubscriber::~DirectorySubscriber()
 {
     stop();
 }
 
-void Follower::start()
+void DirectorySubscriber::start()
 {
     m_impl->sendPoll();
 }
 
-void Follower::stop()
+void DirectorySubscriber::stop()
 {
     m_impl->stop();
 }
 
-std::shared_ptr<const View> Follower::view() const
+std::shared_ptr<const DirectoryView> DirectorySubscriber::view() const
 {
-    return m_impl->viewNow();
+    return m_impl->currentView();
 }
 
-absl::Duration Follower::age() const
+absl::Duration DirectorySubscriber::age() const
 {
     absl::MutexLock lock(&m_impl->mutex);
-    return m_impl->clock.now() - m_impl->freshAt;
+    return m_impl->clock.now() - m_impl->lastAnsweredSentAt;
 }
 
-void Follower::onChange(Listener listener)
+void DirectorySubscriber::onChange(Listener listener)
 {
     m_impl->listeners.push_back(std::move(listener));
 }
--- a/src/engine/cancellation.cpp
+++ b/src/engine/abortsignal.cpp
@@ -1,24 +1,24 @@
-#include "rattanrill/engine/cancellation.h"
+#include "rattanrill/engine/abortsignal.h"
 
 namespace rattanrill::engine {
 
-void Cancellation::abort()
+void AbortSignal::abort()
 {
-    // The action runs under the lock, so that it never runs after its call has withdrawn it. It
-    // only shuts a socket down, which does not wait.
+    // The action runs under the lock, so that it can't run after the call has removed it. It does
+    // not block, since it only shuts down a socket.
     absl::MutexLock lock(&m_mutex);
     m_aborted = true;
     if (m_action)
         m_action();
 }
 
-bool Cancellation::aborted() const
+bool AbortSignal::aborted() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_aborted;
 }
 
-void Cancellation::onAbort(std::function<void()> action)
+void AbortSignal::setAbortAction(std::function<void()> action)
 {
     absl::MutexLock lock(&m_mutex);
     m_action = std::move(action);
--- a/src/entry/batchhandler.h
+++ b/src/entry/batchhandler.h
@@ -6,7 +6,7 @@
 #include "exchange.h"
 #include "partitions.h"
 
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 
 #include <string>
 
@@ -16,16 +16,16 @@
 class BatchHandler
 {
 public:
-    struct Parts
+    struct Context
     {
         const Admission &admission;
-        const directory::Follower &directory;
+        const directory::DirectorySubscriber &directory;
         Partitions &partitions;
         Claims &claims;
         const Clock &clock;
     };
 
-    BatchHandler(Parts parts, std::size_t maxBodyBytes);
+    BatchHandler(Context context, std::size_t maxBodyBytes);
 
     void create(Exchange &exchange);
     void list(Exchange &exchange);
@@ -39,7 +39,7 @@
     Outcome<std::string> createJob(const Caller &caller, const BatchRequest &request,
                                    const std::string &idempotencyKey);
 
-    Parts m_parts;
+    Context m_context;
     std::size_t m_maxBodyBytes;
 };
 
--- a/src/entry/heartbeat.h
+++ b/src/entry/heartbeat.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/timerservice.h"
-#include "rattanrill/directory/follower.h"
+#include "rattanrill/directory/directorysubscriber.h"
 #include "rattanrill/wire/directorymessages.h"
 
 #include "absl/time/time.h"
@@ -14,17 +14,18 @@
 
 namespace rattanrill::entry {
 
-/// Tells the control instances that this process lives, which revision it has in force and whether
-/// it is leaving.
+/// Sends heartbeats to the control instances. They contain the directory revision that this process
+/// applies and whether it is leaving.
 class Heartbeat
 {
 public:
-    Heartbeat(controlclient::ControlClient &control, const directory::Follower &directory,
-              TimerService &timers, absl::Duration period);
+    Heartbeat(controlclient::ControlClient &control,
+              const directory::DirectorySubscriber &directory, TimerService &timers,
+              absl::Duration period);
     ~Heartbeat();
 
     void start(wire::Member member);
-    /// Sends at once that this process leaves, and goes on saying so.
+    /// Sends a heartbeat at once that marks this process as leaving; later heartbeats do the same.
     void leave();
     void stop();
 
@@ -33,7 +34,7 @@
 
     wire::Member m_member;
     controlclient::ControlClient &m_control;
-    const directory::Follower &m_directory;
+    const directory::DirectorySubscriber &m_directory;
     TimerService &m_timers;
     absl::Duration m_period;
     TimerService::TimerId m_timer = 0;
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -12,20 +12,21 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Membership reaches all entries within a few tens of milliseconds.
-constexpr absl::Duration askAgainAfter = absl::Milliseconds(20);
+/// A membership change reaches all entries within a few tens of milliseconds.
+constexpr absl::Duration ownerRetryInterval = absl::Milliseconds(20);
 
-/// An owner that is a different process, answers late, or has another view grants nothing; in all
-/// these cases the request has not run.
+/// Failure for a request without a grant. There is no grant when the owner's process was replaced,
+/// the owner answers late or its view differs; in all these cases the request has not run.
 Failure rateUnknown(const std::string &detail)
 {
-    return notRun(ErrorCode::RateUnknown, concat("the rate owner gave no grant: ", detail));
+    return notRun(ErrorCode::RateUnknown,
+                  concat("the rate owner did not grant the request: ", detail));
 }
 
 } // namespace
 
-RateBroker::RateBroker(Options options, const directory::Follower &directory, RateOwner &owner,
-                       peer::ChannelPool &channels, const Clock &clock)
+RateBroker::RateBroker(Options options, const directory::DirectorySubscriber &directory,
+                       RateOwner &owner, peer::ChannelPool &channels, const Clock &clock)
     : m_options(std::move(options))
     , m_directory(directory)
     , m_owner(owner)
@@ -35,34 +36,34 @@
 
 Outcome<RateDecision> RateBroker::take(const std::string &workspace)
 {
-    const absl::Time until = m_clock.now() + m_options.maxWait;
+    const absl::Time deadline = m_clock.now() + m_options.maxWait;
     for (;;) {
         Outcome<RateDecision> decision = awaitOutcome<RateDecision>(
-                [&](Callback callback) { ask(workspace, std::move(callback)); });
+                [&](Callback callback) { requestGrant(workspace, std::move(callback)); });
         if (decision.ok())
             return decision;
-        // The ownership is on its way from one entry to another.
+        // Ownership of the workspace is being transferred to another entry.
         const bool isMoving = decision.failure().code == ErrorCode::NotMember;
-        if (!isMoving || m_clock.now() + askAgainAfter > until)
+        if (!isMoving || m_clock.now() + ownerRetryInterval > deadline)
             return rateUnknown(describe(decision.failure()));
-        absl::Notification().WaitForNotificationWithTimeout(askAgainAfter);
+        absl::Notification().WaitForNotificationWithTimeout(ownerRetryInterval);
     }
 }
 
-void RateBroker::ask(const std::string &workspace, Callback callback)
+void RateBroker::requestGrant(const std::string &workspace, Callback callback)
 {
     {
         absl::MutexLock lock(&m_mutex);
         Queue &queue = m_queues[workspace];
         queue.waiting.push_back(std::move(callback));
-        if (queue.calling)
+        if (queue.callOpen)
             return;
-        queue.calling = true;
+        queue.callOpen = true;
     }
-    callNext(workspace);
+    sendNext(workspace);
 }
 
-void RateBroker::callNext(const std::string &workspace)
+void RateBroker::sendNext(const std::string &workspace)
 {
     std::vector<Callback> callers;
     {
@@ -80,12 +81,12 @@
 }
 
 Outcome<std::string> RateBroker::ownerAddress(const std::string &workspace,
-                                              wire::GrantRequest &request) const
+                                              wire::RateGrantRequest &request) const
 {
     const auto view = m_directory.view();
     const std::vector<std::string> members = memberNames(*view);
     if (members.empty())
-        return notRun(ErrorCode::RateUnknown, "no entry is a member yet");
+        return notRun(ErrorCode::RateUnknown, "no entry has joined the directory yet");
     request.memberRevision = view->memberRevision();
     const std::string &owner = members[rendezvousOwner(workspace, members)];
     if (owner == m_options.instance)
@@ -95,42 +96,43 @@
 
 void RateBroker::send(const std::string &workspace, std::vector<Callback> callers)
 {
-    wire::GrantRequest request;
+    wire::RateGrantRequest request;
     request.workspace = workspace;
     request.requests = static_cast<std::int64_t>(callers.size());
     request.maxWaitMs = absl::ToInt64Milliseconds(m_options.maxWait);
     const Outcome<std::string> address = ownerAddress(workspace, request);
     if (!address.ok() || address.value().empty()) {
-        const Outcome<wire::GrantResponse> response =
+        const Outcome<wire::RateGrantResponse> response =
                 address.ok() ? m_owner.grant(request)
-                             : Outcome<wire::GrantResponse>(address.failure());
-        answer(callers, response);
-        callNext(workspace);
+                             : Outcome<wire::RateGrantResponse>(address.failure());
+        respond(callers, response);
+        sendNext(workspace);
         return;
     }
     const auto channel = m_channels.channel(address.value());
     channel->call(wire::Method::Grant, wire::encode(request), m_options.timeout,
                   [this, workspace, callers = std::move(callers)](Outcome<std::string> reply) {
-                      Outcome<wire::GrantResponse> response = wire::GrantResponse();
+                      Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
                       if (reply.ok())
-                          response = outcomeOf(
-                                  [&] { return wire::decode<wire::GrantResponse>(reply.value()); });
+                          response = outcomeOf([&] {
+                              return wire::decode<wire::RateGrantResponse>(reply.value());
+                          });
                       else
                           response = reply.failure();
-                      answer(callers, response);
-                      callNext(workspace);
+                      respond(callers, response);
+                      sendNext(workspace);
                   });
 }
 
-void RateBroker::answer(const std::vector<Callback> &callers,
-                        const Outcome<wire::GrantResponse> &response)
+void RateBroker::respond(const std::vector<Callback> &callers,
+                         const Outcome<wire::RateGrantResponse> &response)
 {
     for (std::size_t i = 0; i < callers.size(); ++i) {
         if (!response.ok()) {
             callers[i](response.failure());
             continue;
         }
-        const wire::GrantResponse &grants = response.value();
+        const wire::RateGrantResponse &grants = response.value();
         RateDecision decision;
         decision.granted = i < static_cast<std::size_t>(std::max<std::int64_t>(grants.granted, 0));
         if (!decision.granted)
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -3,24 +3,24 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Refusals that the caller causes, by its rate or by what it sends. They do not count against the
-/// objective for requests inside the rate.
+/// Whether the caller causes the failure, by its rate or by what it sends. Such failures do not
+/// count against the objective for requests inside the rate.
 bool isCausedByCaller(ErrorCode code)
 {
     switch (code) {
     case ErrorCode::RateLimited:
     case ErrorCode::MissingKey:
     case ErrorCode::InvalidKey:
-    case ErrorCode::KeyWithdrawn:
+    case ErrorCode::KeyRevoked:
     case ErrorCode::InvalidRequest:
     case ErrorCode::BodyTooLarge:
     case ErrorCode::UnknownModel:
     case ErrorCode::UnknownRoute:
     case ErrorCode::NotFound:
     case ErrorCode::MethodNotAllowed:
-    case ErrorCode::RequestHeld:
+    case ErrorCode::RequestQuarantined:
     case ErrorCode::DuplicateRequest:
-    case ErrorCode::ClientGone:
+    case ErrorCode::ClientDisconnected:
         return true;
     default:
         return false;
@@ -55,7 +55,7 @@
     MetricLabels all = toMetricLabels(labels);
     all["code"] = failure ? std::string(name(failure->code)) : "ok";
     m_metrics.count("rattanrill_requests_total", all);
-    if (!failure || failure->run != RunState::NotRun)
+    if (!failure || failure->run != EffectState::NotRun)
         return;
     m_metrics.count("rattanrill_refused_total",
                     {{"workspace", labels.workspace},
@@ -63,10 +63,10 @@
                      {"inside_rate", isCausedByCaller(failure->code) ? "false" : "true"}});
 }
 
-void RequestMetrics::tokens(const RequestLabels &labels, policy::WorkKind kind, std::uint64_t count)
+void RequestMetrics::tokens(const RequestLabels &labels, policy::TaskKind kind, std::uint64_t count)
 {
     MetricLabels all = toMetricLabels(labels);
-    all["class"] = kind == policy::WorkKind::Online ? "online" : "batch";
+    all["class"] = kind == policy::TaskKind::Online ? "online" : "batch";
     m_metrics.count("rattanrill_tokens_total", all, count);
 }
 
--- a/src/entry/servicetable.h
+++ b/src/entry/servicetable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "rattanrill/base/clock.h"
-#include "rattanrill/directory/view.h"
+#include "rattanrill/directory/directoryview.h"
 #include "rattanrill/policy/outlierdetector.h"
 #include "rattanrill/service/serviceclient.h"
 
@@ -15,8 +15,8 @@
 
 namespace rattanrill::entry {
 
-/// Clients of the plain services that the directory lists, with their load, the entry's own calls
-/// and their outlier state.
+/// Clients of the plain services that the directory lists, with their load, the number of this
+/// entry's open calls and their outlier state.
 class ServiceTable
 {
 public:
@@ -24,34 +24,35 @@
 
     ServiceTable(std::string failureDomain, const Clock &clock);
 
-    void update(const directory::View &view) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void update(const directory::DirectoryView &view) ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<Client> all() const ABSL_LOCKS_EXCLUDED(m_mutex);
-    void loadReported(const std::string &name, const service::ServiceLoad &load)
+    void loadReported(const std::string &name, const service::ServiceLoadReport &load)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Least loaded instance of \a service outside \a avoided, in the own failure domain first;
-    /// counts a call on it. Null when there is none.
-    Client begin(const std::string &service, const std::vector<std::string> &avoided)
+    /// Selects the instance of \a service with the lowest load that is not in \a excluded,
+    /// preferably in the failure domain of this entry, and counts a call to it. Returns null when
+    /// there is none.
+    Client beginCall(const std::string &service, const std::vector<std::string> &excluded)
             ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Ends a call. \a failed counts against the instance; \a crashed ejects it at once.
-    void end(const std::string &name, bool failed, bool crashed) ABSL_LOCKS_EXCLUDED(m_mutex);
+    void endCall(const std::string &name, bool failed, bool crashed) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
-    struct Entry
+    struct Instance
     {
         wire::Upstream upstream;
         Client client;
-        service::ServiceLoad load;
+        service::ServiceLoadReport load;
         std::int64_t ownCalls = 0;
         policy::OutlierDetector outlier{policy::OutlierSettings()};
     };
 
-    double cost(const Entry &entry, absl::Time now) const;
+    double cost(const Instance &instance, absl::Time now) const;
 
     std::string m_failureDomain;
     const Clock &m_clock;
     mutable absl::Mutex m_mutex;
-    std::map<std::string, Entry> m_entries ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, Instance> m_instances ABSL_GUARDED_BY(m_mutex);
 };
 
 } // namespace rattanrill::entry
--- a/src/fakes/balancer.cpp
+++ b/src/fakes/balancer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t checkerThreads = 4;
-constexpr std::size_t checkQueue = 256;
+constexpr std::size_t maxQueuedChecks = 256;
 
 } // namespace
 
@@ -17,8 +17,8 @@
     : m_settings(std::move(settings))
     , m_lister(std::move(lister))
     , m_timers(timers)
-    , m_checkers(checkerThreads, checkQueue)
-    , m_relay(m_settings.listen, [this] { return choose(); })
+    , m_checkers(checkerThreads, maxQueuedChecks)
+    , m_relay(m_settings.listen, [this] { return chooseTarget(); })
 {}
 
 Balancer::~Balancer()
@@ -60,12 +60,12 @@
     return live;
 }
 
-std::optional<RelayAddress> Balancer::choose()
+std::optional<RelayAddress> Balancer::chooseTarget()
 {
     const std::vector<Instance> live = liveInstances();
     absl::MutexLock lock(&m_mutex);
-    for (std::size_t tried = 0; tried < live.size(); ++tried) {
-        const Instance &instance = live[m_turn++ % live.size()];
+    for (std::size_t attempts = 0; attempts < live.size(); ++attempts) {
+        const Instance &instance = live[m_nextIndex++ % live.size()];
         Health &health = m_health[instance.name];
         if (!health.healthy)
             continue;
@@ -78,7 +78,7 @@
 void Balancer::checkAll()
 {
     for (const Instance &instance : liveInstances()) {
-        // A full queue skips the check; the next period repeats it.
+        // When the queue is full, the remaining checks are skipped until the next period.
         const bool posted = m_checkers.post([this, instance] { check(instance); });
         if (!posted)
             return;
@@ -91,10 +91,10 @@
     client.set_connection_timeout(absl::ToChronoMilliseconds(m_settings.healthTimeout));
     client.set_read_timeout(absl::ToChronoMilliseconds(m_settings.healthTimeout));
     const httplib::Result result = client.Get(m_settings.healthPath);
-    note(instance.name, result && result->status == 200);
+    recordHealthCheck(instance.name, result && result->status == 200);
 }
 
-void Balancer::note(const std::string &name, bool passed)
+void Balancer::recordHealthCheck(const std::string &name, bool passed)
 {
     absl::MutexLock lock(&m_mutex);
     Health &health = m_health[name];
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -19,13 +19,14 @@
 
 constexpr std::string_view handlePrefix = "kv:";
 
-/// The handle names its content, so that an engine in another process can check and import it.
+/// The handle identifies its content, so that an engine in another process can check and import it.
 std::string kvHandle(std::string_view prompt, std::int64_t tokens)
 {
     return concat(handlePrefix, hashText(prompt), ":", tokens);
 }
 
-/// Answer tokens that \a request can import; nothing when the handle is of another prompt.
+/// Number of answer tokens that \a request can import; nothing when its handle is empty or belongs
+/// to another prompt.
 std::optional<std::int64_t> importableTokens(const EngineRequest &request)
 {
     const std::string expected = concat(handlePrefix, hashText(request.prompt), ":");
@@ -47,7 +48,7 @@
     , m_cache(m_settings.limits.prefixCacheTokens)
     , m_cacheEvents(m_settings.timings.cacheEventDelay, m_settings.cacheEventLoss, m_settings.seed)
     , m_history(m_settings.timings.loadReportLag)
-    , m_orders(m_settings.models, m_settings.checksFence, m_settings.timings.modelLoad)
+    , m_loadedModels(m_settings.models, m_settings.checksFence, m_settings.timings.modelLoad)
 {}
 
 Result<void> EngineModel::submit(absl::Time now, EngineRequest request)
@@ -103,22 +104,23 @@
         m_stepEnd = std::max(m_stepEnd, time);
 }
 
-std::int64_t EngineModel::kvNeed(const EngineRequest &request)
+std::int64_t EngineModel::requiredKvTokens(const EngineRequest &request)
 {
     return fakes::promptTokens(request.prompt.size()) + request.maxTokens;
 }
 
 Result<void> EngineModel::checkRequest(absl::Time now, const EngineRequest &request) const
 {
-    if (!m_orders.serves(now, request.model))
+    if (!m_loadedModels.serves(now, request.model))
         return fail(notRun(ErrorCode::UnknownModel,
                            concat("model \"", request.model, "\" is not loaded")));
     if (isKnown(request.requestId))
         return fail(notRun(ErrorCode::DuplicateRequest,
                            concat("request id \"", request.requestId, "\" is in use")));
-    if (kvNeed(request) > m_settings.limits.kvCapacityTokens)
+    if (requiredKvTokens(request) > m_settings.limits.kvCapacityTokens)
         return fail(notRun(ErrorCode::InvalidRequest,
-                           concat("request needs ", kvNeed(request), " tokens of KV memory, has ",
+                           concat("request needs ", requiredKvTokens(request),
+                                  " tokens of KV memory, the engine has ",
                                   m_settings.limits.kvCapacityTokens)));
     if (static_cast<std::int64_t>(m_waiting.size()) >= m_settings.limits.maxWaiting)
         return fail(notRun(ErrorCode::UpstreamBusy, "queue is full"));
@@ -136,18 +138,18 @@
 
 std::optional<EngineModel::Sequence> EngineModel::remove(const std::string &requestId)
 {
-    const auto take = [&](auto &sequences) -> std::optional<Sequence> {
+    const auto removeFrom = [&](auto &sequences) -> std::optional<Sequence> {
         for (auto sequence = sequences.begin(); sequence != sequences.end(); ++sequence) {
             if (sequence->request.requestId != requestId)
                 continue;
-            Sequence taken = std::move(*sequence);
+            Sequence removed = std::move(*sequence);
             sequences.erase(sequence);
-            return taken;
+            return removed;
         }
         return std::nullopt;
     };
-    std::optional<Sequence> found = take(m_running);
-    return found ? std::move(found) : take(m_waiting);
+    std::optional<Sequence> found = removeFrom(m_running);
+    return found ? std::move(found) : removeFrom(m_waiting);
 }
 
 std::optional<EngineModel::Sequence> EngineModel::end(absl::Time now, const std::string &requestId)
@@ -192,8 +194,9 @@
     std::int64_t reserved = reservedTokens();
     while (!m_waiting.empty()
            && static_cast<std::int64_t>(m_running.size()) < m_settings.limits.maxBatch) {
-        reserved += kvNeed(m_waiting.front().request);
-        // Strict order of arrival: a request that does not fit holds up those behind it.
+        reserved += requiredKvTokens(m_waiting.front().request);
+        // Requests are admitted strictly in order of arrival: one that does not fit blocks those
+        // behind it.
         if (reserved > m_settings.limits.kvCapacityTokens)
             break;
         m_running.push_back(std::move(m_waiting.front()));
@@ -230,12 +233,13 @@
            + timings.stepPerContextToken * context;
 }
 
-/// Memory for the whole answer is reserved on admission, so that no running request is preempted.
+/// KV memory that the running requests have reserved. Memory for the whole answer is reserved on
+/// admission, so that no running request has to be preempted.
 std::int64_t EngineModel::reservedTokens() const
 {
     std::int64_t tokens = 0;
     for (const Sequence &sequence : m_running)
-        tokens += kvNeed(sequence.request);
+        tokens += requiredKvTokens(sequence.request);
     return tokens;
 }
 
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -10,7 +10,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-/// How often a stream without events checks whether its client is gone.
+/// Interval at which a stream without events checks whether its client has disconnected.
 constexpr absl::Duration clientCheckPeriod = absl::Milliseconds(100);
 constexpr std::size_t generatedIdBytes = 8;
 
@@ -62,10 +62,10 @@
 
 } // namespace
 
-EngineServer::EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults,
-                           RecordBook &records, const Clock &clock)
+EngineServer::EngineServer(FakeHttpServer &server, EngineRunner &runner, Faults &faults,
+                           RequestLog &records, const Clock &clock)
     : m_server(server)
-    , m_host(host)
+    , m_runner(runner)
     , m_faults(faults)
     , m_records(records)
     , m_clock(clock)
@@ -75,7 +75,7 @@
     addControlRoutes();
 }
 
-httplib::Server::Handler EngineServer::guarded(Handler handler)
+httplib::Server::Handler EngineServer::waitingWhileFrozen(Handler handler)
 {
     return [this, handler](const httplib::Request &request, httplib::Response &response) {
         m_faults.waitWhileFrozen(m_clock.now());
@@ -85,23 +85,24 @@
 
 void EngineServer::addAnswerRoutes()
 {
-    m_server.Post("/v1/completions", guarded(&EngineServer::completions));
-    m_server.Post("/v1/chat/completions", guarded(&EngineServer::chatCompletions));
-    m_server.Post("/engine/cancel", guarded(&EngineServer::cancel));
-    m_server.Post("/engine/kv/export", guarded(&EngineServer::exportKv));
+    m_server.Post("/v1/completions", waitingWhileFrozen(&EngineServer::completions));
+    m_server.Post("/v1/chat/completions", waitingWhileFrozen(&EngineServer::chatCompletions));
+    m_server.Post("/engine/cancel", waitingWhileFrozen(&EngineServer::cancel));
+    m_server.Post("/engine/kv/export", waitingWhileFrozen(&EngineServer::exportKv));
 }
 
 void EngineServer::addEngineRoutes()
 {
-    m_server.Get("/engine/load", guarded(&EngineServer::load));
-    m_server.Get("/engine/cache_events", guarded(&EngineServer::cacheEvents));
-    m_server.Post("/engine/orders", guarded(&EngineServer::orders));
-    m_server.Get("/healthz", guarded(&EngineServer::health));
+    m_server.Get("/engine/load", waitingWhileFrozen(&EngineServer::load));
+    m_server.Get("/engine/cache_events", waitingWhileFrozen(&EngineServer::cacheEvents));
+    m_server.Post("/engine/orders", waitingWhileFrozen(&EngineServer::orders));
+    m_server.Get("/healthz", waitingWhileFrozen(&EngineServer::health));
 }
 
 void EngineServer::addControlRoutes()
 {
-    // Not guarded: a test reads and sets these while the fake is frozen.
+    // These handlers do not wait for the end of a freeze: tests read the records and set faults
+    // while the fake is frozen.
     m_server.Get("/records", [this](const httplib::Request &request, httplib::Response &response) {
         sendRecords(m_records, request, response);
     });
@@ -132,26 +133,28 @@
 {
     const std::int64_t seq = m_records.add(recordOf(request, requestIdOf(request)));
     if (m_faults.state().refuse)
-        return fail(notRun(ErrorCode::UpstreamBusy, "refused by a fault"));
+        return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     BOOST_LEAF_AUTO(body, parseJson(request.body, "body"));
     BOOST_LEAF_AUTO(engineRequest, fakes::engineRequest(body));
     BOOST_LEAF_AUTO(stream, jsonMemberOr(body, "stream", false));
     const std::string id = engineRequest.requestId;
-    BOOST_LEAF_AUTO(events, m_host.submit(std::move(engineRequest), seq));
-    auto writer = std::make_shared<AnswerWriter>(AnswerForm{chat, stream});
+    BOOST_LEAF_AUTO(events, m_runner.submit(std::move(engineRequest), seq));
+    auto writer = std::make_shared<AnswerWriter>(AnswerFormat{chat, stream});
     response.set_chunked_content_provider(
             stream ? "text/event-stream" : "application/json",
             [this, events = events, writer](std::size_t, httplib::DataSink &sink) {
-                return pump(*events, *writer, sink);
+                return sendNextEvent(*events, *writer, sink);
             },
-            // Ends the work of a client that went away; after a normal end the id is unknown.
-            [this, id](bool) { m_host.cancel(id); });
+            // Cancels the request of a client that disconnected. After a normal end the id is
+            // no longer known, and the call has no effect.
+            [this, id](bool) { m_runner.cancel(id); });
     return {};
 }
 
-bool EngineServer::pump(AnswerStream &stream, AnswerWriter &writer, httplib::DataSink &sink)
+bool EngineServer::sendNextEvent(EngineEventQueue &queue, AnswerWriter &writer,
+                                 httplib::DataSink &sink)
 {
-    const auto delivered = stream.pop(m_clock, clientCheckPeriod);
+    const auto delivered = queue.pop(m_clock, clientCheckPeriod);
     m_faults.waitWhileFrozen(m_clock.now());
     if (!delivered)
         return sink.is_writable();
@@ -170,7 +173,7 @@
 {
     const std::string id = requestIdOf(request);
     m_records.add(recordOf(request, id));
-    const auto tokens = m_host.cancel(id);
+    const auto tokens = m_runner.cancel(id);
     sendJson(response, {{"cancelled", tokens.has_value()}, {"tokens", tokens.value_or(0)}});
 }
 
@@ -178,9 +181,11 @@
 {
     const std::string id = requestIdOf(request);
     m_records.add(recordOf(request, id));
-    const auto kvExport = m_host.exportKv(id);
+    const auto kvExport = m_runner.exportKv(id);
     if (!kvExport) {
-        http::sendFailure(response, notRun(ErrorCode::NotFound, "no such request runs"), id);
+        http::sendFailure(response,
+                          notRun(ErrorCode::NotFound, "no waiting or running request has this id"),
+                          id);
         return;
     }
     sendJson(response, {{"kv_handle", kvExport->handle}, {"tokens", kvExport->tokens}});
@@ -188,8 +193,8 @@
 
 void EngineServer::load(const httplib::Request & /*request*/, httplib::Response &response)
 {
-    const EngineLoad load = m_host.load();
-    const EngineModelSettings &settings = m_host.settings();
+    const LoadSample load = m_runner.load();
+    const EngineModelSettings &settings = m_runner.settings();
     sendJson(response, {{"running", load.running},
                         {"waiting", load.waiting},
                         {"kv_tokens", load.kvTokens},
@@ -200,7 +205,7 @@
 
 void EngineServer::cacheEvents(const httplib::Request &request, httplib::Response &response)
 {
-    const CacheEventPage page = m_host.cacheEvents(numberParam(request, "after"));
+    const CacheEventPage page = m_runner.cacheEvents(numberParam(request, "after"));
     Json events = Json::array();
     for (const CacheEvent &event : page.events)
         events.push_back(toJson(event));
@@ -221,8 +226,8 @@
                                       int &status)
 {
     BOOST_LEAF_AUTO(order, orderOf(request.body));
-    const OrderAnswer answer = m_host.order(order);
-    status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFence);
+    const OrderAnswer answer = m_runner.order(order);
+    status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
     if (answer.accepted)
         m_records.markRun(seq);
     return Json{{"accepted", answer.accepted}, {"fence", answer.fence}};
@@ -243,7 +248,7 @@
         http::sendFailure(response, set.failure(), "");
         return;
     }
-    m_host.applyFaults();
+    m_runner.applyFaults();
     sendJson(response, {{"set", true}});
 }
 
--- a/src/fakes/engineserver.h
+++ b/src/fakes/engineserver.h
@@ -2,7 +2,7 @@
 
 #include "answerwriter.h"
 #include "fakehttpserver.h"
-#include "rattanrill/fakes/enginehost.h"
+#include "rattanrill/fakes/enginerunner.h"
 
 namespace rattanrill::fakes {
 
@@ -10,13 +10,14 @@
 class EngineServer
 {
 public:
-    EngineServer(FakeHttpServer &server, EngineHost &host, Faults &faults, RecordBook &records,
+    EngineServer(FakeHttpServer &server, EngineRunner &runner, Faults &faults, RequestLog &records,
                  const Clock &clock = SystemClock::instance());
 
 private:
     using Handler = void (EngineServer::*)(const httplib::Request &, httplib::Response &);
 
-    httplib::Server::Handler guarded(Handler handler);
+    /// Wraps \a handler so that it runs only after a freeze has ended.
+    httplib::Server::Handler waitingWhileFrozen(Handler handler);
     void addAnswerRoutes();
     void addEngineRoutes();
     void addControlRoutes();
@@ -35,13 +36,14 @@
     Result<void> startAnswer(const httplib::Request &request, httplib::Response &response,
                              bool chat);
     Result<Json> applyOrder(const httplib::Request &request, std::int64_t seq, int &status);
-    /// Sends what is ready; false ends the connection.
-    bool pump(AnswerStream &stream, AnswerWriter &writer, httplib::DataSink &sink);
+    /// Waits for the next event for a limited time and sends it. Returns false when the connection
+    /// is to be closed.
+    bool sendNextEvent(EngineEventQueue &queue, AnswerWriter &writer, httplib::DataSink &sink);
 
     FakeHttpServer &m_server;
-    EngineHost &m_host;
+    EngineRunner &m_runner;
     Faults &m_faults;
-    RecordBook &m_records;
+    RequestLog &m_records;
     const Clock &m_clock;
 };
 
--- a/src/fakes/fakehttpserver.h
+++ b/src/fakes/fakehttpserver.h
@@ -2,7 +2,7 @@
 
 #include "rattanrill/base/json.h"
 #include "rattanrill/base/shutdownsignal.h"
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 #include <httplib.h>
 
@@ -19,32 +19,32 @@
 };
 
 HttpSettings httpSettings(const Json &settings);
-/// From the settings member "records".
-RecordSettings recordSettings(const Json &settings);
+/// Reads the settings member "records".
+RequestLogSettings recordSettings(const Json &settings);
 
-/// httplib's server with what all fakes need: a free port on request, a line on standard output
-/// that names it, and the library's listen backlog of 5 made larger. With 5, a burst of
-/// connections loses SYNs and waits 1 s for their retransmission.
+/// HTTP server of the fakes. Listens on any free port when the configured port is 0, prints the
+/// address to standard output, and replaces httplib's listen backlog of 5 by a larger one. With 5,
+/// SYNs are lost in a burst of connections, and the clients wait 1 s for the retransmission.
 class FakeHttpServer : public httplib::Server
 {
 public:
     explicit FakeHttpServer(const HttpSettings &settings);
 
-    /// Binds; returns the port. Fails with AddressInUse.
+    /// Binds the socket and returns the port. Fails with AddressInUse.
     Result<int> bind();
-    /// Binds, prints \a startLine with "listening":"host:port" added, and serves until \a signal
-    /// comes; then ends the process without waiting for connections, because httplib waits up to
-    /// the keep-alive timeout for idle ones. Returns only when it cannot listen.
+    /// Binds, prints \a startLine with "listening":"host:port" added, and serves until \a signal is
+    /// received. Then ends the process without waiting for open connections, because httplib would
+    /// wait for idle ones up to the keep-alive timeout. Returns only when it cannot listen.
     int serveUntil(ShutdownSignal &signal, Json startLine = Json::object());
 
 private:
     HttpSettings m_settings;
 };
 
-/// The request as a record, headers included.
-Record recordOf(const httplib::Request &request, std::string requestId);
+/// Converts \a request, including its headers, to a record.
+RequestRecord recordOf(const httplib::Request &request, std::string requestId);
 /// Answers "GET /records?after=N".
-void sendRecords(const RecordBook &records, const httplib::Request &request,
+void sendRecords(const RequestLog &records, const httplib::Request &request,
                  httplib::Response &response);
 void sendJson(httplib::Response &response, const Json &body);
 /// Number in the query parameter \a key; 0 when there is none.
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -11,7 +11,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-/// Exit code of a process that a fault ended; tests tell it from a failed start.
+/// Exit code of a simulated crash; tests use it to distinguish the crash from a failed start.
 constexpr int crashExitCode = 70;
 
 constexpr std::array<std::string_view, 7> memberNames = {
@@ -32,7 +32,8 @@
     return {};
 }
 
-/// Sets \a target from a member; a null member resets it, a missing one leaves it.
+/// Reads the member \a key into \a target. A null member sets \a target to \a off; a missing one
+/// leaves it unchanged.
 template <typename T>
 Result<void> read(const Json &body, const char *key, T &target, T off)
 {
@@ -61,7 +62,7 @@
     BOOST_LEAF_CHECK(read<std::string>(body, "crash_on", state.crashOn, ""));
     BOOST_LEAF_CHECK(read<double>(body, "slow_factor", state.slowFactor, 1));
     BOOST_LEAF_CHECK(readMilliseconds(body, "late_answer_ms", state.lateAnswer));
-    BOOST_LEAF_CHECK(read<std::int64_t>(body, "cross_answers", state.crossAnswers, 0));
+    BOOST_LEAF_CHECK(read<std::int64_t>(body, "cross_answers", state.swapAnswers, 0));
     BOOST_LEAF_CHECK(read<std::int64_t>(body, "cut_after_tokens", state.cutAfterTokens, 0));
     BOOST_LEAF_CHECK(read<bool>(body, "refuse", state.refuse, false));
     BOOST_LEAF_CHECK(readMilliseconds(body, "freeze_ms", freeze));
@@ -84,19 +85,19 @@
     return m_frozenUntil;
 }
 
-bool Faults::takeCrossing()
+bool Faults::consumeAnswerSwap()
 {
     absl::MutexLock lock(&m_mutex);
-    if (m_state.crossAnswers <= 0)
+    if (m_state.swapAnswers <= 0)
         return false;
-    --m_state.crossAnswers;
+    --m_state.swapAnswers;
     return true;
 }
 
 void Faults::waitWhileFrozen(absl::Time now) const
 {
     const absl::Duration left = frozenUntil() - now;
-    // A frozen process answers nothing; a wait is what the fault asks for.
+    // A frozen process sends no answers, so the fault blocks the calling thread on purpose.
     if (left > absl::ZeroDuration())
         absl::SleepFor(left);
 }
--- a/src/fakes/main_engine.cpp
+++ b/src/fakes/main_engine.cpp
@@ -11,10 +11,10 @@
 {
     ShutdownSignal signal;
     Faults faults;
-    RecordBook records(recordSettings(settings));
-    EngineHost host(engineModelSettings(settings), faults, records);
+    RequestLog records(recordSettings(settings));
+    EngineRunner runner(engineModelSettings(settings), faults, records);
     FakeHttpServer server(httpSettings(settings));
-    const EngineServer engine(server, host, faults, records);
+    const EngineServer engine(server, runner, faults, records);
     return server.serveUntil(signal);
 }
 
--- a/src/fakes/recordjson.h
+++ b/src/fakes/recordjson.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "rattanrill/base/json.h"
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 namespace rattanrill::fakes {
 
-Json toJson(const Record &record);
+Json toJson(const RequestRecord &record);
 
 } // namespace rattanrill::fakes
--- a/src/fakes/recordbook.cpp
+++ b/src/fakes/requestlog.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/fakes/recordbook.h"
+#include "rattanrill/fakes/requestlog.h"
 
 #include "recordjson.h"
 
@@ -7,7 +7,7 @@
 
 namespace rattanrill::fakes {
 
-Json toJson(const Record &record)
+Json toJson(const RequestRecord &record)
 {
     return {
             {"seq", record.seq},       {"request_id", record.requestId},
@@ -17,20 +17,20 @@
     };
 }
 
-RecordBook::RecordBook(const RecordSettings &settings)
+RequestLog::RequestLog(const RequestLogSettings &settings)
     : m_limit(settings.limit)
 {
     if (!settings.file.empty())
         m_file = std::fopen(settings.file.c_str(), "ae");
 }
 
-RecordBook::~RecordBook()
+RequestLog::~RequestLog()
 {
     if (m_file != nullptr)
         std::fclose(m_file);
 }
 
-std::int64_t RecordBook::add(Record record)
+std::int64_t RequestLog::add(RequestRecord record)
 {
     absl::MutexLock lock(&m_mutex);
     record.seq = ++m_lastSeq;
@@ -41,20 +41,20 @@
     return m_lastSeq;
 }
 
-void RecordBook::markRun(std::int64_t seq)
+void RequestLog::markRun(std::int64_t seq)
 {
     absl::MutexLock lock(&m_mutex);
-    Record *record = find(seq);
+    RequestRecord *record = find(seq);
     if (record == nullptr)
         return;
     record->run = true;
     append(*record);
 }
 
-void RecordBook::markFinished(std::int64_t seq, std::int64_t tokens)
+void RequestLog::markFinished(std::int64_t seq, std::int64_t tokens)
 {
     absl::MutexLock lock(&m_mutex);
-    Record *record = find(seq);
+    RequestRecord *record = find(seq);
     if (record == nullptr)
         return;
     record->finished = true;
@@ -62,37 +62,37 @@
     append(*record);
 }
 
-std::vector<Record> RecordBook::after(std::int64_t after) const
+std::vector<RequestRecord> RequestLog::after(std::int64_t after) const
 {
     absl::MutexLock lock(&m_mutex);
-    std::vector<Record> records;
-    for (const Record &record : m_records) {
+    std::vector<RequestRecord> records;
+    for (const RequestRecord &record : m_records) {
         if (record.seq > after)
             records.push_back(record);
     }
     return records;
 }
 
-std::int64_t RecordBook::lastSeq() const
+std::int64_t RequestLog::lastSeq() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_lastSeq;
 }
 
-Record *RecordBook::find(std::int64_t seq)
+RequestRecord *RequestLog::find(std::int64_t seq)
 {
     if (m_records.empty() || seq < m_records.front().seq)
         return nullptr;
     return &m_records[static_cast<std::size_t>(seq - m_records.front().seq)];
 }
 
-void RecordBook::append(const Record &record)
+void RequestLog::append(const RequestRecord &record)
 {
     if (m_file == nullptr)
         return;
     const std::string line = dumpJson(toJson(record)) + "\n";
     std::fwrite(line.data(), 1, line.size(), m_file);
-    // The process may crash on purpose right after this line.
+    // Flushes because a fault may crash the process right after this call.
     std::fflush(m_file);
 }
 
--- /dev/null
+++ b/src/fleet/fleetclient.cpp
@@ -0,0 +1,271 @@
+#include "rattanrill/fleet/fleetclient.h"
+
+#include "rattanrill/base/logger.h"
+#include "rattanrill/fleet/replicaidentity.h"
+#include "rattanrill/wire/codec.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace rattanrill::fleet {
+namespace {
+
+/// Number of addresses that are polled in parallel while no leader is known. Three, because the
+/// fleet group is founded by three processes.
+constexpr std::size_t maxParallelPolls = 3;
+
+} // namespace
+
+struct FleetClient::Impl : std::enable_shared_from_this<FleetClient::Impl>
+{
+    Impl(net::EventLoop &loop, peer::ChannelPool &channels, FleetClientSettings settings,
+         const Clock &clock)
+        : loop(loop)
+        , channels(channels)
+        , settings(std::move(settings))
+        , clock(clock)
+        , backoff(this->settings.minBackoff)
+    {}
+
+    wire::FleetSyncRequest makeRequest() const
+    {
+        wire::FleetSyncRequest request;
+        request.self = settings.self;
+        request.viewTerm = viewTerm;
+        request.viewSequence = viewSequence;
+        request.configurationVersion = state.configurationVersion;
+        request.waitMs = absl::ToInt64Milliseconds(settings.pollWait);
+        if (storeReport)
+            storeReport(request);
+        return request;
+    }
+
+    void sendHeartbeat(bool leaving)
+    {
+        if (leader.empty())
+            return;
+        wire::FleetSyncRequest message = makeRequest();
+        message.leaving = leaving;
+        message.waitMs = 0;
+        channels.channel(leader)->sendOneWay(wire::Method::Sync, wire::encode(message));
+    }
+
+    /// Returns the leader's address when it is known. Otherwise returns a few of the known
+    /// addresses, different ones in each call, because a poll of a process that is down ends only
+    /// after a timeout.
+    std::vector<std::string> nextAddresses()
+    {
+        if (!leader.empty())
+            return {leader};
+        std::vector<std::string> knownAddresses = settings.seeds;
+        for (const wire::FleetMemberStatus &status : state.members) {
+            const std::string &address = status.member.peerAddress;
+            const bool isNew = std::find(knownAddresses.begin(), knownAddresses.end(), address)
+                               == knownAddresses.end();
+            if (status.member.role == wire::MemberRole::Control && isNew)
+                knownAddresses.push_back(address);
+        }
+        std::vector<std::string> addresses;
+        while (addresses.size() < std::min(knownAddresses.size(), maxParallelPolls))
+            addresses.push_back(knownAddresses[nextAddressIndex++ % knownAddresses.size()]);
+        return addresses;
+    }
+
+    /// Starts a round of polls. Responses to polls of earlier rounds are ignored.
+    void poll()
+    {
+        if (stopped)
+            return;
+        ++round;
+        const std::vector<std::string> addresses = nextAddresses();
+        pendingPolls = addresses.size();
+        if (addresses.empty())
+            return scheduleNextRound();
+        for (const std::string &address : addresses)
+            poll(address);
+    }
+
+    void poll(const std::string &address)
+    {
+        const absl::Time sentAt = clock.now();
+        channels.channel(address)->call(wire::Method::Sync, wire::encode(makeRequest()),
+                                        settings.pollTimeout,
+                                        [self = shared_from_this(), address, sentAt,
+                                         pollRound = round](Outcome<std::string> outcome) {
+                                            self->loop.post([self, address, sentAt, pollRound,
+                                                             outcome = std::move(outcome)] {
+                                                if (!self->stopped && pollRound == self->round)
+                                                    self->handleOutcome(address, sentAt, outcome);
+                                            });
+                                        });
+    }
+
+    void handleOutcome(const std::string &address, absl::Time sentAt,
+                       const Outcome<std::string> &outcome)
+    {
+        --pendingPolls;
+        if (!outcome.ok())
+            return handleFailure(address, outcome.failure());
+        const auto response =
+                outcomeOf([&] { return wire::decode<wire::FleetSyncResponse>(outcome.value()); });
+        if (!response.ok())
+            return handleFailure(address, response.failure());
+        if (leader != address || !connected) {
+            log(LogLevel::Info, "fleet-leader-found",
+                {{"peerAddress", address}, {"term", response.value().viewTerm}});
+        }
+        leader = address;
+        connected = true;
+        followsHint = false;
+        backoff = settings.minBackoff;
+        lastSyncSentAt = sentAt;
+        applyResponse(response.value());
+        poll();
+    }
+
+    void applyResponse(const wire::FleetSyncResponse &response)
+    {
+        const bool isNewView =
+                response.viewTerm != viewTerm || response.viewSequence != viewSequence;
+        const bool isNewConfiguration = response.configurationVersion > state.configurationVersion
+                                        && !response.configuration.empty();
+        if (isNewConfiguration) {
+            state.configurationVersion = response.configurationVersion;
+            state.configuration = response.configuration;
+        }
+        if (isNewView) {
+            viewTerm = response.viewTerm;
+            viewSequence = response.viewSequence;
+            state.members = response.members;
+            state.membersComplete = response.membersSettled;
+            state.storeFounders = response.storeFounders;
+            // A new leader may not have read the platform's list yet. The list from the previous
+            // leader stays in use until then.
+            if (response.upstreamsKnown) {
+                state.upstreams = response.upstreams;
+                state.upstreamsKnown = true;
+            }
+        }
+        if (isNewView || isNewConfiguration) {
+            for (const Listener &listener : listeners)
+                listener(state);
+        }
+    }
+
+    void handleFailure(const std::string &address, const Failure &failure)
+    {
+        const bool hasHint = failure.code == ErrorCode::NotLeader && !failure.detail.empty();
+        if (connected) {
+            log(LogLevel::Warning, "fleet-leader-lost",
+                {{"peerAddress", address},
+                 {"code", name(failure.code)},
+                 {"detail", failure.detail},
+                 {"configurationVersion", state.configurationVersion}});
+        }
+        connected = false;
+        const std::string hintedAddress = hasHint ? peerAddressOf(failure.detail) : std::string();
+        leader = hintedAddress == address ? std::string() : hintedAddress;
+        // Two replicas with outdated state may each name the other as leader. Only one hint in a
+        // row is followed without a delay, so that the polls do not alternate between the two.
+        const bool isNewHint = !leader.empty() && !followsHint;
+        followsHint = isNewHint;
+        if (isNewHint)
+            poll();
+        else if (pendingPolls == 0)
+            scheduleNextRound();
+    }
+
+    void scheduleNextRound()
+    {
+        loop.timers().subscribeOnce(backoff, [self = shared_from_this()] { self->poll(); });
+        backoff = std::min(backoff * 2, settings.maxBackoff);
+    }
+
+    net::EventLoop &loop;
+    peer::ChannelPool &channels;
+    FleetClientSettings settings;
+    const Clock &clock;
+    FleetState state;
+    std::uint64_t viewTerm = 0;
+    std::uint64_t viewSequence = 0;
+    std::vector<Listener> listeners;
+    std::function<void(wire::FleetSyncRequest &)> storeReport;
+    std::string leader;
+    std::size_t nextAddressIndex = 0;
+    bool connected = false;
+    /// The current poll was sent to the leader that the previous response named.
+    bool followsHint = false;
+    std::uint64_t round = 0;
+    /// Polls of this round that have not received a response.
+    std::size_t pendingPolls = 0;
+    bool stopped = false;
+    absl::Duration backoff;
+    /// Sending time of the last poll that received a response.
+    absl::Time lastSyncSentAt = absl::InfinitePast();
+};
+
+FleetClient::FleetClient(net::EventLoop &loop, peer::ChannelPool &channels,
+                         FleetClientSettings settings, const Clock &clock)
+    : m_impl(std::make_shared<Impl>(loop, channels, std::move(settings), clock))
+{}
+
+FleetClient::~FleetClient()
+{
+    stop();
+}
+
+void FleetClient::onChange(Listener listener)
+{
+    m_impl->listeners.push_back(std::move(listener));
+}
+
+void FleetClient::setStoreReport(std::function<void(wire::FleetSyncRequest &)> report)
+{
+    m_impl->storeReport = std::move(report);
+}
+
+void FleetClient::start()
+{
+    m_impl->poll();
+}
+
+void FleetClient::sendHeartbeat()
+{
+    if (!m_impl->stopped)
+        m_impl->sendHeartbeat(false);
+}
+
+void FleetClient::leave()
+{
+    if (!m_impl->stopped)
+        m_impl->sendHeartbeat(true);
+    stop();
+}
+
+void FleetClient::stop()
+{
+    m_impl->stopped = true;
+    m_impl->listeners.clear();
+}
+
+void FleetClient::setSeeds(std::vector<std::string> seeds)
+{
+    m_impl->settings.seeds = std::move(seeds);
+}
+
+const FleetState &FleetClient::state() const
+{
+    return m_impl->state;
+}
+
+absl::Duration FleetClient::staleness() const
+{
+    return m_impl->clock.now() - m_impl->lastSyncSentAt;
+}
+
+std::string FleetClient::leaderAddress() const
+{
+    return m_impl->leader;
+}
+
+} // namespace rattanrill::fleet
--- /dev/null
+++ b/src/fleet/fleetservice.cpp
@@ -0,0 +1,298 @@
+#include "rattanrill/fleet/fleetservice.h"
+
+#include "rattanrill/base/logger.h"
+#include "rattanrill/wire/codec.h"
+
+#include <algorithm>
+#include <list>
+#include <utility>
+
+namespace rattanrill::fleet {
+namespace {
+
+/// Interval at which pending polls and member timeouts are checked.
+constexpr absl::Duration checkPeriod = absl::Milliseconds(50);
+constexpr absl::Duration maxPollWait = absl::Seconds(2);
+
+} // namespace
+
+struct FleetService::Impl : std::enable_shared_from_this<FleetService::Impl>
+{
+    struct Poll
+    {
+        wire::FleetSyncRequest request;
+        peer::ResponseCallback reply;
+        absl::Time deadline;
+    };
+
+    Impl(net::EventLoop &loop, GroupReplica &replica, UpstreamDiscovery &discovery,
+         FleetServiceSettings settings, const Clock &clock)
+        : loop(loop)
+        , replica(replica)
+        , discovery(discovery)
+        , settings(settings)
+        , clock(clock)
+        , view(settings.memberTimeout)
+    {}
+
+    void handleSync(const std::string &body, peer::ResponseCallback reply)
+    {
+        auto request = outcomeOf([&] { return wire::decode<wire::FleetSyncRequest>(body); });
+        if (!request.ok())
+            return reply(request.failure());
+        const absl::Time now = clock.now();
+        const absl::Duration wait = std::clamp(absl::Milliseconds(request.value().waitMs),
+                                               absl::ZeroDuration(), maxPollWait);
+        Poll poll{std::move(request.value()), std::move(reply), now + wait};
+        if (leads())
+            addPoll(std::move(poll), now);
+        else if (!otherLeader().empty())
+            poll.reply(notRun(ErrorCode::NotLeader, otherLeader()));
+        else
+            pollsWithoutLeader.push_back(std::move(poll));
+    }
+
+    void addPoll(Poll poll, absl::Time now)
+    {
+        view.recordHeartbeat(poll.request, now);
+        polls.push_back(std::move(poll));
+        respondToPolls(now);
+    }
+
+    /// Returns the leader of the group; empty when it is unknown or this replica.
+    std::string otherLeader() const
+    {
+        const replication::RaftNodeStatus status = replica.status();
+        return status.role == replication::Role::Leader ? std::string() : status.leader;
+    }
+
+    /// Processes the polls that were received while no leader was known. Redirects them to the
+    /// leader as soon as it is known, and fails those whose wait has ended.
+    void processPollsWithoutLeader(absl::Time now)
+    {
+        if (leads()) {
+            for (Poll &poll : std::exchange(pollsWithoutLeader, {}))
+                addPoll(std::move(poll), now);
+            return;
+        }
+        const std::string leader = otherLeader();
+        for (auto poll = pollsWithoutLeader.begin(); poll != pollsWithoutLeader.end();) {
+            if (leader.empty() && now < poll->deadline) {
+                ++poll;
+                continue;
+            }
+            poll->reply(notRun(ErrorCode::NotLeader, leader));
+            poll = pollsWithoutLeader.erase(poll);
+        }
+    }
+
+    /// True when this replica leads and has read the records that earlier leaders committed.
+    bool leads() const { return isReady && replica.isLeader(); }
+
+    void respondToPolls(absl::Time now)
+    {
+        for (auto poll = polls.begin(); poll != polls.end();) {
+            const bool mustRespond =
+                    poll->deadline <= now || !view.isCurrent(poll->request)
+                    || poll->request.configurationVersion < view.records().configurationVersion;
+            if (!mustRespond) {
+                ++poll;
+                continue;
+            }
+            poll->reply(wire::encode(view.makeResponse(poll->request)));
+            poll = polls.erase(poll);
+        }
+    }
+
+    void failPolls()
+    {
+        const auto waiting = std::exchange(polls, {});
+        for (const Poll &poll : waiting)
+            poll.reply(notRun(ErrorCode::NotLeader, otherLeader()));
+    }
+
+    void leadershipChanged(bool leadsNow)
+    {
+        isReady = false;
+        failPolls();
+        if (!leadsNow)
+            return;
+        view.beginTerm(replica.status().term, clock.now());
+        readRecords();
+    }
+
+    void readRecords()
+    {
+        const std::uint64_t term = view.term();
+        const wire::FleetQuery query{isReady ? view.records().configurationVersion : 0};
+        replica.read(wire::encode(query),
+                     [self = shared_from_this(), term](const Outcome<std::string> &outcome) {
+                         self->handleRecords(term, outcome);
+                     });
+    }
+
+    void handleRecords(std::uint64_t term, const Outcome<std::string> &outcome)
+    {
+        if (term != view.term() || !replica.isLeader())
+            return;
+        const auto records = outcome.ok() ? outcomeOf([&] {
+            return wire::decode<wire::FleetSnapshot>(outcome.value());
+        })
+                                          : Outcome<wire::FleetSnapshot>(outcome.failure());
+        if (!records.ok()) {
+            log(LogLevel::Warning, "fleet-records-unread",
+                {{"code", name(records.failure().code)},
+                 {"detail", records.failure().detail},
+                 {"term", term}});
+            loop.timers().subscribeOnce(checkPeriod,
+                                        [self = shared_from_this()] { self->readRecords(); });
+            return;
+        }
+        view.setRecords(records.value());
+        if (!isReady)
+            readUpstreams();
+        isReady = true;
+        processPollsWithoutLeader(clock.now());
+        respondToPolls(clock.now());
+    }
+
+    void tick()
+    {
+        processPollsWithoutLeader(clock.now());
+        if (!leads()) {
+            if (!polls.empty())
+                failPolls();
+            return;
+        }
+        const absl::Time now = clock.now();
+        view.expire(now);
+        foundStoreGroup(now);
+        respondToPolls(now);
+    }
+
+    void foundStoreGroup(absl::Time now)
+    {
+        const std::vector<std::string> founders = view.storeFounders(now);
+        if (founders.empty() || isFounding)
+            return;
+        isFounding = true;
+        log(LogLevel::Info, "store-group-founded",
+            {{"voters", static_cast<std::int64_t>(founders.size())}, {"first", founders.front()}});
+        const wire::FleetCommand command{wire::BootstrapStoreGroup{founders}};
+        replica.propose(wire::encode(command), [self = shared_from_this()](
+                                                       const Outcome<std::string> &outcome) {
+            self->isFounding = false;
+            if (!outcome.ok())
+                log(LogLevel::Warning, "store-group-founding-failed",
+                    {{"code", name(outcome.failure().code)}, {"detail", outcome.failure().detail}});
+        });
+    }
+
+    void readUpstreams()
+    {
+        if (isReadingUpstreams || !replica.isLeader())
+            return;
+        isReadingUpstreams = true;
+        discovery.read([self = shared_from_this(), term = view.term()](auto outcome) {
+            self->isReadingUpstreams = false;
+            self->handleUpstreams(term, std::move(outcome));
+        });
+    }
+
+    void handleUpstreams(std::uint64_t term, Outcome<std::vector<wire::FleetUpstream>> outcome)
+    {
+        if (term != view.term() || !leads())
+            return;
+        if (outcome.ok() != upstreamsReadable) {
+            upstreamsReadable = outcome.ok();
+            log(upstreamsReadable ? LogLevel::Info : LogLevel::Warning,
+                upstreamsReadable ? "upstream-list-regained" : "upstream-list-lost",
+                {{"code", outcome.ok() ? "ok" : name(outcome.failure().code)},
+                 {"detail", outcome.ok() ? "" : outcome.failure().detail}});
+        }
+        if (!outcome.ok())
+            return;
+        const std::uint64_t previousSequence = view.sequence();
+        const auto count = static_cast<std::int64_t>(outcome.value().size());
+        view.setUpstreams(std::move(outcome.value()));
+        if (view.sequence() != previousSequence)
+            log(LogLevel::Info, "upstream-list-changed",
+                {{"upstreams", count}, {"term", term}, {"sequence", view.sequence()}});
+        respondToPolls(clock.now());
+    }
+
+    net::EventLoop &loop;
+    GroupReplica &replica;
+    UpstreamDiscovery &discovery;
+    const FleetServiceSettings settings;
+    const Clock &clock;
+    FleetView view;
+    std::list<Poll> polls;
+    /// Received while no leader was known.
+    std::list<Poll> pollsWithoutLeader;
+    std::vector<TimerService::TimerId> timers;
+    /// The records have been read in the current term.
+    bool isReady = false;
+    bool isFounding = false;
+    bool isReadingUpstreams = false;
+    bool upstreamsReadable = true;
+};
+
+FleetService::FleetService(net::EventLoop &loop, GroupReplica &replica,
+                           UpstreamDiscovery &discovery, FleetServiceSettings settings,
+                           const Clock &clock)
+    : m_impl(std::make_shared<Impl>(loop, replica, discovery, settings, clock))
+{}
+
+FleetService::~FleetService()
+{
+    stop();
+}
+
+void FleetService::install(peer::Server &server)
+{
+    server.handle(wire::Method::Sync, [impl = m_impl](const peer::PeerIdentity &, std::string body,
+                                                      peer::ResponseCallback reply) {
+        impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
+            impl->handleSync(body, reply);
+        });
+    });
+}
+
+void FleetService::start()
+{
+    m_impl->replica.onLeadershipChange(
+            [impl = m_impl](bool leads) { impl->leadershipChanged(leads); });
+    m_impl->replica.onApplied([impl = m_impl] {
+        if (impl->leads())
+            impl->readRecords();
+    });
+    auto &timers = m_impl->loop.timers();
+    m_impl->timers.push_back(timers.subscribeEvery(checkPeriod, [impl = m_impl] { impl->tick(); }));
+    m_impl->timers.push_back(
+            timers.subscribeEvery(m_impl->settings.discoveryPeriod, [impl = m_impl] {
+                if (impl->leads())
+                    impl->readUpstreams();
+            }));
+}
+
+void FleetService::stop()
+{
+    for (const TimerService::TimerId timer : std::exchange(m_impl->timers, {}))
+        m_impl->loop.timers().unsubscribe(timer);
+    m_impl->failPolls();
+    for (const Impl::Poll &poll : std::exchange(m_impl->pollsWithoutLeader, {}))
+        poll.reply(notRun(ErrorCode::NotLeader, ""));
+}
+
+std::vector<VoterCandidate> FleetService::controlCandidates() const
+{
+    return m_impl->view.voterCandidates(wire::MemberRole::Control);
+}
+
+const FleetView &FleetService::view() const
+{
+    return m_impl->view;
+}
+
+} // namespace rattanrill::fleet
--- a/src/fleet/fleetstatemachine.h
+++ b/src/fleet/fleetstatemachine.h
@@ -5,7 +5,7 @@
 
 namespace rattanrill::fleet {
 
-/// State machine behind makeFleetStateMachine().
+/// State machine of the fleet group; see makeFleetStateMachine().
 class FleetStateMachine : public replication::StateMachine
 {
 public:
@@ -17,9 +17,9 @@
 private:
     void perform(const wire::PutConfiguration &operation);
     void perform(const wire::RetireStore &operation);
-    void perform(const wire::FoundStoreGroup &operation);
+    void perform(const wire::BootstrapStoreGroup &operation);
 
-    wire::FleetRecords m_records;
+    wire::FleetSnapshot m_records;
 };
 
 } // namespace rattanrill::fleet
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -6,11 +6,12 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// A process that was silent for this many member timeouts is forgotten.
-constexpr int forgetTimeouts = 10;
-/// Voters of the store group that are waited for, and how long.
-constexpr std::size_t wantedFounders = 3;
-constexpr absl::Duration founderWait = absl::Seconds(3);
+/// A process is removed after this many member timeouts without a heartbeat.
+constexpr int removalTimeouts = 10;
+/// The store group is founded as soon as this many stores are alive.
+constexpr std::size_t targetFounders = 3;
+/// With fewer live stores, the store group is founded this long after the term began.
+constexpr absl::Duration foundingTimeout = absl::Seconds(3);
 
 bool sameUpstream(const wire::FleetUpstream &left, const wire::FleetUpstream &right)
 {
@@ -19,7 +20,7 @@
            && left.draining == right.draining;
 }
 
-bool sameMember(const wire::LiveMember &left, const wire::LiveMember &right)
+bool sameMember(const wire::FleetMemberStatus &left, const wire::FleetMemberStatus &right)
 {
     return left.member.replica == right.member.replica
            && left.member.peerAddress == right.member.peerAddress && left.alive == right.alive
@@ -32,12 +33,12 @@
     : m_memberTimeout(memberTimeout)
 {}
 
-void FleetView::begin(std::uint64_t term, absl::Time now)
+void FleetView::beginTerm(std::uint64_t term, absl::Time now)
 {
     m_term = term;
     m_sequence = 1;
-    m_begunAt = now;
-    m_settled = false;
+    m_termStartedAt = now;
+    m_hasAllMembers = false;
     m_upstreamsKnown = false;
     m_upstreams.clear();
     m_members.clear();
@@ -45,19 +46,19 @@
     m_storeReplicas.clear();
 }
 
-void FleetView::setRecords(const wire::FleetRecords &records)
+void FleetView::setRecords(const wire::FleetSnapshot &records)
 {
     const bool isNew = records.configurationVersion != m_records.configurationVersion
                        || records.retiringStores != m_records.retiringStores
                        || records.storeFounders != m_records.storeFounders;
     if (!isNew)
         return;
-    // A query that names the known version brings no document.
+    // The result of a query for the version that is already known contains no document.
     const bool hasDocument = records.configurationVersion != m_records.configurationVersion;
     const std::string document = hasDocument ? records.configuration : m_records.configuration;
     m_records = records;
     m_records.configuration = document;
-    changed();
+    incrementSequence();
 }
 
 void FleetView::setUpstreams(std::vector<wire::FleetUpstream> upstreams)
@@ -69,71 +70,71 @@
     if (isSame)
         return;
     m_upstreams = std::move(upstreams);
-    changed();
+    incrementSequence();
 }
 
-void FleetView::heard(const wire::SyncRequest &request, absl::Time now)
+void FleetView::recordHeartbeat(const wire::FleetSyncRequest &request, absl::Time now)
 {
     if (request.self.instance.empty())
         return;
     if (request.leaving) {
         if (m_members.erase(request.self.instance) > 0)
-            changed();
+            incrementSequence();
         return;
     }
     const bool leadsStores = request.leadsStores && request.storeTerm >= m_storeTerm;
     if (leadsStores)
-        noteStoreLeader(request);
-    Known &known = m_members[request.self.instance];
-    wire::LiveMember live;
-    live.member = request.self;
-    live.alive = true;
-    live.leadsStores = leadsStores;
-    if (!sameMember(known.live, live))
-        changed();
-    known.live = std::move(live);
-    known.heardAt = now;
+        updateStoreLeader(request);
+    MemberEntry &memberEntry = m_members[request.self.instance];
+    wire::FleetMemberStatus status;
+    status.member = request.self;
+    status.alive = true;
+    status.leadsStores = leadsStores;
+    if (!sameMember(memberEntry.live, status))
+        incrementSequence();
+    memberEntry.live = std::move(status);
+    memberEntry.lastHeartbeatAt = now;
 }
 
-/// A leader that is cut off or gone is not alive for a while yet; the one of the highest term
-/// counts.
-void FleetView::noteStoreLeader(const wire::SyncRequest &request)
+/// A former leader of the store group that is partitioned or has stopped counts as alive until the
+/// member timeout. Therefore only the leader of the highest term is reported as the store leader.
+void FleetView::updateStoreLeader(const wire::FleetSyncRequest &request)
 {
     m_storeTerm = request.storeTerm;
     if (m_storeReplicas != request.storeReplicas) {
         m_storeReplicas = request.storeReplicas;
-        changed();
+        incrementSequence();
     }
-    for (auto &[instance, known] : m_members) {
-        if (known.live.leadsStores && instance != request.self.instance) {
-            known.live.leadsStores = false;
-            changed();
+    for (auto &[instance, memberEntry] : m_members) {
+        if (memberEntry.live.leadsStores && instance != request.self.instance) {
+            memberEntry.live.leadsStores = false;
+            incrementSequence();
         }
     }
 }
 
 void FleetView::expire(absl::Time now)
 {
-    if (!m_settled && now - m_begunAt > m_memberTimeout) {
-        m_settled = true;
-        changed();
+    if (!m_hasAllMembers && now - m_termStartedAt > m_memberTimeout) {
+        m_hasAllMembers = true;
+        incrementSequence();
     }
     for (auto entry = m_members.begin(); entry != m_members.end();) {
-        Known &known = entry->second;
-        const absl::Duration silent = now - known.heardAt;
-        if (known.live.alive && silent > m_memberTimeout) {
-            known.live.alive = false;
-            known.live.leadsStores = false;
-            changed();
+        MemberEntry &memberEntry = entry->second;
+        const absl::Duration sinceHeartbeat = now - memberEntry.lastHeartbeatAt;
+        if (memberEntry.live.alive && sinceHeartbeat > m_memberTimeout) {
+            memberEntry.live.alive = false;
+            memberEntry.live.leadsStores = false;
+            incrementSequence();
         }
-        const bool isForgotten = silent > m_memberTimeout * forgetTimeouts;
-        entry = isForgotten ? m_members.erase(entry) : std::next(entry);
-        if (isForgotten)
-            changed();
+        const bool isExpired = sinceHeartbeat > m_memberTimeout * removalTimeouts;
+        entry = isExpired ? m_members.erase(entry) : std::next(entry);
+        if (isExpired)
+            incrementSequence();
     }
 }
 
-bool FleetView::isCurrent(const wire::SyncRequest &request) const
+bool FleetView::isCurrent(const wire::FleetSyncRequest &request) const
 {
     return request.viewTerm == m_term && request.viewSequence == m_sequence;
 }
@@ -144,9 +145,9 @@
     return std::find(retiring.begin(), retiring.end(), replica) != retiring.end();
 }
 
-wire::SyncResponse FleetView::answer(const wire::SyncRequest &request) const
+wire::FleetSyncResponse FleetView::makeResponse(const wire::FleetSyncRequest &request) const
 {
-    wire::SyncResponse response;
+    wire::FleetSyncResponse response;
     response.viewTerm = m_term;
     response.viewSequence = m_sequence;
     response.configurationVersion = m_records.configurationVersion;
@@ -154,28 +155,28 @@
         response.configuration = m_records.configuration;
     if (isCurrent(request))
         return response;
-    for (const auto &[instance, known] : m_members) {
-        wire::LiveMember live = known.live;
-        const std::string &replica = live.member.replica;
-        live.retiring = isRetiring(replica);
-        live.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
-                         != m_storeReplicas.end();
-        response.members.push_back(std::move(live));
+    for (const auto &[instance, memberEntry] : m_members) {
+        wire::FleetMemberStatus status = memberEntry.live;
+        const std::string &replica = status.member.replica;
+        status.retiring = isRetiring(replica);
+        status.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
+                           != m_storeReplicas.end();
+        response.members.push_back(std::move(status));
     }
-    response.membersSettled = m_settled;
+    response.membersSettled = m_hasAllMembers;
     response.storeFounders = m_records.storeFounders;
     response.upstreamsKnown = m_upstreamsKnown;
     response.upstreams = m_upstreams;
     return response;
 }
 
-std::vector<VoterCandidate> FleetView::candidates(wire::MemberRole role) const
+std::vector<VoterCandidate> FleetView::voterCandidates(wire::MemberRole role) const
 {
     std::vector<VoterCandidate> candidates;
-    for (const auto &[instance, known] : m_members) {
-        const wire::FleetMember &member = known.live.member;
-        if (m_settled && member.role == role)
-            candidates.push_back({member.replica, member.failureDomain, known.live.alive,
+    for (const auto &[instance, memberEntry] : m_members) {
+        const wire::FleetMember &member = memberEntry.live.member;
+        if (m_hasAllMembers && member.role == role)
+            candidates.push_back({member.replica, member.failureDomain, memberEntry.live.alive,
                                   isRetiring(member.replica)});
     }
     return candidates;
@@ -186,13 +187,13 @@
     std::vector<std::string> founders;
     if (!m_records.storeFounders.empty())
         return founders;
-    for (const auto &[instance, known] : m_members) {
-        const bool isStore = known.live.member.role == wire::MemberRole::Store;
-        if (isStore && known.live.alive && founders.size() < wantedFounders)
-            founders.push_back(known.live.member.replica);
+    for (const auto &[instance, memberEntry] : m_members) {
+        const bool isStore = memberEntry.live.member.role == wire::MemberRole::Store;
+        if (isStore && memberEntry.live.alive && founders.size() < targetFounders)
+            founders.push_back(memberEntry.live.member.replica);
     }
-    const bool hasWaited = now - m_begunAt >= founderWait;
-    if (founders.size() < wantedFounders && !hasWaited)
+    const bool timedOut = now - m_termStartedAt >= foundingTimeout;
+    if (founders.size() < targetFounders && !timedOut)
         founders.clear();
     return founders;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -9,17 +9,19 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// A process that has just started expects its configuration; requests wait for it this long.
-constexpr absl::Duration configurationWait = absl::Milliseconds(1500);
-/// Without a configuration for longer than this, none is expected soon.
-constexpr absl::Duration startTime = absl::Seconds(5);
+/// Longest time for which a request is held until the first configuration arrives.
+constexpr absl::Duration configurationTimeout = absl::Milliseconds(1500);
+/// Requests are held only within this time after the start of the process. If no configuration has
+/// arrived by then, none is expected soon.
+constexpr absl::Duration startupTime = absl::Seconds(5);
 constexpr std::size_t maxEarlyRequests = 512;
-/// Retry-After while this entry has no configuration yet, and while no store can answer.
+/// Retry-After while this entry process has no configuration yet, and while no store can respond.
 constexpr absl::Duration startRetryAfter = absl::Seconds(1);
 constexpr absl::Duration storeRetryAfter = absl::Milliseconds(500);
-/// Retry-After of a job that does not fit; items of several seconds must end before it does.
+/// Retry-After of a job that exceeds the limit of waiting tokens. Items that run for several
+/// seconds must end before it can be accepted.
 constexpr absl::Duration jobRetryAfter = absl::Seconds(1);
-/// Longest time for a call to the stores, beside the time that the caller lets it wait.
+/// Timeout of a call to the stores, in addition to the time for which the caller lets it wait.
 constexpr absl::Duration storeTimeout = absl::Milliseconds(2500);
 
 } // namespace
@@ -47,12 +49,12 @@
 
 void Gateway::serve(std::shared_ptr<net::Exchange> exchange)
 {
-    auto caller = outcomeOf([&] { return m_context.dialect.readRequest(exchange->request()); });
+    auto caller = outcomeOf([&] { return m_context.protocol.parseRequest(exchange->request()); });
     if (!caller.ok())
         return refuse(exchange, "", caller.failure(), absl::ZeroDuration());
     if (m_deployment)
         return route(exchange, std::move(caller.value()));
-    const bool isExpected = m_context.clock.now() - m_startedAt < startTime;
+    const bool isExpected = m_context.clock.now() - m_startedAt < startupTime;
     if (isExpected && m_early.size() < maxEarlyRequests)
         return hold(exchange, std::move(caller.value()));
     refuseEarly(exchange, caller.value());
@@ -61,11 +63,11 @@
 void Gateway::hold(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const auto early = m_early.insert(m_early.end(), {exchange, std::move(caller), 0});
-    const absl::Duration wait = std::min(configurationWait, early->caller.patience / 2);
+    const absl::Duration wait = std::min(configurationTimeout, early->caller.timeout / 2);
     early->timer = m_context.loop.timers().subscribeOnce(wait, [this, early] {
-        const EarlyRequest late = std::move(*early);
+        const EarlyRequest expired = std::move(*early);
         m_early.erase(early);
-        refuseEarly(late.exchange, late.caller);
+        refuseEarly(expired.exchange, expired.caller);
     });
 }
 
@@ -73,14 +75,14 @@
                           const serving::CallerRequest &caller)
 {
     refuse(exchange, caller.id,
-           notRun(ErrorCode::UpstreamUnavailable, "no configuration is known yet"),
+           notRun(ErrorCode::UpstreamUnavailable, "no configuration has been received yet"),
            startRetryAfter);
 }
 
 void Gateway::route(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const net::Request &request = exchange->request();
-    const bool isJobCall = m_context.dialect.isJobCall(request);
+    const bool isJobCall = m_context.protocol.isJobCall(request);
     const serving::Route *route =
             isJobCall ? nullptr : m_deployment->route(caller.host, request.path());
     if (!isJobCall && route == nullptr)
@@ -88,16 +90,16 @@
                 exchange, caller.id,
                 notRun(ErrorCode::UnknownRoute, concat("no route for host \"", caller.host, "\"")),
                 absl::ZeroDuration());
-    const serving::Workspace *workspace = m_deployment->workspaceOfKey(caller.key);
-    const bool needsKey = m_deployment->hasWorkspaces() && (isJobCall || !route->open);
+    const serving::Workspace *workspace = m_deployment->workspaceOfKey(caller.apiKey);
+    const bool needsKey = m_deployment->hasWorkspaces() && (isJobCall || !route->allowsAnonymous);
     if (needsKey && workspace == nullptr)
         return refuse(exchange, caller.id,
-                      notRun(caller.key.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
-                             "no workspace holds the key"),
+                      notRun(caller.apiKey.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
+                             "the request has no API key of a workspace"),
                       absl::ZeroDuration());
     if (isJobCall || route->kind == serving::RouteKind::Batch) {
-        static const serving::Workspace nobody;
-        return serveJobCall(exchange, caller, workspace == nullptr ? nobody : *workspace, route);
+        static const serving::Workspace anonymous;
+        return serveJobCall(exchange, caller, workspace == nullptr ? anonymous : *workspace, route);
     }
     serving::RoutedRequest routed;
     routed.deployment = m_deployment;
@@ -106,7 +108,7 @@
     routed.priority = workspace != nullptr && workspace->priority >= 0 ? workspace->priority
                                                                        : route->priority;
     routed.caller = std::move(caller);
-    serving::passThrough(m_context, std::move(routed), exchange);
+    serving::proxyRequest(m_context, std::move(routed), exchange);
 }
 
 void Gateway::serveJobCall(const std::shared_ptr<net::Exchange> &exchange,
@@ -114,24 +116,24 @@
                            const serving::Workspace &workspace, const serving::Route *route)
 {
     auto call =
-            outcomeOf([&] { return m_context.dialect.readJobCall(exchange->request(), caller); });
+            outcomeOf([&] { return m_context.protocol.parseJobCall(exchange->request(), caller); });
     if (!call.ok())
         return refuse(exchange, caller.id, call.failure(), absl::ZeroDuration());
     if (auto *submission = std::get_if<serving::SubmitJobCall>(&call.value())) {
         if (route == nullptr)
-            return refuse(exchange, caller.id, notRun(ErrorCode::UnknownRoute, "no batch route"),
+            return refuse(exchange, caller.id,
+                          notRun(ErrorCode::UnknownRoute, "the request matches no batch route"),
                           absl::ZeroDuration());
         submission->job.workspace = workspace.name;
         submission->job.route = route->name;
         submission->job.host = caller.host;
-        return submit(exchange, std::move(submission->job),
-                      std::min(caller.patience, storeTimeout));
+        return submit(exchange, std::move(submission->job), std::min(caller.timeout, storeTimeout));
     }
     if (const auto *read = std::get_if<serving::ReadJobCall>(&call.value()))
         return readResults(exchange, *read, workspace.name);
     if (const auto *item = std::get_if<serving::ReadItemCall>(&call.value()))
         return readItem(exchange, *item, workspace.name);
-    endJob(exchange, std::get<serving::EndJobCall>(call.value()), workspace.name);
+    cancelJob(exchange, std::get<serving::CancelJobCall>(call.value()), workspace.name);
 }
 
 void Gateway::submit(const std::shared_ptr<net::Exchange> &exchange, wire::JobRecord job,
@@ -159,7 +161,8 @@
     m_jobs.read(request, storeTimeout + call.wait,
                 [this, exchange, id = call.job](const Outcome<wire::ReadJobResponse> &outcome) {
                     if (outcome.ok())
-                        return exchange->respond(m_context.dialect.jobResults(outcome.value()));
+                        return exchange->respond(
+                                m_context.protocol.jobResultsResponse(outcome.value()));
                     refuse(exchange, id, outcome.failure(), storeRetryAfter);
                 });
 }
@@ -177,15 +180,15 @@
             });
 }
 
-void Gateway::endJob(const std::shared_ptr<net::Exchange> &exchange,
-                     const serving::EndJobCall &call, const std::string &workspace)
+void Gateway::cancelJob(const std::shared_ptr<net::Exchange> &exchange,
+                        const serving::CancelJobCall &call, const std::string &workspace)
 {
-    m_jobs.end(wire::EndJobRequest{workspace, call.job}, storeTimeout,
-               [this, exchange, id = call.job](const Outcome<Done> &outcome) {
-                   if (outcome.ok())
-                       return exchange->respond(net::textResponse(200, "", "application/json"));
-                   refuse(exchange, id, outcome.failure(), storeRetryAfter);
-               });
+    m_jobs.cancel(wire::EndJobRequest{workspace, call.job}, storeTimeout,
+                  [this, exchange, id = call.job](const Outcome<Done> &outcome) {
+                      if (outcome.ok())
+                          return exchange->respond(net::textResponse(200, "", "application/json"));
+                      refuse(exchange, id, outcome.failure(), storeRetryAfter);
+                  });
 }
 
 void Gateway::refuse(const std::shared_ptr<net::Exchange> &exchange, const std::string &requestId,
@@ -200,7 +203,7 @@
          {"detail", failure.detail},
          {"retryAfterMs", absl::ToInt64Milliseconds(retryAfter)},
          {"configurationVersion", m_deployment ? m_deployment->version() : 0}});
-    exchange->respond(m_context.dialect.refusal(failure, retryAfter));
+    exchange->respond(m_context.protocol.errorResponse(failure, retryAfter));
 }
 
 } // namespace rattanrill::gateway
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -17,179 +17,193 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// Time for another replica to take the lead at a graceful stop.
-constexpr absl::Duration handOver = absl::Milliseconds(500);
-/// A list of members that is older than this says nothing about who lives.
-constexpr absl::Duration staleAfter = absl::Seconds(2);
+/// Time for another replica to become leader during a graceful stop.
+constexpr absl::Duration leadershipTransferTime = absl::Milliseconds(500);
+/// A list of members that is older than this does not show which processes are alive.
+constexpr absl::Duration maxMemberListAge = absl::Seconds(2);
 
 class StoreProcess : public Process
 {
 public:
-    StoreProcess(const ProcessSettings &settings, const ProcessParts &parts)
+    StoreProcess(const ProcessSettings &settings, const ProcessContext &processContext)
         : m_settings(settings)
-        , m_parts(parts)
-        , m_upstreams(parts.loop, net::UpstreamPoolOptions())
-        , m_broker(parts.loop.timers(), SystemClock::instance(), brokerSettings(settings))
+        , m_processContext(processContext)
+        , m_upstreams(processContext.loop, net::ConnectionPoolOptions())
+        , m_broker(processContext.loop.timers(), SystemClock::instance(), brokerSettings(settings))
     {}
 
     Result<void> start() override
     {
-        const fleet::ReplicaIdentity fresh{fleet::replicaId(m_settings.peerAddress(), randomHex(6)),
-                                           {}};
-        BOOST_LEAF_ASSIGN(m_identity, fleet::loadOrCreateIdentity(m_settings.dataFolder, fresh));
+        const fleet::ReplicaIdentity newIdentity{
+                fleet::makeReplicaId(m_settings.peerAddress(), randomHex(6)), {}};
+        BOOST_LEAF_ASSIGN(m_identity,
+                          fleet::loadOrCreateIdentity(m_settings.dataFolder, newIdentity));
         log(LogLevel::Info, "replica-identity", {{"replica", m_identity.replica}});
-        m_core = std::make_unique<ProcessCore>(m_settings, m_parts, wire::MemberRole::Store,
-                                               m_identity.replica);
-        makeServices();
-        if (hasData())
+        m_core = std::make_unique<ProcessCore>(m_settings, m_processContext,
+                                               wire::MemberRole::Store, m_identity.replica);
+        createServices();
+        if (hasReplicaData())
             openReplica();
-        m_core->follower().onChange([this](const fleet::FleetState &state) { take(state); });
-        m_core->follower().setStoreReport([this](wire::SyncRequest &request) { report(request); });
+        m_core->fleetClient().onChange(
+                [this](const fleet::FleetState &state) { applyState(state); });
+        m_core->fleetClient().setStoreReport(
+                [this](wire::FleetSyncRequest &request) { fillStoreReport(request); });
         return m_core->start();
     }
 
     void setSeeds(const std::vector<std::string> &seedPeers) override
     {
-        m_core->follower().setSeeds(seedPeers);
+        m_core->fleetClient().setSeeds(seedPeers);
     }
 
     void drain(std::function<void()> stopped) override
     {
         m_replica->transferLeadership();
-        m_parts.loop.timers().subscribeOnce(handOver, [this, stopped = std::move(stopped)] {
-            m_core->follower().leave();
-            m_service->leadChanged(false);
-            m_replica->stop();
-            m_core->stop();
-            stopped();
-        });
+        m_processContext.loop.timers().subscribeOnce(leadershipTransferTime,
+                                                     [this, stopped = std::move(stopped)] {
+                                                         m_core->fleetClient().leave();
+                                                         m_jobService->leadershipChanged(false);
+                                                         m_replica->stop();
+                                                         m_core->stop();
+                                                         stopped();
+                                                     });
     }
 
 private:
-    void makeServices()
-    {
-        fleet::GroupReplicaSettings group;
-        group.group = fleet::storeGroup;
-        group.dataFolder = m_settings.dataFolder;
-        m_replica = std::make_unique<fleet::GroupReplica>(m_parts.loop, m_core->channels(), group,
-                                                          m_core->clock());
-        const jobs::ExecutorContext context{
-                m_parts.loop, m_core->clock(), m_core->metrics(), m_parts.dialect,
-                m_upstreams,  m_broker,        *m_replica,        m_settings.failureDomain};
-        m_executor = std::make_unique<jobs::JobExecutor>(context);
-        m_service = std::make_unique<jobs::JobService>(context, *m_executor);
+    void createServices()
+    {
+        fleet::GroupReplicaSettings groupSettings;
+        groupSettings.group = fleet::storeGroup;
+        groupSettings.dataFolder = m_settings.dataFolder;
+        m_replica = std::make_unique<fleet::GroupReplica>(m_processContext.loop, m_core->channels(),
+                                                          groupSettings, m_core->clock());
+        const jobs::JobExecutorContext context{m_processContext.loop,
+                                               m_core->clock(),
+                                               m_core->metrics(),
+                                               m_processContext.protocol,
+                                               m_upstreams,
+                                               m_broker,
+                                               *m_replica,
+                                               m_settings.failureDomain};
+        m_jobExecutor = std::make_unique<jobs::JobExecutor>(context);
+        m_jobService = std::make_unique<jobs::JobService>(context, *m_jobExecutor);
         m_replica->setCandidates([this] { return candidates(); });
-        m_replica->onLead([this](bool leads) {
+        m_replica->onLeadershipChange([this](bool leads) {
             m_broker.reset();
-            m_service->leadChanged(leads);
-            m_core->follower().announce();
+            m_jobService->leadershipChanged(leads);
+            m_core->fleetClient().sendHeartbeat();
         });
         m_replica->install(m_core->peerServer());
-        m_service->install(m_core->peerServer());
+        m_jobService->install(m_core->peerServer());
         installBroker();
     }
 
     void installBroker()
     {
         m_core->peerServer().handle(
-                wire::Method::Place,
-                [this](const peer::PeerIdentity &, std::string body, peer::Reply reply) {
-                    m_parts.loop.post([this, body = std::move(body), reply = std::move(reply)] {
-                        place(body, reply);
-                    });
+                wire::Method::RequestSlot,
+                [this](const peer::PeerIdentity &, std::string body, peer::ResponseCallback reply) {
+                    m_processContext.loop.post(
+                            [this, body = std::move(body), reply = std::move(reply)] {
+                                acquire(body, reply);
+                            });
                 });
-        installPush(wire::Method::Release, &StoreProcess::release);
-        installPush(wire::Method::Load, &StoreProcess::noteLoad);
-        installPush(wire::Method::Hold, &StoreProcess::adopt);
+        installOneWayHandler(wire::Method::ReleaseSlot, &StoreProcess::release);
+        installOneWayHandler(wire::Method::Load, &StoreProcess::updateLoad);
+        installOneWayHandler(wire::Method::ReportHeldSlots, &StoreProcess::restoreHeldSlots);
     }
 
-    void installPush(wire::Method method, void (StoreProcess::*handler)(const std::string &))
+    void installOneWayHandler(wire::Method method,
+                              void (StoreProcess::*handler)(const std::string &))
     {
         m_core->peerServer().handle(method, [this, handler](const peer::PeerIdentity &,
                                                             std::string body,
-                                                            const peer::Reply &reply) {
-            m_parts.loop.post([this, handler, body = std::move(body)] { (this->*handler)(body); });
+                                                            const peer::ResponseCallback &reply) {
+            m_processContext.loop.post(
+                    [this, handler, body = std::move(body)] { (this->*handler)(body); });
             reply(std::string());
         });
     }
 
-    void adopt(const std::string &body)
+    void restoreHeldSlots(const std::string &body)
     {
-        const auto held = outcomeOf([&] { return wire::decode<wire::HeldPlaces>(body); });
+        const auto held = outcomeOf([&] { return wire::decode<wire::HeldSlots>(body); });
         if (held.ok())
-            m_broker.adopt(held.value());
+            m_broker.restoreHeldSlots(held.value());
         else
             log(LogLevel::Warning, "held-places-unreadable", {{"code", name(held.failure().code)}});
     }
 
-    void noteLoad(const std::string &body)
+    void updateLoad(const std::string &body)
     {
         const auto load = outcomeOf([&] { return wire::decode<wire::UpstreamLoad>(body); });
         if (load.ok())
-            m_broker.loadReported(load.value());
+            m_broker.updateLoad(load.value());
         else
             log(LogLevel::Warning, "load-unreadable", {{"code", name(load.failure().code)}});
     }
 
-    void place(const std::string &body, const peer::Reply &reply)
+    void acquire(const std::string &body, const peer::ResponseCallback &reply)
     {
-        const auto request = outcomeOf([&] { return wire::decode<wire::PlaceRequest>(body); });
+        const auto request = outcomeOf([&] { return wire::decode<wire::SlotRequest>(body); });
         if (!request.ok())
             return reply(request.failure());
-        if (!m_replica->leads() || !m_deployment || !m_hasUpstreams)
+        if (!m_replica->isLeader() || !m_deployment || !m_hasUpstreams)
             return reply(notRun(ErrorCode::NotLeader, m_replica->status().leader));
-        m_broker.place(request.value(), [reply](const wire::PlaceResponse &response) {
+        m_broker.acquire(request.value(), [reply](const wire::SlotResponse &response) {
             reply(wire::encode(response));
         });
     }
 
     void release(const std::string &body)
     {
-        const auto request = outcomeOf([&] { return wire::decode<wire::PlaceRelease>(body); });
+        const auto request = outcomeOf([&] { return wire::decode<wire::SlotRelease>(body); });
         if (request.ok())
             m_broker.release(request.value());
         else
             log(LogLevel::Warning, "release-unreadable", {{"code", name(request.failure().code)}});
     }
 
-    void report(wire::SyncRequest &request) const
+    void fillStoreReport(wire::FleetSyncRequest &request) const
     {
-        request.leadsStores = m_replica->leads();
+        request.leadsStores = m_replica->isLeader();
         if (!request.leadsStores)
             return;
-        const replication::GroupStatus status = m_replica->status();
+        const replication::RaftNodeStatus status = m_replica->status();
         request.storeTerm = status.term;
         request.storeReplicas = status.voters;
         request.storeReplicas.insert(request.storeReplicas.end(), status.learners.begin(),
                                      status.learners.end());
     }
 
-    void take(const fleet::FleetState &state)
+    void applyState(const fleet::FleetState &state)
     {
-        join(state.storeFounders);
+        openBootstrappedReplica(state.storeFounders);
         if (const auto newer = m_core->newerDeployment(state, m_deployment)) {
             m_deployment = newer;
             m_broker.setDeployment(newer);
-            m_service->setDeployment(newer);
-            m_executor->setDeployment(newer);
+            m_jobService->setDeployment(newer);
+            m_jobExecutor->setDeployment(newer);
         }
         if (state.upstreamsKnown) {
             m_hasUpstreams = true;
-            m_broker.setUpstreams(state.upstreams, serving::BrokerShare());
+            m_broker.setUpstreams(state.upstreams, serving::CapacityShare());
         }
-        if (state.membersSettled)
-            m_broker.keepInstances(livingEntries(state));
+        if (state.membersComplete)
+            m_broker.setLiveInstances(liveEntries(state));
     }
 
-    /// The replica took part before, so that it needs nobody to tell it how the group began.
-    bool hasData() const
+    /// True when the replica has stored data of the group. It then opens without the list of
+    /// founders.
+    bool hasReplicaData() const
     {
         const std::string folder = concat(m_settings.dataFolder, "/", fleet::storeGroup);
         return access(folder.c_str(), F_OK) == 0;
     }
 
-    /// A founder that loses its disk has another replica id, and joins like any other.
-    void join(const std::vector<std::string> &founders)
+    /// Opens the replica once the founders of the group are known. A founder that has lost its disk
+    /// has another replica id, and joins as any other replica does.
+    void openBootstrappedReplica(const std::vector<std::string> &founders)
     {
         if (m_replica->isOpen() || founders.empty())
             return;
@@ -216,26 +230,26 @@
     std::vector<fleet::VoterCandidate> candidates() const
     {
         std::vector<fleet::VoterCandidate> candidates;
-        const fleet::FleetState &state = m_core->follower().state();
-        if (!state.membersSettled || m_core->follower().age() > staleAfter)
+        const fleet::FleetState &state = m_core->fleetClient().state();
+        if (!state.membersComplete || m_core->fleetClient().staleness() > maxMemberListAge)
             return candidates;
-        for (const wire::LiveMember &live : state.members) {
-            if (live.member.role == wire::MemberRole::Store)
-                candidates.push_back({live.member.replica, live.member.failureDomain, live.alive,
-                                      live.retiring});
+        for (const wire::FleetMemberStatus &status : state.members) {
+            if (status.member.role == wire::MemberRole::Store)
+                candidates.push_back({status.member.replica, status.member.failureDomain,
+                                      status.alive, status.retiring});
         }
         return candidates;
     }
 
     const ProcessSettings &m_settings;
-    const ProcessParts &m_parts;
+    const ProcessContext &m_processContext;
     fleet::ReplicaIdentity m_identity;
     std::unique_ptr<ProcessCore> m_core;
-    net::UpstreamPool m_upstreams;
-    serving::PlaceBroker m_broker;
+    net::ConnectionPool m_upstreams;
+    serving::SlotBroker m_broker;
     std::unique_ptr<fleet::GroupReplica> m_replica;
-    std::unique_ptr<jobs::JobExecutor> m_executor;
-    std::unique_ptr<jobs::JobService> m_service;
+    std::unique_ptr<jobs::JobExecutor> m_jobExecutor;
+    std::unique_ptr<jobs::JobService> m_jobService;
     std::shared_ptr<const serving::DeploymentIndex> m_deployment;
     bool m_hasUpstreams = false;
 };
@@ -243,9 +257,9 @@
 } // namespace
 
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
-                                          const ProcessParts &parts)
+                                          const ProcessContext &processContext)
 {
-    return std::make_unique<StoreProcess>(settings, parts);
+    return std::make_unique<StoreProcess>(settings, processContext);
 }
 
 } // namespace rattanrill::gateway
--- /dev/null
+++ b/src/net/connectionpool.cpp
@@ -0,0 +1,152 @@
+#include "rattanrill/net/connectionpool.h"
+
+#include "upstreamconnection.h"
+
+#include "rattanrill/base/clock.h"
+#include "rattanrill/base/enumnames.h"
+
+#include <algorithm>
+#include <array>
+#include <map>
+#include <utility>
+#include <vector>
+
+namespace rattanrill::net {
+namespace {
+
+constexpr std::array<EnumName<CallStatus>, 3> callStatusNames = {{
+        {CallStatus::Complete, "complete"},
+        {CallStatus::NotConnected, "not_connected"},
+        {CallStatus::Broken, "broken"},
+}};
+
+using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
+
+} // namespace
+
+std::string_view name(CallStatus status)
+{
+    return nameOf(callStatusNames, status);
+}
+
+struct ConnectionPool::Impl : std::enable_shared_from_this<ConnectionPool::Impl>
+{
+    Impl(EventLoop &loop, ConnectionPoolOptions options)
+        : loop(loop)
+        , options(options)
+    {}
+
+    /// Returns the most recently used idle connection that is still usable, or null. Reusing the
+    /// most recent one lets the surplus connections expire and be closed.
+    ConnectionPtr takeIdle(const std::string &address)
+    {
+        const absl::Time now = SystemClock::instance().now();
+        auto &idleConnections = idle[address];
+        while (!idleConnections.empty()) {
+            ConnectionPtr connection = std::move(idleConnections.back());
+            idleConnections.pop_back();
+            if (connection->isUsable(now))
+                return connection;
+            connection->close();
+        }
+        return nullptr;
+    }
+
+    ConnectionPtr open(const std::string &address)
+    {
+        ++opened;
+        return std::make_shared<UpstreamConnection>(
+                loop.context(), address, options,
+                [weak = weak_from_this()](const ConnectionPtr &connection, bool isIdle) {
+                    if (const auto self = weak.lock())
+                        self->handleStateChange(connection, isIdle);
+                });
+    }
+
+    void handleStateChange(const ConnectionPtr &connection, bool isIdle)
+    {
+        auto &idleConnections = idle[connection->address()];
+        if (!isIdle) {
+            idleConnections.erase(
+                    std::remove(idleConnections.begin(), idleConnections.end(), connection),
+                    idleConnections.end());
+            return;
+        }
+        idleConnections.push_back(connection);
+        if (idleConnections.size() > options.maxIdle) {
+            const ConnectionPtr oldest = idleConnections.front();
+            oldest->close();
+        }
+    }
+
+    EventLoop &loop;
+    const ConnectionPoolOptions options;
+    std::map<std::string, std::vector<ConnectionPtr>> idle;
+    std::map<CallId, ConnectionPtr> calls;
+    CallId nextId = 1;
+    std::uint64_t opened = 0;
+};
+
+ConnectionPool::ConnectionPool(EventLoop &loop, ConnectionPoolOptions options)
+    : m_impl(std::make_shared<Impl>(loop, options))
+{}
+
+ConnectionPool::~ConnectionPool()
+{
+    stop();
+}
+
+ConnectionPool::CallId ConnectionPool::call(const std::string &address, std::string request,
+                                            CallHandlers handlers)
+{
+    const CallId id = m_impl->nextId++;
+    ConnectionPtr connection = m_impl->takeIdle(address);
+    if (!connection)
+        connection = m_impl->open(address);
+    m_impl->calls[id] = connection;
+    handlers.onEnd = [weak = std::weak_ptr<Impl>(m_impl), id,
+                      onEnd = std::move(handlers.onEnd)](CallStatus result) {
+        if (const auto impl = weak.lock())
+            impl->calls.erase(id);
+        onEnd(result);
+    };
+    connection->call(std::move(request), std::move(handlers));
+    return id;
+}
+
+void ConnectionPool::cancel(CallId call)
+{
+    const auto found = m_impl->calls.find(call);
+    if (found == m_impl->calls.end())
+        return;
+    const ConnectionPtr connection = found->second;
+    m_impl->calls.erase(found);
+    connection->close();
+}
+
+void ConnectionPool::closeIdleConnections(const std::string &address)
+{
+    const auto idleConnections = std::exchange(m_impl->idle[address], {});
+    for (const ConnectionPtr &connection : idleConnections)
+        connection->close();
+    m_impl->idle.erase(address);
+}
+
+std::uint64_t ConnectionPool::connectionsOpened() const
+{
+    return m_impl->opened;
+}
+
+void ConnectionPool::stop()
+{
+    const auto calls = std::exchange(m_impl->calls, {});
+    for (const auto &[id, connection] : calls)
+        connection->close();
+    const auto idle = std::exchange(m_impl->idle, {});
+    for (const auto &[address, connections] : idle) {
+        for (const ConnectionPtr &connection : connections)
+            connection->close();
+    }
+}
+
+} // namespace rattanrill::net
--- a/src/net/requestreader.cpp
+++ b/src/net/requestparser.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/net/requestreader.h"
+#include "rattanrill/net/requestparser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -27,24 +27,24 @@
 
 } // namespace
 
-struct RequestReader::Parser
+struct RequestParser::Parser
 {
     http::request_parser<http::string_body> parser;
 };
 
-RequestReader::RequestReader(RequestLimits limits)
+RequestParser::RequestParser(RequestLimits limits)
     : m_limits(limits)
 {}
 
-RequestReader::~RequestReader() = default;
+RequestParser::~RequestParser() = default;
 
-void RequestReader::feed(std::string_view bytes)
+void RequestParser::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
     parse();
 }
 
-void RequestReader::startRequest()
+void RequestParser::startRequest()
 {
     m_parser = std::make_unique<Parser>();
     m_parser->parser.eager(true);
@@ -54,7 +54,7 @@
     m_state = State::Header;
 }
 
-void RequestReader::parse()
+void RequestParser::parse()
 {
     if (m_state == State::Complete || m_state == State::Refused || m_pending.empty())
         return;
@@ -78,23 +78,24 @@
     if (m_state == State::Refused)
         return;
     if (parser.is_done()) {
-        m_keepsAlive = parser.keep_alive();
+        m_isKeepAlive = parser.keep_alive();
         m_state = State::Complete;
     } else if (parser.is_header_done()) {
         m_state = State::Body;
     }
 }
 
-/// Refuses what two readers could frame or route differently.
-void RequestReader::checkHeader()
+/// Refuses headers that two HTTP implementations could frame or route differently, because such
+/// differences allow request smuggling.
+void RequestParser::checkHeader()
 {
     m_headerChecked = true;
     const auto &message = m_parser->parser.get();
-    const bool hasCoding = message.count(http::field::transfer_encoding) > 0;
-    const bool hasLength = message.count(http::field::content_length) > 0;
+    const bool hasTransferEncoding = message.count(http::field::transfer_encoding) > 0;
+    const bool hasContentLength = message.count(http::field::content_length) > 0;
     if (message.version() != 11 && message.version() != 10)
         return refuse(400);
-    if (hasCoding && (hasLength || !m_parser->parser.chunked()))
+    if (hasTransferEncoding && (hasContentLength || !m_parser->parser.chunked()))
         return refuse(400);
     if (message.count(http::field::content_length) > 1)
         return refuse(400);
@@ -106,20 +107,20 @@
     m_wantsContinue = message.count(http::field::expect) > 0;
 }
 
-bool RequestReader::wantsContinue()
+bool RequestParser::takeExpectContinue()
 {
-    const bool wants = m_wantsContinue && m_state == State::Body;
-    m_wantsContinue = m_wantsContinue && !wants;
-    return wants;
+    const bool expectsContinue = m_wantsContinue && m_state == State::Body;
+    m_wantsContinue = m_wantsContinue && !expectsContinue;
+    return expectsContinue;
 }
 
-void RequestReader::refuse(int status)
+void RequestParser::refuse(int status)
 {
     m_state = State::Refused;
     m_status = status;
 }
 
-Request RequestReader::take()
+Request RequestParser::take()
 {
     auto message = m_parser->parser.release();
     Request request;
--- a/src/net/responsereader.cpp
+++ b/src/net/responseparser.cpp
@@ -1,4 +1,4 @@
-#include "rattanrill/net/responsereader.h"
+#include "rattanrill/net/responseparser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/parser.hpp>
@@ -22,39 +22,39 @@
 
 } // namespace
 
-struct ResponseReader::Parser
+struct ResponseParser::Parser
 {
     http::response_parser<http::string_body> parser;
 };
 
-ResponseReader::ResponseReader(Handlers handlers)
+ResponseParser::ResponseParser(Handlers handlers)
     : m_handlers(std::move(handlers))
 {
     startResponse();
 }
 
-ResponseReader::~ResponseReader() = default;
+ResponseParser::~ResponseParser() = default;
 
-void ResponseReader::startResponse()
+void ResponseParser::startResponse()
 {
     m_parser = std::make_unique<Parser>();
     m_parser->parser.eager(true);
     m_parser->parser.header_limit(maxHeaderBytes);
-    // Streams are passed on piece by piece, so that their length needs no limit.
+    // The body is passed on as it arrives and not collected, so its length needs no limit.
     m_parser->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     m_headerSeen = false;
     m_isOwn = true;
 }
 
-void ResponseReader::feed(std::string_view bytes)
+void ResponseParser::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
     while (m_state == State::Reading && !m_pending.empty() && step()) {
     }
 }
 
-/// Returns false when more bytes are needed.
-bool ResponseReader::step()
+/// Parses the pending bytes. Returns false when more bytes are needed or the response is broken.
+bool ResponseParser::step()
 {
     auto &parser = m_parser->parser;
     boost::system::error_code error;
@@ -66,17 +66,17 @@
         return false;
     }
     if (parser.is_header_done()) {
-        noteHeader();
-        passBody();
+        handleHeader();
+        forwardBody();
     }
     if (parser.is_done()) {
-        noteDone();
+        handleComplete();
         return true;
     }
     return used > 0 && error != http::error::need_more;
 }
 
-void ResponseReader::noteHeader()
+void ResponseParser::handleHeader()
 {
     if (m_headerSeen)
         return;
@@ -91,25 +91,25 @@
     m_isOwn = !isInterim && m_handlers.head(head);
 }
 
-void ResponseReader::passBody()
+void ResponseParser::forwardBody()
 {
-    std::string piece;
-    piece.swap(m_parser->parser.get().body());
-    if (!piece.empty() && m_isOwn && m_handlers.body)
-        m_handlers.body(piece);
+    std::string part;
+    part.swap(m_parser->parser.get().body());
+    if (!part.empty() && m_isOwn && m_handlers.body)
+        m_handlers.body(part);
 }
 
-void ResponseReader::noteDone()
+void ResponseParser::handleComplete()
 {
     if (!m_isOwn) {
         startResponse();
         return;
     }
-    m_keepsAlive = m_parser->parser.keep_alive();
+    m_isKeepAlive = m_parser->parser.keep_alive();
     m_state = State::Complete;
 }
 
-void ResponseReader::end()
+void ResponseParser::handleEof()
 {
     if (m_state != State::Reading)
         return;
@@ -121,9 +121,9 @@
         m_state = State::Broken;
         return;
     }
-    passBody();
-    noteDone();
-    m_keepsAlive = false;
+    forwardBody();
+    handleComplete();
+    m_isKeepAlive = false;
     if (m_state == State::Reading)
         m_state = State::Broken;
 }
--- a/src/net/upstreamconnection.h
+++ b/src/net/upstreamconnection.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "rattanrill/net/responsereader.h"
-#include "rattanrill/net/upstreampool.h"
+#include "rattanrill/net/connectionpool.h"
+#include "rattanrill/net/responseparser.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -19,17 +19,17 @@
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection>
 {
 public:
-    /// Called with this connection when it is idle again, or is closed.
+    /// Called with this connection when it becomes idle again or is closed.
     using Listener = std::function<void(const std::shared_ptr<UpstreamConnection> &, bool idle)>;
 
     UpstreamConnection(boost::asio::io_context &context, std::string address,
-                       UpstreamPoolOptions options, Listener listener);
+                       ConnectionPoolOptions options, Listener listener);
 
-    /// Only on a new or idle connection.
+    /// Sends \a request. Requires a new or idle connection.
     void call(std::string request, CallHandlers handlers);
     void close();
     const std::string &address() const { return m_address; }
-    /// The kept connection may be used for another request.
+    /// Whether the connection is idle and can carry another request.
     bool isUsable(absl::Time now) const;
 
 private:
@@ -42,25 +42,25 @@
     };
 
     void connect();
-    void connected(const boost::system::error_code &error);
+    void handleConnect(const boost::system::error_code &error);
     void send();
     void read();
-    void received(const boost::system::error_code &error, std::size_t bytes);
-    bool noteHead(const ResponseHead &head);
+    void handleRead(const boost::system::error_code &error, std::size_t bytes);
+    bool handleHead(const ResponseHead &head);
     void finish();
-    void fail(CallEnd end);
+    void fail(CallStatus status);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     const std::string m_address;
-    const UpstreamPoolOptions m_options;
+    const ConnectionPoolOptions m_options;
     Listener m_listener;
     State m_state = State::New;
     std::string m_output;
-    std::optional<ResponseReader> m_reader;
+    std::optional<ResponseParser> m_parser;
     std::shared_ptr<CallHandlers> m_handlers;
     std::array<char, 16384> m_buffer;
-    absl::Duration m_keep;
+    absl::Duration m_keepAlive;
     absl::Time m_idleSince;
 };
 
--- a/src/peer/channelcore.h
+++ b/src/peer/channelcore.h
@@ -17,14 +17,16 @@
 
 namespace rattanrill::peer {
 
-/// State of a Channel. Everything but what m_mutex guards belongs to the network thread.
+/// Implementation of a Channel. Members that are neither constant, atomic nor guarded by m_mutex
+/// are accessed on the network thread only.
 class ChannelCore : public std::enable_shared_from_this<ChannelCore>
 {
 public:
     ChannelCore(TransportOptions options, std::string address);
 
-    void call(wire::Method method, std::string body, absl::Duration timeout, Reply reply);
-    void push(wire::Method method, std::string body);
+    void call(wire::Method method, std::string body, absl::Duration timeout,
+              ResponseCallback reply);
+    void sendOneWay(wire::Method method, std::string body);
     void close();
     const std::string &address() const { return m_address; }
     bool connected() const { return m_connected; }
@@ -43,21 +45,22 @@
 
     struct Call
     {
-        Reply reply;
+        ResponseCallback reply;
         std::string frame;
         bool sent = false;
         std::unique_ptr<Timer> timer;
     };
 
     bool post(std::size_t bytes, std::function<void()> task);
-    void refuse(Reply reply, Failure failure);
+    void rejectCall(ResponseCallback reply, Failure failure);
     void releasePosted(std::size_t bytes);
-    void startCall(std::uint64_t id, std::string frame, absl::Duration timeout, Reply reply);
+    void startCall(std::uint64_t id, std::string frame, absl::Duration timeout,
+                   ResponseCallback reply);
     void startPush(const std::string &frame);
     void sendCall(std::uint64_t id);
     void expire(std::uint64_t id);
     void finish(std::uint64_t id, const Outcome<std::string> &outcome);
-    bool queueHasRoom(std::size_t bytes) const;
+    bool fitsInQueue(std::size_t bytes) const;
     bool sendFrame(const std::string &frame);
 
     void connect();
@@ -69,7 +72,7 @@
     void ready();
     void keepAlive();
     void closeAfterRefusal();
-    void lose(const Failure &failure);
+    void failConnection(const Failure &failure);
     void failCalls(const Failure &failure);
     void dropConnection();
     void closeNow();
@@ -81,17 +84,17 @@
     std::atomic<bool> m_connected{false};
 
     absl::Mutex m_mutex;
-    /// Bytes posted to the network thread that it has not taken yet.
+    /// Bytes of frames posted to the network thread that it has not processed yet.
     std::size_t m_postedBytes ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_closing ABSL_GUARDED_BY(m_mutex) = false;
 
     State m_state = State::Idle;
     Connection m_connection;
-    /// Counts connections, so that a late event of an earlier one is recognized.
+    /// Number of the current connection. It is used to ignore late events of an earlier connection.
     std::uint64_t m_epoch = 0;
     std::optional<ClientHello> m_hello;
     std::map<std::uint64_t, Call> m_calls;
-    /// Frames of calls and pushes that wait for the connection, in bytes.
+    /// Total size of the frames of calls and pushes that wait for the connection, in bytes.
     std::size_t m_waitingBytes = 0;
     std::deque<std::string> m_waitingPushes;
     Failure m_lastFailure;
--- a/src/peer/servercore.h
+++ b/src/peer/servercore.h
@@ -13,24 +13,24 @@
 
 class ServerConnection;
 
-/// State of a Server: its network thread, the listening socket and the open connections.
+/// Implementation of a Server: its network thread, the listening socket and the open connections.
 class ServerCore : public std::enable_shared_from_this<ServerCore>
 {
 public:
     explicit ServerCore(TransportOptions options);
     ~ServerCore();
 
-    void handle(wire::Method method, Handler handler);
+    void handle(wire::Method method, MethodHandler handler);
     Result<void> start(const std::string &host, int port);
     int port() const { return m_port; }
     void stop();
 
     const TransportOptions &options() const { return m_options; }
     boost::asio::io_service &service() { return m_service; }
-    /// Handler of \a method; null when there is none.
-    const Handler *handlerOf(wire::Method method) const;
-    /// Called by a connection on the network thread when it has ended.
-    void forget(const ServerConnection *connection);
+    /// Handler of \a method, or null if none is set.
+    const MethodHandler *handlerOf(wire::Method method) const;
+    /// Removes a connection that has ended. Called by the connection on the network thread.
+    void removeConnection(const ServerConnection *connection);
 
 private:
     void setUpEndpoint();
@@ -38,7 +38,7 @@
     void closeAll();
 
     const TransportOptions m_options;
-    std::map<wire::Method, Handler> m_handlers;
+    std::map<wire::Method, MethodHandler> m_handlers;
     boost::asio::io_service m_service;
     WebsocketServer m_endpoint;
     std::map<const ServerConnection *, std::shared_ptr<ServerConnection>> m_connections;
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Changes older than this are dropped even when no report came; the report is then too old to
-/// count on.
-constexpr absl::Duration changeMemory = absl::Seconds(5);
+/// Changes older than this are dropped even when no newer report has arrived. The last report is
+/// then too old to be useful.
+constexpr absl::Duration changeLifetime = absl::Seconds(5);
 
-std::size_t index(WorkKind kind)
+std::size_t index(TaskKind kind)
 {
     return static_cast<std::size_t>(kind);
 }
@@ -24,86 +24,88 @@
 
 void EngineState::loadReported(absl::Time now, const EngineLoad &load)
 {
-    const absl::Time describes = now - load.age;
-    if (describes < m_reportedAt)
+    const absl::Time reportedAt = now - load.age;
+    if (reportedAt < m_reportedAt)
         return;
     m_load = load;
-    m_reportedAt = describes;
-    ++m_reports;
-    while (!m_changes.empty() && m_changes.front().at <= describes)
+    m_reportedAt = reportedAt;
+    ++m_reportCount;
+    while (!m_changes.empty() && m_changes.front().at <= reportedAt)
         dropOldestChange();
 }
 
-void EngineState::workStarted(absl::Time now, WorkKind kind, std::int64_t prefillTokens,
+void EngineState::taskStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                               std::int64_t totalTokens)
 {
-    m_ownPrefill[index(kind)] += prefillTokens;
+    m_localPrefillTokens[index(kind)] += prefillTokens;
     addChange({now, kind, 1, totalTokens});
 }
 
-void EngineState::firstToken(WorkKind kind, std::int64_t prefillTokens)
+void EngineState::firstToken(TaskKind kind, std::int64_t prefillTokens)
 {
-    m_ownPrefill[index(kind)] -= prefillTokens;
+    m_localPrefillTokens[index(kind)] -= prefillTokens;
 }
 
-void EngineState::workEnded(absl::Time now, WorkKind kind, std::int64_t totalTokens)
+void EngineState::taskEnded(absl::Time now, TaskKind kind, std::int64_t totalTokens)
 {
     addChange({now, kind, -1, -totalTokens});
 }
 
-std::int64_t EngineState::own(WorkKind kind) const
+std::int64_t EngineState::localTasks(TaskKind kind) const
 {
-    return m_own[index(kind)];
+    return m_localTasks[index(kind)];
 }
 
-std::int64_t EngineState::ownPrefill(WorkKind kind) const
+std::int64_t EngineState::localPrefillTokens(TaskKind kind) const
 {
-    return m_ownPrefill[index(kind)];
+    return m_localPrefillTokens[index(kind)];
 }
 
-std::int64_t EngineState::ownChange(WorkKind kind) const
+std::int64_t EngineState::localTaskChange(TaskKind kind) const
 {
-    return m_ownChange[index(kind)];
+    return m_localTaskChange[index(kind)];
 }
 
-double EngineState::requestsSeen() const
+double EngineState::reportedRequests() const
 {
     const std::int64_t reported = m_load.running + m_load.waiting;
-    const std::int64_t own = ownChange(WorkKind::Online) + ownChange(WorkKind::Batch);
-    return static_cast<double>(std::max<std::int64_t>(reported + own, 0));
+    const std::int64_t localChange =
+            localTaskChange(TaskKind::Online) + localTaskChange(TaskKind::Batch);
+    return static_cast<double>(std::max<std::int64_t>(reported + localChange, 0));
 }
 
 double EngineState::expectedRequests(std::size_t entries) const
 {
     const auto others = static_cast<double>(entries == 0 ? 0 : entries - 1);
-    const auto online = static_cast<double>(ownChange(WorkKind::Online));
-    return requestsSeen() + others * std::max(online, 0.0);
+    const auto online = static_cast<double>(localTaskChange(TaskKind::Online));
+    return reportedRequests() + others * std::max(online, 0.0);
 }
 
 double EngineState::expectedKvShare(std::size_t entries) const
 {
     if (m_load.kvCapacityTokens <= 0)
         return 0;
-    const auto own = static_cast<double>(m_changedTokens);
-    const double others = std::max(own, 0.0) * static_cast<double>(entries == 0 ? 0 : entries - 1);
-    const double used = static_cast<double>(m_load.kvTokens) + own + others;
+    const auto localChange = static_cast<double>(m_changedTokens);
+    const double others =
+            std::max(localChange, 0.0) * static_cast<double>(entries == 0 ? 0 : entries - 1);
+    const double used = static_cast<double>(m_load.kvTokens) + localChange + others;
     return std::max(used, 0.0) / static_cast<double>(m_load.kvCapacityTokens);
 }
 
 void EngineState::addChange(const Change &change)
 {
-    m_own[index(change.kind)] += change.delta;
-    m_ownChange[index(change.kind)] += change.delta;
+    m_localTasks[index(change.kind)] += change.delta;
+    m_localTaskChange[index(change.kind)] += change.delta;
     m_changedTokens += change.tokens;
     m_changes.push_back(change);
-    while (m_changes.front().at < change.at - changeMemory)
+    while (m_changes.front().at < change.at - changeLifetime)
         dropOldestChange();
 }
 
 void EngineState::dropOldestChange()
 {
     const Change &oldest = m_changes.front();
-    m_ownChange[index(oldest.kind)] -= oldest.delta;
+    m_localTaskChange[index(oldest.kind)] -= oldest.delta;
     m_changedTokens -= oldest.tokens;
     m_changes.pop_front();
 }
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -14,26 +14,26 @@
 {
     expire(now);
     std::vector<std::string> changed;
-    const bool onlyOne = alone && fingerprints.size() == 1;
+    const bool isOnlyRequest = alone && fingerprints.size() == 1;
     for (const std::string &fingerprint : fingerprints) {
         Suspect &suspect = m_suspects[fingerprint];
         if (!suspect.upstreams.insert(upstream).second)
             continue;
-        suspect.held = suspect.held || suspect.upstreams.size() >= m_settings.crashLimit;
-        const bool certain = suspect.held || onlyOne;
-        const absl::Time expires = now + (certain ? m_settings.holdTime : m_settings.suspectTime);
+        suspect.blocked = suspect.blocked || suspect.upstreams.size() >= m_settings.crashLimit;
+        const bool certain = suspect.blocked || isOnlyRequest;
+        const absl::Time expires = now + (certain ? m_settings.blockTime : m_settings.suspectTime);
         suspect.expires = std::max(suspect.expires, expires);
         changed.push_back(fingerprint);
     }
     return changed;
 }
 
-void Quarantine::exonerate(const std::string &upstream,
-                           const std::vector<std::string> &fingerprints)
+void Quarantine::retractCrash(const std::string &upstream,
+                              const std::vector<std::string> &fingerprints)
 {
     for (const std::string &fingerprint : fingerprints) {
         const auto found = m_suspects.find(fingerprint);
-        if (found == m_suspects.end() || found->second.held)
+        if (found == m_suspects.end() || found->second.blocked)
             continue;
         found->second.upstreams.erase(upstream);
         if (found->second.upstreams.empty())
@@ -44,12 +44,12 @@
 void Quarantine::succeeded(const std::string &fingerprint)
 {
     const auto found = m_suspects.find(fingerprint);
-    if (found != m_suspects.end() && !found->second.held)
+    if (found != m_suspects.end() && !found->second.blocked)
         m_suspects.erase(found);
 }
 
 void Quarantine::setRecord(absl::Time now, const std::string &fingerprint,
-                           const std::vector<std::string> &crashedUpstreams, bool held)
+                           const std::vector<std::string> &crashedUpstreams, bool blocked)
 {
     if (crashedUpstreams.empty()) {
         m_suspects.erase(fingerprint);
@@ -57,20 +57,21 @@
     }
     Suspect &suspect = m_suspects[fingerprint];
     suspect.upstreams.insert(crashedUpstreams.begin(), crashedUpstreams.end());
-    suspect.held = suspect.held || held || suspect.upstreams.size() >= m_settings.crashLimit;
-    const absl::Duration time = suspect.held ? m_settings.holdTime : m_settings.suspectTime;
+    suspect.blocked =
+            suspect.blocked || blocked || suspect.upstreams.size() >= m_settings.crashLimit;
+    const absl::Duration time = suspect.blocked ? m_settings.blockTime : m_settings.suspectTime;
     suspect.expires = std::max(suspect.expires, now + time);
 }
 
-Standing Quarantine::standing(absl::Time now, const std::string &fingerprint) const
+QuarantineStatus Quarantine::status(absl::Time now, const std::string &fingerprint) const
 {
     const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || found->second.expires <= now)
-        return Standing::Clear;
-    return found->second.held ? Standing::Held : Standing::Suspect;
+        return QuarantineStatus::Allowed;
+    return found->second.blocked ? QuarantineStatus::Blocked : QuarantineStatus::Suspect;
 }
 
-std::size_t Quarantine::crashes(const std::string &fingerprint) const
+std::size_t Quarantine::crashCount(const std::string &fingerprint) const
 {
     const auto found = m_suspects.find(fingerprint);
     return found == m_suspects.end() ? 0 : found->second.upstreams.size();
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -1,6 +1,6 @@
 #include "schedulerstate.h"
 
-#include "between.h"
+#include "interpolate.h"
 
 #include "rattanrill/base/concat.h"
 
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Weight of a new sample in smoothed times.
-constexpr double smoothing = 0.05;
-/// Tokens past the point of a crash after which a request runs beside other suspects again. The
-/// crash still counts against it until it has completed.
+/// Weight of a new sample in the smoothed times.
+constexpr double sampleWeight = 0.05;
+/// A suspect may run alongside other suspects again once it has delivered this many tokens more
+/// than before the crash. The crash still counts against it until it has completed.
 constexpr std::int64_t tokensPastCrash = 16;
 
 absl::Duration smoothed(absl::Duration old, absl::Duration sample)
 {
-    return old + (sample - old) * smoothing;
+    return old + (sample - old) * sampleWeight;
 }
 
 } // namespace
@@ -27,15 +27,15 @@
 Scheduler::State::State(SchedulerSettings schedulerSettings, std::uint64_t seed)
     : settings(std::move(schedulerSettings))
     , router(settings.router, settings.failureDomain)
-    , allowance(settings)
+    , batchAllowance(settings)
     , prefillWindows(settings.onlineTailWeight)
     , retry(settings.retry)
     , quarantine(settings.quarantine)
     , random(seed)
-    , tokenTime(settings.decodeStep)
+    , timePerToken(settings.decodeStep)
 {}
 
-// Lists
+// Engines, workspaces and tasks
 
 void Scheduler::State::setEngines(const std::vector<EngineInfo> &list)
 {
@@ -66,7 +66,7 @@
 
 void Scheduler::State::assignEngines(ModelPool &modelPool)
 {
-    // All entries number the engines of a model in order of name.
+    // Sorted by name, so that all entries assign the same numbers to the engines of a model.
     std::sort(modelPool.engines.begin(), modelPool.engines.end(),
               [](const EngineRecord *left, const EngineRecord *right) {
                   return left->state.info().name < right->state.info().name;
@@ -77,19 +77,19 @@
         modelPool.engines[i]->preferred = false;
         names.push_back(modelPool.engines[i]->state.info().name);
     }
-    for (const std::string &own : ownEngines.choose(names))
-        engine(own)->preferred = true;
-    modelPool.suspectOrder = ownEngines.suspectOrder(std::move(names));
+    for (const std::string &engineName : engineAssignment.preferredEngines(names))
+        engine(engineName)->preferred = true;
+    modelPool.suspectOrder = engineAssignment.suspectOrder(std::move(names));
 }
 
-void Scheduler::State::setWorkspaces(const std::vector<WorkspaceShare> &list)
+void Scheduler::State::setWorkspaces(const std::vector<WorkspaceWeights> &list)
 {
-    for (const WorkspaceShare &share : list) {
-        workspaces[share.workspace] = share;
+    for (const WorkspaceWeights &weights : list) {
+        workspaces[weights.workspace] = weights;
         for (auto &[model, modelPool] : pools) {
-            modelPool.online.setWeight(share.workspace, share.onlineWeight);
-            modelPool.outside.setWeight(share.workspace, share.onlineWeight);
-            modelPool.batch.setWeight(share.workspace, share.batchWeight);
+            modelPool.online.setWeight(weights.workspace, weights.onlineWeight);
+            modelPool.outsideContract.setWeight(weights.workspace, weights.onlineWeight);
+            modelPool.batch.setWeight(weights.workspace, weights.batchWeight);
         }
     }
 }
@@ -100,10 +100,10 @@
     if (found != pools.end())
         return found->second;
     ModelPool &created = pools[model];
-    for (const auto &[workspace, share] : workspaces) {
-        created.online.setWeight(workspace, share.onlineWeight);
-        created.outside.setWeight(workspace, share.onlineWeight);
-        created.batch.setWeight(workspace, share.batchWeight);
+    for (const auto &[workspace, weights] : workspaces) {
+        created.online.setWeight(workspace, weights.onlineWeight);
+        created.outsideContract.setWeight(workspace, weights.onlineWeight);
+        created.batch.setWeight(workspace, weights.batchWeight);
     }
     return created;
 }
@@ -114,150 +114,153 @@
     return found == engines.end() ? nullptr : found->second.get();
 }
 
-WorkItem *Scheduler::State::find(WorkId work)
+TaskRecord *Scheduler::State::find(TaskId task)
 {
-    const auto found = items.find(work);
+    const auto found = items.find(task);
     return found == items.end() ? nullptr : &found->second;
 }
 
-WorkItem *Scheduler::State::running(WorkId work, int attempt)
+TaskRecord *Scheduler::State::running(TaskId task, int attempt)
 {
-    WorkItem *item = find(work);
-    const bool current = item != nullptr && item->isRunning() && item->attempt == attempt;
-    return current ? item : nullptr;
+    TaskRecord *item = find(task);
+    const bool isCurrent = item != nullptr && item->isRunning() && item->attempt == attempt;
+    return isCurrent ? item : nullptr;
 }
 
 // Events
 
-void Scheduler::State::enqueue(absl::Time now, WorkItem &item)
+void Scheduler::State::enqueue(absl::Time now, TaskRecord &item)
 {
-    item.phase = WorkItem::Phase::Waiting;
+    item.phase = TaskRecord::Phase::Waiting;
     item.waitingSince = now;
-    // The crash may have been explained while the work backed off.
-    if (quarantine.standing(now, item.work.fingerprint) == Standing::Clear)
+    // The crash may have been retracted or cleared while the task waited for its retry.
+    if (quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed)
         item.suspect = false;
-    ModelPool &waitingPool = pool(item.work.model);
+    ModelPool &waitingPool = pool(item.task.model);
     if (item.isOnline()) {
         item.onlineDeadline = onlineDeadline(item);
-        onlineDeadlines.insert({item.onlineDeadline, item.work.id});
+        onlineDeadlines.insert({item.onlineDeadline, item.task.id});
     }
     if (item.suspect) {
-        waitingPool.suspects.insert({item.work.kind, item.work.id});
+        waitingPool.suspects.insert({item.task.kind, item.task.id});
         return;
     }
     if (item.isOnline()) {
-        FairQueue &queue = item.work.insideContract ? waitingPool.online : waitingPool.outside;
-        queue.push(item.work.workspace, item.work.id, item.waitingSince);
+        FairQueue &queue =
+                item.task.insideContract ? waitingPool.online : waitingPool.outsideContract;
+        queue.push(item.task.workspace, item.task.id, item.waitingSince);
         return;
     }
-    using Order = FairQueue::Order;
-    const Order order = item.deliveredTokens > 0 ? Order::First : Order::ByArrival;
-    waitingPool.batch.push(item.work.workspace, item.work.id, item.work.due, order);
+    using TieBreak = FairQueue::TieBreak;
+    const TieBreak order = item.deliveredTokens > 0 ? TieBreak::Resumed : TieBreak::ByArrival;
+    waitingPool.batch.push(item.task.workspace, item.task.id, item.task.deadline, order);
     item.latestStart = latestStart(item);
-    waitingPool.latestStarts.insert({item.latestStart, item.work.id});
+    waitingPool.latestStarts.insert({item.latestStart, item.task.id});
 }
 
-void Scheduler::State::dequeue(WorkItem &item)
+void Scheduler::State::dequeue(TaskRecord &item)
 {
-    if (item.phase == WorkItem::Phase::BackingOff) {
-        backoffs.erase({item.notBefore, item.work.id});
+    if (item.phase == TaskRecord::Phase::BackingOff) {
+        backoffs.erase({item.retryAt, item.task.id});
         return;
     }
-    ModelPool &waitingPool = pool(item.work.model);
-    waitingPool.suspects.erase({item.work.kind, item.work.id});
+    ModelPool &waitingPool = pool(item.task.model);
+    waitingPool.suspects.erase({item.task.kind, item.task.id});
     if (item.isOnline()) {
-        onlineDeadlines.erase({item.onlineDeadline, item.work.id});
-        waitingPool.online.remove(item.work.id);
-        waitingPool.outside.remove(item.work.id);
+        onlineDeadlines.erase({item.onlineDeadline, item.task.id});
+        waitingPool.online.remove(item.task.id);
+        waitingPool.outsideContract.remove(item.task.id);
         return;
     }
-    waitingPool.batch.remove(item.work.id);
-    waitingPool.latestStarts.erase({item.latestStart, item.work.id});
+    waitingPool.batch.remove(item.task.id);
+    waitingPool.latestStarts.erase({item.latestStart, item.task.id});
 }
 
-void Scheduler::State::noteProgress(absl::Time now, WorkItem &item, std::int64_t deliveredTokens)
+void Scheduler::State::recordProgress(absl::Time now, TaskRecord &item,
+                                      std::int64_t deliveredTokens)
 {
     const std::int64_t tokens = deliveredTokens - item.deliveredTokens;
     if (tokens <= 0)
         return;
     if (item.prefillTokens > 0)
-        noteFirstToken(now, item);
+        recordFirstToken(now, item);
     else
-        tokenTime = smoothed(tokenTime, (now - item.progressAt) / tokens);
+        timePerToken = smoothed(timePerToken, (now - item.progressAt) / tokens);
     item.deliveredTokens = deliveredTokens;
     item.progressAt = now;
     if (deliveredTokens >= item.clearedAtTokens)
         clearSuspect(item);
 }
 
-void Scheduler::State::noteFirstToken(absl::Time now, WorkItem &item)
+void Scheduler::State::recordFirstToken(absl::Time now, TaskRecord &item)
 {
     if (item.prefillTokens <= 0)
         return;
     EngineRecord *record = engine(item.engine);
     const absl::Duration time = now - item.startedAt;
     if (item.isOnline()) {
-        const bool first = firstTokenTime == absl::ZeroDuration();
-        firstTokenTime = first ? time : smoothed(firstTokenTime, time);
+        const bool first = timeToFirstToken == absl::ZeroDuration();
+        timeToFirstToken = first ? time : smoothed(timeToFirstToken, time);
     }
     if (record != nullptr) {
-        record->state.firstToken(item.work.kind, item.prefillTokens);
+        record->state.firstToken(item.task.kind, item.prefillTokens);
         if (item.isOnline())
-            record->state.outlier().firstToken(now, time, firstTokenTime);
+            record->state.outlier().firstToken(now, time, timeToFirstToken);
     }
     item.prefillTokens = 0;
     item.mayHaveRun = true;
     item.progressAt = now;
 }
 
-void Scheduler::State::endTry(absl::Time now, WorkItem &item)
+void Scheduler::State::endAttempt(absl::Time now, TaskRecord &item)
 {
-    --runningCount[index(item.work.kind)];
-    FairQueue &queue = item.isOnline() ? pool(item.work.model).online : pool(item.work.model).batch;
-    // The start charged for the longest answer; the rest is given back.
+    --runningCount[index(item.task.kind)];
+    FairQueue &queue = item.isOnline() ? pool(item.task.model).online : pool(item.task.model).batch;
+    // The start charged the workspace for maxTokens. The tokens not generated are refunded.
     const auto unused = static_cast<double>(std::max<std::int64_t>(item.remainingTokens(), 0));
-    queue.charge(item.work.workspace, -std::min(item.charged, unused));
-    item.charged = 0;
+    queue.charge(item.task.workspace, -std::min(item.chargedTokens, unused));
+    item.chargedTokens = 0;
     EngineRecord *record = engine(item.engine);
     if (record == nullptr)
         return;
     if (item.prefillTokens > 0)
-        record->state.firstToken(item.work.kind, item.prefillTokens);
+        record->state.firstToken(item.task.kind, item.prefillTokens);
     item.prefillTokens = 0;
-    record->state.workEnded(now, item.work.kind, item.kvTokens);
-    record->running.erase(item.work.id);
+    record->state.taskEnded(now, item.task.kind, item.kvTokens);
+    record->running.erase(item.task.id);
     if (item.suspect)
         --record->suspectsRunning;
-    if (item.phase == WorkItem::Phase::Preempting)
+    if (item.phase == TaskRecord::Phase::Preempting)
         --record->preempting;
 }
 
-void Scheduler::State::forget(WorkItem &item)
+void Scheduler::State::removeTask(TaskRecord &item)
 {
     if (!item.isRunning())
         dequeue(item);
-    items.erase(item.work.id);
+    items.erase(item.task.id);
 }
 
-void Scheduler::State::countCrash(absl::Time now, WorkItem &item)
+void Scheduler::State::recordCrash(absl::Time now, TaskRecord &item)
 {
     EngineRecord *record = engine(item.engine);
-    if (item.crashCounted || record == nullptr)
+    if (item.crashRecorded || record == nullptr)
         return;
     std::vector<std::string> fingerprints;
-    for (const WorkId id : record->running) {
-        WorkItem &beside = items.at(id);
-        if (beside.crashCounted)
+    for (const TaskId id : record->running) {
+        TaskRecord &other = items.at(id);
+        if (other.crashRecorded)
             continue;
-        beside.crashCounted = true;
-        // A request that passed the point of its first crash is not blamed for a second one while a
-        // suspect that has not passed it ran beside it.
-        const bool passed = !beside.suspect && quarantine.crashes(beside.work.fingerprint) > 0;
-        if (!passed || record->suspectsRunning == 0)
-            fingerprints.push_back(beside.work.fingerprint);
+        other.crashRecorded = true;
+        // A request that got past the point of its first crash is not blamed for a second crash
+        // when a suspect that has not got past that point ran on the same engine.
+        const bool passedCrash =
+                !other.suspect && quarantine.crashCount(other.task.fingerprint) > 0;
+        if (!passedCrash || record->suspectsRunning == 0)
+            fingerprints.push_back(other.task.fingerprint);
     }
     record->state.outlier().failed(now, true);
-    prefixes.forgetEngine(item.engine);
+    prefixes.removeEngine(item.engine);
     const EngineLoad &load = record->state.load();
     const bool alone = record->state.hasReport() && load.running + load.waiting <= 1;
     const std::vector<std::string> changed =
@@ -265,16 +268,17 @@
     for (const std::string &fingerprint : changed)
         decisions.emplace_back(RecordCrash{fingerprint, item.engine});
     const std::string &domain = record->state.info().failureDomain;
-    for (const Crash &crash : crashes.add({now, item.engine, domain, std::move(fingerprints)}))
-        exonerate(now, crash);
+    for (const Crash &crash : crashHistory.add({now, item.engine, domain, std::move(fingerprints)}))
+        retractCrash(now, crash);
 }
 
-void Scheduler::State::exonerate(absl::Time now, const Crash &crash)
+void Scheduler::State::retractCrash(absl::Time now, const Crash &crash)
 {
-    quarantine.exonerate(crash.upstream, crash.fingerprints);
+    quarantine.retractCrash(crash.upstream, crash.fingerprints);
     for (auto &[id, item] : items) {
-        const bool affected = item.suspect && item.phase == WorkItem::Phase::Waiting
-                              && quarantine.standing(now, item.work.fingerprint) == Standing::Clear;
+        const bool affected =
+                item.suspect && item.phase == TaskRecord::Phase::Waiting
+                && quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed;
         if (!affected)
             continue;
         dequeue(item);
@@ -283,7 +287,7 @@
     }
 }
 
-void Scheduler::State::clearSuspect(WorkItem &item)
+void Scheduler::State::clearSuspect(TaskRecord &item)
 {
     if (!item.suspect)
         return;
@@ -293,61 +297,63 @@
         --record->suspectsRunning;
 }
 
-void Scheduler::State::tryFailed(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::attemptFailed(absl::Time now, TaskRecord &item,
+                                     const AttemptFailure &failure)
 {
-    noteProgress(now, item, failure.deliveredTokens);
-    const bool crashed = failure.kind == TryFailure::Kind::Crashed;
+    recordProgress(now, item, failure.deliveredTokens);
+    const bool crashed = failure.kind == AttemptFailure::Kind::Crashed;
     if (crashed)
-        countCrash(now, item);
+        recordCrash(now, item);
     EngineRecord *record = engine(item.engine);
-    const bool blame = !crashed && failure.kind != TryFailure::Kind::Invalid
-                       && failure.failure.code != ErrorCode::UpstreamBusy;
-    if (record != nullptr && blame)
+    const bool isEngineFailure = !crashed && failure.kind != AttemptFailure::Kind::Invalid
+                                 && failure.failure.code != ErrorCode::UpstreamBusy;
+    if (record != nullptr && isEngineFailure)
         record->state.outlier().failed(now, false);
-    if (failure.kind != TryFailure::Kind::Refused)
+    if (failure.kind != AttemptFailure::Kind::Refused)
         item.mayHaveRun = true;
-    endTry(now, item);
-    item.phase = WorkItem::Phase::BackingOff;
-    item.notBefore = now;
-    item.avoided.push_back(item.engine);
-    const Standing standing = quarantine.standing(now, item.work.fingerprint);
-    item.suspect = standing == Standing::Suspect;
+    endAttempt(now, item);
+    item.phase = TaskRecord::Phase::BackingOff;
+    item.retryAt = now;
+    item.excluded.push_back(item.engine);
+    const QuarantineStatus status = quarantine.status(now, item.task.fingerprint);
+    item.suspect = status == QuarantineStatus::Suspect;
     if (crashed)
         item.clearedAtTokens = item.deliveredTokens + tokensPastCrash;
-    if (failure.kind == TryFailure::Kind::Invalid)
-        refuse(item, failure.failure.code, failure.failure.detail);
-    else if (standing == Standing::Held)
-        refuse(item, ErrorCode::RequestHeld, "the request crashed the upstreams that ran it");
+    if (failure.kind == AttemptFailure::Kind::Invalid)
+        reject(item, failure.failure.code, failure.failure.detail);
+    else if (status == QuarantineStatus::Blocked)
+        reject(item, ErrorCode::RequestQuarantined,
+               "the request crashed the upstreams that ran it");
     else if (item.isOnline())
         retryOnline(now, item, failure);
     else
         retryBatch(now, item, failure);
 }
 
-void Scheduler::State::retryOnline(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
 {
-    const RunState run = item.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
+    const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     ++item.failures;
-    if (retry.mayRetry(item.failures, run, item.work.idempotent))
+    if (retry.mayRetry(item.failures, run, item.task.idempotent))
         backOff(now, item);
     else
-        refuse(item, failure.failure.code, failure.failure.detail);
+        reject(item, failure.failure.code, failure.failure.detail);
 }
 
-void Scheduler::State::retryBatch(absl::Time now, WorkItem &item, const TryFailure &failure)
+void Scheduler::State::retryBatch(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
 {
-    if (failure.kind != TryFailure::Kind::Refused)
+    if (failure.kind != AttemptFailure::Kind::Refused)
         ++item.failures;
-    if (item.failures < settings.batchTries)
+    if (item.failures < settings.maxBatchAttempts)
         backOff(now, item);
     else
-        refuse(item, ErrorCode::ItemFailed, failure.failure.detail);
+        reject(item, ErrorCode::ItemFailed, failure.failure.detail);
 }
 
-void Scheduler::State::backOff(absl::Time now, WorkItem &item)
+void Scheduler::State::backOff(absl::Time now, TaskRecord &item)
 {
-    item.notBefore = now + retry.backoff(std::max(item.failures, 1), random);
-    backoffs.insert({item.notBefore, item.work.id});
+    item.retryAt = now + retry.backoff(std::max(item.failures, 1), random);
+    backoffs.insert({item.retryAt, item.task.id});
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/tokenbucket.cpp
+++ b/src/policy/tokenbucket.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Rounding error of the level that is not held against a caller.
+/// Tolerance for rounding errors of the level, in units. Units that are missing by less than this
+/// are granted.
 constexpr double levelTolerance = 1e-9;
 
 } // namespace
@@ -14,7 +15,7 @@
 TokenBucket::TokenBucket(RateContract contract, absl::Time start, double level)
     : m_contract(contract)
     , m_level(std::min(level, contract.burst))
-    , m_levelAt(start)
+    , m_levelTime(start)
 {}
 
 RateGrant TokenBucket::take(absl::Time now, double units, absl::Duration maxWait)
@@ -22,12 +23,12 @@
     advance(now);
     if (units > m_contract.burst + levelTolerance)
         return {false, absl::InfiniteDuration()};
-    const absl::Duration untilLevel = std::max(m_levelAt - now, absl::ZeroDuration());
+    const absl::Duration untilLevel = std::max(m_levelTime - now, absl::ZeroDuration());
     absl::Duration wait = untilLevel;
     if (m_level + levelTolerance < units) {
         if (m_contract.ratePerSecond <= 0)
             return {false, absl::InfiniteDuration()};
-        // Rounded up, so that the units are not used a nanosecond early.
+        // Rounded up, so that the units do not come into use a nanosecond too early.
         wait += absl::Seconds((units - m_level) / m_contract.ratePerSecond) + absl::Nanoseconds(1);
     }
     if (wait > maxWait)
@@ -52,11 +53,11 @@
 
 void TokenBucket::advance(absl::Time now)
 {
-    if (now <= m_levelAt)
+    if (now <= m_levelTime)
         return;
-    const double gained = absl::ToDoubleSeconds(now - m_levelAt) * m_contract.ratePerSecond;
+    const double gained = absl::ToDoubleSeconds(now - m_levelTime) * m_contract.ratePerSecond;
     m_level = std::min(m_level + gained, m_contract.burst);
-    m_levelAt = now;
+    m_levelTime = now;
 }
 
 } // namespace rattanrill::policy
--- a/src/replication/groupdriver.h
+++ b/src/replication/groupdriver.h
@@ -10,31 +10,31 @@
 
 namespace rattanrill::replication {
 
-/// ReplicatedGroup over a RaftCore, which runs on a thread of its own and hands disk work to a
-/// StorageThread and state-machine work to an ApplyThread. Callbacks come on the apply thread.
-class GroupDriver : public ReplicatedGroup
+/// RaftNode that runs a RaftCore on a thread of its own. Disk operations run on a StorageThread,
+/// state machine operations and callbacks on an ApplyThread.
+class GroupDriver : public RaftNode
 {
 public:
     struct Parts
     {
         std::unique_ptr<Storage> storage;
-        /// Restored to start.snapshot.
+        /// Its state must already be that of start.snapshot.
         std::unique_ptr<StateMachine> machine;
         RaftStart start;
         RaftOptions raft;
     };
 
-    GroupDriver(GroupOptions options, Parts parts, GroupTransport &transport, const Clock &clock);
+    GroupDriver(RaftNodeOptions options, Parts parts, RaftTransport &transport, const Clock &clock);
     ~GroupDriver() override;
 
     void propose(std::string command, Callback callback) override;
     void read(std::string query, Callback callback) override;
-    void readIndexed(std::string query, Callback callback) override;
+    void linearizableRead(std::string query, Callback callback) override;
     void receive(const ReplicaId &from, std::string message) override;
-    GroupStatus status() const override;
+    RaftNodeStatus status() const override;
     void onApplied(std::function<void(std::uint64_t)> listener) override;
-    void addMember(const ReplicaId &member, const ReplicaId &replaced, Callback callback) override;
-    void removeMember(const ReplicaId &member, Callback callback) override;
+    void addReplica(const ReplicaId &member, const ReplicaId &replaced, Callback callback) override;
+    void removeReplica(const ReplicaId &member, Callback callback) override;
     void transferLeadership() override;
     void stop() override;
 
@@ -54,7 +54,7 @@
         Callback callback;
     };
 
-    Callback limited(Callback callback, std::size_t bytes);
+    Callback withCallLimit(Callback callback, std::size_t bytes);
     void post(Task task, const Callback &callback);
     void startRead(StartRead start, std::string query, Callback callback);
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, Callback callback);
@@ -70,17 +70,17 @@
     void finishChanges(const std::vector<ChangeResult> &results);
     void failProposals(const Failure &failure);
     void expireCalls();
-    void noteSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data);
+    void handleSnapshotTaken(std::uint64_t index, std::uint64_t term, std::string data);
     void stopReplica(const Failure &failure);
-    void failEverything(const Failure &failure);
+    void failOpenCalls(const Failure &failure);
     void publishStatus();
-    void logRoleChange(const GroupStatus &before, const GroupStatus &now) const;
+    void logRoleChange(const RaftNodeStatus &before, const RaftNodeStatus &now) const;
 
     StorageThread::Listener storageListener();
     ApplyThread::Listener applyListener();
 
-    const GroupOptions m_options;
-    GroupTransport &m_transport;
+    const RaftNodeOptions m_options;
+    RaftTransport &m_transport;
     const Clock &m_clock;
     CallLimit m_calls;
     TaskQueue<Task> m_inbox;
@@ -96,7 +96,7 @@
     std::optional<Failure> m_stopReason;
 
     mutable absl::Mutex m_statusMutex;
-    GroupStatus m_status ABSL_GUARDED_BY(m_statusMutex);
+    RaftNodeStatus m_status ABSL_GUARDED_BY(m_statusMutex);
 
     ApplyThread m_apply;
     StorageThread m_storage;
--- a/src/service/credentials.cpp
+++ b/src/service/credentials.cpp
@@ -24,9 +24,9 @@
 {
     std::string decoded;
     for (std::size_t i = 0; i < text.size(); ++i) {
-        const bool escape = text[i] == '%' && i + 2 < text.size() && hexValue(text[i + 1]) >= 0
-                            && hexValue(text[i + 2]) >= 0;
-        if (!escape) {
+        const bool isEscape = text[i] == '%' && i + 2 < text.size() && hexValue(text[i + 1]) >= 0
+                              && hexValue(text[i + 2]) >= 0;
+        if (!isEscape) {
             decoded += text[i] == '+' ? ' ' : text[i];
             continue;
         }
@@ -36,7 +36,8 @@
     return decoded;
 }
 
-/// Lower case without "-" and "_", so that one name covers its spellings.
+/// Decodes \a name, converts it to lower case and removes "-" and "_", so that one entry of
+/// credentialNames covers all spellings.
 std::string normalized(std::string_view name)
 {
     std::string result;
@@ -51,12 +52,12 @@
 
 bool isCredentialParameter(std::string_view name)
 {
-    const std::string plain = normalized(name);
-    return std::find(credentialNames.begin(), credentialNames.end(), plain)
+    const std::string normalizedName = normalized(name);
+    return std::find(credentialNames.begin(), credentialNames.end(), normalizedName)
            != credentialNames.end();
 }
 
-bool containsKey(std::string_view text, std::string_view key)
+bool containsApiKey(std::string_view text, std::string_view key)
 {
     if (key.empty())
         return false;
@@ -64,7 +65,7 @@
            || percentDecoded(text).find(key) != std::string::npos;
 }
 
-std::string withoutCredentials(std::string_view query, std::string_view key)
+std::string stripCredentials(std::string_view query, std::string_view key)
 {
     std::string kept;
     while (!query.empty()) {
@@ -72,7 +73,7 @@
         const std::string_view parameter = query.substr(0, end);
         query.remove_prefix(std::min(end + 1, query.size()));
         const std::string_view name = parameter.substr(0, parameter.find('='));
-        if (parameter.empty() || isCredentialParameter(name) || containsKey(parameter, key))
+        if (parameter.empty() || isCredentialParameter(name) || containsApiKey(parameter, key))
             continue;
         kept += kept.empty() ? "" : "&";
         kept += parameter;
