--- /dev/null
+++ b/src/serving/proxiedrequest.cpp
@@ -0,0 +1,484 @@
+#include "proxiedrequest.h"
+
+#include "rattanrill/base/concat.h"
+#include "rattanrill/base/enumnames.h"
+#include "rattanrill/base/logger.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace rattanrill::serving {
+
+using policy::ReleaseReason;
+
+namespace {
+
+/// Time without a response after which a request that may run again is sent to another upstream, as
+/// a fraction of the latency objective before the first event and of the inter-event objective
+/// after it. The rest of the objective is left for the next attempt.
+constexpr double firstEventTimeoutFraction = 0.6;
+constexpr double interEventTimeoutFraction = 0.6;
+/// The same for responses that are not streams, as a multiple of the latency objective, because
+/// processing times of several times the mean are common there.
+constexpr double completeResponseTimeoutFactor = 2.5;
+/// A caller with more unsent response bytes than this does not read its response and is treated as
+/// disconnected.
+constexpr std::size_t maxUnsentBytes = std::size_t(4) << 20;
+/// Retry-After when no upstream has accepted the request; the cause may soon pass.
+constexpr absl::Duration unavailableRetryAfter = absl::Milliseconds(300);
+/// With less time than this until the deadline, an attempt is not worth starting.
+constexpr absl::Duration minRemainingTime = absl::Milliseconds(20);
+/// Maximum size of a response that is not a stream: its body is buffered until it is complete, so a
+/// longer one fails the attempt.
+constexpr std::size_t maxBufferedBodyBytes = std::size_t(16) << 20;
+
+/// Returns -1 when \a to is infinite, which means that the event has not occurred.
+std::int64_t elapsedMilliseconds(absl::Time from, absl::Time to)
+{
+    return to == absl::InfiniteFuture() ? -1 : absl::ToInt64Milliseconds(to - from);
+}
+
+} // namespace
+
+void proxyRequest(const ServingContext &context, RoutedRequest request,
+                  std::shared_ptr<net::Exchange> exchange)
+{
+    std::make_shared<ProxiedRequest>(context, std::move(request), std::move(exchange))->start();
+}
+
+ProxiedRequest::ProxiedRequest(const ServingContext &context, RoutedRequest request,
+                               std::shared_ptr<net::Exchange> exchange)
+    : m_context(context)
+    , m_request(std::move(request))
+    , m_route(*m_request.route)
+    , m_exchange(std::move(exchange))
+    , m_receivedAt(m_exchange->receivedAt())
+    , m_deadline(m_receivedAt + std::min(m_request.caller.timeout, m_route.timeout))
+    , m_service(selectService(m_route, m_request.caller.id))
+    , m_position(m_request.caller.resumeAfter)
+{}
+
+std::string_view ProxiedRequest::name(Outcome outcome)
+{
+    static constexpr std::array<EnumName<Outcome>, 5> names = {{
+            {Outcome::Completed, "answered"},
+            {Outcome::Refused, "refused"},
+            {Outcome::Failed, "failed"},
+            {Outcome::Aborted, "cut_off"},
+            {Outcome::CallerDisconnected, "caller_left"},
+    }};
+    return nameOf(names, outcome);
+}
+
+void ProxiedRequest::start()
+{
+    m_exchange->onClientDisconnected([self = shared_from_this()] { self->callerDisconnected(); });
+    m_deadlineTimer = m_context.loop.timers().subscribeOnce(
+            std::max(remainingTime(), absl::ZeroDuration()),
+            [self = shared_from_this()] { self->deadlinePassed(); });
+    requestSlot();
+}
+
+bool ProxiedRequest::mayRunAgain() const
+{
+    return m_route.kind == RouteKind::Idempotent
+           || (m_route.kind == RouteKind::Streaming && m_route.resumable);
+}
+
+absl::Duration ProxiedRequest::remainingTime() const
+{
+    return m_deadline - m_context.clock.now();
+}
+
+void ProxiedRequest::requestSlot()
+{
+    wire::SlotRequest request;
+    m_requestedSlotId = m_slotRequestCount++ == 0
+                                ? m_request.caller.id
+                                : concat(m_request.caller.id, "~", m_slotRequestCount);
+    request.requestId = m_requestedSlotId;
+    request.instance = m_context.identity.instance;
+    request.failureDomain = m_context.identity.failureDomain;
+    request.service = m_service;
+    request.workspace = m_request.workspace;
+    request.priority = m_request.priority;
+    request.chargesRate = !m_chargedRate;
+    request.promptTokens = m_request.caller.promptTokens;
+    request.outputTokens = m_request.caller.outputTokens;
+    // The response to a request that may have run is useful until the deadline; only a request that
+    // has not run is refused early.
+    const absl::Duration objective = m_mayHaveRun ? remainingTime() : m_route.latencyObjective;
+    request.objectiveMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(objective), 0);
+    request.deadlineMs = std::max<std::int64_t>(absl::ToInt64Milliseconds(remainingTime()), 0);
+    request.excluded = m_attemptedUpstreams;
+    m_isSlotRequested = true;
+    m_context.slotClient.acquire(
+            request, [self = shared_from_this()](const auto &response, bool fromLocalShare) {
+                self->slotResponseReceived(response, fromLocalShare);
+            });
+}
+
+void ProxiedRequest::slotResponseReceived(const wire::SlotResponse &response, bool fromLocalShare)
+{
+    m_isSlotRequested = false;
+    const bool isGranted = response.verdict == wire::SlotOutcome::Granted;
+    const bool isObsolete = m_ended || (m_isCalling && !m_isUnresponsive);
+    if (isObsolete) {
+        if (isGranted)
+            release(m_requestedSlotId, response.upstream, ReleaseReason::Cancelled);
+        return;
+    }
+    m_fromLocalShare = m_fromLocalShare || fromLocalShare;
+    if (isGranted) {
+        if (m_isCalling)
+            abandonUnresponsiveUpstream();
+        m_chargedRate = true;
+        m_heldSlotId = m_requestedSlotId;
+        m_slotGrantedAt = m_context.clock.now();
+        return send(response.upstream, response.address);
+    }
+    // No other upstream has a free slot, so the unresponsive upstream gets more time.
+    if (m_isCalling)
+        return armResponseTimer();
+    const absl::Duration retryAfter = absl::Milliseconds(response.retryAfterMs);
+    if (m_mayHaveRun || m_exchange->streamStarted())
+        return fail(ErrorCode::UpstreamFailed, "no slot is available for another attempt");
+    if (response.verdict == wire::SlotOutcome::OverRate)
+        return refuse(ErrorCode::RateLimited, "the workspace has used up its request rate",
+                      retryAfter);
+    refuse(ErrorCode::Overloaded, "no upstream slot will be free in time", retryAfter);
+}
+
+void ProxiedRequest::abandonUnresponsiveUpstream()
+{
+    log(LogLevel::Info, "try-failed",
+        {{"requestId", m_request.caller.id},
+         {"upstream", m_upstream},
+         {"attempt", m_attempts},
+         {"reason", "the upstream did not respond in time"},
+         {"lastEvent", m_position.lastId().value_or(-1)}});
+    cancelCall();
+    releaseSlot(ReleaseReason::Failed);
+    if (m_exchange->streamStarted())
+        ++m_resumes;
+}
+
+void ProxiedRequest::send(const std::string &upstream, const std::string &address)
+{
+    m_upstream = upstream;
+    if (remainingTime() < minRemainingTime) {
+        releaseSlot(ReleaseReason::Cancelled);
+        return refuseOrFail("too little time is left for an attempt before the deadline");
+    }
+    ++m_attempts;
+    m_attemptedUpstreams.push_back(upstream);
+    m_hasHead = false;
+    m_isStream = false;
+    m_isUnresponsive = false;
+    m_body.clear();
+    m_splitter.reset();
+    UpstreamAttempt attempt;
+    attempt.expectedInstance = upstream;
+    attempt.workspace = m_request.workspace;
+    attempt.remainingTime = remainingTime();
+    attempt.resumeAfter = m_position.lastId();
+    net::CallHandlers handlers;
+    handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
+        return self->headReceived(head);
+    };
+    handlers.body = [self = shared_from_this()](std::string_view bytes) {
+        self->bodyReceived(bytes);
+    };
+    handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
+        self->callEnded(status);
+    };
+    m_isCalling = true;
+    armResponseTimer();
+    m_call = m_context.upstreams.call(
+            address,
+            net::serialize(m_context.protocol.upstreamRequest(m_exchange->request(), attempt)),
+            std::move(handlers));
+}
+
+bool ProxiedRequest::headReceived(const net::ResponseHead &head)
+{
+    const ResponseInfo info = m_context.protocol.parseResponse(head);
+    if (!info.requestId.empty() && info.requestId != m_request.caller.id) {
+        log(LogLevel::Warning, "foreign-answer-dropped",
+            {{"requestId", m_request.caller.id},
+             {"foreignRequestId", info.requestId},
+             {"upstream", m_upstream}});
+        return false;
+    }
+    m_head = head;
+    m_responseInfo = info;
+    m_hasHead = true;
+    if (info.outstandingRequests)
+        m_context.slotClient.reportLoad({m_upstream, *info.outstandingRequests});
+    m_isStream = !info.notRun && head.status >= 200 && head.status < 300
+                 && m_route.kind == RouteKind::Streaming && m_context.protocol.isEventStream(head);
+    return true;
+}
+
+void ProxiedRequest::bodyReceived(std::string_view bytes)
+{
+    if (m_ended)
+        return;
+    m_isUnresponsive = false;
+    if (m_isStream)
+        return forwardEvents(bytes);
+    m_body.append(bytes);
+    if (m_body.size() > maxBufferedBodyBytes)
+        attemptFailed("the response body exceeds the size limit", ReleaseReason::Failed);
+}
+
+void ProxiedRequest::forwardEvents(std::string_view bytes)
+{
+    std::vector<StreamEvent> events;
+    m_splitter.feed(bytes, events);
+    for (const StreamEvent &event : events) {
+        if (m_ended || !deliver(event))
+            return;
+    }
+    if (!events.empty())
+        armResponseTimer();
+}
+
+/// Returns false when the attempt or the request has ended.
+bool ProxiedRequest::deliver(const StreamEvent &event)
+{
+    switch (m_position.advance(event)) {
+    case SequenceCheck::Repeated:
+        return true;
+    case SequenceCheck::Gap:
+        attemptFailed("an event is missing from the stream", ReleaseReason::Failed);
+        return false;
+    case SequenceCheck::InOrder:
+        break;
+    }
+    startResponse();
+    m_exchange->write(event.bytes);
+    if (m_exchange->unsentBytes() > maxUnsentBytes) {
+        callerDisconnected();
+        return false;
+    }
+    return true;
+}
+
+/// Sends the response head once: the first upstream's head remains in effect when another upstream
+/// resumes the stream.
+void ProxiedRequest::startResponse()
+{
+    if (m_exchange->streamStarted())
+        return;
+    m_firstByteAt = m_context.clock.now();
+    net::ResponseHead head = m_head;
+    net::removeConnectionHeaders(head.headers);
+    m_exchange->startStream(std::move(head));
+}
+
+void ProxiedRequest::callEnded(net::CallStatus status)
+{
+    m_isCalling = false;
+    if (m_ended)
+        return;
+    if (status == net::CallStatus::NotConnected)
+        return attemptFailed("the connection to the upstream could not be established",
+                             ReleaseReason::Unreachable);
+    const bool isReportedNotRun =
+            status == net::CallStatus::Complete && m_hasHead && m_responseInfo.notRun;
+    if (!isReportedNotRun)
+        m_mayHaveRun = true;
+    if (status == net::CallStatus::Broken)
+        return attemptFailed(
+                "the connection to the upstream broke before the response was complete",
+                ReleaseReason::Failed);
+    if (isReportedNotRun)
+        return attemptFailed("the upstream refused the request",
+                             m_responseInfo.isInstanceMismatch ? ReleaseReason::Unreachable
+                                                               : ReleaseReason::Failed);
+    responseCompleted();
+}
+
+void ProxiedRequest::responseCompleted()
+{
+    const bool isServerError = m_head.status >= 500;
+    if (isServerError && mayRunAgain() && m_attempts < m_route.maxAttempts
+        && remainingTime() > minRemainingTime)
+        return attemptFailed("the upstream responded with a server error",
+                             ReleaseReason::Completed);
+    releaseSlot(ReleaseReason::Completed);
+    if (m_isStream) {
+        startResponse();
+        m_exchange->write(m_splitter.incompleteEvent());
+        m_exchange->finish();
+        return finish(Outcome::Completed, "");
+    }
+    if (m_exchange->streamStarted()) {
+        m_exchange->abort();
+        return finish(Outcome::Aborted, "the stream could not be resumed");
+    }
+    m_firstByteAt = m_context.clock.now();
+    net::Response response;
+    response.head = m_head;
+    net::removeConnectionHeaders(response.head.headers);
+    response.body = std::move(m_body);
+    m_exchange->respond(std::move(response));
+    finish(Outcome::Completed, "");
+}
+
+/// Ends the current attempt. Sends the request to another upstream if it may run there.
+void ProxiedRequest::attemptFailed(std::string_view reason, ReleaseReason releaseReason)
+{
+    cancelCall();
+    releaseSlot(releaseReason);
+    log(LogLevel::Info, "try-failed",
+        {{"requestId", m_request.caller.id},
+         {"upstream", m_upstream},
+         {"attempt", m_attempts},
+         {"reason", reason},
+         {"mayHaveRun", m_mayHaveRun},
+         {"lastEvent", m_position.lastId().value_or(-1)}});
+    const bool canRetry = (!m_mayHaveRun || mayRunAgain()) && m_attempts < m_route.maxAttempts
+                          && remainingTime() > minRemainingTime;
+    if (!canRetry)
+        return refuseOrFail(reason);
+    if (m_exchange->streamStarted())
+        ++m_resumes;
+    // If the upstream was unresponsive, a slot at another one may already have been requested.
+    if (!m_isSlotRequested)
+        requestSlot();
+}
+
+void ProxiedRequest::refuseOrFail(std::string_view reason)
+{
+    if (m_mayHaveRun || m_exchange->streamStarted())
+        return fail(ErrorCode::UpstreamFailed, std::string(reason));
+    refuse(ErrorCode::UpstreamUnavailable, std::string(reason), unavailableRetryAfter);
+}
+
+void ProxiedRequest::refuse(ErrorCode code, const std::string &detail, absl::Duration retryAfter)
+{
+    m_exchange->respond(m_context.protocol.errorResponse(notRun(code, detail), retryAfter));
+    finish(Outcome::Refused, detail);
+}
+
+void ProxiedRequest::fail(ErrorCode code, const std::string &detail)
+{
+    if (m_exchange->streamStarted()) {
+        m_exchange->abort();
+        return finish(Outcome::Aborted, detail);
+    }
+    m_exchange->respond(
+            m_context.protocol.errorResponse(mayHaveRun(code, detail), absl::ZeroDuration()));
+    finish(Outcome::Failed, detail);
+}
+
+void ProxiedRequest::deadlinePassed()
+{
+    m_deadlineTimer = 0;
+    if (m_isCalling)
+        m_mayHaveRun = true;
+    cancelCall();
+    releaseSlot(ReleaseReason::Cancelled);
+    if (m_mayHaveRun || m_exchange->streamStarted())
+        return fail(ErrorCode::Timeout, "the deadline has passed");
+    refuse(ErrorCode::Overloaded, "the deadline has passed", absl::ZeroDuration());
+}
+
+void ProxiedRequest::callerDisconnected()
+{
+    if (m_ended)
+        return;
+    cancelCall();
+    releaseSlot(ReleaseReason::Cancelled);
+    m_exchange->abort();
+    finish(Outcome::CallerDisconnected, "the caller disconnected or stopped reading");
+}
+
+void ProxiedRequest::armResponseTimer()
+{
+    auto &timers = m_context.loop.timers();
+    if (m_responseTimer != 0)
+        timers.unsubscribe(std::exchange(m_responseTimer, 0));
+    if (!mayRunAgain() || m_attempts >= m_route.maxAttempts)
+        return;
+    const bool isStreaming = m_route.kind == RouteKind::Streaming;
+    absl::Duration responseTimeout =
+            m_route.latencyObjective
+            * (isStreaming ? firstEventTimeoutFraction : completeResponseTimeoutFactor);
+    if (m_isStream && m_position.lastId() && m_route.interEventObjective > absl::ZeroDuration())
+        responseTimeout = m_route.interEventObjective * interEventTimeoutFraction;
+    m_responseTimer = timers.subscribeOnce(responseTimeout, [self = shared_from_this()] {
+        self->m_responseTimer = 0;
+        self->responseTimedOut();
+    });
+}
+
+void ProxiedRequest::responseTimedOut()
+{
+    if (m_ended || !m_isCalling || m_isSlotRequested)
+        return;
+    m_mayHaveRun = true;
+    m_isUnresponsive = true;
+    requestSlot();
+}
+
+void ProxiedRequest::releaseSlot(ReleaseReason reason)
+{
+    if (!m_heldSlotId.empty())
+        release(std::exchange(m_heldSlotId, std::string()), m_upstream, reason);
+}
+
+void ProxiedRequest::release(const std::string &slotId, const std::string &upstream,
+                             ReleaseReason reason)
+{
+    wire::SlotRelease release;
+    release.instance = m_context.identity.instance;
+    release.requestId = slotId;
+    release.upstream = upstream;
+    release.end = std::string(policy::name(reason));
+    m_context.slotClient.release(release);
+}
+
+void ProxiedRequest::cancelCall()
+{
+    if (std::exchange(m_isCalling, false))
+        m_context.upstreams.cancel(m_call);
+}
+
+void ProxiedRequest::finish(Outcome outcome, std::string_view reason)
+{
+    m_ended = true;
+    auto &timers = m_context.loop.timers();
+    for (TimerService::TimerId *timer : {&m_deadlineTimer, &m_responseTimer}) {
+        if (*timer != 0)
+            timers.unsubscribe(std::exchange(*timer, 0));
+    }
+    if (m_isSlotRequested)
+        release(m_requestedSlotId, "", ReleaseReason::Cancelled);
+    const absl::Time now = m_context.clock.now();
+    const std::string kind(serving::name(m_route.kind));
+    m_context.metrics.count("rattanrill_requests_total",
+                            {{"kind", kind}, {"outcome", std::string(name(outcome))}});
+    m_context.metrics.observe("rattanrill_request_duration_seconds", {{"kind", kind}},
+                              absl::ToDoubleSeconds(now - m_receivedAt));
+    log(LogLevel::Info, "request-ended",
+        {{"requestId", m_request.caller.id},
+         {"route", m_route.name},
+         {"workspace", m_request.workspace},
+         {"outcome", name(outcome)},
+         {"status", m_hasHead ? m_head.status : 0},
+         {"reason", reason},
+         {"upstream", m_upstream},
+         {"attempts", m_attempts},
+         {"resumes", m_resumes},
+         {"ownShare", m_fromLocalShare},
+         {"placedMs", elapsedMilliseconds(m_receivedAt, m_slotGrantedAt)},
+         {"firstByteMs", elapsedMilliseconds(m_receivedAt, m_firstByteAt)},
+         {"totalMs", elapsedMilliseconds(m_receivedAt, now)},
+         {"patienceMs", absl::ToInt64Milliseconds(m_deadline - m_receivedAt)},
+         {"configurationVersion", m_request.deployment->version()}});
+}
+
+} // namespace rattanrill::serving
--- /dev/null
+++ b/src/serving/slotbroker.cpp
@@ -0,0 +1,383 @@
+#include "rattanrill/serving/slotbroker.h"
+
+#include "rattanrill/base/concat.h"
+#include "rattanrill/base/logger.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace rattanrill::serving {
+namespace {
+
+constexpr absl::Duration sweepPeriod = absl::Seconds(1);
+/// Number of prompt tokens that cost an upstream as much as one output token.
+constexpr double promptTokensPerOutputToken = 100;
+
+std::string taskId(const std::string &instance, const std::string &request)
+{
+    return concat(instance, "/", request);
+}
+
+} // namespace
+
+SlotBroker::SlotBroker(TimerService &timers, const Clock &clock, SlotBrokerSettings settings)
+    : m_timers(timers)
+    , m_clock(clock)
+    , m_settings(settings)
+    , m_scheduler(settings.scheduler)
+{
+    m_sweepTimer = m_timers.subscribeEvery(sweepPeriod, [this] { sweep(); });
+}
+
+SlotBroker::~SlotBroker()
+{
+    m_timers.unsubscribe(m_sweepTimer);
+    if (m_decisionTimer != 0)
+        m_timers.unsubscribe(m_decisionTimer);
+}
+
+void SlotBroker::reset()
+{
+    const absl::Time now = m_clock.now();
+    while (!m_online.empty()) {
+        const std::string id = m_online.begin()->first;
+        m_scheduler.cancel(id);
+        removeRequest(id);
+    }
+    const auto batch = std::exchange(m_batch, {});
+    for (const auto &[id, handlers] : batch)
+        m_scheduler.cancel(id);
+    m_scheduler.beginTakeover(now);
+    m_buckets.clear();
+    if (m_deployment)
+        setDeployment(m_deployment);
+}
+
+policy::RateContract SlotBroker::contractOf(const Workspace &workspace) const
+{
+    return {workspace.ratePerSecond * m_share.rateFraction, workspace.burst * m_share.rateFraction};
+}
+
+void SlotBroker::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
+{
+    m_deployment = std::move(deployment);
+    const absl::Time now = m_clock.now();
+    for (const Workspace &workspace : m_deployment->deployment().workspaces) {
+        const policy::RateContract contract = contractOf(workspace);
+        const auto [found, isNew] = m_buckets.try_emplace(workspace.name, initialBucket(contract));
+        if (!isNew)
+            found->second.setContract(now, contract);
+    }
+}
+
+/// Returns the rate bucket with which a broker starts. It holds less than the burst, because the
+/// previous broker may just have granted the whole burst.
+policy::TokenBucket SlotBroker::initialBucket(const policy::RateContract &contract) const
+{
+    const double window = absl::ToDoubleSeconds(m_settings.rateWindow);
+    const double tolerance =
+            m_settings.rateToleranceFraction * (contract.ratePerSecond * window + contract.burst)
+            + m_settings.rateToleranceRequests * m_share.rateFraction;
+    const double level = std::min(contract.burst, tolerance / 2);
+    const absl::Duration fillTime = contract.ratePerSecond > 0
+                                            ? absl::Seconds(level / contract.ratePerSecond)
+                                            : absl::ZeroDuration();
+    return policy::TokenBucket(contract, m_clock.now() - fillTime);
+}
+
+void SlotBroker::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                              const CapacityShare &share)
+{
+    const bool hasNewRate = share.rateFraction != m_share.rateFraction;
+    m_share = share;
+    if (hasNewRate && m_deployment)
+        setDeployment(m_deployment);
+    std::vector<policy::SlotUpstream> list;
+    for (const wire::FleetUpstream &upstream : upstreams) {
+        const double slots = static_cast<double>(std::max<std::int64_t>(upstream.slots, 1));
+        list.push_back({upstream.id, upstream.service, upstream.address, upstream.failureDomain,
+                        static_cast<std::int64_t>(std::ceil(slots * share.slotFraction)),
+                        upstream.draining});
+    }
+    m_scheduler.setUpstreams(list);
+    decide();
+}
+
+/// Returns null when the workspace has no rate limit.
+policy::TokenBucket *SlotBroker::bucket(const std::string &workspace)
+{
+    const Workspace *configured = m_deployment ? m_deployment->workspace(workspace) : nullptr;
+    if (configured == nullptr || configured->ratePerSecond <= 0)
+        return nullptr;
+    return &m_buckets.at(workspace);
+}
+
+void SlotBroker::acquire(const wire::SlotRequest &request, ResponseCallback callback)
+{
+    const absl::Time now = m_clock.now();
+    const std::string id = taskId(request.instance, request.requestId);
+    const auto existing = m_online.find(id);
+    if (request.again && existing != m_online.end()) {
+        existing->second.callback = std::move(callback);
+        if (const auto pendingResponse =
+                    std::exchange(existing->second.pendingResponse, std::nullopt))
+            return respond(id, *pendingResponse);
+        return startWaitTimer(id);
+    }
+    removeRequest(id);
+    OnlineRequest &online = m_online[id];
+    online.instance = request.instance;
+    online.workspace = request.workspace;
+    online.chargesRate = request.chargesRate;
+    online.expires = now + absl::Milliseconds(request.deadlineMs) + m_settings.releaseSlack;
+    online.callback = std::move(callback);
+    policy::TokenBucket *rateBucket = request.chargesRate ? bucket(request.workspace) : nullptr;
+    if (rateBucket != nullptr && rateBucket->level(now) < 1)
+        return rejectOverRate(id, absl::Seconds((1 - rateBucket->level(now))
+                                                / rateBucket->contract().ratePerSecond));
+    policy::SlotTask task;
+    task.id = id;
+    task.service = request.service;
+    task.workspace = request.workspace;
+    task.failureDomain = request.failureDomain;
+    task.priority = static_cast<int>(request.priority);
+    task.tokens = 1 + static_cast<double>(request.outputTokens)
+                  + static_cast<double>(request.promptTokens) / promptTokensPerOutputToken;
+    task.deadline = now
+                    + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.maxWaitFraction,
+                               absl::Milliseconds(request.deadlineMs));
+    task.maxRetryAfter = absl::Milliseconds(request.deadlineMs) * m_settings.maxRetryAfterFraction;
+    task.excluded = request.excluded;
+    m_scheduler.request(now, task);
+    decide();
+    startWaitTimer(id);
+}
+
+/// Responds with the outcome Waiting when no decision has been made after maxResponseDelay.
+void SlotBroker::startWaitTimer(const std::string &id)
+{
+    const auto found = m_online.find(id);
+    if (found == m_online.end() || !found->second.callback)
+        return;
+    found->second.waitTimer = m_timers.subscribeOnce(m_settings.maxResponseDelay, [this, id] {
+        const auto pending = m_online.find(id);
+        if (pending == m_online.end())
+            return;
+        pending->second.waitTimer = 0;
+        wire::SlotResponse response;
+        response.verdict = wire::SlotOutcome::Waiting;
+        if (const ResponseCallback callback = std::exchange(pending->second.callback, nullptr))
+            callback(response);
+    });
+}
+
+/// Sends the outcome to the requester, or stores it until the requester repeats the request. A
+/// request that was not granted is removed once its outcome has been sent.
+void SlotBroker::respond(const std::string &id, const wire::SlotResponse &response)
+{
+    const auto found = m_online.find(id);
+    if (found == m_online.end())
+        return;
+    OnlineRequest &online = found->second;
+    online.isGranted = response.verdict == wire::SlotOutcome::Granted;
+    if (online.waitTimer != 0)
+        m_timers.unsubscribe(std::exchange(online.waitTimer, 0));
+    const ResponseCallback callback = std::exchange(online.callback, nullptr);
+    if (!callback) {
+        online.pendingResponse = response;
+        return;
+    }
+    if (!online.isGranted)
+        m_online.erase(found);
+    callback(response);
+}
+
+/// Removes a request. If a response is pending, the requester receives the outcome NoSlot.
+void SlotBroker::removeRequest(const std::string &id)
+{
+    const auto found = m_online.find(id);
+    if (found == m_online.end())
+        return;
+    if (found->second.waitTimer != 0)
+        m_timers.unsubscribe(found->second.waitTimer);
+    const ResponseCallback pending = std::exchange(found->second.callback, nullptr);
+    m_online.erase(found);
+    if (pending)
+        pending(wire::SlotResponse());
+}
+
+void SlotBroker::release(const wire::SlotRelease &release)
+{
+    const std::string id = taskId(release.instance, release.requestId);
+    removeRequest(id);
+    const auto reason = policy::releaseReasonFromName(release.end);
+    m_scheduler.release(m_clock.now(), id, reason.value_or(policy::ReleaseReason::Cancelled));
+    decide();
+}
+
+void SlotBroker::restoreHeldSlots(const wire::HeldSlots &held)
+{
+    const absl::Time now = m_clock.now();
+    for (const wire::HeldSlot &slot : held.places) {
+        const std::string id = taskId(held.instance, slot.requestId);
+        if (m_online.count(id) != 0)
+            continue;
+        policy::SlotTask task;
+        task.id = id;
+        task.service = slot.service;
+        task.workspace = slot.workspace;
+        m_scheduler.adopt(now, task, slot.upstream);
+        if (!m_scheduler.contains(id))
+            continue;
+        OnlineRequest &online = m_online[id];
+        online.instance = held.instance;
+        online.workspace = slot.workspace;
+        online.isGranted = true;
+        online.expires = now + absl::Milliseconds(slot.deadlineMs) + m_settings.releaseSlack;
+    }
+}
+
+void SlotBroker::updateLoad(const wire::UpstreamLoad &load)
+{
+    m_scheduler.loadReported(m_clock.now(), load.upstream, load.requests);
+}
+
+void SlotBroker::setLiveInstances(const std::vector<std::string> &instances)
+{
+    std::vector<std::string> orphaned;
+    for (const auto &[id, online] : m_online) {
+        if (std::find(instances.begin(), instances.end(), online.instance) == instances.end())
+            orphaned.push_back(id);
+    }
+    for (const std::string &id : orphaned) {
+        removeRequest(id);
+        m_scheduler.cancel(id);
+    }
+    if (!orphaned.empty())
+        decide();
+}
+
+void SlotBroker::acquireBatch(const policy::SlotTask &task, BatchHandlers handlers)
+{
+    m_batch[task.id] = std::move(handlers);
+    m_scheduler.request(m_clock.now(), task);
+    decide();
+}
+
+void SlotBroker::releaseBatch(const std::string &task, policy::ReleaseReason reason)
+{
+    m_batch.erase(task);
+    m_scheduler.release(m_clock.now(), task, reason);
+    decide();
+}
+
+void SlotBroker::cancelBatch(const std::string &task)
+{
+    m_batch.erase(task);
+    m_scheduler.cancel(task);
+    decide();
+}
+
+/// A handler may request or release a slot while decisions are carried out. The nested call returns
+/// at once; the outer call repeats until there are no more decisions.
+void SlotBroker::decide()
+{
+    if (m_deciding)
+        return;
+    m_deciding = true;
+    for (auto decisions = m_scheduler.decide(m_clock.now()); !decisions.empty();
+         decisions = m_scheduler.decide(m_clock.now())) {
+        for (const policy::SlotDecision &decision : decisions)
+            std::visit([this](const auto &typedDecision) { applyDecision(typedDecision); },
+                       decision);
+    }
+    m_deciding = false;
+    armTimer();
+}
+
+void SlotBroker::applyDecision(const policy::GrantSlot &decision)
+{
+    const auto batch = m_batch.find(decision.task);
+    if (batch != m_batch.end()) {
+        const auto granted = batch->second.granted;
+        return granted(decision.upstream, decision.address);
+    }
+    const auto found = m_online.find(decision.task);
+    if (found == m_online.end())
+        return m_scheduler.cancel(decision.task);
+    OnlineRequest &online = found->second;
+    policy::TokenBucket *rateBucket = online.chargesRate ? bucket(online.workspace) : nullptr;
+    if (rateBucket != nullptr) {
+        const policy::RateGrant grant = rateBucket->take(m_clock.now(), 1);
+        if (!grant.granted) {
+            m_scheduler.cancel(decision.task);
+            return rejectOverRate(decision.task, grant.wait);
+        }
+    }
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::Granted;
+    response.upstream = decision.upstream;
+    response.address = decision.address;
+    respond(decision.task, response);
+}
+
+void SlotBroker::applyDecision(const policy::RejectSlot &decision)
+{
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::NoSlot;
+    response.retryAfterMs = absl::ToInt64Milliseconds(decision.retryAfter);
+    respond(decision.task, response);
+}
+
+void SlotBroker::applyDecision(const policy::PreemptSlot &decision)
+{
+    const auto found = m_batch.find(decision.task);
+    if (found == m_batch.end())
+        return;
+    const auto preempted = found->second.preempted;
+    m_batch.erase(found);
+    preempted();
+}
+
+void SlotBroker::rejectOverRate(const std::string &id, absl::Duration wait)
+{
+    wire::SlotResponse response;
+    response.verdict = wire::SlotOutcome::OverRate;
+    response.retryAfterMs = absl::ToInt64Milliseconds(std::min(wait, absl::Seconds(60)));
+    respond(id, response);
+}
+
+void SlotBroker::armTimer()
+{
+    if (m_decisionTimer != 0)
+        m_timers.unsubscribe(std::exchange(m_decisionTimer, 0));
+    const absl::Time next = m_scheduler.nextDecision();
+    if (next == absl::InfiniteFuture())
+        return;
+    const absl::Duration delay = std::max(next - m_clock.now(), absl::ZeroDuration());
+    m_decisionTimer = m_timers.subscribeOnce(delay, [this] {
+        m_decisionTimer = 0;
+        decide();
+    });
+}
+
+void SlotBroker::sweep()
+{
+    const absl::Time now = m_clock.now();
+    std::vector<std::string> expired;
+    for (const auto &[id, online] : m_online) {
+        if (online.expires < now)
+            expired.push_back(id);
+    }
+    for (const std::string &id : expired) {
+        log(LogLevel::Warning, "place-expired",
+            {{"work", id}, {"instance", m_online.at(id).instance}});
+        removeRequest(id);
+        m_scheduler.cancel(id);
+    }
+    // Also makes upstreams available again whose ejection has ended.
+    decide();
+}
+
+} // namespace rattanrill::serving
--- /dev/null
+++ b/src/serving/slotclient.cpp
@@ -0,0 +1,221 @@
+#include "rattanrill/serving/slotclient.h"
+
+#include "rattanrill/base/logger.h"
+#include "rattanrill/wire/codec.h"
+
+#include <algorithm>
+#include <map>
+#include <set>
+#include <utility>
+
+namespace rattanrill::serving {
+
+struct SlotClient::Impl : std::enable_shared_from_this<SlotClient::Impl>
+{
+    Impl(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
+         SlotClientSettings settings)
+        : loop(loop)
+        , channels(channels)
+        , clock(clock)
+        , settings(settings)
+        , localBroker(loop.timers(), clock, settings.localBroker)
+    {}
+
+    void acquire(const wire::SlotRequest &request, ResponseCallback callback)
+    {
+        if (brokerAddress.empty() || clock.now() < brokerRetryAt)
+            return acquireLocally(request, std::move(callback));
+        channels.channel(brokerAddress)
+                ->call(wire::Method::RequestSlot, wire::encode(request),
+                       settings.localBroker.maxResponseDelay + settings.roundTripAllowance,
+                       [self = shared_from_this(), address = brokerAddress, request,
+                        callback = std::move(callback)](Outcome<std::string> outcome) {
+                           self->loop.post([self, address, request, callback,
+                                            outcome = std::move(outcome)] {
+                               self->responseReceived(address, request, callback, outcome);
+                           });
+                       });
+    }
+
+    void responseReceived(const std::string &address, const wire::SlotRequest &request,
+                          const ResponseCallback &callback, const Outcome<std::string> &outcome)
+    {
+        if (stopped)
+            return;
+        auto response = outcome.ok() ? outcomeOf(
+                                [&] { return wire::decode<wire::SlotResponse>(outcome.value()); })
+                                     : Outcome<wire::SlotResponse>(outcome.failure());
+        if (response.ok()) {
+            updateBrokerStatus(address, true, Failure());
+            if (response.value().verdict == wire::SlotOutcome::Waiting)
+                return acquire(repeatOf(request), callback);
+            recordHeldSlot(request, response.value());
+            return callback(response.value(), false);
+        }
+        updateBrokerStatus(address, false, response.failure());
+        // The broker may have granted a slot although its response did not arrive.
+        channels.channel(address)->sendOneWay(
+                wire::Method::ReleaseSlot,
+                wire::encode(wire::SlotRelease{request.instance, request.requestId, "", ""}));
+        acquireLocally(request, callback);
+    }
+
+    void updateBrokerStatus(const std::string &address, bool isReachable, const Failure &failure)
+    {
+        if (!isReachable)
+            brokerRetryAt = clock.now() + settings.brokerRetryDelay;
+        if (isReachable == brokerReachable)
+            return;
+        brokerReachable = isReachable;
+        if (isReachable)
+            reportHeldSlots();
+        log(isReachable ? LogLevel::Info : LogLevel::Warning,
+            isReachable ? "place-broker-regained" : "place-broker-lost",
+            {{"peerAddress", address},
+             {"code", isReachable ? "ok" : name(failure.code)},
+             {"detail", failure.detail}});
+    }
+
+    /// Returns the request to send again after the outcome Waiting.
+    static wire::SlotRequest repeatOf(wire::SlotRequest request)
+    {
+        request.again = true;
+        return request;
+    }
+
+    void acquireLocally(const wire::SlotRequest &request, ResponseCallback callback)
+    {
+        localRequests.insert(request.requestId);
+        localBroker.acquire(
+                request, [self = shared_from_this(), request,
+                          callback = std::move(callback)](const wire::SlotResponse &response) {
+                    const bool isReleased = self->localRequests.count(request.requestId) == 0;
+                    if (response.verdict == wire::SlotOutcome::Waiting && !isReleased)
+                        return self->acquireLocally(repeatOf(request), callback);
+                    if (response.verdict != wire::SlotOutcome::Granted)
+                        self->localRequests.erase(request.requestId);
+                    self->recordHeldSlot(request, response);
+                    callback(response, true);
+                });
+    }
+
+    void recordHeldSlot(const wire::SlotRequest &request, const wire::SlotResponse &response)
+    {
+        if (response.verdict != wire::SlotOutcome::Granted)
+            return;
+        GrantedSlot &granted = heldSlots[request.requestId];
+        granted.slot = {request.requestId, request.service, request.workspace, response.upstream,
+                        0};
+        granted.deadline = clock.now() + absl::Milliseconds(request.deadlineMs);
+        instance = request.instance;
+    }
+
+    /// Reports the held slots to the broker, which may have no record of them when it has just
+    /// started or was unreachable.
+    void reportHeldSlots()
+    {
+        if (heldSlots.empty() || brokerAddress.empty())
+            return;
+        wire::HeldSlots message;
+        message.instance = instance;
+        for (const auto &[id, granted] : heldSlots) {
+            message.places.push_back(granted.slot);
+            message.places.back().deadlineMs =
+                    absl::ToInt64Milliseconds(granted.deadline - clock.now());
+        }
+        channels.channel(brokerAddress)
+                ->sendOneWay(wire::Method::ReportHeldSlots, wire::encode(message));
+    }
+
+    void release(const wire::SlotRelease &release)
+    {
+        heldSlots.erase(release.requestId);
+        // The broker may have adopted a slot that was granted from the local share.
+        if (localRequests.erase(release.requestId) > 0)
+            localBroker.release(release);
+        if (!brokerAddress.empty())
+            channels.channel(brokerAddress)
+                    ->sendOneWay(wire::Method::ReleaseSlot, wire::encode(release));
+    }
+
+    net::EventLoop &loop;
+    peer::ChannelPool &channels;
+    const Clock &clock;
+    const SlotClientSettings settings;
+    SlotBroker localBroker;
+    std::string brokerAddress;
+    absl::Time brokerRetryAt = absl::InfinitePast();
+    /// Ids of the requests that wait for a slot or hold one of the local share.
+    std::set<std::string> localRequests;
+    struct GrantedSlot
+    {
+        wire::HeldSlot slot;
+        absl::Time deadline;
+    };
+    /// Slots granted by the broker and from the local share, by request id.
+    std::map<std::string, GrantedSlot> heldSlots;
+    std::string instance;
+    bool brokerReachable = true;
+    bool stopped = false;
+};
+
+SlotClient::SlotClient(net::EventLoop &loop, peer::ChannelPool &channels, const Clock &clock,
+                       SlotClientSettings settings)
+    : m_impl(std::make_shared<Impl>(loop, channels, clock, settings))
+{}
+
+SlotClient::~SlotClient()
+{
+    stop();
+}
+
+void SlotClient::setBroker(const std::string &address)
+{
+    if (m_impl->brokerAddress == address)
+        return;
+    m_impl->brokerAddress = address;
+    m_impl->brokerRetryAt = absl::InfinitePast();
+    log(LogLevel::Info, "place-broker-changed",
+        {{"peerAddress", address},
+         {"heldPlaces", static_cast<std::int64_t>(m_impl->heldSlots.size())}});
+    m_impl->reportHeldSlots();
+}
+
+void SlotClient::setDeployment(std::shared_ptr<const DeploymentIndex> deployment)
+{
+    m_impl->localBroker.setDeployment(std::move(deployment));
+}
+
+void SlotClient::setUpstreams(const std::vector<wire::FleetUpstream> &upstreams,
+                              std::size_t entries)
+{
+    const double entryCount = static_cast<double>(std::max<std::size_t>(entries, 1));
+    m_impl->localBroker.setUpstreams(
+            upstreams,
+            {1 / entryCount, std::min(1.0, m_impl->settings.localSlotFactor / entryCount)});
+}
+
+void SlotClient::acquire(const wire::SlotRequest &request, ResponseCallback callback)
+{
+    m_impl->acquire(request, std::move(callback));
+}
+
+void SlotClient::release(const wire::SlotRelease &release)
+{
+    m_impl->release(release);
+}
+
+void SlotClient::reportLoad(const wire::UpstreamLoad &load)
+{
+    m_impl->localBroker.updateLoad(load);
+    if (!m_impl->brokerAddress.empty())
+        m_impl->channels.channel(m_impl->brokerAddress)
+                ->sendOneWay(wire::Method::Load, wire::encode(load));
+}
+
+void SlotClient::stop()
+{
+    m_impl->stopped = true;
+}
+
+} // namespace rattanrill::serving
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -19,15 +19,15 @@
         {Method::Raft, "raft"},
         {Method::Propose, "propose"},
         {Method::Read, "read"},
-        {Method::Follow, "follow"},
+        {Method::PollChanges, "follow"},
         {Method::Grant, "grant"},
-        {Method::HandOver, "hand_over"},
+        {Method::TransferRateBuckets, "hand_over"},
         {Method::Heartbeat, "heartbeat"},
         {Method::Sync, "sync"},
-        {Method::Place, "place"},
-        {Method::Release, "release"},
+        {Method::RequestSlot, "place"},
+        {Method::ReleaseSlot, "release"},
         {Method::Load, "load"},
-        {Method::Hold, "hold"},
+        {Method::ReportHeldSlots, "hold"},
         {Method::SubmitJob, "submit_job"},
         {Method::ReadJob, "read_job"},
         {Method::ReadItem, "read_item"},
@@ -80,9 +80,10 @@
 {
     Failure failure;
     failure.code = errorCodeFromName(message.code).value_or(ErrorCode::Internal);
-    // An unknown word must not become a false "not run".
-    const bool notRunWord = message.run == name(RunState::NotRun);
-    failure.run = notRunWord ? RunState::NotRun : RunState::MayHaveRun;
+    // An unknown name counts as MayHaveRun: a false NotRun would let the caller send the request
+    // a second time.
+    const bool isNotRun = message.run == name(EffectState::NotRun);
+    failure.run = isNotRun ? EffectState::NotRun : EffectState::MayHaveRun;
     failure.detail = message.detail;
     return failure;
 }
--- a/tests/directory/directorydriver.cpp
+++ b/tests/directory/directorydriver.cpp
@@ -31,7 +31,8 @@
     return apply({std::move(requestId), base, false, nowMs, std::move(operation)});
 }
 
-Outcome<wire::DirectoryResult> DirectoryDriver::writeAnyway(wire::DirectoryOperation operation)
+Outcome<wire::DirectoryResult>
+DirectoryDriver::writeUnconditionally(wire::DirectoryOperation operation)
 {
     return apply({{}, 0, true, nowMs, std::move(operation)});
 }
@@ -41,15 +42,15 @@
     return unpack<wire::DirectoryResult>(m_machine->apply(++m_index, wire::encode(command)));
 }
 
-wire::FollowResponse DirectoryDriver::query(std::uint64_t afterRevision) const
+wire::PollChangesResponse DirectoryDriver::query(std::uint64_t afterRevision) const
 {
     const std::string bytes = wire::encode(wire::DirectoryQuery{afterRevision});
-    return unpack<wire::FollowResponse>(m_machine->query(bytes)).value();
+    return unpack<wire::PollChangesResponse>(m_machine->query(bytes)).value();
 }
 
-View DirectoryDriver::followFrom(const View &view) const
+DirectoryView DirectoryDriver::updated(const DirectoryView &view) const
 {
-    return outcomeOf([&] { return view.with(query(view.revision())); }).value();
+    return outcomeOf([&] { return view.withChanges(query(view.revision())); }).value();
 }
 
 void DirectoryDriver::restart()
--- a/tests/jobs/executor_test.cpp
+++ b/tests/jobs/executor_test.cpp
@@ -1,6 +1,6 @@
 #include "rattanrill/jobs/jobexecutor.h"
 
-#include "testdialect.h"
+#include "testprotocoladapter.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,16 +13,17 @@
 {
     net::EventLoop loop;
     Metrics metrics;
-    serving::TestDialect dialect;
-    net::UpstreamPool upstreams{loop, net::UpstreamPoolOptions()};
+    serving::TestProtocolAdapter adapter;
+    net::ConnectionPool upstreams{loop, net::ConnectionPoolOptions()};
     peer::ChannelPool channels{peer::TransportOptions()};
     fleet::GroupReplica replica{loop, channels, fleet::GroupReplicaSettings(),
                                 SystemClock::instance()};
-    serving::PlaceBroker broker{loop.timers(), SystemClock::instance(), serving::BrokerSettings()};
-    JobExecutor executor{ExecutorContext{loop, SystemClock::instance(), metrics, dialect, upstreams,
-                                         broker, replica, "d"}};
+    serving::SlotBroker broker{loop.timers(), SystemClock::instance(),
+                               serving::SlotBrokerSettings()};
+    JobExecutor executor{JobExecutorContext{loop, SystemClock::instance(), metrics, adapter,
+                                            upstreams, broker, replica, "d"}};
 
-    static wire::OpenJob open(const std::string &id)
+    static wire::OpenJob openJob(const std::string &id)
     {
         wire::OpenJob job;
         job.job.id = id;
@@ -38,25 +39,25 @@
 
 BOOST_AUTO_TEST_CASE(onlyItemsWithoutAResultAreRun)
 {
-    executor.add(open("j"));
-    executor.add(open("j"));
-    BOOST_TEST(executor.openItems() == 1u);
-    executor.end("j");
-    BOOST_TEST(executor.openItems() == 0u);
+    executor.add(openJob("j"));
+    executor.add(openJob("j"));
+    BOOST_TEST(executor.openItemCount() == 1u);
+    executor.cancel("j");
+    BOOST_TEST(executor.openItemCount() == 0u);
 }
 
-// Guards against items of an ended job that run: a new leader lists the open jobs, one of them is
-// ended, and the list is taken over after that.
-BOOST_AUTO_TEST_CASE(listThatIsOlderThanAnEndStartsNothing)
+// Guards against items that run after their job was cancelled. A new leader lists the open jobs,
+// one of them is cancelled, and only then are the listed jobs added to the executor.
+BOOST_AUTO_TEST_CASE(outdatedListDoesNotRestartACancelledJob)
 {
-    const wire::OpenJob listed = open("j");
-    executor.end("j");
+    const wire::OpenJob listed = openJob("j");
+    executor.cancel("j");
     executor.add(listed);
-    BOOST_TEST(executor.openItems() == 0u);
-    // Another leadership begins with what its own list says.
-    executor.clear();
+    BOOST_TEST(executor.openItemCount() == 0u);
+    // After a new change of leadership, the job is run when the new list contains it.
+    executor.stopAll();
     executor.add(listed);
-    BOOST_TEST(executor.openItems() == 1u);
+    BOOST_TEST(executor.openItemCount() == 1u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/load/loadrunner_test.cpp
+++ b/tests/load/loadrunner_test.cpp
@@ -22,13 +22,13 @@
     return settings;
 }
 
-/// The runner against a fake engine in this process.
+/// Starts a fake engine server in this process and runs load against it.
 struct Fixture
 {
     Fixture()
-        : host(engineSettings(), faults, records)
+        : runner(engineSettings(), faults, records)
         , server(fakes::HttpSettings{loopback, 0, 32})
-        , engine(server, host, faults, records)
+        , engine(server, runner, faults, records)
         , port(outcomeOf([this] { return server.bind(); }).value())
         , listener([this] { server.listen_after_bind(); })
     {
@@ -46,7 +46,7 @@
     {
         BOOST_TEST_REQUIRE(
                 outcomeOf([&] { return faults.set(fault, SystemClock::instance().now()); }).ok());
-        host.applyFaults();
+        runner.applyFaults();
     }
 
     Json runLoad(std::int64_t &wrong)
@@ -69,8 +69,8 @@
     }
 
     fakes::Faults faults;
-    fakes::RecordBook records;
-    fakes::EngineHost host;
+    fakes::RequestLog records;
+    fakes::EngineRunner runner;
     fakes::FakeHttpServer server;
     fakes::EngineServer engine;
     int port;
@@ -81,6 +81,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadRunnerTest, Fixture)
 
+// Guards against planned requests that are dropped, sent twice or missing from the summary.
 BOOST_AUTO_TEST_CASE(everyPlannedRequestIsSentAndCounted)
 {
     std::int64_t wrong = -1;
@@ -92,6 +93,7 @@
     BOOST_TEST(records.lastSeq() == 20);
 }
 
+// Guards against refusals that are counted as wrong answers or lose their code or run state.
 BOOST_AUTO_TEST_CASE(refusalsAreCountedByCodeAndRunState)
 {
     setFault({{"refuse", true}});
@@ -102,10 +104,11 @@
     BOOST_TEST(wrong == 0);
 }
 
-// Guards against a check that passes every answer.
-BOOST_AUTO_TEST_CASE(crossedAnswersAreFoundWrong)
+// Guards against a check that accepts every answer: the fake engine swaps the answers of two
+// requests.
+BOOST_AUTO_TEST_CASE(crossedAnswersCountAsWrong)
 {
-    // Slow, so that answers overlap.
+    // The engine is slowed down so that answers overlap in time.
     setFault({{"cross_answers", 1}, {"slow_factor", 10}});
     std::int64_t wrong = 0;
     const Json summary = runLoad(wrong);
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -31,58 +31,61 @@
     return concat("127.0.0.1:", port);
 }
 
-/// Server whose Read echoes, Raft answers with twice the body, Propose keeps its reply, Follow
-/// drops it, and Grant blocks the network thread.
+/// Server on which Read returns the instance of the caller and the body, Raft returns the body
+/// twice, Propose stores its reply callback, PollChanges discards it, Heartbeat fails with
+/// NotLeader, and Grant blocks the network thread.
 struct EchoServer
 {
     explicit EchoServer(TransportOptions options = optionsOf("server"), int port = 0)
         : server(std::move(options))
     {
         server.handle(wire::Method::Read,
-                      [this](const PeerIdentity &from, std::string body, Reply reply) {
+                      [this](const PeerIdentity &from, std::string body, ResponseCallback reply) {
                           ++calls;
                           reply(concat(from.instance, "=", body));
                       });
         server.handle(wire::Method::Propose,
-                      [this](const PeerIdentity &, std::string, Reply reply) {
+                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
                           absl::MutexLock lock(&mutex);
-                          kept.push_back(std::move(reply));
+                          pendingReplies.push_back(std::move(reply));
+                      });
+        server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body,
+                                             ResponseCallback reply) { reply(body + body); });
+        server.handle(wire::Method::PollChanges,
+                      [](const PeerIdentity &, std::string, ResponseCallback) {});
+        server.handle(wire::Method::Heartbeat,
+                      [](const PeerIdentity &, std::string, ResponseCallback reply) {
+                          reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
+                      });
+        server.handle(wire::Method::Grant,
+                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
+                          unblockGrant.WaitForNotification();
+                          reply(std::string());
                       });
-        server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body, Reply reply) {
-            reply(body + body);
-        });
-        server.handle(wire::Method::Follow, [](const PeerIdentity &, std::string, Reply) {});
-        server.handle(wire::Method::Heartbeat, [](const PeerIdentity &, std::string, Reply reply) {
-            reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
-        });
-        server.handle(wire::Method::Grant, [this](const PeerIdentity &, std::string, Reply reply) {
-            blocked.WaitForNotification();
-            reply(std::string());
-        });
         BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", port); }).ok());
     }
     ~EchoServer()
     {
-        if (!blocked.HasBeenNotified())
-            blocked.Notify();
+        if (!unblockGrant.HasBeenNotified())
+            unblockGrant.Notify();
         server.stop();
     }
 
-    void awaitKept()
+    void awaitPendingReply()
     {
         absl::MutexLock lock(&mutex);
-        const auto some = [this] { return !kept.empty(); };
-        BOOST_REQUIRE(mutex.AwaitWithTimeout(absl::Condition(&some), absl::Seconds(10)));
+        const auto hasReply = [this] { return !pendingReplies.empty(); };
+        BOOST_REQUIRE(mutex.AwaitWithTimeout(absl::Condition(&hasReply), absl::Seconds(10)));
     }
 
     absl::Mutex mutex;
-    std::vector<Reply> kept;
+    std::vector<ResponseCallback> pendingReplies;
     std::atomic<int> calls{0};
-    absl::Notification blocked;
+    absl::Notification unblockGrant;
     Server server;
 };
 
-void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, RunState run)
+void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, EffectState run)
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
@@ -93,28 +96,33 @@
 
 BOOST_AUTO_TEST_SUITE(ChannelTest)
 
-BOOST_AUTO_TEST_CASE(answersAndFailuresComeBackTyped)
+// Guards against a failure whose code, effect state or detail is lost between server and client.
+BOOST_AUTO_TEST_CASE(callReturnsTheResponseOrTheTypedFailure)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     BOOST_TEST(callAndWait(channel, "body").value() == "client=body");
     BOOST_TEST(channel.connected());
     const auto failed = callAndWait(channel, "", absl::Seconds(10), wire::Method::Heartbeat);
-    checkFailure(failed, ErrorCode::NotLeader, RunState::NotRun);
+    checkFailure(failed, ErrorCode::NotLeader, EffectState::NotRun);
     BOOST_TEST(failed.failure().detail == "127.0.0.9:1");
     checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::Hello),
-                 ErrorCode::UnknownMethod, RunState::NotRun);
+                 ErrorCode::UnknownMethod, EffectState::NotRun);
 }
 
-BOOST_AUTO_TEST_CASE(wrongSecretFailsTypedAndRunsNothing)
+// Guards against a server that runs requests of a client without the cluster secret.
+BOOST_AUTO_TEST_CASE(wrongSecretFailsAuthenticationAndRunsNothing)
 {
     EchoServer echo;
     Channel channel(optionsOf("client", "guess"), addressOf(echo.server.port()));
-    checkFailure(callAndWait(channel, "body"), ErrorCode::AuthenticationFailed, RunState::NotRun);
+    checkFailure(callAndWait(channel, "body"), ErrorCode::AuthenticationFailed,
+                 EffectState::NotRun);
     BOOST_TEST(!channel.connected());
     BOOST_TEST(echo.calls == 0);
 }
 
+// Guards against a request or response above the size limit that is sent, or that fails with the
+// wrong effect state.
 BOOST_AUTO_TEST_CASE(oversizeMessagesFailInBothDirections)
 {
     TransportOptions small = optionsOf("server");
@@ -122,67 +130,72 @@
     EchoServer echo(small);
     Channel limited(small, addressOf(echo.server.port()));
     checkFailure(callAndWait(limited, std::string(70000, 'x')), ErrorCode::MessageTooLarge,
-                 RunState::NotRun);
+                 EffectState::NotRun);
     BOOST_TEST(echo.calls == 0);
-    // The request fits, its answer of twice the size does not: it has run.
+    // The request is within the limit and runs. Its response of twice the size is above the limit.
     checkFailure(
             callAndWait(limited, std::string(40000, 'x'), absl::Seconds(10), wire::Method::Raft),
-            ErrorCode::MessageTooLarge, RunState::MayHaveRun);
+            ErrorCode::MessageTooLarge, EffectState::MayHaveRun);
     BOOST_TEST(callAndWait(limited, "next").ok());
     // A client with a larger limit loses the connection instead of exhausting the server.
     Channel unlimited(optionsOf("client"), addressOf(echo.server.port()));
     checkFailure(callAndWait(unlimited, std::string(70000, 'x')), ErrorCode::ConnectionLost,
-                 RunState::MayHaveRun);
+                 EffectState::MayHaveRun);
 }
 
-// Guards against a call that waits for ever on a process that accepts and says nothing.
-BOOST_AUTO_TEST_CASE(silentListenerDoesNotHoldACall)
+// Guards against a call that waits forever for a process that accepts the connection but never
+// answers the handshake.
+BOOST_AUTO_TEST_CASE(listenerWithoutHandshakeFailsTheCall)
 {
     boost::asio::io_context service;
     boost::asio::ip::tcp::acceptor listener(service,
                                             {boost::asio::ip::make_address("127.0.0.1"), 0});
     Channel channel(optionsOf("client"), addressOf(listener.local_endpoint().port()));
     checkFailure(callAndWait(channel, "", absl::Seconds(60)), ErrorCode::ConnectionLost,
-                 RunState::NotRun);
+                 EffectState::NotRun);
 }
 
+// Guards against a NotRun failure for a call that was sent: its handler does not reply in time, or
+// discards the reply callback.
 BOOST_AUTO_TEST_CASE(unansweredCallTimesOutAsMayHaveRun)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     BOOST_REQUIRE(callAndWait(channel, "").ok());
     checkFailure(callAndWait(channel, "", absl::Milliseconds(50), wire::Method::Propose),
-                 ErrorCode::Timeout, RunState::MayHaveRun);
-    checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::Follow),
-                 ErrorCode::Internal, RunState::MayHaveRun);
+                 ErrorCode::Timeout, EffectState::MayHaveRun);
+    checkFailure(callAndWait(channel, "", absl::Seconds(10), wire::Method::PollChanges),
+                 ErrorCode::Internal, EffectState::MayHaveRun);
 }
 
-// Guards against a call with a long timeout that waits on a process that has frozen.
+// Guards against a call with a long timeout that waits for a process that no longer answers pings.
 BOOST_AUTO_TEST_CASE(frozenPeerIsRecognizedByKeepAlive)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     checkFailure(callAndWait(channel, "", absl::Minutes(5), wire::Method::Grant),
-                 ErrorCode::ConnectionLost, RunState::MayHaveRun);
+                 ErrorCode::ConnectionLost, EffectState::MayHaveRun);
 }
 
+// Guards against a call that never fails, or gets two replies, when its connection is lost.
 BOOST_AUTO_TEST_CASE(lostConnectionFailsTheCallInFlightOnce)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     CallResult result;
     channel.call(wire::Method::Propose, "", absl::Seconds(20), result.reply());
-    echo.awaitKept();
+    echo.awaitPendingReply();
     echo.server.stop();
-    checkFailure(result.wait(), ErrorCode::ConnectionLost, RunState::MayHaveRun);
-    // A late answer of the handler reaches nobody and does no harm.
-    echo.kept.front()(std::string("late"));
-    echo.kept.clear();
-    checkFailure(callAndWait(channel, ""), ErrorCode::ConnectionLost, RunState::NotRun);
+    checkFailure(result.wait(), ErrorCode::ConnectionLost, EffectState::MayHaveRun);
+    // A late reply of the handler is ignored.
+    echo.pendingReplies.front()(std::string("late"));
+    echo.pendingReplies.clear();
+    checkFailure(callAndWait(channel, ""), ErrorCode::ConnectionLost, EffectState::NotRun);
     BOOST_TEST(result.count() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(channelReconnectsByItself)
+// Guards against a channel that stays disconnected after the server has restarted.
+BOOST_AUTO_TEST_CASE(channelReconnectsAfterTheServerRestarts)
 {
     auto first = std::make_unique<EchoServer>();
     const int port = first->server.port();
@@ -199,21 +212,21 @@
     BOOST_TEST(answered);
 }
 
-// Guards against replies that touch what their owner has already destroyed.
-BOOST_AUTO_TEST_CASE(closeFailsOpenCallsAndLaterOnesAnswerStopped)
+// Guards against a reply that runs after close() and uses objects that its owner has destroyed.
+BOOST_AUTO_TEST_CASE(closeFailsOpenAndLaterCallsWithStopped)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
     CallResult result;
     channel.call(wire::Method::Propose, "", absl::Seconds(20), result.reply());
-    echo.awaitKept();
+    echo.awaitPendingReply();
     channel.close();
     BOOST_TEST(result.count() == 1);
-    checkFailure(result.wait(), ErrorCode::Stopped, RunState::MayHaveRun);
-    checkFailure(callAndWait(channel, ""), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(result.wait(), ErrorCode::Stopped, EffectState::MayHaveRun);
+    checkFailure(callAndWait(channel, ""), ErrorCode::Stopped, EffectState::NotRun);
 }
 
-// Guards against memory that grows without bound while a peer takes nothing.
+// Guards against memory that grows without bound while a peer does not read.
 BOOST_AUTO_TEST_CASE(fullQueueFailsTheCall)
 {
     EchoServer echo;
@@ -224,20 +237,21 @@
     CallResult blocked;
     channel.call(wire::Method::Grant, "", absl::Seconds(20), blocked.reply());
     int full = 0;
-    // Socket buffers take a few MiB before the channel's own queue fills.
+    // The socket buffers hold a few MiB before the channel's own queue fills.
     for (int i = 0; i < 64 && full == 0; ++i) {
         const auto outcome =
                 callAndWait(channel, std::string(512 << 10, 'x'), absl::Milliseconds(20));
         BOOST_REQUIRE(!outcome.ok());
         if (outcome.failure().code == ErrorCode::QueueFull) {
-            BOOST_TEST(name(outcome.failure().run) == name(RunState::NotRun));
+            BOOST_TEST(name(outcome.failure().run) == name(EffectState::NotRun));
             ++full;
         }
     }
     BOOST_TEST(full == 1);
 }
 
-BOOST_AUTO_TEST_CASE(usedPortAndBadHostAreTyped)
+// Guards against an address in use and an invalid host that fail with the same error code.
+BOOST_AUTO_TEST_CASE(usedPortAndInvalidHostFailWithTheirCodes)
 {
     EchoServer echo;
     Server second(optionsOf("second"));
@@ -245,10 +259,12 @@
     BOOST_REQUIRE(!used.ok());
     BOOST_TEST((used.failure().code == ErrorCode::AddressInUse));
     Server third(optionsOf("third"));
-    const auto named = outcomeOf([&] { return third.start("somewhere", 0); });
-    BOOST_TEST((named.failure().code == ErrorCode::InvalidArgument));
+    const auto invalidHost = outcomeOf([&] { return third.start("somewhere", 0); });
+    BOOST_TEST((invalidHost.failure().code == ErrorCode::InvalidArgument));
 }
 
+// Guards against a second connection to the same address, and against channels that stay open after
+// they were removed or the pool was closed.
 BOOST_AUTO_TEST_CASE(poolKeepsOneChannelForEachAddress)
 {
     EchoServer echo;
@@ -257,11 +273,11 @@
     const auto channel = pool.channel(address);
     BOOST_TEST(channel == pool.channel(address));
     BOOST_TEST(callAndWait(*channel, "").ok());
-    pool.drop(address);
-    checkFailure(callAndWait(*channel, ""), ErrorCode::Stopped, RunState::NotRun);
+    pool.remove(address);
+    checkFailure(callAndWait(*channel, ""), ErrorCode::Stopped, EffectState::NotRun);
     BOOST_TEST(callAndWait(*pool.channel(address), "").ok());
     pool.close();
-    checkFailure(callAndWait(*pool.channel(address), ""), ErrorCode::Stopped, RunState::NotRun);
+    checkFailure(callAndWait(*pool.channel(address), ""), ErrorCode::Stopped, EffectState::NotRun);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/quarantine_test.cpp
+++ b/tests/policy/quarantine_test.cpp
@@ -9,9 +9,9 @@
 
 namespace rattanrill::policy {
 
-std::ostream &operator<<(std::ostream &stream, Standing standing)
+std::ostream &operator<<(std::ostream &stream, QuarantineStatus status)
 {
-    return stream << static_cast<int>(standing);
+    return stream << static_cast<int>(status);
 }
 
 } // namespace rattanrill::policy
@@ -25,28 +25,30 @@
 BOOST_AUTO_TEST_SUITE(QuarantineTest)
 
 // Guards against a third crash by the same request.
-BOOST_AUTO_TEST_CASE(poisonIsHeldAfterTwoCrashes)
+BOOST_AUTO_TEST_CASE(poisonRequestIsBlockedAfterTwoCrashes)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.crashed(start, "e1", {"poison", "a", "b"}, false);
-    BOOST_TEST(quarantine.standing(start, "poison") == Standing::Suspect);
+    BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Suspect);
     quarantine.crashed(start + absl::Seconds(1), "e2", {"poison", "c"}, false);
-    BOOST_TEST(quarantine.standing(start + absl::Hours(1), "poison") == Standing::Held);
+    BOOST_TEST(quarantine.status(start + absl::Hours(1), "poison") == QuarantineStatus::Blocked);
 }
 
-// Guards against innocent requests that stay suspects because they ran beside a poison request.
-BOOST_AUTO_TEST_CASE(successClearsTheInnocent)
+// Guards against requests that stay suspects only because they ran alongside a poison request.
+BOOST_AUTO_TEST_CASE(successClearsASuspect)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.crashed(start, "e1", {"poison", "innocent"}, false);
-    BOOST_TEST(quarantine.standing(start, "innocent") == Standing::Suspect);
+    BOOST_TEST(quarantine.status(start, "innocent") == QuarantineStatus::Suspect);
     quarantine.succeeded("innocent");
-    BOOST_TEST(quarantine.standing(start, "innocent") == Standing::Clear);
+    BOOST_TEST(quarantine.status(start, "innocent") == QuarantineStatus::Allowed);
     quarantine.crashed(start + absl::Seconds(1), "e2", {"innocent"}, false);
-    BOOST_TEST(quarantine.standing(start + absl::Seconds(1), "innocent") == Standing::Suspect);
+    BOOST_TEST(quarantine.status(start + absl::Seconds(1), "innocent")
+               == QuarantineStatus::Suspect);
 }
 
-// Guards against suspicion without end, and against forgetting the only request that ran.
+// Guards against a request that stays a suspect without end, and against a request that ran alone
+// on a crashed upstream and is cleared as early as one that ran alongside others.
 BOOST_AUTO_TEST_CASE(suspicionEndsUnlessTheRequestRanAlone)
 {
     const QuarantineSettings settings;
@@ -54,32 +56,33 @@
     quarantine.crashed(start, "e1", {"a", "b"}, true);
     quarantine.crashed(start, "e2", {"single"}, true);
     const absl::Time after = start + settings.suspectTime + absl::Seconds(1);
-    BOOST_TEST(quarantine.standing(after, "a") == Standing::Clear);
-    BOOST_TEST(quarantine.standing(after, "single") == Standing::Suspect);
+    BOOST_TEST(quarantine.status(after, "a") == QuarantineStatus::Allowed);
+    BOOST_TEST(quarantine.status(after, "single") == QuarantineStatus::Suspect);
 }
 
-// Guards against counting one crash twice, which would hold every request that ran there.
-BOOST_AUTO_TEST_CASE(sameUpstreamCountsOnce)
+// Guards against a crash that is counted twice, for example when the directory reports it too.
+// Every request that ran on the upstream would be blocked.
+BOOST_AUTO_TEST_CASE(crashOfTheSameUpstreamCountsOnce)
 {
     Quarantine quarantine{QuarantineSettings{}};
     BOOST_TEST(quarantine.crashed(start, "e1", {"a"}, false).size() == 1U);
     BOOST_TEST(quarantine.crashed(start, "e1", {"a"}, false).empty());
     quarantine.setRecord(start, "a", {"e1"}, false);
-    BOOST_TEST(quarantine.standing(start, "a") == Standing::Suspect);
+    BOOST_TEST(quarantine.status(start, "a") == QuarantineStatus::Suspect);
 }
 
-// Guards against an entry that runs what another one saw crash, and against a hold that an
-// operator cannot release.
-BOOST_AUTO_TEST_CASE(recordsOfTheDirectoryHoldAndRelease)
+// Guards against an entry that ignores crashes recorded by other entries, and against a block that
+// success removes or that an operator cannot release.
+BOOST_AUTO_TEST_CASE(directoryRecordsBlockAndRelease)
 {
     Quarantine quarantine{QuarantineSettings{}};
     quarantine.setRecord(start, "poison", {"e1"}, false);
     quarantine.crashed(start, "e2", {"poison"}, false);
-    BOOST_TEST(quarantine.standing(start, "poison") == Standing::Held);
+    BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Blocked);
     quarantine.succeeded("poison");
-    BOOST_TEST(quarantine.standing(start, "poison") == Standing::Held);
+    BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Blocked);
     quarantine.setRecord(start, "poison", {}, false);
-    BOOST_TEST(quarantine.standing(start, "poison") == Standing::Clear);
+    BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Allowed);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/policy/retrypolicy_test.cpp
+++ b/tests/policy/retrypolicy_test.cpp
@@ -7,16 +7,17 @@
 
 BOOST_AUTO_TEST_SUITE(RetryPolicyTest)
 
-// Guards against a second effect of a request that may have run.
+// Guards against a retry that repeats the effect of a request which may have run.
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNotRetriedAfterItMayHaveRun)
 {
     RetryPolicy policy{RetrySettings{}};
-    BOOST_TEST(!policy.mayRetry(1, RunState::MayHaveRun, false));
-    BOOST_TEST(policy.mayRetry(1, RunState::NotRun, false));
-    BOOST_TEST(policy.mayRetry(1, RunState::MayHaveRun, true));
+    BOOST_TEST(!policy.mayRetry(1, EffectState::MayHaveRun, false));
+    BOOST_TEST(policy.mayRetry(1, EffectState::NotRun, false));
+    BOOST_TEST(policy.mayRetry(1, EffectState::MayHaveRun, true));
 }
 
-// Guards against retries that multiply an outage: at most the share plus the initial budget.
+// Guards against retries that amplify an outage: their number is limited to the budget share of the
+// requests plus the initial budget.
 BOOST_AUTO_TEST_CASE(retriesStayWithinTheBudget)
 {
     RetrySettings settings;
@@ -24,16 +25,16 @@
     int retries = 0;
     constexpr int requests = 2000;
     for (int i = 0; i < requests; ++i) {
-        policy.firstTry();
-        for (int attempt = 1; policy.mayRetry(attempt, RunState::NotRun, true); ++attempt)
+        policy.firstAttempt();
+        for (int attempt = 1; policy.mayRetry(attempt, EffectState::NotRun, true); ++attempt)
             ++retries;
     }
     BOOST_TEST(retries <= requests * settings.budgetShare + settings.budgetMinimum);
     BOOST_TEST(retries >= requests * settings.budgetShare - 1);
 }
 
-// Guards against retries in step with each other and against waits without end.
-BOOST_AUTO_TEST_CASE(backoffIsSpreadAndBounded)
+// Guards against callers that retry at the same time, and against backoffs that grow without limit.
+BOOST_AUTO_TEST_CASE(backoffIsRandomAndBounded)
 {
     RetrySettings settings;
     const RetryPolicy policy(settings);
@@ -42,7 +43,7 @@
     const absl::Duration first = policy.backoff(3, random);
     for (int attempt = 1; attempt < 40; ++attempt) {
         const absl::Duration wait = policy.backoff(attempt, random);
-        BOOST_TEST((wait >= absl::ZeroDuration() && wait <= settings.longestBackoff));
+        BOOST_TEST((wait >= absl::ZeroDuration() && wait <= settings.maxBackoff));
         differs = differs || wait != first;
     }
     BOOST_TEST(differs);
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -10,7 +10,7 @@
 
 const absl::Time start = absl::FromUnixSeconds(1000);
 
-/// Engines of one model with a maximum batch of 100 and given numbers of running requests.
+/// A router with engines of one model. Each engine has a maximum batch of 100 requests.
 struct RouterFixture
 {
     void add(const std::string &name, std::int64_t running, bool leaving = false)
@@ -23,13 +23,13 @@
         engines.back()->loadReported(start, load);
     }
 
-    std::string choose(const Work &work = {})
+    std::string choose(const Task &task = {})
     {
         std::vector<RouteCandidate> candidates;
         for (const auto &engine : engines)
             candidates.push_back({engine.get(), 0});
         const Router router(settings, "near");
-        const int chosen = router.choose(start, work, candidates, {}, prefixes, 6, random);
+        const int chosen = router.choose(start, task, candidates, {}, prefixes, 6, random);
         return chosen < 0 ? "" : engines[static_cast<std::size_t>(chosen)]->info().name;
     }
 
@@ -43,7 +43,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RouterTest, RouterFixture)
 
-// Guards against new work on an upstream that is about to end.
+// Guards against new tasks on an engine that is about to shut down.
 BOOST_AUTO_TEST_CASE(leavingEngineGetsNothing)
 {
     add("leaving", 0, true);
@@ -53,53 +53,54 @@
         BOOST_TEST(choose() == "staying");
 }
 
-// Guards against a popular prefix that overloads the engine which has it cached.
-BOOST_AUTO_TEST_CASE(prefixAttractsOnlyBelowTheLoadBound)
+// Guards against a popular prefix that overloads the engine which has cached it.
+BOOST_AUTO_TEST_CASE(cachedPrefixIsIgnoredAboveTheLoadBound)
 {
-    Work work;
-    work.promptTokens = 16;
-    work.prefixHashes = {42};
-    prefixes.sent(start, "cached", work.prefixHashes, 16);
+    Task task;
+    task.promptTokens = 16;
+    task.prefixHashes = {42};
+    prefixes.recordPrompt(start, "cached", task.prefixHashes, 16);
     add("cached", 30);
     add("other", 20);
     for (int i = 0; i < 50; ++i)
-        BOOST_TEST(choose(work) == "cached");
+        BOOST_TEST(choose(task) == "cached");
     engines.clear();
     add("cached", 60);
     add("other", 20);
     for (int i = 0; i < 50; ++i)
-        BOOST_TEST(choose(work) == "other");
+        BOOST_TEST(choose(task) == "other");
 }
 
-// Guards against all own work on one engine while its report is late.
-BOOST_AUTO_TEST_CASE(ownWorkSinceTheReportCounts)
+// Guards against an entry that sends all its tasks to one engine while the engine's next report is
+// late.
+BOOST_AUTO_TEST_CASE(localTasksSinceTheReportCountAsLoad)
 {
     add("a", 20);
     add("b", 20);
     for (int i = 0; i < 40; ++i)
-        engines[choose() == "a" ? 0 : 1]->workStarted(start, WorkKind::Online, 200, 300);
-    BOOST_TEST(engines[0]->own(WorkKind::Online) > 12);
-    BOOST_TEST(engines[1]->own(WorkKind::Online) > 12);
+        engines[choose() == "a" ? 0 : 1]->taskStarted(start, TaskKind::Online, 200, 300);
+    BOOST_TEST(engines[0]->localTasks(TaskKind::Online) > 12);
+    BOOST_TEST(engines[1]->localTasks(TaskKind::Online) > 12);
 }
 
-// Guards against counting own work twice once a report includes it.
-BOOST_AUTO_TEST_CASE(reportReplacesOlderOwnWork)
+// Guards against local tasks that are counted twice after a report includes them.
+BOOST_AUTO_TEST_CASE(reportReplacesOlderLocalTasks)
 {
     add("a", 20);
     EngineState &engine = *engines[0];
-    engine.workStarted(start + absl::Milliseconds(10), WorkKind::Online, 100, 100);
-    BOOST_TEST(engine.requestsSeen() == 21);
+    engine.taskStarted(start + absl::Milliseconds(10), TaskKind::Online, 100, 100);
+    BOOST_TEST(engine.reportedRequests() == 21);
     EngineLoad load;
     load.running = 21;
     load.maxBatch = 100;
     load.age = absl::Milliseconds(50);
     engine.loadReported(start + absl::Milliseconds(100), load);
-    BOOST_TEST(engine.requestsSeen() == 21);
-    BOOST_TEST(engine.own(WorkKind::Online) == 1);
+    BOOST_TEST(engine.reportedRequests() == 21);
+    BOOST_TEST(engine.localTasks(TaskKind::Online) == 1);
 }
 
-// Guards against a flood on an upstream that has just come back, and against one that is never
-// used again.
+// Guards against an engine that is overloaded right after its ejection, and against one that is
+// never used again.
 BOOST_AUTO_TEST_CASE(crashedEngineReturnsGradually)
 {
     add("a", 20);
@@ -107,14 +108,15 @@
     engines[0]->outlier().failed(start, true);
     BOOST_TEST(choose() == "b");
     const OutlierDetector &outlier = engines[0]->outlier();
-    BOOST_TEST(outlier.share(start) == 0);
-    const absl::Time back = outlier.ejectedUntil();
-    BOOST_TEST(outlier.share(back) < 0.2);
-    BOOST_TEST(outlier.share(back + settings.outlier.returnTime) == 1);
+    BOOST_TEST(outlier.trafficShare(start) == 0);
+    const absl::Time ejectionEnd = outlier.ejectedUntil();
+    BOOST_TEST(outlier.trafficShare(ejectionEnd) < 0.2);
+    BOOST_TEST(outlier.trafficShare(ejectionEnd + settings.outlier.rampUpTime) == 1);
 }
 
-// Guards against an ejection by one slow answer, and against a slow upstream that keeps its share.
-BOOST_AUTO_TEST_CASE(slowFirstTokensEject)
+// Guards against an ejection because of one slow response, and against a slow engine that keeps its
+// share of the traffic.
+BOOST_AUTO_TEST_CASE(slowFirstTokensEjectAfterSeveralSamples)
 {
     OutlierDetector detector{OutlierSettings{}};
     detector.firstToken(start, absl::Seconds(5), absl::Milliseconds(100));
@@ -124,8 +126,9 @@
     BOOST_TEST(detector.ejected(start));
 }
 
-// Guards against trust in cache events that were lost: after a gap older guesses expire sooner.
-BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensGuesses)
+// Guards against prefixes that count as cached although their eviction events were lost. After a
+// gap in the sequence numbers, older estimates expire sooner.
+BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensTheLifetimeOfGuesses)
 {
     const absl::Duration lifetime = absl::Seconds(100);
     PrefixIndex index(lifetime);
--- a/tests/policy/schedulerfixture.h
+++ b/tests/policy/schedulerfixture.h
@@ -9,7 +9,7 @@
 
 namespace rattanrill::policy {
 
-/// A scheduler with engines of one model whose reports follow its decisions at once.
+/// A scheduler with engines of one model. Their load reports reflect each decision at once.
 struct SchedulerFixture
 {
     explicit SchedulerFixture(SchedulerSettings settings = {})
@@ -35,103 +35,107 @@
             scheduler.loadReported(now, name, load);
     }
 
-    Work work(WorkKind kind, const std::string &workspace = "a")
+    Task task(TaskKind kind, const std::string &workspace = "a")
     {
-        Work made;
-        made.id = nextWork++;
-        made.workspace = workspace;
-        made.kind = kind;
-        made.model = "m";
-        made.promptTokens = 10;
-        made.maxTokens = 100;
-        made.fingerprint = "f" + std::to_string(made.id);
-        return made;
+        Task newTask;
+        newTask.id = nextTaskId++;
+        newTask.workspace = workspace;
+        newTask.kind = kind;
+        newTask.model = "m";
+        newTask.promptTokens = 10;
+        newTask.maxTokens = 100;
+        newTask.fingerprint = "f" + std::to_string(newTask.id);
+        return newTask;
     }
 
-    WorkId add(const Work &made)
+    TaskId add(const Task &newTask)
     {
-        scheduler.arrived(now, made);
-        return made.id;
+        scheduler.arrived(now, newTask);
+        return newTask.id;
     }
-    WorkId add(WorkKind kind, const std::string &workspace = "a")
+    TaskId add(TaskKind kind, const std::string &workspace = "a")
     {
-        return add(work(kind, workspace));
+        return add(task(kind, workspace));
     }
 
-    /// Decides and keeps track of what runs where; the next reports show it.
-    std::vector<Decision> decide()
+    /// Calls decide() and adds the started tasks to \a running and to the next load reports.
+    std::vector<SchedulerDecision> decide()
     {
-        std::vector<Decision> made = scheduler.decide(now);
-        for (const Decision &decision : made) {
-            if (const auto *start = std::get_if<StartWork>(&decision)) {
-                running[start->work] = *start;
+        std::vector<SchedulerDecision> decisions = scheduler.decide(now);
+        for (const SchedulerDecision &decision : decisions) {
+            if (const auto *start = std::get_if<StartTask>(&decision)) {
+                running[start->task] = *start;
                 ++engines[start->engine].running;
             }
         }
-        return made;
+        return decisions;
     }
 
-    /// Advances time in small steps with reports and decisions.
-    std::vector<Decision> advance(absl::Duration time)
+    /// Advances the time in steps of 20 ms, each with load reports and a call of decide(). Returns
+    /// all decisions.
+    std::vector<SchedulerDecision> advance(absl::Duration time)
     {
-        std::vector<Decision> all;
+        std::vector<SchedulerDecision> all;
         for (const absl::Time end = now + time; now < end;) {
             now += absl::Milliseconds(20);
             report();
-            for (const Decision &decision : decide())
+            for (const SchedulerDecision &decision : decide())
                 all.push_back(decision);
         }
         return all;
     }
 
-    void firstToken(WorkId id) { scheduler.firstToken(now, id, running.at(id).attempt); }
+    void firstToken(TaskId id) { scheduler.firstToken(now, id, running.at(id).attempt); }
 
-    void finish(WorkId id, std::int64_t tokens = 100)
+    void finish(TaskId id, std::int64_t tokens = 100)
     {
-        const StartWork run = take(id);
+        const StartTask run = removeRunning(id);
         scheduler.finished(now, id, run.attempt, tokens);
     }
 
-    void fail(WorkId id, TryFailure::Kind kind, std::int64_t delivered = 0)
+    void fail(TaskId id, AttemptFailure::Kind kind, std::int64_t delivered = 0)
     {
-        const StartWork run = take(id);
-        TryFailure failure;
+        const StartTask run = removeRunning(id);
+        AttemptFailure failure;
         failure.kind = kind;
         failure.deliveredTokens = delivered;
-        const bool ran = kind != TryFailure::Kind::Refused;
+        const bool ran = kind != AttemptFailure::Kind::Refused;
         failure.failure = ran ? mayHaveRun(ErrorCode::UpstreamFailed, "connection lost")
                               : notRun(ErrorCode::UpstreamUnavailable, "no connection");
         scheduler.failed(now, id, run.attempt, failure);
     }
 
-    void carryOut(const PreemptWork &preempt, std::int64_t delivered)
+    /// Reports that \a preempt was carried out after \a delivered tokens.
+    void completePreemption(const PreemptTask &preempt, std::int64_t delivered)
     {
-        take(preempt.work);
+        removeRunning(preempt.task);
         const bool exported = preempt.method == PreemptMethod::ExportKv;
-        scheduler.preempted(now, preempt.work, preempt.attempt, delivered, exported ? "kv" : "");
+        scheduler.preempted(now, preempt.task, preempt.attempt, delivered, exported ? "kv" : "");
     }
 
+    /// Returns the decisions of type \a Kind.
     template <typename Kind>
-    static std::vector<Kind> only(const std::vector<Decision> &decisions)
+    static std::vector<Kind> filter(const std::vector<SchedulerDecision> &decisions)
     {
-        std::vector<Kind> kept;
-        for (const Decision &decision : decisions) {
+        std::vector<Kind> matching;
+        for (const SchedulerDecision &decision : decisions) {
             if (const Kind *found = std::get_if<Kind>(&decision))
-                kept.push_back(*found);
+                matching.push_back(*found);
         }
-        return kept;
+        return matching;
     }
 
     Scheduler scheduler;
     absl::Time now = absl::FromUnixSeconds(1000);
     std::map<std::string, EngineLoad> engines;
-    std::map<WorkId, StartWork> running;
-    WorkId nextWork = 1;
+    std::map<TaskId, StartTask> running;
+    TaskId nextTaskId = 1;
 
 private:
-    StartWork take(WorkId id)
+    /// Removes a running task from \a running and from the next load reports.
+    StartTask removeRunning(TaskId id)
     {
-        const StartWork run = running.at(id);
+        const StartTask run = running.at(id);
         running.erase(id);
         --engines[run.engine].running;
         return run;
--- /dev/null
+++ b/tests/serving/slotbroker_test.cpp
@@ -0,0 +1,211 @@
+#include "rattanrill/serving/slotbroker.h"
+
+#include <boost/test/unit_test.hpp>
+
+#include <optional>
+#include <string>
+#include <vector>
+
+using namespace rattanrill;
+using namespace rattanrill::serving;
+using wire::SlotOutcome;
+
+namespace {
+
+std::shared_ptr<const DeploymentIndex> deployment(double rate, double burst)
+{
+    Deployment result;
+    result.version = 1;
+    result.workspaces = {{"w", {"k"}, -1, rate, burst}};
+    return std::make_shared<const DeploymentIndex>(std::move(result));
+}
+
+SlotBrokerSettings settings()
+{
+    SlotBrokerSettings result;
+    result.rateToleranceFraction = 0.1;
+    result.rateToleranceRequests = 20;
+    return result;
+}
+
+struct Fixture
+{
+    Fixture()
+    {
+        broker.setDeployment(deployment(10, 10));
+        broker.setUpstreams({{"u", "llm", "u:1", "d", 100, false}}, CapacityShare());
+    }
+
+    wire::SlotRequest request(const std::string &id)
+    {
+        wire::SlotRequest result;
+        result.requestId = id;
+        result.instance = "e";
+        result.service = "llm";
+        result.workspace = "w";
+        result.objectiveMs = 300;
+        result.deadlineMs = 5000;
+        return result;
+    }
+
+    std::optional<wire::SlotResponse> acquire(const wire::SlotRequest &slotRequest)
+    {
+        last.reset();
+        broker.acquire(slotRequest,
+                       [this](const wire::SlotResponse &response) { last = response; });
+        return last;
+    }
+
+    bool tryAcquire(const std::string &id)
+    {
+        const auto response = acquire(request(id));
+        return response && response->verdict == SlotOutcome::Granted;
+    }
+
+    void release(const std::string &id) { broker.release({"e", id, "u", "served"}); }
+
+    ManualClock clock;
+    ManualTimerService timers{clock};
+    SlotBroker broker{timers, clock, settings()};
+    std::optional<wire::SlotResponse> last;
+};
+
+} // namespace
+
+BOOST_FIXTURE_TEST_SUITE(SlotBrokerTest, Fixture)
+
+// Guards against a workspace that gets more requests in some window than its rate, its burst and
+// the tolerance allow. A new broker does not know what the previous one granted.
+BOOST_AUTO_TEST_CASE(rateHoldsInEveryWindowOverChangesOfTheBroker)
+{
+    std::vector<absl::Time> grants;
+    for (int step = 0; step < 3000; ++step) {
+        timers.advance(absl::Milliseconds(10));
+        // The tolerance covers at most two replacements of the broker within one window.
+        if (step == 1000 || step == 1200)
+            broker.reset();
+        for (int i = 0; i < 2; ++i) {
+            const std::string id = std::to_string(step) + "." + std::to_string(i);
+            if (tryAcquire(id)) {
+                grants.push_back(clock.now());
+                release(id);
+            }
+        }
+    }
+    const double bound = (10 * 5 + 10) * 1.1 + 20;
+    for (std::size_t first = 0, next = 0; first < grants.size(); ++first) {
+        while (next < grants.size() && grants[next] - grants[first] <= absl::Seconds(5))
+            ++next;
+        BOOST_TEST_REQUIRE(static_cast<double>(next - first) <= bound);
+    }
+    BOOST_TEST(grants.size() > 290u);
+}
+
+BOOST_AUTO_TEST_CASE(overRateResponseContainsRetryAfter)
+{
+    timers.advance(absl::Seconds(10));
+    int granted = 0;
+    for (int i = 0; i < 30; ++i)
+        granted += tryAcquire(std::to_string(i)) ? 1 : 0;
+    BOOST_TEST(granted == 10);
+    BOOST_TEST((last->verdict == SlotOutcome::OverRate));
+    BOOST_TEST(last->retryAfterMs > 0);
+    BOOST_TEST(last->retryAfterMs <= 100);
+}
+
+// Guards against further attempts of a request that are charged to the rate again.
+BOOST_AUTO_TEST_CASE(furtherTryIsNotCharged)
+{
+    timers.advance(absl::Seconds(10));
+    for (int i = 0; i < 10; ++i)
+        BOOST_TEST(tryAcquire(std::to_string(i)));
+    wire::SlotRequest furtherAttempt = request("0~2");
+    furtherAttempt.chargesRate = false;
+    BOOST_TEST((acquire(furtherAttempt)->verdict == SlotOutcome::Granted));
+}
+
+// Guards against the loss of a broker that is detected only after the whole wait for a slot,
+// because a broker does not respond before its decision.
+BOOST_AUTO_TEST_CASE(waitingRequestGetsOutcomeWaitingAndItsSlotWhenRepeated)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    wire::SlotRequest waitingRequest = request("waits");
+    waitingRequest.objectiveMs = 5000;
+    BOOST_TEST(tryAcquire("runs"));
+    BOOST_TEST(!acquire(waitingRequest).has_value());
+    timers.advance(settings().maxResponseDelay);
+    BOOST_TEST_REQUIRE(last.has_value());
+    BOOST_TEST((last->verdict == SlotOutcome::Waiting));
+    // The slot becomes free while no request is pending.
+    release("runs");
+    waitingRequest.again = true;
+    BOOST_TEST((acquire(waitingRequest)->verdict == SlotOutcome::Granted));
+}
+
+// Guards against a requester that takes the broker for unreachable: its caller disconnects while
+// the request waits, and the pending call gets no response.
+BOOST_AUTO_TEST_CASE(requestReleasedWhileWaitingGetsAResponse)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    wire::SlotRequest waitingRequest = request("waits");
+    waitingRequest.objectiveMs = 5000;
+    tryAcquire("runs");
+    acquire(waitingRequest);
+    release("waits");
+    BOOST_TEST(last.has_value());
+}
+
+// Guards against slots that stay occupied after the process that held them was lost.
+BOOST_AUTO_TEST_CASE(slotsOfALostProcessAreReclaimed)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    BOOST_TEST(tryAcquire("lost"));
+    broker.setLiveInstances({"other"});
+    BOOST_TEST(tryAcquire("next"));
+}
+
+BOOST_AUTO_TEST_CASE(unreleasedSlotIsReclaimedAfterItsDeadline)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    BOOST_TEST(tryAcquire("lost"));
+    timers.advance(absl::Seconds(9));
+    BOOST_TEST(tryAcquire("next"));
+}
+
+// Guards against a new broker that grants slots which entry processes already hold.
+BOOST_AUTO_TEST_CASE(slotsGrantedByAPreviousBrokerAreAdopted)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 2, false}}, CapacityShare());
+    broker.restoreHeldSlots({"e", {{"old", "llm", "w", "u", 3000}}});
+    BOOST_TEST(tryAcquire("new"));
+    BOOST_TEST(!tryAcquire("third"));
+    release("old");
+    BOOST_TEST(tryAcquire("fourth"));
+    // An adopted slot that is not released is reclaimed after its deadline, as any other slot is.
+    broker.restoreHeldSlots({"f", {{"lost", "llm", "w", "u", 100}}});
+    timers.advance(absl::Seconds(4));
+    release("new");
+    release("fourth");
+    BOOST_TEST(tryAcquire("fifth"));
+    BOOST_TEST(tryAcquire("sixth"));
+}
+
+BOOST_AUTO_TEST_CASE(batchTaskIsPreemptedByAnOnlineRequest)
+{
+    broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
+    policy::SlotTask task;
+    task.id = "item";
+    task.service = "llm";
+    task.workspace = "w";
+    task.kind = policy::TaskKind::Batch;
+    std::string events;
+    SlotBroker::BatchHandlers handlers;
+    handlers.granted = [&](const std::string &, const std::string &) { events += "granted "; };
+    handlers.preempted = [&] { events += "yield"; };
+    broker.acquireBatch(task, handlers);
+    BOOST_TEST(events == "granted ");
+    BOOST_TEST(tryAcquire("online"));
+    BOOST_TEST(events == "granted yield");
+}
+
+BOOST_AUTO_TEST_SUITE_END()
--- /dev/null
+++ b/tests/serving/testprotocoladapter.h
@@ -0,0 +1,59 @@
+#pragma once
+
+#include "rattanrill/serving/protocoladapter.h"
+
+#include <string>
+
+namespace rattanrill::serving {
+
+/// Protocol adapter with short header names, so that the tests do not depend on the protocol of a
+/// deployment.
+class TestProtocolAdapter : public ProtocolAdapter
+{
+public:
+    Result<CallerRequest> parseRequest(const net::Request &request) const override
+    {
+        CallerRequest caller;
+        caller.id = std::string(request.headers.value("Id"));
+        caller.timeout = absl::Seconds(3);
+        return caller;
+    }
+    net::Request upstreamRequest(const net::Request &request,
+                                 const UpstreamAttempt &attempt) const override
+    {
+        net::Request result = request;
+        net::removeConnectionHeaders(result.headers);
+        if (attempt.resumeAfter)
+            result.headers.set("After", std::to_string(*attempt.resumeAfter));
+        return result;
+    }
+    net::Request itemRequest(const wire::JobItem &, const std::string &,
+                             const UpstreamAttempt &) const override
+    {
+        return {};
+    }
+    ResponseInfo parseResponse(const net::ResponseHead &head) const override
+    {
+        ResponseInfo info;
+        info.requestId = std::string(head.headers.value("Id"));
+        info.notRun = head.headers.find("Not-Run") != nullptr;
+        return info;
+    }
+    bool isEventStream(const net::ResponseHead &head) const override
+    {
+        return head.headers.value("Content-Type") == "text/event-stream";
+    }
+    bool isJobCall(const net::Request &) const override { return false; }
+    Result<JobCall> parseJobCall(const net::Request &, const CallerRequest &) const override
+    {
+        return fail(notRun(ErrorCode::NotFound, ""));
+    }
+    net::Response jobResultsResponse(const wire::ReadJobResponse &) const override { return {}; }
+    net::Response errorResponse(const Failure &failure, absl::Duration) const override
+    {
+        return net::textResponse(failure.run == EffectState::NotRun ? 503 : 502, failure.detail,
+                                 "t");
+    }
+};
+
+} // namespace rattanrill::serving
