--- a/include/rattanrill/base/failure.h
+++ b/include/rattanrill/base/failure.h
@@ -7,11 +7,11 @@
 namespace rattanrill {
 
 /// Typed failure of an operation. \a detail is for people: it describes the operation, the wrong
-/// value and where the value came from. Code decides by \a code and \a run only.
+/// value and where the value came from. Code decides by \a code and \a effect only.
 struct Failure
 {
     ErrorCode code = ErrorCode::Internal;
-    EffectState run = EffectState::NotRun;
+    EffectState effect = EffectState::NotRun;
     std::string detail;
 };
 
--- a/include/rattanrill/settings/program.h
+++ b/include/rattanrill/settings/program.h
@@ -19,7 +19,7 @@
 {
     std::string_view name;
     /// One line for the output of "--help".
-    std::string_view purpose;
+    std::string_view summary;
     /// JSON schema of the settings.
     std::string_view settingsSchema;
     /// Checks constraints that the schema cannot express. \a source names the file.
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -45,7 +45,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-control";
-    program.purpose = "replicated durable state of a deployment and the operators' interface";
+    program.summary = "replicated durable state of a deployment and the operators' interface";
     program.settingsSchema = controlSettingsSchema();
     program.checkSettings = checkControlSettings;
     program.run = runControl;
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -47,7 +47,7 @@
 /// A read has no effect, so its failure always has the effect state NotRun.
 Failure readFailure(Failure failure)
 {
-    failure.run = EffectState::NotRun;
+    failure.effect = EffectState::NotRun;
     return failure;
 }
 
--- a/src/control/pollchangesservice.cpp
+++ b/src/control/pollchangesservice.cpp
@@ -21,7 +21,7 @@
         failure.code = ErrorCode::NoQuorum;
         failure.detail = "no leader confirmed the directory revision";
     }
-    failure.run = EffectState::NotRun;
+    failure.effect = EffectState::NotRun;
     return failure;
 }
 
--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -121,7 +121,7 @@
 
 bool ControlCalls::shouldRetry(Call &call, const Failure &failure) const
 {
-    const bool mayHaveRun = call.parameters.hasEffect && failure.run == EffectState::MayHaveRun;
+    const bool mayHaveRun = call.parameters.hasEffect && failure.effect == EffectState::MayHaveRun;
     call.mayHaveRun = call.mayHaveRun || mayHaveRun;
     if (mayHaveRun && !call.parameters.idempotent)
         return false;
@@ -135,7 +135,7 @@
     const bool usePreviousFailure = failure.code == ErrorCode::Timeout && call.attempts > 1;
     Failure result = usePreviousFailure ? call.lastFailure : failure;
     if (call.parameters.hasEffect && call.mayHaveRun)
-        result.run = EffectState::MayHaveRun;
+        result.effect = EffectState::MayHaveRun;
     return result;
 }
 
--- a/src/ctl/operatorclient.cpp
+++ b/src/ctl/operatorclient.cpp
@@ -68,8 +68,8 @@
     const Json &error = json.value().at("error");
     Failure failure;
     failure.code = errorCodeFromName(error.value("code", "")).value_or(ErrorCode::Internal);
-    failure.run = error.value("run", "") == name(EffectState::NotRun) ? EffectState::NotRun
-                                                                      : EffectState::MayHaveRun;
+    failure.effect = error.value("run", "") == name(EffectState::NotRun) ? EffectState::NotRun
+                                                                         : EffectState::MayHaveRun;
     failure.detail = error.value("message", "");
     // The message already begins with the code's name, and describe() would add it again.
     const std::string prefix = concat(name(failure.code), ": ");
@@ -111,7 +111,7 @@
             if (!isTransient(failure))
                 return fail(failure);
             m_anyAttemptMayHaveRun =
-                    m_anyAttemptMayHaveRun || failure.run == EffectState::MayHaveRun;
+                    m_anyAttemptMayHaveRun || failure.effect == EffectState::MayHaveRun;
         }
         const bool reached = failure.code != ErrorCode::ConnectionLost;
         if (absl::Now() - start > (reached ? totalTimeout : unreachableTimeout))
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -224,10 +224,10 @@
     if (asJson) {
         const Json error = {{"code", name(failure.code)},
                             {"message", describe(failure)},
-                            {"run", name(failure.run)}};
+                            {"run", name(failure.effect)}};
         m_err << dumpJson(Json{{"error", error}}) << '\n';
     } else {
-        m_err << "rattanrillctl: " << describe(failure) << " (" << name(failure.run) << ")\n";
+        m_err << "rattanrillctl: " << describe(failure) << " (" << name(failure.effect) << ")\n";
     }
     if (failure.code == ErrorCode::InvalidArgument)
         return exitUsage;
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -334,7 +334,7 @@
     Outcome<Json> answer = m_impl->call("GET", "/healthz", Json());
     // A process that is stopping may still accept a connection and then close it without an
     // answer. When the call is repeated, nothing listens any more and the connection is refused.
-    if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
+    if (!answer.ok() && answer.failure().effect == EffectState::MayHaveRun)
         answer = m_impl->call("GET", "/healthz", Json());
     if (!answer.ok())
         return answer.failure();
--- a/src/entry/batchitem.cpp
+++ b/src/entry/batchitem.cpp
@@ -46,7 +46,7 @@
     outcome.result = failedResult(m_item, failure);
     if (!isPermanent(failure.code)) {
         outcome.kind = ItemOutcome::Kind::Release;
-        outcome.failedAttempt = failure.run == EffectState::MayHaveRun;
+        outcome.failedAttempt = failure.effect == EffectState::MayHaveRun;
         outcome.reason = name(failure.code);
     }
     m_onOutcome(std::move(outcome));
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -28,7 +28,7 @@
     if (answer.ok())
         return answer.value().claim;
     // The claim may have been recorded, but its request was not sent.
-    if (answer.failure().run == EffectState::MayHaveRun)
+    if (answer.failure().effect == EffectState::MayHaveRun)
         abandon(key);
     return notRun(answer.failure().code, answer.failure().detail);
 }
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -38,7 +38,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-entry";
-    program.purpose = "serves callers: key check, admission, routing, online and batch dispatch";
+    program.summary = "serves callers: key check, admission, routing, online and batch dispatch";
     program.settingsSchema = entry::entrySettingsSchema();
     program.checkSettings = entry::checkEntrySettings;
     program.run = runEntry;
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -55,7 +55,7 @@
     MetricLabels all = toMetricLabels(labels);
     all["code"] = failure ? std::string(name(failure->code)) : "ok";
     m_metrics.count("rattanrill_requests_total", all);
-    if (!failure || failure->run != EffectState::NotRun)
+    if (!failure || failure->effect != EffectState::NotRun)
         return;
     m_metrics.count("rattanrill_refused_total",
                     {{"workspace", labels.workspace},
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -162,7 +162,7 @@
             answer = std::move(next);
         if (answer.ok() || !attempted)
             break;
-        mayHaveRunBefore = mayHaveRunBefore || answer.failure().run == EffectState::MayHaveRun;
+        mayHaveRunBefore = mayHaveRunBefore || answer.failure().effect == EffectState::MayHaveRun;
         if (mayHaveRunBefore && !route.idempotent)
             break;
     }
@@ -230,7 +230,7 @@
     if (answer.ok()) {
         (void)m_context.claims.finish(key, answer.value().status, answer.value().contentType,
                                       answer.value().body);
-    } else if (answer.failure().run == EffectState::NotRun) {
+    } else if (answer.failure().effect == EffectState::NotRun) {
         m_context.claims.abandon(key);
     }
     return answer;
--- a/src/entry/taskdispatcher.cpp
+++ b/src/entry/taskdispatcher.cpp
@@ -219,7 +219,7 @@
     // must be recorded before that, and every entry must either have the quarantined request in its
     // view or have a view that is too old to serve it.
     const bool quarantinedNow = reject.failure.code == ErrorCode::RequestQuarantined
-                                && reject.failure.run == EffectState::MayHaveRun;
+                                && reject.failure.effect == EffectState::MayHaveRun;
     const auto answer = [this, fail, quarantinedNow] {
         if (quarantinedNow)
             m_context.timers.subscribeOnce(m_context.quarantineAnswerDelay, fail);
@@ -378,7 +378,7 @@
     using Kind = policy::AttemptFailure::Kind;
     if (failure.code == ErrorCode::InvalidRequest || failure.code == ErrorCode::Timeout)
         return Kind::Invalid;
-    if (failure.run == EffectState::NotRun)
+    if (failure.effect == EffectState::NotRun)
         return Kind::Refused;
     if (failure.code != ErrorCode::StreamBroken)
         return Kind::Broken;
--- a/src/fakes/main_engine.cpp
+++ b/src/fakes/main_engine.cpp
@@ -24,7 +24,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-fake-engine";
-    program.purpose = "fake model engine for tests";
+    program.summary = "fake model engine for tests";
     program.settingsSchema = engineSettingsSchema();
     program.run = runEngine;
     return runServerProgram(program, argc, argv);
--- a/src/fakes/main_link.cpp
+++ b/src/fakes/main_link.cpp
@@ -75,7 +75,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-fake-link";
-    program.purpose = "TCP relay for tests that holds, drops or delays bytes";
+    program.summary = "TCP relay for tests that holds, drops or delays bytes";
     program.settingsSchema = settingsSchema;
     program.run = runLink;
     return runServerProgram(program, argc, argv);
--- a/src/fakes/main_platform.cpp
+++ b/src/fakes/main_platform.cpp
@@ -121,7 +121,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-fake-platform";
-    program.purpose = "fake platform for tests: instance list, balancer, weight store";
+    program.summary = "fake platform for tests: instance list, balancer, weight store";
     program.settingsSchema = settingsSchema;
     program.run = runPlatform;
     return runServerProgram(program, argc, argv);
--- a/src/fakes/main_service.cpp
+++ b/src/fakes/main_service.cpp
@@ -67,7 +67,7 @@
 {
     ServerProgram program;
     program.name = "rattanrill-fake-service";
-    program.purpose = "fake plain service for tests";
+    program.summary = "fake plain service for tests";
     program.settingsSchema = settingsSchema;
     program.run = runService;
     return runServerProgram(program, argc, argv);
--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -199,7 +199,7 @@
         log(LogLevel::Info, "operator-call-refused",
             {{"target", exchange->request().target},
              {"code", name(failure.code)},
-             {"run", name(failure.run)},
+             {"run", name(failure.effect)},
              {"detail", failure.detail}});
         exchange->respond(m_processContext.operatorProtocol.errorResponse(failure));
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -199,7 +199,7 @@
     log(LogLevel::Info, "request-refused",
         {{"requestId", requestId},
          {"code", name(failure.code)},
-         {"run", name(failure.run)},
+         {"run", name(failure.effect)},
          {"detail", failure.detail},
          {"retryAfterMs", absl::ToInt64Milliseconds(retryAfter)},
          {"configurationVersion", m_deployment ? m_deployment->version() : 0}});
--- a/src/http/serversetup.cpp
+++ b/src/http/serversetup.cpp
@@ -47,7 +47,7 @@
             {"type", errorType(httpStatus(failure.code))},
             {"code", name(failure.code)},
             {"message", describe(failure)},
-            {"run", name(failure.run)},
+            {"run", name(failure.effect)},
             {"request_id", requestId},
     };
     return dumpJson(Json{{"error", error}});
--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -114,7 +114,7 @@
         if (outcome.ok())
             return call->callback(outcome);
         const Failure &failure = outcome.failure();
-        call->mayHaveRun = call->mayHaveRun || failure.run == EffectState::MayHaveRun;
+        call->mayHaveRun = call->mayHaveRun || failure.effect == EffectState::MayHaveRun;
         if (!isRetryable(failure.code))
             return reportFailure(call, failure);
         if (leader == address)
@@ -136,7 +136,7 @@
     void reportFailure(const std::shared_ptr<Call> &call, Failure failure)
     {
         if (call->mayHaveRun)
-            failure.run = EffectState::MayHaveRun;
+            failure.effect = EffectState::MayHaveRun;
         call->callback(std::move(failure));
     }
 
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -102,7 +102,7 @@
              {"detail", result.ok() ? "" : result.failure().detail}});
         if (!result.ok()) {
             // The job may have been committed nevertheless.
-            if (result.failure().run == EffectState::MayHaveRun)
+            if (result.failure().effect == EffectState::MayHaveRun)
                 listOpenJobs();
             return reply(result.failure());
         }
--- a/src/replication/applythread.cpp
+++ b/src/replication/applythread.cpp
@@ -159,7 +159,7 @@
     }
     // A read has no effect, whatever effect state the failure carries.
     Failure failure = outcome.failure();
-    failure.run = EffectState::NotRun;
+    failure.effect = EffectState::NotRun;
     read.callback(std::move(failure));
 }
 
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -192,7 +192,7 @@
     Outcome<ServiceLoadReport> answer = load();
     // A process that is stopping may still accept a connection and then close it without an
     // answer. When the call is repeated, nothing listens any more and the connection is refused.
-    if (!answer.ok() && answer.failure().run == EffectState::MayHaveRun)
+    if (!answer.ok() && answer.failure().effect == EffectState::MayHaveRun)
         answer = load();
     if (!answer.ok())
         return answer.failure();
--- a/src/settings/program.cpp
+++ b/src/settings/program.cpp
@@ -84,7 +84,7 @@
                       const po::options_description &options)
 {
     if (values.count("help") > 0) {
-        std::cout << program.name << ": " << program.purpose << "\n\nUsage: " << program.name
+        std::cout << program.name << ": " << program.summary << "\n\nUsage: " << program.name
                   << " --settings FILE [--check]\n\n"
                   << options;
         return true;
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -71,7 +71,7 @@
     FailureMessage message;
     message.failed = true;
     message.code = name(failure.code);
-    message.run = name(failure.run);
+    message.run = name(failure.effect);
     message.detail = failure.detail;
     return message;
 }
@@ -83,7 +83,7 @@
     // An unknown name counts as MayHaveRun: a false NotRun would let the caller send the request
     // a second time.
     const bool isNotRun = message.run == name(EffectState::NotRun);
-    failure.run = isNotRun ? EffectState::NotRun : EffectState::MayHaveRun;
+    failure.effect = isNotRun ? EffectState::NotRun : EffectState::MayHaveRun;
     failure.detail = message.detail;
     return failure;
 }
--- a/tests/base/result_test.cpp
+++ b/tests/base/result_test.cpp
@@ -16,7 +16,7 @@
     });
     BOOST_TEST(!outcome.ok());
     BOOST_TEST((outcome.failure().code == ErrorCode::Timeout));
-    BOOST_TEST((outcome.failure().run == EffectState::MayHaveRun));
+    BOOST_TEST((outcome.failure().effect == EffectState::MayHaveRun));
 }
 
 // Guards against exceptions of the JSON library that escape from parseJson() on malformed input.
--- a/tests/batch/statemachine_test.cpp
+++ b/tests/batch/statemachine_test.cpp
@@ -18,7 +18,7 @@
 bool refused(const Outcome<T> &outcome, ErrorCode code)
 {
     return !outcome.ok() && outcome.failure().code == code
-           && outcome.failure().run == EffectState::NotRun;
+           && outcome.failure().effect == EffectState::NotRun;
 }
 
 std::map<std::string, int> countByWorkspace(const std::vector<wire::LeasedItem> &items)
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -96,7 +96,7 @@
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
-    BOOST_TEST(name(outcome.failure().run) == name(run), describe(outcome.failure()));
+    BOOST_TEST(name(outcome.failure().effect) == name(run), describe(outcome.failure()));
 }
 
 } // namespace
--- a/tests/directory/statemachine_test.cpp
+++ b/tests/directory/statemachine_test.cpp
@@ -41,7 +41,7 @@
 bool failsWith(const Outcome<wire::DirectoryResult> &outcome, ErrorCode code)
 {
     return !outcome.ok() && outcome.failure().code == code
-           && outcome.failure().run == EffectState::NotRun;
+           && outcome.failure().effect == EffectState::NotRun;
 }
 
 } // namespace
--- a/tests/engine/engineclient_test.cpp
+++ b/tests/engine/engineclient_test.cpp
@@ -95,15 +95,15 @@
     AbortSignal abortSignal;
     const auto busy = run(client, abortSignal);
     BOOST_TEST((busy.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((busy.failure().run == EffectState::NotRun));
+    BOOST_TEST((busy.failure().effect == EffectState::NotRun));
     body = "overloaded";
-    BOOST_TEST((run(client, abortSignal).failure().run == EffectState::MayHaveRun));
+    BOOST_TEST((run(client, abortSignal).failure().effect == EffectState::MayHaveRun));
     status = 500;
-    BOOST_TEST((run(client, abortSignal).failure().run == EffectState::MayHaveRun));
+    BOOST_TEST((run(client, abortSignal).failure().effect == EffectState::MayHaveRun));
     server.stop();
     const auto refused = run(client, abortSignal);
     BOOST_TEST((refused.failure().code == ErrorCode::UpstreamUnavailable));
-    BOOST_TEST((refused.failure().run == EffectState::NotRun));
+    BOOST_TEST((refused.failure().effect == EffectState::NotRun));
 }
 
 // Guards against a call that blocks for ever because the engine has frozen.
@@ -114,7 +114,7 @@
     AbortSignal abortSignal;
     const auto broken = run(client, abortSignal);
     BOOST_TEST((broken.failure().code == ErrorCode::StreamBroken));
-    BOOST_TEST((broken.failure().run == EffectState::MayHaveRun));
+    BOOST_TEST((broken.failure().effect == EffectState::MayHaveRun));
     const absl::Time deadline = SystemClock::instance().now() + absl::Milliseconds(50);
     BOOST_TEST((run(client, abortSignal, deadline).failure().code == ErrorCode::Timeout));
 }
--- a/tests/engine/streamreader_test.cpp
+++ b/tests/engine/streamreader_test.cpp
@@ -80,7 +80,7 @@
     BOOST_TEST((withoutDone.reader.finish().failure().code == ErrorCode::StreamBroken));
     CollectingReader withoutReason;
     BOOST_TEST(withoutReason.reader.feed(makeEvent("r", 0, "a") + doneEvent));
-    BOOST_TEST((withoutReason.reader.finish().failure().run == EffectState::MayHaveRun));
+    BOOST_TEST((withoutReason.reader.finish().failure().effect == EffectState::MayHaveRun));
 }
 
 // Guards against a reader that reads the complete answer of another request before it fails.
--- a/tests/fakes/enginemodel_test.cpp
+++ b/tests/fakes/enginemodel_test.cpp
@@ -137,7 +137,7 @@
     const auto outcome = outcomeOf([&] { return model.submit(start, request("c", 5)); });
     BOOST_TEST_REQUIRE(!outcome.ok());
     BOOST_TEST((outcome.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((outcome.failure().run == EffectState::NotRun));
+    BOOST_TEST((outcome.failure().effect == EffectState::NotRun));
 }
 
 // Guards against a resumed stream that repeats or skips tokens.
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -45,7 +45,7 @@
     });
     BOOST_TEST_REQUIRE(!answer.ok());
     BOOST_TEST((answer.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((answer.failure().run == EffectState::NotRun));
+    BOOST_TEST((answer.failure().effect == EffectState::NotRun));
     BOOST_TEST(!started);
 }
 
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -89,7 +89,7 @@
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
-    BOOST_TEST(name(outcome.failure().run) == name(run), describe(outcome.failure()));
+    BOOST_TEST(name(outcome.failure().effect) == name(run), describe(outcome.failure()));
 }
 
 } // namespace
@@ -243,7 +243,7 @@
                 callAndWait(channel, std::string(512 << 10, 'x'), absl::Milliseconds(20));
         BOOST_REQUIRE(!outcome.ok());
         if (outcome.failure().code == ErrorCode::QueueFull) {
-            BOOST_TEST(name(outcome.failure().run) == name(EffectState::NotRun));
+            BOOST_TEST(name(outcome.failure().effect) == name(EffectState::NotRun));
             ++full;
         }
     }
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -193,7 +193,7 @@
     BOOST_TEST(filter<RejectTask>(decisions).size() == 4U);
     for (const RejectTask &rejection : filter<RejectTask>(decisions)) {
         BOOST_TEST(outsideContract.count(rejection.task) == 1U);
-        BOOST_TEST((rejection.failure.run == EffectState::NotRun));
+        BOOST_TEST((rejection.failure.effect == EffectState::NotRun));
     }
 }
 
@@ -210,7 +210,7 @@
     BOOST_REQUIRE(rejected.size() == 1U);
     BOOST_TEST(rejected[0].task == waiting);
     BOOST_TEST((rejected[0].failure.code == ErrorCode::Overloaded));
-    BOOST_TEST((rejected[0].failure.run == EffectState::NotRun));
+    BOOST_TEST((rejected[0].failure.effect == EffectState::NotRun));
 }
 
 // Guards against a retry that repeats the effect of a non-idempotent request which may have run.
@@ -228,7 +228,7 @@
         BOOST_TEST(filter<StartTask>(after).empty());
         const auto rejected = filter<RejectTask>(after);
         BOOST_REQUIRE(rejected.size() == 1U);
-        BOOST_TEST((rejected[0].failure.run == EffectState::MayHaveRun));
+        BOOST_TEST((rejected[0].failure.effect == EffectState::MayHaveRun));
     }
     Task nonIdempotent = task(TaskKind::Online);
     nonIdempotent.idempotent = false;
--- a/tests/replication/groupdriver_test.cpp
+++ b/tests/replication/groupdriver_test.cpp
@@ -150,7 +150,7 @@
             group.drivers.at(leader)->propose("key=1", std::move(done));
         });
         return !outcome.ok() && outcome.failure().code == ErrorCode::DiskFull
-               && outcome.failure().run == EffectState::NotRun;
+               && outcome.failure().effect == EffectState::NotRun;
     };
     BOOST_TEST(LocalCluster::waitUntil(refusal));
     const auto value = await([&](RaftNode::Callback done) {
--- a/tests/serving/testprotocoladapter.h
+++ b/tests/serving/testprotocoladapter.h
@@ -51,7 +51,7 @@
     net::Response jobResultsResponse(const wire::ReadJobResponse &) const override { return {}; }
     net::Response errorResponse(const Failure &failure, absl::Duration) const override
     {
-        return net::textResponse(failure.run == EffectState::NotRun ? 503 : 502, failure.detail,
+        return net::textResponse(failure.effect == EffectState::NotRun ? 503 : 502, failure.detail,
                                  "t");
     }
 };
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -59,7 +59,7 @@
 BOOST_AUTO_TEST_CASE(unknownRunStateCountsAsMayHaveRun)
 {
     FailureMessage message{true, "timeout", "perhaps", ""};
-    BOOST_TEST((fromMessage(message).run == EffectState::MayHaveRun));
+    BOOST_TEST((fromMessage(message).effect == EffectState::MayHaveRun));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
