--- a/include/rattanrill/controlclient/controlclient.h
+++ b/include/rattanrill/controlclient/controlclient.h
@@ -15,10 +15,10 @@
 namespace rattanrill::controlclient {
 
 /// Name of the Raft group that replicates the directory.
-constexpr const char *directoryGroup = "directory";
+constexpr const char *directoryGroupName = "directory";
 
 /// Name of the Raft group of batch partition \a partition, such as "batch-0".
-std::string batchGroup(int partition);
+std::string batchGroupName(int partition);
 
 /// Client of the control instances. It finds the leader of a group by the hints in NotLeader
 /// failures, tries the next instance after a connection is lost, and retries until the timeout of
--- a/include/rattanrill/directory/directorysubscriber.h
+++ b/include/rattanrill/directory/directorysubscriber.h
@@ -56,7 +56,7 @@
     std::shared_ptr<const DirectoryView> view() const;
     /// Time since the sending of the last poll that was answered successfully. The view contains
     /// everything that was committed before that time. Infinite before the first answer.
-    absl::Duration age() const;
+    absl::Duration viewAge() const;
     /// Registers \a listener, which is called with each new view, in order of revision, on the
     /// thread that receives the answer. To be called before start().
     void onChange(Listener listener);
--- a/include/rattanrill/directory/statemachine.h
+++ b/include/rattanrill/directory/statemachine.h
@@ -19,7 +19,7 @@
 
 /// Maximum number of remembered member incarnations that were replaced by a newer one and must not
 /// join again; it covers more than six days at 640 restarts a day.
-constexpr std::size_t maxReplacedIncarnations = 4096;
+constexpr std::size_t maxLoggedIncarnations = 4096;
 
 /// Creates the replicated state machine of the directory group. It applies wire::DirectoryCommand
 /// and returns a wire::DirectoryResult; it answers a wire::DirectoryQuery with a
--- a/include/rattanrill/wire/batchmessages.h
+++ b/include/rattanrill/wire/batchmessages.h
@@ -326,12 +326,12 @@
     std::string workspace;
 };
 
-using BatchQuery = std::variant<ReadJob, ReadFile, ReadResults, ListJobs>;
+using BatchQueryOperation = std::variant<ReadJob, ReadFile, ReadResults, ListJobs>;
 
 /// A read from a partition group.
 struct BatchQueryMessage
 {
-    BatchQuery query;
+    BatchQueryOperation query;
 };
 
 /// Result of one item, as a line of the result file.
@@ -348,7 +348,7 @@
     std::string reason;
 };
 
-/// Response to a BatchQuery. Only the members that belong to the query are set.
+/// Response to a BatchQueryOperation. Only the members that belong to the query are set.
 struct BatchQueryResult
 {
     JobStatus job;
--- a/include/rattanrill/wire/directorymessages.h
+++ b/include/rattanrill/wire/directorymessages.h
@@ -335,8 +335,8 @@
     std::uint64_t afterRevision = 0;
 };
 
-/// Request of Method::Grant: one request to the owner of a workspace's rate bucket for the grants
-/// of one or several callers' requests.
+/// Request of Method::GrantRate: one request to the owner of a workspace's rate bucket for the
+/// grants of one or several callers' requests.
 struct RateGrantRequest
 {
     std::string workspace;
@@ -348,7 +348,7 @@
     std::int64_t maxWaitMs = 0;
 };
 
-/// Response of Method::Grant.
+/// Response of Method::GrantRate.
 struct RateGrantResponse
 {
     /// Number of requests granted, in order of arrival.
--- a/include/rattanrill/wire/fleetmessages.h
+++ b/include/rattanrill/wire/fleetmessages.h
@@ -118,7 +118,7 @@
     bool holdsCopy = false;
 };
 
-/// Request of Method::Sync: a heartbeat and a long poll in one.
+/// Request of Method::SyncFleet: a heartbeat and a long poll in one.
 struct FleetSyncRequest
 {
     FleetMember self;
@@ -138,8 +138,8 @@
     std::int64_t waitMs = 0;
 };
 
-/// Response of Method::Sync. Only the fields up to \a configuration are set if the sender of the
-/// request has the current view.
+/// Response of Method::SyncFleet. Only the fields up to \a configuration are set if the sender of
+/// the request has the current view.
 struct FleetSyncResponse
 {
     std::uint64_t viewTerm = 0;
@@ -227,7 +227,7 @@
     std::vector<HeldSlot> places;
 };
 
-/// Push of Method::Load: the load that an upstream reported in the headers of a response.
+/// Push of Method::ReportLoad: the load that an upstream reported in the headers of a response.
 struct UpstreamLoad
 {
     std::string upstream;
--- a/include/rattanrill/wire/jobmessages.h
+++ b/include/rattanrill/wire/jobmessages.h
@@ -43,7 +43,7 @@
 std::string_view name(ItemOutcome outcome);
 
 /// Final state of one item. Its position in the job's list of results never changes.
-struct ItemResult
+struct JobItemResult
 {
     std::string id;
     ItemOutcome outcome = ItemOutcome::Completed;
@@ -65,7 +65,7 @@
 {
     static constexpr std::string_view kind = "append_results";
     std::string job;
-    std::vector<ItemResult> results;
+    std::vector<JobItemResult> results;
 };
 
 /// Output that a running item has produced since its last stored event.
@@ -100,13 +100,13 @@
 };
 
 /// Removes jobs that were accepted before \a beforeMs and are finished or ended.
-struct ForgetJobs
+struct PurgeJobs
 {
     static constexpr std::string_view kind = "forget_jobs";
     std::int64_t beforeMs = 0;
 };
 
-using JobOperation = std::variant<AcceptJob, AppendResults, AppendProgress, EndJob, ForgetJobs>;
+using JobOperation = std::variant<AcceptJob, AppendResults, AppendProgress, EndJob, PurgeJobs>;
 
 /// A write to the store group.
 struct JobCommand
@@ -150,7 +150,7 @@
     std::int64_t total = 0;
     /// Value of \a after for the next request.
     std::int64_t next = 0;
-    std::vector<ItemResult> results;
+    std::vector<JobItemResult> results;
 };
 
 /// Request of Method::ReadItem, also a query: reads the request body of an item. Fails with
@@ -191,19 +191,19 @@
     std::vector<OpenJob> jobs;
 };
 
-using JobQueryKind = std::variant<ReadJobRequest, ReadItemRequest, ListOpenJobs>;
+using JobQueryOperation = std::variant<ReadJobRequest, ReadItemRequest, ListOpenJobs>;
 
 /// Query to the store group.
 struct JobQuery
 {
-    JobQueryKind query;
+    JobQueryOperation query;
 };
 
 /// A job with its whole state, for snapshots.
 struct StoredJob
 {
     JobRecord job;
-    std::vector<ItemResult> results;
+    std::vector<JobItemResult> results;
     std::vector<ItemProgress> progress;
     bool ended = false;
 };
--- a/src/control/commandstamp.cpp
+++ b/src/control/commandstamp.cpp
@@ -21,7 +21,7 @@
 Result<std::string> stampCommand(const std::string &group, const std::string &command,
                                  std::int64_t nowMs)
 {
-    if (group == controlclient::directoryGroup)
+    if (group == controlclient::directoryGroupName)
         return stamped<wire::DirectoryCommand>(command, nowMs);
     return stamped<wire::BatchCommand>(command, nowMs);
 }
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -28,10 +28,10 @@
 Result<void> GroupHost::open()
 {
     BOOST_LEAF_CHECK(
-            openReplica(controlclient::directoryGroup, directory::makeDirectoryStateMachine()));
+            openReplica(controlclient::directoryGroupName, directory::makeDirectoryStateMachine()));
     for (int partition = 0; partition < m_settings.partitions; ++partition)
-        BOOST_LEAF_CHECK(
-                openReplica(controlclient::batchGroup(partition), batch::makeBatchStateMachine()));
+        BOOST_LEAF_CHECK(openReplica(controlclient::batchGroupName(partition),
+                                     batch::makeBatchStateMachine()));
     return {};
 }
 
@@ -62,7 +62,7 @@
 
 replication::RaftNode &GroupHost::directory() const
 {
-    return *m_groups.at(controlclient::directoryGroup);
+    return *m_groups.at(controlclient::directoryGroupName);
 }
 
 std::vector<std::string> GroupHost::names() const
--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -179,7 +179,8 @@
 void MemberWatch::removeExpired()
 {
     const replication::RaftNodeStatus status = m_groups.directory().status();
-    const bool canRemove = status.role == replication::Role::Leader && m_view.age() < maxViewAge;
+    const bool canRemove =
+            status.role == replication::Role::Leader && m_view.viewAge() < maxViewAge;
     const std::vector<wire::Member> expired = expiredMembers(canRemove ? status.term : 0);
     if (!canRemove)
         return;
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -215,10 +215,11 @@
     return status;
 }
 
-Result<wire::BatchQueryResult> OperatorApi::readPartition(int partition, wire::BatchQuery query)
+Result<wire::BatchQueryResult> OperatorApi::readPartition(int partition,
+                                                          wire::BatchQueryOperation query)
 {
     PendingOutcome pending;
-    m_client.read(controlclient::batchGroup(partition),
+    m_client.read(controlclient::batchGroupName(partition),
                   wire::encode(wire::BatchQueryMessage{std::move(query)}), groupTimeout,
                   pending.callback());
     const auto bytes = pending.wait(groupTimeout * 2);
@@ -259,7 +260,7 @@
         wire::BatchCommand command;
         command.operation = wire::CancelJob{request.id, ""};
         PendingOutcome pending;
-        m_client.propose(controlclient::batchGroup(partition), wire::encode(command), true,
+        m_client.propose(controlclient::batchGroupName(partition), wire::encode(command), true,
                          groupTimeout, pending.callback());
         BOOST_LEAF_AUTO(bytes, pending.wait(groupTimeout * 2).result());
         BOOST_LEAF_AUTO(result, wire::decode<wire::BatchResult>(bytes));
@@ -319,7 +320,7 @@
 /// True when a leader has confirmed this instance's directory view within the last owner lease.
 bool OperatorApi::ready() const
 {
-    return m_view.age() < m_settings.ownerLease;
+    return m_view.viewAge() < m_settings.ownerLease;
 }
 
 } // namespace rattanrill::control
--- a/src/control/operatorapi.h
+++ b/src/control/operatorapi.h
@@ -54,7 +54,7 @@
     Result<Json> tryInForce(const OperatorRequest &request);
     Result<Json> tryList(wire::RecordKind kind);
     Outcome<wire::PollChangesResponse> readDirectory(std::uint64_t afterRevision);
-    Result<wire::BatchQueryResult> readPartition(int partition, wire::BatchQuery query);
+    Result<wire::BatchQueryResult> readPartition(int partition, wire::BatchQueryOperation query);
     Result<Json> tryCancel(const OperatorRequest &request);
     Result<replication::RaftNode *> groupOf(const OperatorRequest &request);
     Result<Json> tryAddReplica(const OperatorRequest &request);
--- a/src/control/partitionclock.cpp
+++ b/src/control/partitionclock.cpp
@@ -47,7 +47,7 @@
 void PartitionClock::tick()
 {
     for (int partition = 0; partition < m_settings.partitions; ++partition) {
-        const std::string group = controlclient::batchGroup(partition);
+        const std::string group = controlclient::batchGroupName(partition);
         if (isDue(group, m_groups.isLeader(group)))
             advance(group);
     }
--- a/src/controlclient/controlclient.cpp
+++ b/src/controlclient/controlclient.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-std::string batchGroup(int partition)
+std::string batchGroupName(int partition)
 {
     return concat("batch-", partition);
 }
@@ -111,7 +111,7 @@
     CallParameters parameters;
     parameters.method = wire::Method::Heartbeat;
     parameters.body = wire::encode(request);
-    parameters.target = directoryGroup;
+    parameters.target = directoryGroupName;
     parameters.attemptTimeout = defaultAttemptTimeout;
     parameters.deadline = m_impl->calls->now() + timeout;
     m_impl->calls->start(std::move(parameters),
--- a/src/directory/directorystate.h
+++ b/src/directory/directorystate.h
@@ -90,7 +90,7 @@
     std::int64_t m_nowMs = 0;
     ChangeHistory m_history{maxChangeHistory};
     ResponseCache m_cachedResponses{maxCachedResponses};
-    IncarnationLog m_incarnations{maxReplacedIncarnations};
+    IncarnationLog m_incarnations{maxLoggedIncarnations};
 };
 
 template <typename Record>
--- a/src/directory/directorystatemachine.cpp
+++ b/src/directory/directorystatemachine.cpp
@@ -243,7 +243,8 @@
 Result<void> DirectoryStateMachine::checkPathPrefix(const wire::Route &route) const
 {
     for (const auto &[name, other] : m_state.table<wire::Route>()) {
-        const bool same = prefixBase(other.pathPrefix) == prefixBase(route.pathPrefix);
+        const bool same =
+                withoutTrailingSlash(other.pathPrefix) == withoutTrailingSlash(route.pathPrefix);
         if (same && name != route.name)
             return conflict(concat("route \"", name, "\" has the same path prefix"));
     }
--- a/src/directory/directorysubscriber.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -227,7 +227,7 @@
     return m_impl->currentView();
 }
 
-absl::Duration DirectorySubscriber::age() const
+absl::Duration DirectorySubscriber::viewAge() const
 {
     absl::MutexLock lock(&m_impl->mutex);
     return m_impl->clock.now() - m_impl->lastAnsweredSentAt;
--- a/src/directory/directoryview.cpp
+++ b/src/directory/directoryview.cpp
@@ -158,8 +158,8 @@
     for (const auto &[name, route] : m_routes.rows()) {
         if (!matchesPrefix(path, route->pathPrefix))
             continue;
-        const std::size_t length = prefixBase(route->pathPrefix).size();
-        if (!best || length > prefixBase(best->pathPrefix).size())
+        const std::size_t length = withoutTrailingSlash(route->pathPrefix).size();
+        if (!best || length > withoutTrailingSlash(best->pathPrefix).size())
             best = route;
     }
     return best;
--- a/src/directory/pathprefix.cpp
+++ b/src/directory/pathprefix.cpp
@@ -2,7 +2,7 @@
 
 namespace rattanrill::directory {
 
-std::string_view prefixBase(std::string_view prefix)
+std::string_view withoutTrailingSlash(std::string_view prefix)
 {
     const bool hasTrailingSlash = !prefix.empty() && prefix.back() == '/';
     return hasTrailingSlash ? prefix.substr(0, prefix.size() - 1) : prefix;
@@ -10,7 +10,7 @@
 
 bool matchesPrefix(std::string_view path, std::string_view prefix)
 {
-    const std::string_view base = prefixBase(prefix);
+    const std::string_view base = withoutTrailingSlash(prefix);
     if (path.substr(0, base.size()) != base)
         return false;
     return path.size() == base.size() || path[base.size()] == '/';
--- a/src/directory/recordvalidation.cpp
+++ b/src/directory/recordvalidation.cpp
@@ -77,7 +77,7 @@
 /// Whether a route with \a prefix would hide \a reservedPath: one of them begins with the other.
 bool shadows(std::string_view prefix, std::string_view reservedPath)
 {
-    const std::string_view base = prefixBase(prefix);
+    const std::string_view base = withoutTrailingSlash(prefix);
     if (reservedPath.substr(0, base.size()) == base)
         return true;
     return matchesPrefix(base, reservedPath);
--- a/src/entry/crashreporter.cpp
+++ b/src/entry/crashreporter.cpp
@@ -30,7 +30,7 @@
     command.nowMs = absl::ToUnixMillis(m_clock.wallNow());
     command.operation =
             wire::ReportCrash{fingerprint, upstream, absl::ToInt64Milliseconds(m_blockTime)};
-    m_control.propose(controlclient::directoryGroup, wire::encode(command), true, m_timeout,
+    m_control.propose(controlclient::directoryGroupName, wire::encode(command), true, m_timeout,
                       [callback = std::move(callback)](const Outcome<std::string> &answer) {
                           if (!answer.ok()) {
                               callback(answer.failure());
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -120,7 +120,7 @@
         subscriber.onChange([this](const std::shared_ptr<const directory::DirectoryView> &view) {
             applyView(*view);
         });
-        peers.handle(wire::Method::Grant,
+        peers.handle(wire::Method::GrantRate,
                      [this](const peer::PeerIdentity &, const std::string &body,
                             const peer::ResponseCallback &reply) { reply(grant(body)); });
         peers.handle(wire::Method::TransferRateBuckets,
@@ -173,14 +173,14 @@
     {
         if (draining)
             return "this instance is stopping";
-        if (subscriber.age() > settings.timings.keyFreshness)
+        if (subscriber.viewAge() > settings.timings.keyFreshness)
             return "the directory view is too old";
         return {};
     }
 
     void refreshMetrics()
     {
-        metrics.set("rattanrill_view_age_seconds", {}, absl::ToDoubleSeconds(subscriber.age()));
+        metrics.set("rattanrill_view_age_seconds", {}, absl::ToDoubleSeconds(subscriber.viewAge()));
         metrics.set("rattanrill_view_revision", {},
                     static_cast<double>(subscriber.view()->revision()));
         for (const policy::TaskKind kind : {policy::TaskKind::Online, policy::TaskKind::Batch}) {
--- a/src/entry/keyauthenticator.cpp
+++ b/src/entry/keyauthenticator.cpp
@@ -50,7 +50,7 @@
                       "the request has no \"Authorization: Bearer\" header with a key");
     // The age is read before the view: if a new view arrives in between, it is younger than this
     // age.
-    const absl::Duration age = m_directory.age();
+    const absl::Duration age = m_directory.viewAge();
     if (age > m_keyFreshness)
         return notRun(ErrorCode::KeysNotFresh,
                       "this instance cannot currently verify that the key is still valid");
@@ -68,7 +68,7 @@
 {
     if (caller.keyHash.empty())
         return std::nullopt;
-    const absl::Duration age = m_directory.age();
+    const absl::Duration age = m_directory.viewAge();
     const auto view = m_directory.view();
     const auto key = view->apiKeyByHash(caller.keyHash);
     if (!key || !isValid(*view, *key))
--- a/src/entry/partitions.cpp
+++ b/src/entry/partitions.cpp
@@ -33,17 +33,18 @@
     command.nowMs = absl::ToUnixMillis(m_clock.wallNow());
     command.operation = std::move(operation);
     const auto answer = awaitOutcome<std::string>([&](auto callback) {
-        m_control.propose(controlclient::batchGroup(partition), wire::encode(command), idempotent,
-                          m_timeout, callback);
+        m_control.propose(controlclient::batchGroupName(partition), wire::encode(command),
+                          idempotent, m_timeout, callback);
     });
     return decodeAnswer<wire::BatchResult>(answer);
 }
 
-Outcome<wire::BatchQueryResult> ControlPartitions::query(int partition, wire::BatchQuery query)
+Outcome<wire::BatchQueryResult> ControlPartitions::query(int partition,
+                                                         wire::BatchQueryOperation query)
 {
     const wire::BatchQueryMessage message{std::move(query)};
     const auto answer = awaitOutcome<std::string>([&](auto callback) {
-        m_control.read(controlclient::batchGroup(partition), wire::encode(message), m_timeout,
+        m_control.read(controlclient::batchGroupName(partition), wire::encode(message), m_timeout,
                        callback);
     });
     return decodeAnswer<wire::BatchQueryResult>(answer);
--- a/src/entry/partitions.h
+++ b/src/entry/partitions.h
@@ -26,7 +26,8 @@
     /// answer is lost.
     virtual Outcome<wire::BatchResult> propose(int partition, wire::BatchOperation operation,
                                                bool idempotent) = 0;
-    virtual Outcome<wire::BatchQueryResult> query(int partition, wire::BatchQuery query) = 0;
+    virtual Outcome<wire::BatchQueryResult> query(int partition,
+                                                  wire::BatchQueryOperation query) = 0;
 };
 
 /// Partition groups hosted by the control instances.
@@ -39,7 +40,7 @@
     int count() const override { return m_count; }
     Outcome<wire::BatchResult> propose(int partition, wire::BatchOperation operation,
                                        bool idempotent) override;
-    Outcome<wire::BatchQueryResult> query(int partition, wire::BatchQuery query) override;
+    Outcome<wire::BatchQueryResult> query(int partition, wire::BatchQueryOperation query) override;
 
 private:
     controlclient::ControlClient &m_control;
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -110,7 +110,7 @@
         return;
     }
     const auto channel = m_channels.channel(address.value());
-    channel->call(wire::Method::Grant, wire::encode(request), m_options.timeout,
+    channel->call(wire::Method::GrantRate, wire::encode(request), m_options.timeout,
                   [this, workspace, callers = std::move(callers)](Outcome<std::string> reply) {
                       Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
                       if (reply.ok())
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -36,7 +36,7 @@
 
 void RateOwner::updateOwnership()
 {
-    const absl::Duration age = m_directory.age();
+    const absl::Duration age = m_directory.viewAge();
     const auto view = m_directory.view();
     {
         absl::MutexLock lock(&m_mutex);
@@ -235,7 +235,7 @@
 
 Outcome<wire::RateGrantResponse> RateOwner::grant(const wire::RateGrantRequest &request)
 {
-    const absl::Duration age = m_directory.age();
+    const absl::Duration age = m_directory.viewAge();
     const auto view = m_directory.view();
     Outcome<wire::RateGrantResponse> response = wire::RateGrantResponse();
     {
--- a/src/fleet/fleetclient.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -47,7 +47,7 @@
         wire::FleetSyncRequest message = makeRequest();
         message.leaving = leaving;
         message.waitMs = 0;
-        channels.channel(leader)->sendOneWay(wire::Method::Sync, wire::encode(message));
+        channels.channel(leader)->sendOneWay(wire::Method::SyncFleet, wire::encode(message));
     }
 
     /// Returns the leader's address when it is known. Otherwise returns a few of the known
@@ -88,7 +88,7 @@
     void poll(const std::string &address)
     {
         const absl::Time sentAt = clock.now();
-        channels.channel(address)->call(wire::Method::Sync, wire::encode(makeRequest()),
+        channels.channel(address)->call(wire::Method::SyncFleet, wire::encode(makeRequest()),
                                         settings.pollTimeout,
                                         [self = shared_from_this(), address, sentAt,
                                          pollRound = round](Outcome<std::string> outcome) {
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -109,7 +109,7 @@
                             });
                 });
         installOneWayHandler(wire::Method::ReleaseSlot, &StoreProcess::release);
-        installOneWayHandler(wire::Method::Load, &StoreProcess::updateLoad);
+        installOneWayHandler(wire::Method::ReportLoad, &StoreProcess::updateLoad);
         installOneWayHandler(wire::Method::ReportHeldSlots, &StoreProcess::restoreHeldSlots);
     }
 
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -336,7 +336,7 @@
          {"yields", m_preemptions},
          {"ageMs", absl::ToInt64Milliseconds(m_context.clock.wallNow()
                                              - absl::FromUnixMillis(m_job->acceptedAtMs))}});
-    wire::ItemResult result;
+    wire::JobItemResult result;
     result.id = m_item.id;
     result.outcome = outcome;
     if (outcome == wire::ItemOutcome::Completed)
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -17,7 +17,7 @@
 {
 public:
     /// Receives the result; called at most once.
-    using ResultCallback = std::function<void(wire::ItemResult result)>;
+    using ResultCallback = std::function<void(wire::JobItemResult result)>;
 
     ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
             const wire::JobItem &item, ResultCallback resultCallback);
--- a/src/jobs/jobexecutor.cpp
+++ b/src/jobs/jobexecutor.cpp
@@ -43,7 +43,7 @@
             runs[item.id] = std::make_shared<ItemRun>(
                     context, record, item,
                     [self = shared_from_this(), job = record->id,
-                     expectedGeneration = generation](wire::ItemResult result) {
+                     expectedGeneration = generation](wire::JobItemResult result) {
                         self->handleItemResult(expectedGeneration, job, std::move(result));
                     });
         }
@@ -113,7 +113,7 @@
     }
 
     void handleItemResult(std::uint64_t expectedGeneration, const std::string &job,
-                          wire::ItemResult result)
+                          wire::JobItemResult result)
     {
         if (expectedGeneration != generation)
             return;
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -290,7 +290,7 @@
     {
         if (!isReady || !context.replica.isLeader())
             return;
-        const wire::ForgetJobs operation{
+        const wire::PurgeJobs operation{
                 absl::ToUnixMillis(context.clock.wallNow() - retentionPeriod)};
         context.replica.propose(wire::encode(wire::JobCommand{operation}),
                                 [](const Outcome<std::string> &outcome) {
--- a/src/jobs/jobstatemachine.cpp
+++ b/src/jobs/jobstatemachine.cpp
@@ -70,7 +70,7 @@
     Job &job = found->second;
     const auto &items = job.record.items;
     addWaitingTokens(job, -1);
-    for (const wire::ItemResult &result : operation.results) {
+    for (const wire::JobItemResult &result : operation.results) {
         const bool isItem = std::any_of(items.begin(), items.end(), [&](const wire::JobItem &item) {
             return item.id == result.id;
         });
@@ -112,7 +112,7 @@
     return wire::JobCommandResult();
 }
 
-Result<wire::JobCommandResult> JobStateMachine::perform(const wire::ForgetJobs &operation)
+Result<wire::JobCommandResult> JobStateMachine::perform(const wire::PurgeJobs &operation)
 {
     for (auto entry = m_jobs.begin(); entry != m_jobs.end();) {
         const Job &job = entry->second;
@@ -176,7 +176,7 @@
         std::size_t bytes = 0;
         std::int64_t position = std::clamp<std::int64_t>(query.after, 0, size);
         while (position < size && bytes < maxReadBytes) {
-            const wire::ItemResult &result = job->results[static_cast<std::size_t>(position)];
+            const wire::JobItemResult &result = job->results[static_cast<std::size_t>(position)];
             bytes += result.output.size();
             if (bytes > maxReadBytes && !response.results.empty())
                 break;
@@ -235,7 +235,7 @@
         job.ended = stored.ended;
         for (wire::ItemProgress &progress : stored.progress)
             job.progress[progress.item] = std::move(progress);
-        for (const wire::ItemResult &result : job.results)
+        for (const wire::JobItemResult &result : job.results)
             job.finished.insert(result.id);
         addWaitingTokens(job, 1);
         m_jobs.emplace(job.record.id, std::move(job));
--- a/src/jobs/jobstatemachine.h
+++ b/src/jobs/jobstatemachine.h
@@ -26,7 +26,7 @@
     struct Job
     {
         wire::JobRecord record;
-        std::vector<wire::ItemResult> results;
+        std::vector<wire::JobItemResult> results;
         std::set<std::string> finished;
         /// Progress of items without a result, by item id.
         std::map<std::string, wire::ItemProgress> progress;
@@ -42,7 +42,7 @@
     Result<wire::JobCommandResult> perform(const wire::AppendResults &operation);
     Result<wire::JobCommandResult> perform(const wire::AppendProgress &operation);
     Result<wire::JobCommandResult> perform(const wire::EndJob &operation);
-    Result<wire::JobCommandResult> perform(const wire::ForgetJobs &operation);
+    Result<wire::JobCommandResult> perform(const wire::PurgeJobs &operation);
 
     std::string evaluate(const wire::ReadJobRequest &query) const;
     std::string evaluate(const wire::ReadItemRequest &query) const;
--- a/src/serving/slotclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -210,7 +210,7 @@
     m_impl->localBroker.updateLoad(load);
     if (!m_impl->brokerAddress.empty())
         m_impl->channels.channel(m_impl->brokerAddress)
-                ->sendOneWay(wire::Method::Load, wire::encode(load));
+                ->sendOneWay(wire::Method::ReportLoad, wire::encode(load));
 }
 
 void SlotClient::stop()
--- a/tests/batch/batchdriver.cpp
+++ b/tests/batch/batchdriver.cpp
@@ -51,12 +51,12 @@
     return unpackResult(applyBytes(operation));
 }
 
-std::string BatchDriver::queryBytes(const wire::BatchQuery &query) const
+std::string BatchDriver::queryBytes(const wire::BatchQueryOperation &query) const
 {
     return m_machine->query(wire::encode(wire::BatchQueryMessage{query}));
 }
 
-Outcome<wire::BatchQueryResult> BatchDriver::query(wire::BatchQuery query) const
+Outcome<wire::BatchQueryResult> BatchDriver::query(wire::BatchQueryOperation query) const
 {
     return unpack<wire::BatchQueryResult>(queryBytes(query));
 }
--- a/tests/batch/batchdriver.h
+++ b/tests/batch/batchdriver.h
@@ -20,8 +20,8 @@
     Outcome<wire::BatchResult> apply(wire::BatchOperation operation);
     /// Returns the encoded response.
     std::string applyBytes(const wire::BatchOperation &operation);
-    Outcome<wire::BatchQueryResult> query(wire::BatchQuery query) const;
-    std::string queryBytes(const wire::BatchQuery &query) const;
+    Outcome<wire::BatchQueryResult> query(wire::BatchQueryOperation query) const;
+    std::string queryBytes(const wire::BatchQueryOperation &query) const;
     /// Replaces the state machine with one restored from its snapshot.
     void restart();
     replication::StateMachine &machine() { return *m_machine; }
--- a/tests/control/controlcluster.cpp
+++ b/tests/control/controlcluster.cpp
@@ -84,7 +84,7 @@
 {
     for (int poll = 0; poll < maxLeaderPolls; ++poll) {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (m_nodes[i] && m_nodes[i]->groups().isLeader(controlclient::directoryGroup))
+            if (m_nodes[i] && m_nodes[i]->groups().isLeader(controlclient::directoryGroupName))
                 return static_cast<int>(i);
         }
         absl::SleepFor(leaderPollPeriod);
--- a/tests/directory/controlpollclient_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -61,7 +61,7 @@
         });
         subscriber.start();
         BOOST_REQUIRE(thirdRevision.WaitForNotificationWithTimeout(waitTimeout));
-        BOOST_TEST((subscriber.age() < waitTimeout));
+        BOOST_TEST((subscriber.viewAge() < waitTimeout));
     }
     client.stop();
     server.stop();
--- a/tests/directory/directorysubscriber_test.cpp
+++ b/tests/directory/directorysubscriber_test.cpp
@@ -76,15 +76,15 @@
 // before the poll was sent, not what was committed before the answer arrived.
 BOOST_AUTO_TEST_CASE(ageCountsFromTheTimeThePollWasSent)
 {
-    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
+    BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
     subscriber.start();
     timers.advance(absl::Milliseconds(700));
-    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
+    BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
     polls.answer(contractAt(1, 1));
-    BOOST_TEST((subscriber.age() == absl::Milliseconds(700)));
+    BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(700)));
     timers.advance(absl::Milliseconds(300));
     polls.answer(unchanged(1));
-    BOOST_TEST((subscriber.age() == absl::Milliseconds(300)));
+    BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(300)));
 }
 
 // Guards against a failed poll that resets the age of the view.
@@ -94,7 +94,7 @@
     polls.answer(contractAt(1, 1));
     timers.advance(absl::Milliseconds(100));
     polls.answer(notRun(ErrorCode::Timeout, ""));
-    BOOST_TEST((subscriber.age() == absl::Milliseconds(100)));
+    BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(100)));
     BOOST_TEST(subscriber.view()->revision() == 1u);
 }
 
@@ -107,7 +107,7 @@
     timers.advance(absl::Milliseconds(100));
     polls.answer(contractAt(4, 4));
     BOOST_TEST(subscriber.view()->contract("w")->ratePerSecond == 5);
-    BOOST_TEST((subscriber.age() == absl::Milliseconds(100)));
+    BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(100)));
     timers.advance(absl::Seconds(1));
     wire::PollChangesResponse snapshot = contractAt(3, 3);
     snapshot.snapshot = true;
@@ -125,7 +125,7 @@
     damaged.changes[0].body = "damaged";
     polls.answer(damaged);
     BOOST_TEST(subscriber.view()->revision() == 0u);
-    BOOST_TEST((subscriber.age() == absl::InfiniteDuration()));
+    BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
 }
 
 // Guards against polls that request all changes again, or a change that was already received, and
--- a/tests/fleet/fleetservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -51,12 +51,13 @@
 public:
     PolledServer()
     {
-        m_server.handle(wire::Method::Sync, [this](const peer::PeerIdentity &, const std::string &,
-                                                   const peer::ResponseCallback &reply) {
-            if (!m_polled.HasBeenNotified())
-                m_polled.Notify();
-            reply(notRun(ErrorCode::Timeout, ""));
-        });
+        m_server.handle(wire::Method::SyncFleet,
+                        [this](const peer::PeerIdentity &, const std::string &,
+                               const peer::ResponseCallback &reply) {
+                            if (!m_polled.HasBeenNotified())
+                                m_polled.Notify();
+                            reply(notRun(ErrorCode::Timeout, ""));
+                        });
         start(m_server);
     }
     ~PolledServer() { m_server.stop(); }
@@ -97,7 +98,7 @@
     absl::Notification responded;
     ErrorCode code = ErrorCode::Internal;
     channels.channel(addressOf(server))
-            ->call(wire::Method::Sync, wire::encode(request), absl::Seconds(5),
+            ->call(wire::Method::SyncFleet, wire::encode(request), absl::Seconds(5),
                    [&](const Outcome<std::string> &outcome) {
                        code = outcome.ok() ? ErrorCode::Internal : outcome.failure().code;
                        responded.Notify();
@@ -115,8 +116,8 @@
     net::LoopThread loopThread;
     PolledServer leader;
     peer::Server nonLeader(transport("other"));
-    nonLeader.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
-                                             const peer::ResponseCallback &reply) {
+    nonLeader.handle(wire::Method::SyncFleet, [&](const peer::PeerIdentity &, const std::string &,
+                                                  const peer::ResponseCallback &reply) {
         reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
     });
     start(nonLeader);
@@ -142,10 +143,10 @@
     // The callbacks are stored because destroying one would send a response.
     std::vector<peer::ResponseCallback> pendingReplies;
     peer::Server unresponsive(transport("silent"));
-    unresponsive.handle(wire::Method::Sync, [&](const peer::PeerIdentity &, const std::string &,
-                                                const peer::ResponseCallback &reply) {
-        pendingReplies.push_back(reply);
-    });
+    unresponsive.handle(
+            wire::Method::SyncFleet,
+            [&](const peer::PeerIdentity &, const std::string &,
+                const peer::ResponseCallback &reply) { pendingReplies.push_back(reply); });
     start(unresponsive);
     PolledServer leader;
 
--- a/tests/jobs/statemachine_test.cpp
+++ b/tests/jobs/statemachine_test.cpp
@@ -168,10 +168,10 @@
     wire::JobRecord old = job("old", 1);
     old.acceptedAtMs = 1000;
     perform(wire::AcceptJob{old, 0});
-    perform(wire::ForgetJobs{2000});
+    perform(wire::PurgeJobs{2000});
     BOOST_TEST(read("old").ok());
     finish("old", "i0", "x");
-    perform(wire::ForgetJobs{2000});
+    perform(wire::PurgeJobs{2000});
     BOOST_TEST(!read("old").ok());
 }
 
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -33,7 +33,7 @@
 
 /// Server on which Read returns the instance of the caller and the body, Raft returns the body
 /// twice, Propose stores its reply callback, PollChanges discards it, Heartbeat fails with
-/// NotLeader, and Grant blocks the network thread.
+/// NotLeader, and GrantRate blocks the network thread.
 struct EchoServer
 {
     explicit EchoServer(TransportOptions options = optionsOf("server"), int port = 0)
@@ -57,7 +57,7 @@
                       [](const PeerIdentity &, std::string, ResponseCallback reply) {
                           reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
                       });
-        server.handle(wire::Method::Grant,
+        server.handle(wire::Method::GrantRate,
                       [this](const PeerIdentity &, std::string, ResponseCallback reply) {
                           unblockGrant.WaitForNotification();
                           reply(std::string());
@@ -173,7 +173,7 @@
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
-    checkFailure(callAndWait(channel, "", absl::Minutes(5), wire::Method::Grant),
+    checkFailure(callAndWait(channel, "", absl::Minutes(5), wire::Method::GrantRate),
                  ErrorCode::ConnectionLost, EffectState::MayHaveRun);
 }
 
@@ -235,7 +235,7 @@
     Channel channel(options, addressOf(echo.server.port()));
     BOOST_REQUIRE(callAndWait(channel, "").ok());
     CallResult blocked;
-    channel.call(wire::Method::Grant, "", absl::Seconds(20), blocked.reply());
+    channel.call(wire::Method::GrantRate, "", absl::Seconds(20), blocked.reply());
     int full = 0;
     // The socket buffers hold a few MiB before the channel's own queue fills.
     for (int i = 0; i < 64 && full == 0; ++i) {
