--- a/include/rattanrill/engine/engineclient.h
+++ b/include/rattanrill/engine/engineclient.h
@@ -115,7 +115,7 @@
     Outcome<bool> cancel(const std::string &requestId);
     /// Ends a stream and exports its KV cache for a later attempt.
     Outcome<ExportedCache> exportCache(const std::string &requestId);
-    Outcome<EngineLoadReport> load();
+    Outcome<EngineLoadReport> fetchLoadReport();
     /// Returns the events of the prefix cache with sequence numbers above \a after. Events are
     /// delayed and some are missing.
     Outcome<CacheEventPage> cacheEvents(std::uint64_t after);
--- a/include/rattanrill/http/serversetup.h
+++ b/include/rattanrill/http/serversetup.h
@@ -35,6 +35,6 @@
 void sendFailure(httplib::Response &response, const Failure &failure, std::string_view requestId);
 
 /// Returns the error body of sendFailure() as text, for server-sent events and batch results.
-std::string failureBody(const Failure &failure, std::string_view requestId);
+std::string errorBody(const Failure &failure, std::string_view requestId);
 
 } // namespace rattanrill::http
--- a/include/rattanrill/net/connectionpool.h
+++ b/include/rattanrill/net/connectionpool.h
@@ -32,8 +32,8 @@
 {
     /// Returns false when the response belongs to another request; the pool then waits for the next
     /// response on the connection.
-    std::function<bool(const ResponseHead &)> head;
-    std::function<void(std::string_view)> body;
+    std::function<bool(const ResponseHead &)> onHead;
+    std::function<void(std::string_view)> onBody;
     /// Called exactly once unless the call is cancelled.
     std::function<void(CallStatus)> onEnd;
 };
--- a/include/rattanrill/net/eventloop.h
+++ b/include/rattanrill/net/eventloop.h
@@ -32,7 +32,7 @@
     void onSignal(std::function<void(int)> handler);
     /// Timers that fire on the loop. Use them on the loop only.
     TimerService &timers();
-    boost::asio::io_context &context();
+    boost::asio::io_context &ioContext();
 
 private:
     struct Impl;
--- a/include/rattanrill/net/message.h
+++ b/include/rattanrill/net/message.h
@@ -38,7 +38,7 @@
 
 /// Removes the hop-by-hop headers, including those that a Connection header names. Framing headers
 /// are removed as well; the sender sets them again.
-void removeConnectionHeaders(Headers &headers);
+void removeHopByHopHeaders(Headers &headers);
 
 /// HTTP request with its complete body.
 struct Request
@@ -71,7 +71,7 @@
 };
 
 /// Standard reason phrase of \a status.
-std::string_view reasonOf(int status);
+std::string_view reasonPhrase(int status);
 
 /// Creates a response with \a body and the Content-Type \a contentType.
 Response textResponse(int status, std::string body, std::string_view contentType);
--- a/include/rattanrill/net/responseparser.h
+++ b/include/rattanrill/net/responseparser.h
@@ -26,8 +26,8 @@
     struct Handlers
     {
         /// Returns false when the response belongs to another request.
-        std::function<bool(const ResponseHead &)> head;
-        std::function<void(std::string_view)> body;
+        std::function<bool(const ResponseHead &)> onHead;
+        std::function<void(std::string_view)> onBody;
     };
 
     explicit ResponseParser(Handlers handlers);
--- a/include/rattanrill/net/server.h
+++ b/include/rattanrill/net/server.h
@@ -76,9 +76,9 @@
     /// Makes the server close each connection after its next response.
     void drain();
     /// Closes the connections that have no open request.
-    void closeIdle();
-    std::size_t openRequests() const;
-    std::size_t connections() const;
+    void closeIdleConnections();
+    std::size_t openRequestCount() const;
+    std::size_t connectionCount() const;
     /// Stops listening and closes all connections.
     void stop();
 
--- a/include/rattanrill/peer/server.h
+++ b/include/rattanrill/peer/server.h
@@ -16,7 +16,7 @@
     Server &operator=(const Server &) = delete;
 
     /// Sets the handler of \a method. Call it before start() only.
-    void handle(wire::Method method, MethodHandler handler);
+    void setHandler(wire::Method method, MethodHandler handler);
     /// Listens on \a host and \a port; port 0 selects a free port. Fails with AddressInUse or
     /// InvalidArgument.
     Result<void> start(const std::string &host, int port);
--- a/include/rattanrill/service/serviceclient.h
+++ b/include/rattanrill/service/serviceclient.h
@@ -19,8 +19,8 @@
     std::string host;
     int port = 0;
     absl::Duration connectTimeout = absl::Seconds(1);
-    /// Timeout of load() and probe() for each request.
-    absl::Duration loadTimeout = absl::Seconds(2);
+    /// Timeout of fetchLoadReport() and probe() for each request.
+    absl::Duration auxiliaryCallTimeout = absl::Seconds(2);
     std::size_t maxResponseBytes = 16u << 20;
 };
 
@@ -82,9 +82,9 @@
     /// - UpstreamFailed (MayHaveRun): the answer exceeds maxResponseBytes or carries the id of
     ///   another request.
     Outcome<ServiceResponse> call(const ServiceRequest &request);
-    Outcome<ServiceLoadReport> load();
-    /// Checks that the service answers load(). Fails with UpstreamUnavailable when nothing listens
-    /// at its address.
+    Outcome<ServiceLoadReport> fetchLoadReport();
+    /// Checks that the service answers fetchLoadReport(). Fails with UpstreamUnavailable when
+    /// nothing listens at its address.
     Outcome<Done> probe();
     /// Number of answers that were dropped because they carried the id of another request.
     std::uint64_t droppedResponses() const;
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -40,27 +40,27 @@
 {
     using Body = std::string;
     using From = peer::PeerIdentity;
-    server.handle(wire::Method::Raft,
-                  [this](const From &from, const Body &body, const peer::ResponseCallback &reply) {
-                      raft(from, body);
-                      reply(std::string());
-                  });
-    server.handle(wire::Method::Propose,
-                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                      propose(body, reply);
-                  });
-    server.handle(wire::Method::Read,
-                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                      read(body, reply);
-                  });
-    server.handle(wire::Method::PollChanges,
-                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                      pollChanges(body, reply);
-                  });
-    server.handle(wire::Method::Heartbeat,
-                  [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                      heartbeat(body, reply);
-                  });
+    server.setHandler(wire::Method::Raft, [this](const From &from, const Body &body,
+                                                 const peer::ResponseCallback &reply) {
+        raft(from, body);
+        reply(std::string());
+    });
+    server.setHandler(wire::Method::Propose,
+                      [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                          propose(body, reply);
+                      });
+    server.setHandler(wire::Method::Read,
+                      [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                          read(body, reply);
+                      });
+    server.setHandler(wire::Method::PollChanges,
+                      [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                          pollChanges(body, reply);
+                      });
+    server.setHandler(wire::Method::Heartbeat,
+                      [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
+                          heartbeat(body, reply);
+                      });
 }
 
 void PeerService::stop()
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -290,7 +290,7 @@
     });
 }
 
-Outcome<EngineLoadReport> EngineClient::load()
+Outcome<EngineLoadReport> EngineClient::fetchLoadReport()
 {
     const Outcome<Json> answer = m_impl->call("GET", "/engine/load", Json());
     if (!answer.ok())
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -173,7 +173,7 @@
     const Failure failure =
             notRun(ErrorCode::Overloaded, concat("this instance already serves its limit of ",
                                                  m_options.maxConnections, " connections"));
-    const std::string body = http::failureBody(failure, requestId);
+    const std::string body = http::errorBody(failure, requestId);
     stream.write(concat("HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n",
                         "Retry-After: 1\r\nX-Request-Id: ", requestId,
                         "\r\nConnection: close\r\nContent-Length: ", body.size(), "\r\n\r\n",
--- a/src/entry/completionhandler.cpp
+++ b/src/entry/completionhandler.cpp
@@ -215,7 +215,7 @@
                 else if (const auto *end = std::get_if<engine::StreamSummary>(&item))
                     events = running->format.endEvents(*end);
                 else if (const auto *failed = std::get_if<AnswerFailure>(&item))
-                    events = sseEvent(http::failureBody(failed->failure, running->requestId));
+                    events = sseEvent(http::errorBody(failed->failure, running->requestId));
                 if (!sink.write(events.data(), events.size()))
                     return false;
                 if (!std::holds_alternative<engine::Token>(item))
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -120,12 +120,13 @@
         subscriber.onChange([this](const std::shared_ptr<const directory::DirectoryView> &view) {
             applyView(*view);
         });
-        peers.handle(wire::Method::GrantRate,
-                     [this](const peer::PeerIdentity &, const std::string &body,
-                            const peer::ResponseCallback &reply) { reply(grant(body)); });
-        peers.handle(wire::Method::TransferRateBuckets,
-                     [this](const peer::PeerIdentity &, const std::string &body,
-                            const peer::ResponseCallback &reply) { reply(acceptTransfer(body)); });
+        peers.setHandler(wire::Method::GrantRate,
+                         [this](const peer::PeerIdentity &, const std::string &body,
+                                const peer::ResponseCallback &reply) { reply(grant(body)); });
+        peers.setHandler(
+                wire::Method::TransferRateBuckets,
+                [this](const peer::PeerIdentity &, const std::string &body,
+                       const peer::ResponseCallback &reply) { reply(acceptTransfer(body)); });
     }
 
     void applyView(const directory::DirectoryView &view)
--- a/src/entry/loadpoller.cpp
+++ b/src/entry/loadpoller.cpp
@@ -73,7 +73,7 @@
         if (!beginPoll(name))
             continue;
         const bool posted = m_pool.post([this, client] {
-            const auto load = client->load();
+            const auto load = client->fetchLoadReport();
             if (load.ok())
                 m_services.loadReported(client->options().name, load.value());
             endPoll(client->options().name);
@@ -86,7 +86,7 @@
 void LoadPoller::pollEngine(engine::EngineClient &client)
 {
     const absl::Time sent = m_clock.now();
-    const auto load = client.load();
+    const auto load = client.fetchLoadReport();
     if (!load.ok())
         return;
     const absl::Duration roundTrip = m_clock.now() - sent;
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -251,13 +251,13 @@
 
 void FleetService::install(peer::Server &server)
 {
-    server.handle(wire::Method::SyncFleet,
-                  [impl = m_impl](const peer::PeerIdentity &, std::string body,
-                                  peer::ResponseCallback reply) {
-                      impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
-                          impl->handleSync(body, reply);
+    server.setHandler(wire::Method::SyncFleet,
+                      [impl = m_impl](const peer::PeerIdentity &, std::string body,
+                                      peer::ResponseCallback reply) {
+                          impl->loop.post([impl, body = std::move(body), reply = std::move(reply)] {
+                              impl->handleSync(body, reply);
+                          });
                       });
-                  });
 }
 
 void FleetService::start()
--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -176,17 +176,17 @@
 
 void GroupReplica::install(peer::Server &server)
 {
-    server.handle(wire::Method::Raft,
-                  [impl = m_impl](const peer::PeerIdentity &from, const std::string &body,
-                                  const peer::ResponseCallback &reply) {
-                      impl->receive(from, body);
-                      reply(std::string());
-                  });
-    server.handle(wire::Method::Propose,
-                  [impl = m_impl](const peer::PeerIdentity &, const std::string &body,
-                                  const peer::ResponseCallback &reply) {
-                      impl->servePropose(body, reply);
-                  });
+    server.setHandler(wire::Method::Raft,
+                      [impl = m_impl](const peer::PeerIdentity &from, const std::string &body,
+                                      const peer::ResponseCallback &reply) {
+                          impl->receive(from, body);
+                          reply(std::string());
+                      });
+    server.setHandler(wire::Method::Propose,
+                      [impl = m_impl](const peer::PeerIdentity &, const std::string &body,
+                                      const peer::ResponseCallback &reply) {
+                          impl->servePropose(body, reply);
+                      });
 }
 
 Result<void> GroupReplica::open(const ReplicaIdentity &identity,
--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -150,13 +150,13 @@
         const absl::Duration drainTime = m_core.clock().now() - m_drainStartedAt;
         if (drainTime < drainDelay)
             return;
-        m_callerServer.closeIdle();
+        m_callerServer.closeIdleConnections();
         const bool isTimedOut = drainTime > m_settings.shutdownTimeout * drainTimeFraction;
-        if (m_callerServer.openRequests() > 0 && !isTimedOut)
+        if (m_callerServer.openRequestCount() > 0 && !isTimedOut)
             return;
         if (const auto stopped = std::exchange(m_onStopped, nullptr)) {
             log(LogLevel::Info, "drained",
-                {{"openRequests", static_cast<std::int64_t>(m_callerServer.openRequests())}});
+                {{"openRequests", static_cast<std::int64_t>(m_callerServer.openRequestCount())}});
             m_core.fleetClient().leave();
             stopped();
         }
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -100,7 +100,7 @@
 
     void installBroker()
     {
-        m_core->peerServer().handle(
+        m_core->peerServer().setHandler(
                 wire::Method::RequestSlot,
                 [this](const peer::PeerIdentity &, std::string body, peer::ResponseCallback reply) {
                     m_processContext.loop.post(
@@ -116,13 +116,13 @@
     void installOneWayHandler(wire::Method method,
                               void (StoreProcess::*handler)(const std::string &))
     {
-        m_core->peerServer().handle(method, [this, handler](const peer::PeerIdentity &,
-                                                            std::string body,
-                                                            const peer::ResponseCallback &reply) {
-            m_processContext.loop.post(
-                    [this, handler, body = std::move(body)] { (this->*handler)(body); });
-            reply(std::string());
-        });
+        m_core->peerServer().setHandler(
+                method, [this, handler](const peer::PeerIdentity &, std::string body,
+                                        const peer::ResponseCallback &reply) {
+                    m_processContext.loop.post(
+                            [this, handler, body = std::move(body)] { (this->*handler)(body); });
+                    reply(std::string());
+                });
     }
 
     void restoreHeldSlots(const std::string &body)
--- a/src/http/serversetup.cpp
+++ b/src/http/serversetup.cpp
@@ -41,7 +41,7 @@
     });
 }
 
-std::string failureBody(const Failure &failure, std::string_view requestId)
+std::string errorBody(const Failure &failure, std::string_view requestId)
 {
     const Json error = {
             {"type", errorType(httpStatus(failure.code))},
@@ -56,7 +56,7 @@
 void sendFailure(httplib::Response &response, const Failure &failure, std::string_view requestId)
 {
     response.status = httpStatus(failure.code);
-    response.set_content(failureBody(failure, requestId), "application/json");
+    response.set_content(errorBody(failure, requestId), "application/json");
 }
 
 } // namespace rattanrill::http
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -142,10 +142,10 @@
     attempt.workspace = m_job->workspace;
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
-    handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
+    handlers.onHead = [self = shared_from_this()](const net::ResponseHead &head) {
         return self->handleHead(head);
     };
-    handlers.body = [self = shared_from_this()](std::string_view bytes) {
+    handlers.onBody = [self = shared_from_this()](std::string_view bytes) {
         self->handleBody(bytes);
     };
     handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -334,8 +334,8 @@
 void JobService::install(peer::Server &server)
 {
     const auto serve = [&server, impl = m_impl](wire::Method method, Impl::Handler handler) {
-        server.handle(method, [impl, handler](const peer::PeerIdentity &, std::string body,
-                                              peer::ResponseCallback reply) {
+        server.setHandler(method, [impl, handler](const peer::PeerIdentity &, std::string body,
+                                                  peer::ResponseCallback reply) {
             impl->context.loop.post(
                     [impl, handler, body = std::move(body), reply = std::move(reply)] {
                         (impl.get()->*handler)(body, reply);
--- a/src/net/connectionpool.cpp
+++ b/src/net/connectionpool.cpp
@@ -56,7 +56,7 @@
     {
         ++opened;
         return std::make_shared<UpstreamConnection>(
-                loop.context(), address, options,
+                loop.ioContext(), address, options,
                 [weak = weak_from_this()](const ConnectionPtr &connection, bool isIdle) {
                     if (const auto self = weak.lock())
                         self->handleStateChange(connection, isIdle);
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -151,7 +151,7 @@
     return m_impl->timers;
 }
 
-boost::asio::io_context &EventLoop::context()
+boost::asio::io_context &EventLoop::ioContext()
 {
     return m_impl->context;
 }
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -106,7 +106,7 @@
                     m_headers.end());
 }
 
-void removeConnectionHeaders(Headers &headers)
+void removeHopByHopHeaders(Headers &headers)
 {
     for (const std::string &name : namesInConnectionHeader(headers))
         headers.remove(name);
@@ -127,7 +127,7 @@
                                           : std::string_view(target).substr(queryMark + 1);
 }
 
-std::string_view reasonOf(int status)
+std::string_view reasonPhrase(int status)
 {
     const auto reason = boost::beast::http::obsolete_reason(
             static_cast<boost::beast::http::status>(static_cast<unsigned>(status)));
@@ -159,7 +159,7 @@
 std::string serialize(const ResponseHead &head)
 {
     const std::string_view reason =
-            head.reason.empty() ? reasonOf(head.status) : std::string_view(head.reason);
+            head.reason.empty() ? reasonPhrase(head.status) : std::string_view(head.reason);
     std::string text = concat("HTTP/1.1 ", head.status, " ", reason, "\r\n");
     appendHeaders(text, head.headers);
     text += "\r\n";
--- a/src/net/responseparser.cpp
+++ b/src/net/responseparser.cpp
@@ -88,15 +88,15 @@
     for (const auto &field : message)
         head.headers.add(text(field.name_string()), text(field.value()));
     const bool isInterim = head.status >= 100 && head.status < 200;
-    m_isOwn = !isInterim && m_handlers.head(head);
+    m_isOwn = !isInterim && m_handlers.onHead(head);
 }
 
 void ResponseParser::forwardBody()
 {
     std::string part;
     part.swap(m_parser->parser.get().body());
-    if (!part.empty() && m_isOwn && m_handlers.body)
-        m_handlers.body(part);
+    if (!part.empty() && m_isOwn && m_handlers.onBody)
+        m_handlers.onBody(part);
 }
 
 void ResponseParser::handleComplete()
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 {
     Impl(EventLoop &loop, Handler handler)
         : loop(loop)
-        , acceptor(loop.context())
+        , acceptor(loop.ioContext())
         , shared(std::make_shared<ServerShared>())
     {
         shared->handler = std::move(handler);
@@ -122,7 +122,7 @@
     m_impl->shared->draining = true;
 }
 
-void Server::closeIdle()
+void Server::closeIdleConnections()
 {
     for (const auto &connection : m_impl->copyConnections()) {
         if (connection->isIdle())
@@ -130,12 +130,12 @@
     }
 }
 
-std::size_t Server::openRequests() const
+std::size_t Server::openRequestCount() const
 {
     return m_impl->shared->openRequests;
 }
 
-std::size_t Server::connections() const
+std::size_t Server::connectionCount() const
 {
     return m_impl->shared->connections.size();
 }
--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -114,7 +114,7 @@
 
 void ServerConnection::refuse(int status)
 {
-    Response response = textResponse(status, concat(reasonOf(status), "\n"), "text/plain");
+    Response response = textResponse(status, concat(reasonPhrase(status), "\n"), "text/plain");
     response.head.headers.add("Connection", "close");
     response.head.headers.add("Content-Length", std::to_string(response.body.size()));
     m_phase = Phase::Closing;
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -53,12 +53,12 @@
     m_handlers = std::make_shared<CallHandlers>(std::move(handlers));
     const bool isNew = m_state == State::New;
     ResponseParser::Handlers parserHandlers;
-    parserHandlers.head = [this](const ResponseHead &head) { return handleHead(head); };
-    parserHandlers.body = [this](std::string_view bytes) {
+    parserHandlers.onHead = [this](const ResponseHead &head) { return handleHead(head); };
+    parserHandlers.onBody = [this](std::string_view bytes) {
         // The copy keeps the handler alive, because it may close the connection while it runs.
         const auto current = m_handlers;
-        if (current && current->body)
-            current->body(bytes);
+        if (current && current->onBody)
+            current->onBody(bytes);
     };
     m_parser.emplace(std::move(parserHandlers));
     m_state = isNew ? State::Connecting : State::Calling;
@@ -159,7 +159,7 @@
     const std::optional<int> seconds = keepAliveSeconds(head.headers.value("Keep-Alive"));
     m_keepAlive = seconds ? absl::Seconds(*seconds) : m_options.defaultKeepAlive;
     const auto current = m_handlers;
-    return current && current->head(head);
+    return current && current->onHead(head);
 }
 
 void UpstreamConnection::finish()
--- a/src/peer/server.cpp
+++ b/src/peer/server.cpp
@@ -20,7 +20,7 @@
     stop();
 }
 
-void Server::handle(wire::Method method, MethodHandler handler)
+void Server::setHandler(wire::Method method, MethodHandler handler)
 {
     m_impl->core->handle(method, std::move(handler));
 }
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -165,10 +165,10 @@
     return m_impl->checkResponse(request, response);
 }
 
-Outcome<ServiceLoadReport> ServiceClient::load()
+Outcome<ServiceLoadReport> ServiceClient::fetchLoadReport()
 {
     httplib::Client client(m_impl->options.host, m_impl->options.port);
-    setTimeouts(client, m_impl->options.connectTimeout, m_impl->options.loadTimeout);
+    setTimeouts(client, m_impl->options.connectTimeout, m_impl->options.auxiliaryCallTimeout);
     const httplib::Result result = client.Get("/service/load");
     if (!result)
         return m_impl->transportFailure(result.error(), absl::InfiniteFuture());
@@ -189,11 +189,11 @@
 
 Outcome<Done> ServiceClient::probe()
 {
-    Outcome<ServiceLoadReport> answer = load();
+    Outcome<ServiceLoadReport> answer = fetchLoadReport();
     // A process that is stopping may still accept a connection and then close it without an
     // answer. When the call is repeated, nothing listens any more and the connection is refused.
     if (!answer.ok() && answer.failure().effect == EffectState::MayHaveRun)
-        answer = load();
+        answer = fetchLoadReport();
     if (!answer.ok())
         return answer.failure();
     return Done{};
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -183,10 +183,10 @@
     attempt.remainingTime = remainingTime();
     attempt.resumeAfter = m_position.lastId();
     net::CallHandlers handlers;
-    handlers.head = [self = shared_from_this()](const net::ResponseHead &head) {
+    handlers.onHead = [self = shared_from_this()](const net::ResponseHead &head) {
         return self->headReceived(head);
     };
-    handlers.body = [self = shared_from_this()](std::string_view bytes) {
+    handlers.onBody = [self = shared_from_this()](std::string_view bytes) {
         self->bodyReceived(bytes);
     };
     handlers.onEnd = [self = shared_from_this()](net::CallStatus status) {
@@ -273,7 +273,7 @@
         return;
     m_firstByteAt = m_context.clock.now();
     net::ResponseHead head = m_head;
-    net::removeConnectionHeaders(head.headers);
+    net::removeHopByHopHeaders(head.headers);
     m_exchange->startStream(std::move(head));
 }
 
@@ -321,7 +321,7 @@
     m_firstByteAt = m_context.clock.now();
     net::Response response;
     response.head = m_head;
-    net::removeConnectionHeaders(response.head.headers);
+    net::removeHopByHopHeaders(response.head.headers);
     response.body = std::move(m_body);
     m_exchange->respond(std::move(response));
     finish(Outcome::Completed, "");
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -40,8 +40,8 @@
             ++calls;
             m_answer(reply);
         };
-        m_server.handle(wire::Method::Propose, handler);
-        m_server.handle(wire::Method::Read, handler);
+        m_server.setHandler(wire::Method::Propose, handler);
+        m_server.setHandler(wire::Method::Read, handler);
         BOOST_REQUIRE(outcomeOf([&] { return m_server.start("127.0.0.1", 0); }).ok());
     }
     ~FakeControl() { m_server.stop(); }
--- a/tests/directory/controlpollclient_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -43,9 +43,9 @@
 BOOST_AUTO_TEST_CASE(subscriberReceivesChangesOverTheNetwork)
 {
     peer::Server server(transport());
-    server.handle(wire::Method::PollChanges,
-                  [](const peer::PeerIdentity &, const std::string &body,
-                     const peer::ResponseCallback &reply) { answerPoll(body, reply); });
+    server.setHandler(wire::Method::PollChanges,
+                      [](const peer::PeerIdentity &, const std::string &body,
+                         const peer::ResponseCallback &reply) { answerPoll(body, reply); });
     BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", 0); }).ok());
     ThreadTimerService timers;
     peer::ChannelPool channels(transport());
--- a/tests/entry/fakecontrol.cpp
+++ b/tests/entry/fakecontrol.cpp
@@ -43,18 +43,18 @@
     for (int i = 0; i < partitions; ++i)
         m_groups[concat("batch-", i)] = batch::makeBatchStateMachine();
     using peer::PeerIdentity;
-    m_server.handle(wire::Method::Propose,
-                    [this](const PeerIdentity &, const std::string &body,
-                           const peer::ResponseCallback &reply) { propose(body, reply); });
-    m_server.handle(wire::Method::Read,
-                    [this](const PeerIdentity &, const std::string &body,
-                           const peer::ResponseCallback &reply) { read(body, reply); });
-    m_server.handle(wire::Method::PollChanges,
-                    [this](const PeerIdentity &, const std::string &body,
-                           const peer::ResponseCallback &reply) { pollChanges(body, reply); });
-    m_server.handle(wire::Method::Heartbeat,
-                    [this](const PeerIdentity &, const std::string &body,
-                           const peer::ResponseCallback &reply) { heartbeat(body, reply); });
+    m_server.setHandler(wire::Method::Propose,
+                        [this](const PeerIdentity &, const std::string &body,
+                               const peer::ResponseCallback &reply) { propose(body, reply); });
+    m_server.setHandler(wire::Method::Read,
+                        [this](const PeerIdentity &, const std::string &body,
+                               const peer::ResponseCallback &reply) { read(body, reply); });
+    m_server.setHandler(wire::Method::PollChanges,
+                        [this](const PeerIdentity &, const std::string &body,
+                               const peer::ResponseCallback &reply) { pollChanges(body, reply); });
+    m_server.setHandler(wire::Method::Heartbeat,
+                        [this](const PeerIdentity &, const std::string &body,
+                               const peer::ResponseCallback &reply) { heartbeat(body, reply); });
     BOOST_REQUIRE(outcomeOf([&] { return m_server.start("127.0.0.1", 0); }).ok());
 }
 
--- a/tests/fleet/fleetservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -51,13 +51,13 @@
 public:
     PolledServer()
     {
-        m_server.handle(wire::Method::SyncFleet,
-                        [this](const peer::PeerIdentity &, const std::string &,
-                               const peer::ResponseCallback &reply) {
-                            if (!m_polled.HasBeenNotified())
-                                m_polled.Notify();
-                            reply(notRun(ErrorCode::Timeout, ""));
-                        });
+        m_server.setHandler(wire::Method::SyncFleet,
+                            [this](const peer::PeerIdentity &, const std::string &,
+                                   const peer::ResponseCallback &reply) {
+                                if (!m_polled.HasBeenNotified())
+                                    m_polled.Notify();
+                                reply(notRun(ErrorCode::Timeout, ""));
+                            });
         start(m_server);
     }
     ~PolledServer() { m_server.stop(); }
@@ -116,10 +116,11 @@
     net::LoopThread loopThread;
     PolledServer leader;
     peer::Server nonLeader(transport("other"));
-    nonLeader.handle(wire::Method::SyncFleet, [&](const peer::PeerIdentity &, const std::string &,
-                                                  const peer::ResponseCallback &reply) {
-        reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
-    });
+    nonLeader.setHandler(wire::Method::SyncFleet,
+                         [&](const peer::PeerIdentity &, const std::string &,
+                             const peer::ResponseCallback &reply) {
+                             reply(notRun(ErrorCode::NotLeader, leader.address() + "/replica"));
+                         });
     start(nonLeader);
 
     peer::ChannelPool channels(transport("f"));
@@ -143,7 +144,7 @@
     // The callbacks are stored because destroying one would send a response.
     std::vector<peer::ResponseCallback> pendingReplies;
     peer::Server unresponsive(transport("silent"));
-    unresponsive.handle(
+    unresponsive.setHandler(
             wire::Method::SyncFleet,
             [&](const peer::PeerIdentity &, const std::string &,
                 const peer::ResponseCallback &reply) { pendingReplies.push_back(reply); });
--- a/tests/net/connectionpool_test.cpp
+++ b/tests/net/connectionpool_test.cpp
@@ -72,11 +72,11 @@
         request.target = path;
         request.headers.add("Host", "h");
         CallHandlers handlers;
-        handlers.head = [this](const ResponseHead &head) {
+        handlers.onHead = [this](const ResponseHead &head) {
             result.status = head.status;
             return true;
         };
-        handlers.body = [this](std::string_view bytes) { result.body.append(bytes); };
+        handlers.onBody = [this](std::string_view bytes) { result.body.append(bytes); };
         handlers.onEnd = [this](CallStatus status) {
             absl::MutexLock lock(&mutex);
             result.callStatus = status;
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -39,29 +39,29 @@
     explicit EchoServer(TransportOptions options = optionsOf("server"), int port = 0)
         : server(std::move(options))
     {
-        server.handle(wire::Method::Read,
-                      [this](const PeerIdentity &from, std::string body, ResponseCallback reply) {
-                          ++calls;
-                          reply(concat(from.instance, "=", body));
-                      });
-        server.handle(wire::Method::Propose,
-                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
-                          absl::MutexLock lock(&mutex);
-                          pendingReplies.push_back(std::move(reply));
-                      });
-        server.handle(wire::Method::Raft, [](const PeerIdentity &, std::string body,
-                                             ResponseCallback reply) { reply(body + body); });
-        server.handle(wire::Method::PollChanges,
-                      [](const PeerIdentity &, std::string, ResponseCallback) {});
-        server.handle(wire::Method::Heartbeat,
-                      [](const PeerIdentity &, std::string, ResponseCallback reply) {
-                          reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
-                      });
-        server.handle(wire::Method::GrantRate,
-                      [this](const PeerIdentity &, std::string, ResponseCallback reply) {
-                          unblockGrant.WaitForNotification();
-                          reply(std::string());
-                      });
+        server.setHandler(wire::Method::Read, [this](const PeerIdentity &from, std::string body,
+                                                     ResponseCallback reply) {
+            ++calls;
+            reply(concat(from.instance, "=", body));
+        });
+        server.setHandler(wire::Method::Propose,
+                          [this](const PeerIdentity &, std::string, ResponseCallback reply) {
+                              absl::MutexLock lock(&mutex);
+                              pendingReplies.push_back(std::move(reply));
+                          });
+        server.setHandler(wire::Method::Raft, [](const PeerIdentity &, std::string body,
+                                                 ResponseCallback reply) { reply(body + body); });
+        server.setHandler(wire::Method::PollChanges,
+                          [](const PeerIdentity &, std::string, ResponseCallback) {});
+        server.setHandler(wire::Method::Heartbeat,
+                          [](const PeerIdentity &, std::string, ResponseCallback reply) {
+                              reply(notRun(ErrorCode::NotLeader, "127.0.0.9:1"));
+                          });
+        server.setHandler(wire::Method::GrantRate,
+                          [this](const PeerIdentity &, std::string, ResponseCallback reply) {
+                              unblockGrant.WaitForNotification();
+                              reply(std::string());
+                          });
         BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", port); }).ok());
     }
     ~EchoServer()
--- a/tests/serving/testprotocoladapter.h
+++ b/tests/serving/testprotocoladapter.h
@@ -22,7 +22,7 @@
                                  const UpstreamAttempt &attempt) const override
     {
         net::Request result = request;
-        net::removeConnectionHeaders(result.headers);
+        net::removeHopByHopHeaders(result.headers);
         if (attempt.resumeAfter)
             result.headers.set("After", std::to_string(*attempt.resumeAfter));
         return result;
