--- a/include/rattanrill/fleet/fleetclient.h
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -65,7 +65,7 @@
     void onChange(Listener listener);
     /// Sets the function that fills in, for each poll, whether this process leads the store group,
     /// with which term and which replicas.
-    void setStoreReport(std::function<void(wire::FleetSyncRequest &)> report);
+    void setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> report);
     void start();
     /// Sends the leader a heartbeat at once, with the same content as the next poll. Does nothing
     /// while no leader is known.
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -39,7 +39,7 @@
 
     /// True when this leader has led for longer than the member timeout, in which every live
     /// process should have sent a heartbeat.
-    bool hasAllMembers() const { return m_hasAllMembers; }
+    bool membersComplete() const { return m_hasAllMembers; }
     /// True when the sender of \a request already holds this version of the view.
     bool isCurrent(const wire::FleetSyncRequest &request) const;
     wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
@@ -48,7 +48,7 @@
     std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
     /// Replica ids of the first voters of the store group, when it can be founded now: 3 live
     /// stores or, once 3 s of this term have passed, as many as are alive. Empty otherwise.
-    std::vector<std::string> storeFounders(absl::Time now) const;
+    std::vector<std::string> initialStoreVoters(absl::Time now) const;
 
 private:
     struct MemberEntry
--- a/include/rattanrill/fleet/groupreplica.h
+++ b/include/rattanrill/fleet/groupreplica.h
@@ -22,7 +22,7 @@
 {
     std::string group;
     std::string dataFolder;
-    MembershipRules rules;
+    VoterLimits voterLimits;
     absl::Duration heartbeatPeriod = absl::Milliseconds(100);
     /// Long enough for a machine on which the replica has a seventh of a core, shared with the
     /// other work of the machine.
@@ -59,7 +59,7 @@
     Result<void> open(const ReplicaIdentity &identity,
                       std::unique_ptr<replication::StateMachine> machine);
     bool isOpen() const;
-    void setCandidates(CandidateSource candidates);
+    void setCandidateSource(CandidateSource candidates);
     void onLeadershipChange(LeadershipListener listener);
     /// Calls \a listener on the loop after commands were applied.
     void onApplied(std::function<void()> listener);
@@ -70,9 +70,9 @@
     /// leader. Callbacks run on the loop. Fails like RaftNode::propose().
     void propose(std::string command, Callback callback);
     /// Linearizable read that only the leader serves.
-    void read(std::string query, Callback callback);
+    void readOnLeader(std::string query, Callback callback);
     /// Linearizable read that any replica serves.
-    void linearizableRead(std::string query, Callback callback);
+    void readOnAnyReplica(std::string query, Callback callback);
     /// Transfers leadership to another replica before a graceful stop. Does nothing when this
     /// replica does not lead.
     void transferLeadership();
--- a/include/rattanrill/fleet/membershipchange.h
+++ b/include/rattanrill/fleet/membershipchange.h
@@ -25,11 +25,11 @@
 struct MembershipChange
 {
     replication::ReplicaId added;
-    replication::ReplicaId replaced;
+    replication::ReplicaId removed;
 };
 
 /// Limits on the voters of a group.
-struct MembershipRules
+struct VoterLimits
 {
     /// An odd number, because one more voter would add work but would not increase the number of
     /// tolerated failures.
@@ -44,6 +44,6 @@
 /// unknown.
 std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
-                                                     const MembershipRules &rules);
+                                                     const VoterLimits &rules);
 
 } // namespace rattanrill::fleet
--- a/include/rattanrill/fleet/replicaidentity.h
+++ b/include/rattanrill/fleet/replicaidentity.h
@@ -14,7 +14,7 @@
 {
     replication::ReplicaId replica;
     /// First voters of the group if this replica is one of them; otherwise empty.
-    std::vector<replication::ReplicaId> founders;
+    std::vector<replication::ReplicaId> initialVoters;
 };
 
 /// Returns the replica id for \a peerAddress ("host:port"). \a incarnation distinguishes the
@@ -24,7 +24,7 @@
 
 /// Incarnation of the replicas that found a deployment. It is fixed, so that each founder can
 /// derive the ids of the others without an exchange of messages.
-constexpr const char *founderIncarnation = "founder";
+constexpr const char *bootstrapIncarnation = "founder";
 
 /// Returns the peer address that a replica id contains.
 std::string peerAddressOf(const replication::ReplicaId &replica);
--- a/include/rattanrill/replication/raftnode.h
+++ b/include/rattanrill/replication/raftnode.h
@@ -92,11 +92,11 @@
     /// (NotRun) or Stopped, or with the failure that the state machine returned.
     virtual void propose(std::string command, Callback callback) = 0;
     /// Linearizable read on the leader. Fails like propose(), but always with NotRun.
-    virtual void read(std::string query, Callback callback) = 0;
+    virtual void readOnLeader(std::string query, Callback callback) = 0;
     /// Linearizable read that followers serve as well. Evaluates \a query on the local state once
     /// that includes every command that was committed when the leader, after this call, confirmed
     /// its leadership.
-    virtual void linearizableRead(std::string query, Callback callback) = 0;
+    virtual void readOnAnyReplica(std::string query, Callback callback) = 0;
     /// Handles a Raft message from the replica \a from.
     virtual void receive(const ReplicaId &from, std::string message) = 0;
     virtual RaftNodeStatus status() const = 0;
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -116,8 +116,8 @@
 Outcome<wire::PollChangesResponse> OperatorApi::readDirectory(std::uint64_t afterRevision)
 {
     PendingOutcome pending;
-    m_groups.directory().read(wire::encode(wire::DirectoryQuery{afterRevision}),
-                              pending.callback());
+    m_groups.directory().readOnLeader(wire::encode(wire::DirectoryQuery{afterRevision}),
+                                      pending.callback());
     const auto bytes = pending.wait(groupTimeout);
     if (!bytes.ok())
         return readFailure(bytes.failure());
@@ -190,7 +190,7 @@
 {
     const auto view = m_view.view();
     PendingOutcome pending;
-    m_groups.directory().linearizableRead(wire::encode(wire::DirectoryQuery{view->revision()}),
+    m_groups.directory().readOnAnyReplica(wire::encode(wire::DirectoryQuery{view->revision()}),
                                           pending.callback());
     const auto confirmed = pending.wait(statusTimeout);
     Json groups = Json::array();
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -118,7 +118,7 @@
     auto *group = m_groups.find(request.value().group);
     if (group == nullptr)
         return answer("read", noGroup(request.value().group), reply);
-    group->read(
+    group->readOnLeader(
             std::move(request.value().query),
             [this, reply](const Outcome<std::string> &outcome) { answer("read", outcome, reply); });
 }
--- a/src/control/pollchangesservice.cpp
+++ b/src/control/pollchangesservice.cpp
@@ -74,7 +74,7 @@
     if (stopped)
         return answerAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
     const std::string query = wire::encode(wire::DirectoryQuery{afterRevision});
-    m_directory.linearizableRead(query, [self = shared_from_this(), afterRevision, appliedBatches,
+    m_directory.readOnAnyReplica(query, [self = shared_from_this(), afterRevision, appliedBatches,
                                          polls](const Outcome<std::string> &outcome) {
         self->handleConfirmed(afterRevision, appliedBatches, polls, outcome);
     });
--- a/src/fleet/fleetclient.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -219,7 +219,7 @@
     m_impl->listeners.push_back(std::move(listener));
 }
 
-void FleetClient::setStoreReport(std::function<void(wire::FleetSyncRequest &)> report)
+void FleetClient::setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> report)
 {
     m_impl->storeReport = std::move(report);
 }
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -125,10 +125,10 @@
     {
         const std::uint64_t term = view.term();
         const wire::FleetQuery query{isReady ? view.records().configurationVersion : 0};
-        replica.read(wire::encode(query),
-                     [self = shared_from_this(), term](const Outcome<std::string> &outcome) {
-                         self->handleRecords(term, outcome);
-                     });
+        replica.readOnLeader(wire::encode(query), [self = shared_from_this(),
+                                                   term](const Outcome<std::string> &outcome) {
+            self->handleRecords(term, outcome);
+        });
     }
 
     void handleRecords(std::uint64_t term, const Outcome<std::string> &outcome)
@@ -172,7 +172,7 @@
 
     void foundStoreGroup(absl::Time now)
     {
-        const std::vector<std::string> founders = view.storeFounders(now);
+        const std::vector<std::string> founders = view.initialStoreVoters(now);
         if (founders.empty() || isFounding)
             return;
         isFounding = true;
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -182,7 +182,7 @@
     return candidates;
 }
 
-std::vector<std::string> FleetView::storeFounders(absl::Time now) const
+std::vector<std::string> FleetView::initialStoreVoters(absl::Time now) const
 {
     std::vector<std::string> founders;
     if (!m_records.storeFounders.empty())
--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -123,14 +123,14 @@
 
     void changeMembers(const replication::RaftNodeStatus &status)
     {
-        const auto change = nextMembershipChange(status, candidates(), settings.rules);
+        const auto change = nextMembershipChange(status, candidates(), settings.voterLimits);
         if (!change)
             return;
         isChangingMembers = true;
         log(LogLevel::Info, "membership-change-started",
             {{"group", settings.group},
              {"added", change->added},
-             {"replaced", change->replaced},
+             {"replaced", change->removed},
              {"voters", static_cast<std::int64_t>(status.voters.size())},
              {"term", status.term}});
         const auto done = onLoop(
@@ -139,14 +139,14 @@
                     log(LogLevel::Info, "membership-change-ended",
                         {{"group", self->settings.group},
                          {"added", change.added},
-                         {"replaced", change.replaced},
+                         {"replaced", change.removed},
                          {"code", outcome.ok() ? "ok" : name(outcome.failure().code)},
                          {"detail", outcome.ok() ? "" : outcome.failure().detail}});
                 });
         if (change->added.empty())
-            node->removeReplica(change->replaced, done);
+            node->removeReplica(change->removed, done);
         else
-            node->addReplica(change->added, change->replaced, done);
+            node->addReplica(change->added, change->removed, done);
     }
 
     net::EventLoop &loop;
@@ -195,7 +195,7 @@
     replication::RaftNodeOptions options;
     options.group = m_impl->settings.group;
     options.self = identity.replica;
-    options.initialVoters = identity.founders;
+    options.initialVoters = identity.initialVoters;
     options.dataFolder = concat(m_impl->settings.dataFolder, "/", m_impl->settings.group);
     options.heartbeatPeriod = m_impl->settings.heartbeatPeriod;
     options.electionTimeout = m_impl->settings.electionTimeout;
@@ -223,7 +223,7 @@
     return m_impl->node != nullptr;
 }
 
-void GroupReplica::setCandidates(CandidateSource candidates)
+void GroupReplica::setCandidateSource(CandidateSource candidates)
 {
     m_impl->candidates = std::move(candidates);
 }
@@ -261,18 +261,18 @@
     m_impl->forward(peerAddressOf(status.leader), std::move(command), std::move(callback));
 }
 
-void GroupReplica::read(std::string query, Callback callback)
+void GroupReplica::readOnLeader(std::string query, Callback callback)
 {
     if (!m_impl->node)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    m_impl->node->read(std::move(query), m_impl->onLoop(std::move(callback)));
+    m_impl->node->readOnLeader(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
-void GroupReplica::linearizableRead(std::string query, Callback callback)
+void GroupReplica::readOnAnyReplica(std::string query, Callback callback)
 {
     if (!m_impl->node)
         return callback(notRun(ErrorCode::NotLeader, ""));
-    m_impl->node->linearizableRead(std::move(query), m_impl->onLoop(std::move(callback)));
+    m_impl->node->readOnAnyReplica(std::move(query), m_impl->onLoop(std::move(callback)));
 }
 
 void GroupReplica::transferLeadership()
--- a/src/fleet/membershipchange.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -40,7 +40,7 @@
 {
 public:
     Planner(const replication::RaftNodeStatus &status,
-            const std::vector<VoterCandidate> &candidates, const MembershipRules &rules)
+            const std::vector<VoterCandidate> &candidates, const VoterLimits &rules)
         : m_status(status)
         , m_candidates(candidates)
         , m_rules(rules)
@@ -159,14 +159,14 @@
 
     const replication::RaftNodeStatus &m_status;
     const std::vector<VoterCandidate> &m_candidates;
-    const MembershipRules &m_rules;
+    const VoterLimits &m_rules;
 };
 
 } // namespace
 
 std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
-                                                     const MembershipRules &rules)
+                                                     const VoterLimits &rules)
 {
     if (candidates.empty())
         return std::nullopt;
--- a/src/fleet/replicaidentity.cpp
+++ b/src/fleet/replicaidentity.cpp
@@ -72,7 +72,7 @@
         if (object.contains("founders") && object.at("founders").is_array()) {
             for (const Json &founder : object.at("founders")) {
                 if (founder.is_string())
-                    identity.founders.push_back(founder.get<std::string>());
+                    identity.initialVoters.push_back(founder.get<std::string>());
             }
         }
     }
@@ -97,7 +97,7 @@
 {
     const std::string path = folder + identityFile;
     const std::string temporary = path + ".new";
-    const Json json = {{"replica", identity.replica}, {"founders", identity.founders}};
+    const Json json = {{"replica", identity.replica}, {"founders", identity.initialVoters}};
     BOOST_LEAF_CHECK(writeSynced(temporary, dumpJson(json)));
     if (rename(temporary.c_str(), path.c_str()) != 0)
         return fail(ioFailure("cannot rename", temporary));
--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -29,9 +29,9 @@
         identity.replica = fleet::makeReplicaId(settings.peerAddress(), randomHex(6));
         return identity;
     }
-    identity.replica = fleet::makeReplicaId(settings.peerAddress(), fleet::founderIncarnation);
+    identity.replica = fleet::makeReplicaId(settings.peerAddress(), fleet::bootstrapIncarnation);
     for (const std::string &seed : seeds)
-        identity.founders.push_back(fleet::makeReplicaId(seed, fleet::founderIncarnation));
+        identity.initialVoters.push_back(fleet::makeReplicaId(seed, fleet::bootstrapIncarnation));
     return identity;
 }
 
@@ -50,7 +50,7 @@
                                                               newIdentity(m_settings)));
         log(LogLevel::Info, "replica-identity",
             {{"replica", identity.replica},
-             {"founders", static_cast<std::int64_t>(identity.founders.size())}});
+             {"founders", static_cast<std::int64_t>(identity.initialVoters.size())}});
         m_core = std::make_unique<ProcessCore>(m_settings, m_processContext,
                                                wire::MemberRole::Control, identity.replica);
         fleet::GroupReplicaSettings groupSettings;
@@ -61,7 +61,7 @@
         m_fleetService = std::make_unique<fleet::FleetService>(
                 m_processContext.loop, *m_replica, m_processContext.upstreamDiscovery,
                 fleet::FleetServiceSettings(), m_core->clock());
-        m_replica->setCandidates([this] { return m_fleetService->controlCandidates(); });
+        m_replica->setCandidateSource([this] { return m_fleetService->controlCandidates(); });
         m_replica->install(m_core->peerServer());
         m_fleetService->install(m_core->peerServer());
         m_fleetService->start();
@@ -125,7 +125,7 @@
 
     void perform(const ExchangePtr &exchange, const fleet::ReadConfigurationCall &)
     {
-        m_replica->linearizableRead(wire::encode(wire::FleetQuery{}), [this, exchange](
+        m_replica->readOnAnyReplica(wire::encode(wire::FleetQuery{}), [this, exchange](
                                                                               const auto &outcome) {
             const auto snapshot = outcome.ok() ? outcomeOf([&] {
                 return wire::decode<wire::FleetSnapshot>(outcome.value());
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -46,7 +46,7 @@
             openReplica();
         m_core->fleetClient().onChange(
                 [this](const fleet::FleetState &state) { applyState(state); });
-        m_core->fleetClient().setStoreReport(
+        m_core->fleetClient().setStoreStatusSource(
                 [this](wire::FleetSyncRequest &request) { fillStoreReport(request); });
         return m_core->start();
     }
@@ -87,7 +87,7 @@
                                                m_settings.failureDomain};
         m_jobExecutor = std::make_unique<jobs::JobExecutor>(context);
         m_jobService = std::make_unique<jobs::JobService>(context, *m_jobExecutor);
-        m_replica->setCandidates([this] { return candidates(); });
+        m_replica->setCandidateSource([this] { return candidates(); });
         m_replica->onLeadershipChange([this](bool leads) {
             m_broker.reset();
             m_jobService->leadershipChanged(leads);
@@ -210,7 +210,7 @@
         const bool isFounder =
                 std::find(founders.begin(), founders.end(), m_identity.replica) != founders.end();
         if (isFounder)
-            m_identity.founders = founders;
+            m_identity.initialVoters = founders;
         openReplica();
     }
 
@@ -223,7 +223,7 @@
         log(opened.ok() ? LogLevel::Info : LogLevel::Error,
             opened.ok() ? "store-replica-opened" : "store-replica-failed",
             {{"replica", m_identity.replica},
-             {"isFounder", !m_identity.founders.empty()},
+             {"isFounder", !m_identity.initialVoters.empty()},
              {"detail", opened.ok() ? "" : opened.failure().detail}});
     }
 
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -131,10 +131,11 @@
     {
         const std::string query = wire::encode(wire::JobQuery{waiting.request});
         const std::uint64_t previousStoredCount = storedCount;
-        context.replica.read(query, [self = shared_from_this(), waiting = std::move(waiting),
-                                     previousStoredCount](const Outcome<std::string> &outcome) {
-            self->handleReadOutcome(waiting, previousStoredCount, outcome);
-        });
+        context.replica.readOnLeader(
+                query, [self = shared_from_this(), waiting = std::move(waiting),
+                        previousStoredCount](const Outcome<std::string> &outcome) {
+                    self->handleReadOutcome(waiting, previousStoredCount, outcome);
+                });
     }
 
     void handleReadOutcome(const WaitingRead &waiting, std::uint64_t previousStoredCount,
@@ -203,7 +204,7 @@
     {
         const auto request = decodeOnLeader<wire::ReadItemRequest>(body, reply);
         if (request)
-            context.replica.read(wire::encode(wire::JobQuery{*request}), std::move(reply));
+            context.replica.readOnLeader(wire::encode(wire::JobQuery{*request}), std::move(reply));
     }
 
     void endJob(const std::string &body, peer::ResponseCallback reply)
@@ -244,10 +245,11 @@
     {
         if (!context.replica.isLeader())
             return;
-        context.replica.read(wire::encode(wire::JobQuery{wire::ListOpenJobs{}}),
-                             [self = shared_from_this()](const Outcome<std::string> &outcome) {
-                                 self->handleOpenJobs(outcome);
-                             });
+        context.replica.readOnLeader(
+                wire::encode(wire::JobQuery{wire::ListOpenJobs{}}),
+                [self = shared_from_this()](const Outcome<std::string> &outcome) {
+                    self->handleOpenJobs(outcome);
+                });
     }
 
     void handleOpenJobs(const Outcome<std::string> &outcome)
--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -123,12 +123,12 @@
          callback);
 }
 
-void GroupDriver::read(std::string query, Callback callback)
+void GroupDriver::readOnLeader(std::string query, Callback callback)
 {
     startRead(&RaftCore::read, std::move(query), std::move(callback));
 }
 
-void GroupDriver::linearizableRead(std::string query, Callback callback)
+void GroupDriver::readOnAnyReplica(std::string query, Callback callback)
 {
     startRead(&RaftCore::linearizableRead, std::move(query), std::move(callback));
 }
--- a/src/replication/groupdriver.h
+++ b/src/replication/groupdriver.h
@@ -28,8 +28,8 @@
     ~GroupDriver() override;
 
     void propose(std::string command, Callback callback) override;
-    void read(std::string query, Callback callback) override;
-    void linearizableRead(std::string query, Callback callback) override;
+    void readOnLeader(std::string query, Callback callback) override;
+    void readOnAnyReplica(std::string query, Callback callback) override;
     void receive(const ReplicaId &from, std::string message) override;
     RaftNodeStatus status() const override;
     void onApplied(std::function<void(std::uint64_t)> listener) override;
--- a/tests/control/stubraftnode.h
+++ b/tests/control/stubraftnode.h
@@ -31,11 +31,11 @@
         if (appliedListener)
             appliedListener(currentStatus.appliedIndex);
     }
-    void read(std::string query, Callback callback) override
+    void readOnLeader(std::string query, Callback callback) override
     {
-        linearizableRead(std::move(query), std::move(callback));
+        readOnAnyReplica(std::move(query), std::move(callback));
     }
-    void linearizableRead(std::string query, Callback callback) override
+    void readOnAnyReplica(std::string query, Callback callback) override
     {
         ++confirmations;
         if (beforeResponse)
--- a/tests/fleet/fleetview_test.cpp
+++ b/tests/fleet/fleetview_test.cpp
@@ -122,13 +122,13 @@
 {
     view.recordHeartbeat(syncRequest("s1", wire::MemberRole::Store), start);
     view.recordHeartbeat(syncRequest("s2", wire::MemberRole::Store), start);
-    BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
+    BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).empty());
     view.recordHeartbeat(syncRequest("s3", wire::MemberRole::Store), start + absl::Seconds(1));
-    BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).size() == 3u);
+    BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).size() == 3u);
     wire::FleetSnapshot founded;
     founded.storeFounders = {"a"};
     view.setRecords(founded);
-    BOOST_TEST(view.storeFounders(start + absl::Seconds(1)).empty());
+    BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).empty());
 }
 
 // Guards against the loss of the configuration document after a read that omits it because its
--- a/tests/fleet/membershipchange_test.cpp
+++ b/tests/fleet/membershipchange_test.cpp
@@ -34,7 +34,7 @@
     return {replica, "d", false, false};
 }
 
-const MembershipRules rules{5};
+const VoterLimits rules{5};
 
 } // namespace
 
@@ -50,7 +50,7 @@
                                              rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "c/2");
-    BOOST_TEST(change->replaced == "c/1");
+    BOOST_TEST(change->removed == "c/1");
 }
 
 BOOST_AUTO_TEST_CASE(deadVoterIsReplacedByALiveProcess)
@@ -61,7 +61,7 @@
                                              rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
-    BOOST_TEST(change->replaced == "c/1");
+    BOOST_TEST(change->removed == "c/1");
 }
 
 // Guards against a group that loses copies of its data because voters that are not alive are
@@ -92,7 +92,7 @@
                                   liveCandidate("d/1"), liveCandidate("e/1")},
                                  rules);
     BOOST_REQUIRE(five.has_value());
-    BOOST_TEST(five->replaced.empty());
+    BOOST_TEST(five->removed.empty());
 }
 
 BOOST_AUTO_TEST_CASE(staleLearnerIsRemoved)
@@ -103,7 +103,7 @@
                                              rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added.empty());
-    BOOST_TEST(change->replaced == "d/1");
+    BOOST_TEST(change->removed == "d/1");
 }
 
 BOOST_AUTO_TEST_CASE(retiringVoterIsReplacedByASpare)
@@ -115,7 +115,7 @@
             nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
-    BOOST_TEST(change->replaced == "b/1");
+    BOOST_TEST(change->removed == "b/1");
 }
 
 BOOST_AUTO_TEST_CASE(retiringVoterIsRemovedWithoutSpareOnlyWhenAllOthersAreAlive)
@@ -126,7 +126,7 @@
     const auto change =
             nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
     BOOST_REQUIRE(change.has_value());
-    BOOST_TEST(change->replaced == "b/1");
+    BOOST_TEST(change->removed == "b/1");
     candidates[2].alive = false;
     BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules));
 }
@@ -150,7 +150,7 @@
     load({"a:1/one", {"a:1/one", "b:1/one"}});
     const ReplicaIdentity reloaded = load({"a:1/two", {}});
     BOOST_TEST(reloaded.replica == "a:1/one");
-    BOOST_TEST(reloaded.founders.size() == 2u);
+    BOOST_TEST(reloaded.initialVoters.size() == 2u);
     std::filesystem::remove_all(folder);
     BOOST_TEST(load({"a:1/two", {}}).replica == "a:1/two");
     BOOST_TEST(peerAddressOf("a:1/two") == "a:1");
--- a/tests/replication/groupdriver_test.cpp
+++ b/tests/replication/groupdriver_test.cpp
@@ -154,7 +154,7 @@
     };
     BOOST_TEST(LocalCluster::waitUntil(refusal));
     const auto value = await([&](RaftNode::Callback done) {
-        group.drivers.at(leader)->read("key", std::move(done));
+        group.drivers.at(leader)->readOnLeader("key", std::move(done));
     });
     BOOST_TEST(value.ok());
 }
--- a/tests/replication/localcluster.cpp
+++ b/tests/replication/localcluster.cpp
@@ -162,7 +162,7 @@
 
 Outcome<std::string> LocalCluster::linearizableRead(const ReplicaId &id, const std::string &query)
 {
-    return await([&](RaftNode::Callback done) { at(id).linearizableRead(query, std::move(done)); });
+    return await([&](RaftNode::Callback done) { at(id).readOnAnyReplica(query, std::move(done)); });
 }
 
 Outcome<std::string> LocalCluster::addReplica(const ReplicaId &leader, const ReplicaId &member,
