--- a/include/rattanrill/jobs/jobexecutor.h
+++ b/include/rattanrill/jobs/jobexecutor.h
@@ -23,7 +23,7 @@
     const Clock &clock;
     Metrics &metrics;
     const serving::ProtocolAdapter &protocol;
-    net::ConnectionPool &upstreams;
+    net::ConnectionPool &upstreamConnections;
     serving::SlotBroker &broker;
     fleet::GroupReplica &replica;
     std::string failureDomain;
--- a/include/rattanrill/jobs/jobservice.h
+++ b/include/rattanrill/jobs/jobservice.h
@@ -20,7 +20,7 @@
     void install(peer::Server &server);
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Call when this replica has gained or lost leadership of the store group.
-    void leadershipChanged(bool leads);
+    void handleLeadershipChange(bool isLeader);
     void stop();
 
 private:
--- a/include/rattanrill/serving/proxyrequest.h
+++ b/include/rattanrill/serving/proxyrequest.h
@@ -28,7 +28,7 @@
     const Clock &clock;
     Metrics &metrics;
     const ProtocolAdapter &protocol;
-    net::ConnectionPool &upstreams;
+    net::ConnectionPool &upstreamConnections;
     SlotClient &slotClient;
     InstanceIdentity identity;
 };
--- a/include/rattanrill/serving/slotbroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -39,7 +39,7 @@
     /// requester then repeats it.
     absl::Duration maxResponseDelay = absl::Milliseconds(40);
     /// A slot that its holder has not released is reclaimed this long after the request's deadline.
-    absl::Duration releaseSlack = absl::Seconds(2);
+    absl::Duration reclaimDelay = absl::Seconds(2);
 };
 
 /// Fractions (0 to 1) of the deployment's rates and slots that one broker grants.
@@ -86,8 +86,8 @@
     void acquire(const wire::SlotRequest &request, ResponseCallback callback);
     void release(const wire::SlotRelease &release);
     /// Adopts slots that a process obtained from a previous broker or from its local share.
-    void restoreHeldSlots(const wire::HeldSlots &held);
-    void updateLoad(const wire::UpstreamLoad &load);
+    void adoptHeldSlots(const wire::HeldSlots &held);
+    void reportLoad(const wire::UpstreamLoad &load);
     /// Reclaims the slots of processes that are not in \a instances.
     void setLiveInstances(const std::vector<std::string> &instances);
 
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -59,14 +59,14 @@
     void drain(std::function<void()> stopped) override
     {
         m_replica->transferLeadership();
-        m_processContext.loop.timers().subscribeOnce(leadershipTransferTime,
-                                                     [this, stopped = std::move(stopped)] {
-                                                         m_core->fleetClient().leave();
-                                                         m_jobService->leadershipChanged(false);
-                                                         m_replica->stop();
-                                                         m_core->stop();
-                                                         stopped();
-                                                     });
+        m_processContext.loop.timers().subscribeOnce(
+                leadershipTransferTime, [this, stopped = std::move(stopped)] {
+                    m_core->fleetClient().leave();
+                    m_jobService->handleLeadershipChange(false);
+                    m_replica->stop();
+                    m_core->stop();
+                    stopped();
+                });
     }
 
 private:
@@ -90,7 +90,7 @@
         m_replica->setCandidateSource([this] { return candidates(); });
         m_replica->onLeadershipChange([this](bool leads) {
             m_broker.reset();
-            m_jobService->leadershipChanged(leads);
+            m_jobService->handleLeadershipChange(leads);
             m_core->fleetClient().sendHeartbeat();
         });
         m_replica->install(m_core->peerServer());
@@ -129,7 +129,7 @@
     {
         const auto held = outcomeOf([&] { return wire::decode<wire::HeldSlots>(body); });
         if (held.ok())
-            m_broker.restoreHeldSlots(held.value());
+            m_broker.adoptHeldSlots(held.value());
         else
             log(LogLevel::Warning, "held-places-unreadable", {{"code", name(held.failure().code)}});
     }
@@ -138,7 +138,7 @@
     {
         const auto load = outcomeOf([&] { return wire::decode<wire::UpstreamLoad>(body); });
         if (load.ok())
-            m_broker.updateLoad(load.value());
+            m_broker.reportLoad(load.value());
         else
             log(LogLevel::Warning, "load-unreadable", {{"code", name(load.failure().code)}});
     }
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -152,7 +152,7 @@
         self->handleCallEnd(status);
     };
     restartIdleTimer();
-    m_call = m_context.upstreams.call(
+    m_call = m_context.upstreamConnections.call(
             address, net::serialize(m_context.protocol.itemRequest(m_item, m_job->host, attempt)),
             std::move(handlers));
 }
@@ -165,7 +165,7 @@
         return;
     ++m_preemptions;
     m_context.metrics.count("rattanrill_batch_yields_total");
-    m_context.upstreams.cancel(m_call);
+    m_context.upstreamConnections.cancel(m_call);
     cancelTimer(m_idleTimer);
     recordRunTime();
     acquireSlot();
@@ -185,7 +185,7 @@
     m_responseInfo = responseInfo;
     m_hasHead = true;
     if (responseInfo.outstandingRequests)
-        m_context.broker.updateLoad({m_upstream, *responseInfo.outstandingRequests});
+        m_context.broker.reportLoad({m_upstream, *responseInfo.outstandingRequests});
     return true;
 }
 
@@ -251,7 +251,7 @@
 
 void ItemRun::attemptFailed(std::string_view reason, ReleaseReason releaseReason)
 {
-    m_context.upstreams.cancel(m_call);
+    m_context.upstreamConnections.cancel(m_call);
     releaseSlot(releaseReason);
     log(LogLevel::Info, "item-try-failed",
         {{"job", m_job->id},
@@ -297,7 +297,7 @@
     if (m_state == State::Ended)
         return;
     if (m_state == State::Running)
-        m_context.upstreams.cancel(m_call);
+        m_context.upstreamConnections.cancel(m_call);
     m_context.broker.cancelBatch(taskId(*m_job, m_item));
     finish(wire::ItemOutcome::DeadLettered,
            "the item was not completed within the route's time limit");
@@ -350,7 +350,7 @@
     if (m_state == State::Ended)
         return;
     if (m_state == State::Running)
-        m_context.upstreams.cancel(m_call);
+        m_context.upstreamConnections.cancel(m_call);
     m_context.broker.cancelBatch(taskId(*m_job, m_item));
     m_state = State::Ended;
     for (TimerService::TimerId *timer : {&m_abandonTimer, &m_backoffTimer, &m_idleTimer})
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -355,9 +355,9 @@
     m_impl->deployment = std::move(deployment);
 }
 
-void JobService::leadershipChanged(bool leads)
+void JobService::handleLeadershipChange(bool isLeader)
 {
-    m_impl->leadershipChanged(leads);
+    m_impl->leadershipChanged(isLeader);
 }
 
 void JobService::stop()
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -194,7 +194,7 @@
     };
     m_isCalling = true;
     armResponseTimer();
-    m_call = m_context.upstreams.call(
+    m_call = m_context.upstreamConnections.call(
             address,
             net::serialize(m_context.protocol.upstreamRequest(m_exchange->request(), attempt)),
             std::move(handlers));
@@ -444,7 +444,7 @@
 void ProxiedRequest::cancelCall()
 {
     if (std::exchange(m_isCalling, false))
-        m_context.upstreams.cancel(m_call);
+        m_context.upstreamConnections.cancel(m_call);
 }
 
 void ProxiedRequest::finish(Outcome outcome, std::string_view reason)
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -130,7 +130,7 @@
     online.instance = request.instance;
     online.workspace = request.workspace;
     online.chargesRate = request.chargesRate;
-    online.expires = now + absl::Milliseconds(request.deadlineMs) + m_settings.releaseSlack;
+    online.expires = now + absl::Milliseconds(request.deadlineMs) + m_settings.reclaimDelay;
     online.callback = std::move(callback);
     policy::TokenBucket *rateBucket = request.chargesRate ? bucket(request.workspace) : nullptr;
     if (rateBucket != nullptr && rateBucket->level(now) < 1)
@@ -216,7 +216,7 @@
     decide();
 }
 
-void SlotBroker::restoreHeldSlots(const wire::HeldSlots &held)
+void SlotBroker::adoptHeldSlots(const wire::HeldSlots &held)
 {
     const absl::Time now = m_clock.now();
     for (const wire::HeldSlot &slot : held.places) {
@@ -234,11 +234,11 @@
         online.instance = held.instance;
         online.workspace = slot.workspace;
         online.isGranted = true;
-        online.expires = now + absl::Milliseconds(slot.deadlineMs) + m_settings.releaseSlack;
+        online.expires = now + absl::Milliseconds(slot.deadlineMs) + m_settings.reclaimDelay;
     }
 }
 
-void SlotBroker::updateLoad(const wire::UpstreamLoad &load)
+void SlotBroker::reportLoad(const wire::UpstreamLoad &load)
 {
     m_scheduler.loadReported(m_clock.now(), load.upstream, load.requests);
 }
--- a/src/serving/slotclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -207,7 +207,7 @@
 
 void SlotClient::reportLoad(const wire::UpstreamLoad &load)
 {
-    m_impl->localBroker.updateLoad(load);
+    m_impl->localBroker.reportLoad(load);
     if (!m_impl->brokerAddress.empty())
         m_impl->channels.channel(m_impl->brokerAddress)
                 ->sendOneWay(wire::Method::ReportLoad, wire::encode(load));
--- a/tests/serving/slotbroker_test.cpp
+++ b/tests/serving/slotbroker_test.cpp
@@ -176,13 +176,13 @@
 BOOST_AUTO_TEST_CASE(slotsGrantedByAPreviousBrokerAreAdopted)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 2, false}}, CapacityShare());
-    broker.restoreHeldSlots({"e", {{"old", "llm", "w", "u", 3000}}});
+    broker.adoptHeldSlots({"e", {{"old", "llm", "w", "u", 3000}}});
     BOOST_TEST(tryAcquire("new"));
     BOOST_TEST(!tryAcquire("third"));
     release("old");
     BOOST_TEST(tryAcquire("fourth"));
     // An adopted slot that is not released is reclaimed after its deadline, as any other slot is.
-    broker.restoreHeldSlots({"f", {{"lost", "llm", "w", "u", 100}}});
+    broker.adoptHeldSlots({"f", {{"lost", "llm", "w", "u", 100}}});
     timers.advance(absl::Seconds(4));
     release("new");
     release("fourth");
