--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -41,7 +41,7 @@
     std::string engine;
     EngineCommandKind kind = EngineCommandKind::LoadModel;
     /// Value to set: name of the model, adapter, version or role.
-    std::string name;
+    std::string value;
     /// Fencing token that the directory issued with the desired states.
     std::uint64_t fence = 0;
 };
@@ -53,7 +53,7 @@
     /// request timeouts, after which the sender closes the connection.
     absl::Duration commandLifetime = absl::Seconds(5);
     /// Rate and burst of weight loads, over all engines, that the weight store allows.
-    RateContract weightLoads{0.2, 2};
+    RateContract weightLoadRate{0.2, 2};
 };
 
 /// Decides which commands to send so that engines reach their desired state. Each engine has at
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -82,7 +82,7 @@
     double expectedRequests(std::size_t entries) const;
     /// Estimated share of the KV memory in use now: 0 when empty, 1 when full, and above 1 when
     /// overcommitted.
-    double expectedKvShare(std::size_t entries) const;
+    double expectedKvUtilization(std::size_t entries) const;
 
 private:
     struct Change
--- a/include/rattanrill/policy/leasequeue.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -19,11 +19,11 @@
 struct LeaseQueueSettings
 {
     /// Longest run time of an item, including its wait at the entry.
-    absl::Duration runTime = absl::Seconds(15);
+    absl::Duration maxRunTime = absl::Seconds(15);
     /// Slack before the deadline, in multiples of the run time, for preemptions and retries.
     double safetyFactor = 2.0;
     /// Items per second that the fleet completes for this queue at least.
-    double itemsPerSecond = 20;
+    double minItemsPerSecond = 20;
 };
 
 /// Queue of batch items that wait to be leased to entries. Workspaces share the leases by contract
--- a/include/rattanrill/policy/quarantine.h
+++ b/include/rattanrill/policy/quarantine.h
@@ -52,8 +52,8 @@
     void succeeded(const std::string &fingerprint);
     /// Merges a record of the directory. \a blocked is true for a blocked fingerprint. An empty
     /// list of upstreams releases the fingerprint.
-    void setRecord(absl::Time now, const std::string &fingerprint,
-                   const std::vector<std::string> &crashedUpstreams, bool blocked);
+    void applyRecord(absl::Time now, const std::string &fingerprint,
+                     const std::vector<std::string> &crashedUpstreams, bool blocked);
     QuarantineStatus status(absl::Time now, const std::string &fingerprint) const;
     /// Number of upstreams known to have crashed while they ran the fingerprint.
     std::size_t crashCount(const std::string &fingerprint) const;
--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -15,10 +15,10 @@
     /// to its own requests.
     double budgetShare = 0.1;
     /// Retry budget at the start, so that an entry with little traffic can retry at all.
-    double budgetMinimum = 10;
+    double initialBudget = 10;
     /// Maximum of the unused budget that is kept, so that the streams of a lost failure domain can
     /// be retried at once.
-    double budgetLimit = 50;
+    double maxBudget = 50;
     /// Includes the first attempt.
     int maxAttempts = 3;
     absl::Duration firstBackoff = absl::Milliseconds(20);
@@ -34,10 +34,10 @@
     explicit RetryPolicy(RetrySettings settings);
 
     /// Records that a first attempt was sent, which adds to the budget.
-    void firstAttempt();
+    void recordFirstAttempt();
     /// Returns true, and takes 1 from the budget, when a request may be retried after attempt
     /// number \a attempt (from 1).
-    bool mayRetry(int attempt, EffectState run, bool idempotent);
+    bool tryAcquireRetry(int attempt, EffectState run, bool idempotent);
     /// Returns the delay before the attempt that follows attempt number \a attempt: exponential
     /// backoff with full jitter.
     absl::Duration backoff(int attempt, std::mt19937_64 &random) const;
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -29,16 +29,16 @@
     /// prefills.
     double onlineTailWeight = 0.5;
     /// Longest time that an online task waits for an engine before it is rejected.
-    absl::Duration onlineQueueLimit = absl::Milliseconds(400);
+    absl::Duration maxOnlineQueueTime = absl::Milliseconds(400);
     /// Number of waiting online tasks above which new ones are rejected at once.
-    std::size_t onlineQueueSize = 512;
+    std::size_t maxOnlineQueueLength = 512;
     /// Round-trip time from the entry to an engine plus the engine's report interval.
     absl::Duration loadReportDelay = absl::Milliseconds(250);
     /// Preemption exports the KV cache of batch tasks with at least this many tokens of context,
     /// and cancels the others.
-    std::int64_t kvExportTokens = 512;
+    std::int64_t minKvExportTokens = 512;
     /// Duration of one decode step with a full batch, used until progress has been observed.
-    absl::Duration decodeStep = absl::Milliseconds(50);
+    absl::Duration initialDecodeStep = absl::Milliseconds(50);
     /// A batch task is no longer preempted when the time left before its deadline is less than its
     /// remaining run time multiplied by this factor.
     double deadlineSafetyFactor = 2.0;
@@ -53,7 +53,7 @@
     RouterSettings router;
     RetrySettings retry;
     /// Longest wait of an online task that must run isolated from other suspects.
-    absl::Duration isolationLimit = absl::Seconds(30);
+    absl::Duration maxIsolationWait = absl::Seconds(30);
     QuarantineSettings quarantine;
 };
 
@@ -165,8 +165,8 @@
     void setClockOffset(absl::Duration offset);
     /// Merges a crash record of the directory. \a blocked is true for a fingerprint that is
     /// blocked. A record without crashed upstreams releases the fingerprint.
-    void setCrashRecord(absl::Time now, const std::string &fingerprint,
-                        const std::vector<std::string> &crashedUpstreams, bool blocked);
+    void applyCrashRecord(absl::Time now, const std::string &fingerprint,
+                          const std::vector<std::string> &crashedUpstreams, bool blocked);
 
     /// Reports the load of \a engine. \a load.age is the age of the report's values.
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load);
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -46,7 +46,7 @@
     /// Priority of an online task; 0 is served first.
     int priority = 0;
     /// Expected cost in tokens, for fairness between workspaces.
-    double tokens = 1;
+    double expectedTokens = 1;
     /// Online: time at which the task is rejected when it has no slot. Batch: time by which the
     /// task must be completed; the earliest deadline goes first.
     absl::Time deadline = absl::InfiniteFuture();
@@ -120,7 +120,7 @@
     absl::Duration takeoverGracePeriod = absl::Milliseconds(1500);
     /// Number of concurrent requests at an upstream within takeoverGracePeriod and before the
     /// upstream's first load report.
-    int probes = 2;
+    int maxProbes = 2;
 };
 
 /// Assigns the slots of all upstreams to the requests of a deployment. Upstreams admit requests in
@@ -172,7 +172,7 @@
     absl::Time nextDecision() const;
 
     std::size_t waiting(const std::string &service, TaskKind kind) const;
-    std::size_t runningCount(const std::string &service, TaskKind kind) const;
+    std::size_t running(const std::string &service, TaskKind kind) const;
     /// Number of slots of all upstreams of a service that accept new tasks.
     std::int64_t slotCount(const std::string &service) const;
     bool contains(const std::string &task) const { return m_items.count(task) != 0; }
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -115,7 +115,7 @@
     task.failureDomain = m_context.failureDomain;
     task.kind = policy::TaskKind::Batch;
     task.priority = current.priority;
-    task.tokens = static_cast<double>(m_item.tokens);
+    task.expectedTokens = static_cast<double>(m_item.tokens);
     task.deadline = m_context.clock.now() + (current.completionObjective - age);
     task.priorRunTime = m_priorRunTime;
     m_state = State::Waiting;
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -41,7 +41,7 @@
                                   double unreportedOnline, std::size_t entries) const
 {
     const EngineState &state = engine.state;
-    if (!state.hasReport() || state.expectedKvShare(entries) > kvLimit)
+    if (!state.hasReport() || state.expectedKvUtilization(entries) > kvLimit)
         return 0;
     const double limit = static_cast<double>(state.maxBatch()) - onlineReserve(onlineRatePerEngine)
                          - unreportedOnline;
--- a/src/policy/enginereconciler.cpp
+++ b/src/policy/enginereconciler.cpp
@@ -30,7 +30,7 @@
 EngineReconciler::EngineReconciler(EngineReconcilerSettings settings, absl::Time now)
     : m_settings(settings)
     , m_start(now)
-    , m_weightLoads(settings.weightLoads, now)
+    , m_weightLoads(settings.weightLoadRate, now)
 {}
 
 void EngineReconciler::setDesired(absl::Time now, const std::vector<DesiredState> &desired,
@@ -69,12 +69,12 @@
         return;
     Engine &engine = found->second;
     if (!engine.outstanding || engine.outstanding->fence != command.fence
-        || engine.outstanding->kind != command.kind || engine.outstanding->name != command.name)
+        || engine.outstanding->kind != command.kind || engine.outstanding->value != command.value)
         return;
     engine.outstanding.reset();
     engine.commandMayArriveUntil = now;
     if (accepted)
-        engine.confirmed[command.kind] = command.name;
+        engine.confirmed[command.kind] = command.value;
 }
 
 void EngineReconciler::timedOut(absl::Time now, const EngineCommand &command)
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -81,7 +81,7 @@
     return reportedRequests() + others * std::max(online, 0.0);
 }
 
-double EngineState::expectedKvShare(std::size_t entries) const
+double EngineState::expectedKvUtilization(std::size_t entries) const
 {
     if (m_load.kvCapacityTokens <= 0)
         return 0;
--- a/src/policy/leasequeue.cpp
+++ b/src/policy/leasequeue.cpp
@@ -56,13 +56,13 @@
 
 bool LeaseQueue::isUrgent(absl::Time now) const
 {
-    const absl::Duration slack = m_settings.runTime * m_settings.safetyFactor;
+    const absl::Duration slack = m_settings.maxRunTime * m_settings.safetyFactor;
     std::size_t itemsDue = 0;
     int checked = 0;
     for (const auto &[deadline, count] : m_deadlineCounts) {
         itemsDue += count;
         const absl::Duration timeNeeded =
-                absl::Seconds(static_cast<double>(itemsDue) / m_settings.itemsPerSecond);
+                absl::Seconds(static_cast<double>(itemsDue) / m_settings.minItemsPerSecond);
         if (deadline - timeNeeded - slack <= now)
             return true;
         if (++checked == maxDeadlinesChecked)
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -48,8 +48,8 @@
         m_suspects.erase(found);
 }
 
-void Quarantine::setRecord(absl::Time now, const std::string &fingerprint,
-                           const std::vector<std::string> &crashedUpstreams, bool blocked)
+void Quarantine::applyRecord(absl::Time now, const std::string &fingerprint,
+                             const std::vector<std::string> &crashedUpstreams, bool blocked)
 {
     if (crashedUpstreams.empty()) {
         m_suspects.erase(fingerprint);
--- a/src/policy/retrypolicy.cpp
+++ b/src/policy/retrypolicy.cpp
@@ -6,15 +6,15 @@
 
 RetryPolicy::RetryPolicy(RetrySettings settings)
     : m_settings(settings)
-    , m_budget(settings.budgetMinimum)
+    , m_budget(settings.initialBudget)
 {}
 
-void RetryPolicy::firstAttempt()
+void RetryPolicy::recordFirstAttempt()
 {
-    m_budget = std::min(m_budget + m_settings.budgetShare, m_settings.budgetLimit);
+    m_budget = std::min(m_budget + m_settings.budgetShare, m_settings.maxBudget);
 }
 
-bool RetryPolicy::mayRetry(int attempt, EffectState run, bool idempotent)
+bool RetryPolicy::tryAcquireRetry(int attempt, EffectState run, bool idempotent)
 {
     if (run == EffectState::MayHaveRun && !idempotent)
         return false;
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -29,7 +29,7 @@
     if (engine.maxBatch() <= 0)
         return 0.5;
     const double batch = engine.expectedRequests(entries) / static_cast<double>(engine.maxBatch());
-    return std::max(batch, engine.expectedKvShare(entries));
+    return std::max(batch, engine.expectedKvUtilization(entries));
 }
 
 Router::Router(RouterSettings settings, std::string failureDomain)
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -48,10 +48,10 @@
     m_state->prefillWindows.setClockOffset(offset);
 }
 
-void Scheduler::setCrashRecord(absl::Time now, const std::string &fingerprint,
-                               const std::vector<std::string> &crashedUpstreams, bool blocked)
+void Scheduler::applyCrashRecord(absl::Time now, const std::string &fingerprint,
+                                 const std::vector<std::string> &crashedUpstreams, bool blocked)
 {
-    m_state->quarantine.setRecord(now, fingerprint, crashedUpstreams, blocked);
+    m_state->quarantine.applyRecord(now, fingerprint, crashedUpstreams, blocked);
 }
 
 void Scheduler::loadReported(absl::Time now, const std::string &engine, const EngineLoad &load)
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -32,7 +32,7 @@
     , retry(settings.retry)
     , quarantine(settings.quarantine)
     , random(seed)
-    , timePerToken(settings.decodeStep)
+    , timePerToken(settings.initialDecodeStep)
 {}
 
 // Engines, workspaces and tasks
@@ -334,7 +334,7 @@
 {
     const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     ++item.failures;
-    if (retry.mayRetry(item.failures, run, item.task.idempotent))
+    if (retry.tryAcquireRetry(item.failures, run, item.task.idempotent))
         backOff(now, item);
     else
         reject(item, failure.failure.code, failure.failure.detail);
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -117,7 +117,7 @@
         preemptIfFull(now, modelPool, *record);
         start(now, item, *record);
     }
-    while (queue.size() > settings.onlineQueueSize) {
+    while (queue.size() > settings.maxOnlineQueueLength) {
         TaskRecord &item = items.at(*queue.back());
         reject(item, ErrorCode::Overloaded, "the queue of online requests is full");
     }
@@ -308,7 +308,7 @@
     if (record != nullptr)
         ++record->preempting;
     const bool exportsKv =
-            item.prefillTokens == 0 && item.contextTokens() >= settings.kvExportTokens;
+            item.prefillTokens == 0 && item.contextTokens() >= settings.minKvExportTokens;
     const PreemptMethod method = exportsKv ? PreemptMethod::ExportKv : PreemptMethod::Cancel;
     decisions.emplace_back(PreemptTask{item.task.id, item.engine, item.attempt, method});
 }
@@ -330,7 +330,7 @@
     FairQueue &queue = item.isOnline() ? modelPool.online : modelPool.batch;
     queue.charge(item.task.workspace, item.chargedTokens);
     if (item.isOnline() && item.attempt == 1)
-        retry.firstAttempt();
+        retry.recordFirstAttempt();
     record.state.taskStarted(now, item.task.kind, item.prefillTokens, item.kvTokens);
     record.running.insert(item.task.id);
     record.suspectsRunning += item.suspect ? 1 : 0;
@@ -380,7 +380,7 @@
 {
     const bool needsIsolation = item.suspect;
     const absl::Duration limit =
-            needsIsolation ? settings.isolationLimit : settings.onlineQueueLimit;
+            needsIsolation ? settings.maxIsolationWait : settings.maxOnlineQueueTime;
     const absl::Time end = item.waitingSince + limit;
     return needsIsolation ? end : std::min(end, item.task.deadline);
 }
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -285,7 +285,7 @@
         const std::int64_t load = upstream->occupiedSlots() + foreignRequests(now, *upstream);
         if (!accepts(now, *upstream, item) || load >= capacity - onlineReserve)
             continue;
-        if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.probes)
+        if (isLoadUnknown(now, *upstream) && upstream->probes >= m_settings.maxProbes)
             continue;
         if (best == nullptr || load < bestLoad) {
             best = upstream;
@@ -336,10 +336,10 @@
     dequeue(service, item);
     // A task that resumes was charged when it first started.
     if (queue == Queue::Online)
-        service.online[item.task.priority].charge(item.task.workspace, item.task.tokens);
+        service.online[item.task.priority].charge(item.task.workspace, item.task.expectedTokens);
     else if (item.task.priorRunTime == absl::ZeroDuration())
         (queue == Queue::Late ? service.late : service.batch)
-                .charge(item.task.workspace, item.task.tokens);
+                .charge(item.task.workspace, item.task.expectedTokens);
     if (queue == Queue::Late)
         service.grantsSinceLate = 0;
     else if (queue != Queue::Online)
@@ -514,7 +514,7 @@
     return kind == TaskKind::Online ? found->second.onlineWaiting : found->second.batchWaiting;
 }
 
-std::size_t SlotScheduler::runningCount(const std::string &service, TaskKind kind) const
+std::size_t SlotScheduler::running(const std::string &service, TaskKind kind) const
 {
     std::size_t count = 0;
     for (const auto &[id, upstream] : m_upstreams) {
--- a/src/policybench/baselinepolicy.h
+++ b/src/policybench/baselinepolicy.h
@@ -29,8 +29,8 @@
     void setEntries(const std::string &self, const std::vector<std::string> &all) override;
     void setWorkspaces(const std::vector<WorkspaceWeights> & /*workspaces*/) override {}
     void setClockOffset(absl::Duration /*offset*/) override {}
-    void setCrashRecord(absl::Time /*now*/, const std::string & /*fingerprint*/,
-                        const std::vector<std::string> & /*crashed*/) override
+    void applyCrashRecord(absl::Time /*now*/, const std::string & /*fingerprint*/,
+                          const std::vector<std::string> & /*crashed*/) override
     {}
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load) override;
     void cacheEvent(absl::Time /*now*/, const std::string & /*engine*/,
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -405,7 +405,7 @@
         const std::vector<std::string> list(engines.begin(), engines.end());
         for (Entry &entry : m_entries) {
             if (entry.alive)
-                entry.policy->setCrashRecord(m_loop.now(), record.fingerprint, list);
+                entry.policy->applyCrashRecord(m_loop.now(), record.fingerprint, list);
         }
     });
 }
--- a/src/policybench/benchpolicy.h
+++ b/src/policybench/benchpolicy.h
@@ -30,8 +30,8 @@
     virtual void setEntries(const std::string &self, const std::vector<std::string> &all) = 0;
     virtual void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces) = 0;
     virtual void setClockOffset(absl::Duration offset) = 0;
-    virtual void setCrashRecord(absl::Time now, const std::string &fingerprint,
-                                const std::vector<std::string> &crashed) = 0;
+    virtual void applyCrashRecord(absl::Time now, const std::string &fingerprint,
+                                  const std::vector<std::string> &crashed) = 0;
     virtual void loadReported(absl::Time now, const std::string &engine,
                               const EngineLoad &load) = 0;
     virtual void cacheEvent(absl::Time now, const std::string &engine, const CacheEvent &event) = 0;
--- a/src/policybench/schedulerpolicy.h
+++ b/src/policybench/schedulerpolicy.h
@@ -25,10 +25,10 @@
         m_scheduler.setWorkspaces(workspaces);
     }
     void setClockOffset(absl::Duration offset) override { m_scheduler.setClockOffset(offset); }
-    void setCrashRecord(absl::Time now, const std::string &fingerprint,
-                        const std::vector<std::string> &crashed) override
+    void applyCrashRecord(absl::Time now, const std::string &fingerprint,
+                          const std::vector<std::string> &crashed) override
     {
-        m_scheduler.setCrashRecord(now, fingerprint, crashed, crashed.size() >= 2);
+        m_scheduler.applyCrashRecord(now, fingerprint, crashed, crashed.size() >= 2);
     }
     void loadReported(absl::Time now, const std::string &engine, const EngineLoad &load) override
     {
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -142,8 +142,8 @@
     task.workspace = request.workspace;
     task.failureDomain = request.failureDomain;
     task.priority = static_cast<int>(request.priority);
-    task.tokens = 1 + static_cast<double>(request.outputTokens)
-                  + static_cast<double>(request.promptTokens) / promptTokensPerOutputToken;
+    task.expectedTokens = 1 + static_cast<double>(request.outputTokens)
+                          + static_cast<double>(request.promptTokens) / promptTokensPerOutputToken;
     task.deadline = now
                     + std::min(absl::Milliseconds(request.objectiveMs) * m_settings.maxWaitFraction,
                                absl::Milliseconds(request.deadlineMs));
--- a/tests/entry/testfleet.cpp
+++ b/tests/entry/testfleet.cpp
@@ -40,7 +40,7 @@
     settings.timings.drainNotice = absl::Milliseconds(100);
     settings.timings.controlTimeout = absl::Seconds(1);
     settings.scheduler.failureDomain = "a";
-    settings.scheduler.onlineQueueLimit = absl::Seconds(5);
+    settings.scheduler.maxOnlineQueueTime = absl::Seconds(5);
     return settings;
 }
 
--- a/tests/policy/enginereconciler_test.cpp
+++ b/tests/policy/enginereconciler_test.cpp
@@ -34,7 +34,7 @@
     BOOST_TEST(reconciler.decide(sent + absl::Hours(1)).empty());
     const auto second = reconciler.decide(sent + absl::Hours(1) + settings.commandLifetime);
     BOOST_REQUIRE(second.size() == 1U);
-    BOOST_TEST(second[0].name == "decode");
+    BOOST_TEST(second[0].value == "decode");
     BOOST_TEST(second[0].fence == 2U);
 }
 
@@ -56,7 +56,7 @@
 BOOST_AUTO_TEST_CASE(weightLoadsStayWithinTheStoresRate)
 {
     EngineReconcilerSettings settings;
-    settings.weightLoads = {0.5, 2};
+    settings.weightLoadRate = {0.5, 2};
     EngineReconciler reconciler(settings, start);
     std::vector<DesiredState> all;
     for (int i = 0; i < 50; ++i)
--- a/tests/policy/fairqueue_test.cpp
+++ b/tests/policy/fairqueue_test.cpp
@@ -115,9 +115,9 @@
 BOOST_AUTO_TEST_CASE(urgentDeadlinesOverrideWeights)
 {
     LeaseQueueSettings settings;
-    settings.runTime = absl::Seconds(10);
+    settings.maxRunTime = absl::Seconds(10);
     settings.safetyFactor = 2;
-    settings.itemsPerSecond = 10;
+    settings.minItemsPerSecond = 10;
     LeaseQueue leases(settings);
     leases.setWeight("large", 1000);
     leases.setWeight("small", 1);
--- a/tests/policy/quarantine_test.cpp
+++ b/tests/policy/quarantine_test.cpp
@@ -67,7 +67,7 @@
     Quarantine quarantine{QuarantineSettings{}};
     BOOST_TEST(quarantine.crashed(start, "e1", {"a"}, false).size() == 1U);
     BOOST_TEST(quarantine.crashed(start, "e1", {"a"}, false).empty());
-    quarantine.setRecord(start, "a", {"e1"}, false);
+    quarantine.applyRecord(start, "a", {"e1"}, false);
     BOOST_TEST(quarantine.status(start, "a") == QuarantineStatus::Suspect);
 }
 
@@ -76,12 +76,12 @@
 BOOST_AUTO_TEST_CASE(directoryRecordsBlockAndRelease)
 {
     Quarantine quarantine{QuarantineSettings{}};
-    quarantine.setRecord(start, "poison", {"e1"}, false);
+    quarantine.applyRecord(start, "poison", {"e1"}, false);
     quarantine.crashed(start, "e2", {"poison"}, false);
     BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Blocked);
     quarantine.succeeded("poison");
     BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Blocked);
-    quarantine.setRecord(start, "poison", {}, false);
+    quarantine.applyRecord(start, "poison", {}, false);
     BOOST_TEST(quarantine.status(start, "poison") == QuarantineStatus::Allowed);
 }
 
--- a/tests/policy/retrypolicy_test.cpp
+++ b/tests/policy/retrypolicy_test.cpp
@@ -11,9 +11,9 @@
 BOOST_AUTO_TEST_CASE(nonIdempotentIsNotRetriedAfterItMayHaveRun)
 {
     RetryPolicy policy{RetrySettings{}};
-    BOOST_TEST(!policy.mayRetry(1, EffectState::MayHaveRun, false));
-    BOOST_TEST(policy.mayRetry(1, EffectState::NotRun, false));
-    BOOST_TEST(policy.mayRetry(1, EffectState::MayHaveRun, true));
+    BOOST_TEST(!policy.tryAcquireRetry(1, EffectState::MayHaveRun, false));
+    BOOST_TEST(policy.tryAcquireRetry(1, EffectState::NotRun, false));
+    BOOST_TEST(policy.tryAcquireRetry(1, EffectState::MayHaveRun, true));
 }
 
 // Guards against retries that amplify an outage: their number is limited to the budget share of the
@@ -25,11 +25,11 @@
     int retries = 0;
     constexpr int requests = 2000;
     for (int i = 0; i < requests; ++i) {
-        policy.firstAttempt();
-        for (int attempt = 1; policy.mayRetry(attempt, EffectState::NotRun, true); ++attempt)
+        policy.recordFirstAttempt();
+        for (int attempt = 1; policy.tryAcquireRetry(attempt, EffectState::NotRun, true); ++attempt)
             ++retries;
     }
-    BOOST_TEST(retries <= requests * settings.budgetShare + settings.budgetMinimum);
+    BOOST_TEST(retries <= requests * settings.budgetShare + settings.initialBudget);
     BOOST_TEST(retries >= requests * settings.budgetShare - 1);
 }
 
--- a/tests/policy/slotscheduler_test.cpp
+++ b/tests/policy/slotscheduler_test.cpp
@@ -443,7 +443,7 @@
     scheduler.request(start, batch("b"));
     scheduler.cancel("b");
     scheduler.cancel("1");
-    BOOST_TEST(scheduler.runningCount("llm", TaskKind::Online) == 0u);
+    BOOST_TEST(scheduler.running("llm", TaskKind::Online) == 0u);
     BOOST_TEST(scheduler.waiting("llm", TaskKind::Batch) == 0u);
     scheduler.request(start, online("2", start + absl::Seconds(1)));
     BOOST_TEST(decide().granted.count("2") == 1u);
