--- a/include/rattanrill/fakes/balancer.h
+++ b/include/rattanrill/fakes/balancer.h
@@ -47,9 +47,9 @@
 class Balancer
 {
 public:
-    using Lister = std::function<std::vector<Instance>()>;
+    using InstanceSource = std::function<std::vector<Instance>()>;
 
-    Balancer(BalancerSettings settings, Lister lister, TimerService &timers);
+    Balancer(BalancerSettings settings, InstanceSource instanceSource, TimerService &timers);
     ~Balancer();
 
     /// Starts listening and health checks; returns the port. Fails with AddressInUse or
@@ -74,7 +74,7 @@
     void recordHealthCheck(const std::string &name, bool passed);
 
     const BalancerSettings m_settings;
-    Lister m_lister;
+    InstanceSource m_instanceSource;
     TimerService &m_timers;
     mutable absl::Mutex m_mutex;
     std::map<std::string, Health> m_health ABSL_GUARDED_BY(m_mutex);
--- a/include/rattanrill/fakes/cacheeventfeed.h
+++ b/include/rattanrill/fakes/cacheeventfeed.h
@@ -38,7 +38,7 @@
 
     void publish(absl::Time now, std::vector<PrefixChange> changes);
     /// Visible events with a sequence number above \a after.
-    CacheEventPage page(absl::Time now, std::int64_t after) const;
+    CacheEventPage poll(absl::Time now, std::int64_t after) const;
 
 private:
     struct Pending
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -127,11 +127,11 @@
     /// Completes all steps that end at or before \a now; returns the events since the last call.
     std::vector<EngineEvent> advance(absl::Time now);
     /// End of the current step; InfiniteFuture when the engine is idle.
-    absl::Time nextEvent() const { return m_stepEnd; }
+    absl::Time stepEnd() const { return m_stepEnd; }
 
     LoadSample load(absl::Time now) const { return m_history.report(now); }
     CacheEventPage cacheEvents(absl::Time now, std::int64_t after) const;
-    OrderAnswer order(absl::Time now, const Order &order)
+    EngineCommandResult execute(absl::Time now, const EngineCommand &order)
     {
         return m_loadedModels.apply(now, order);
     }
--- a/include/rattanrill/fakes/enginerunner.h
+++ b/include/rattanrill/fakes/enginerunner.h
@@ -38,7 +38,7 @@
     /// Load as the delayed report shows it.
     LoadSample load() const;
     CacheEventPage cacheEvents(std::int64_t after) const;
-    OrderAnswer order(const Order &order);
+    EngineCommandResult execute(const EngineCommand &order);
     /// Needs no lock: the settings never change after construction.
     const EngineModelSettings &settings() const { return m_settings; }
     /// Applies the current faults to the model. To be called after each change of the faults.
--- a/include/rattanrill/fakes/faults.h
+++ b/include/rattanrill/fakes/faults.h
@@ -21,14 +21,14 @@
     /// Factor on the duration of the work.
     double slowFactor = 1;
     /// Delay of an engine's events or a service's answer after the work for them is done.
-    absl::Duration lateAnswer;
+    absl::Duration responseDelay;
     /// Number of pairs of running requests whose answers are still to be swapped.
     std::int64_t swapAnswers = 0;
     /// An engine closes a stream after this many tokens; a service closes the connection halfway
     /// through its answer when this is not zero.
     std::int64_t cutAfterTokens = 0;
     /// Whether requests fail with UpstreamBusy.
-    bool refuse = false;
+    bool rejectRequests = false;
 };
 
 /// Holds the faults that "POST /faults" sets. Thread-safe; shared by the threads of a fake.
--- a/include/rattanrill/fakes/instancelist.h
+++ b/include/rattanrill/fakes/instancelist.h
@@ -47,7 +47,7 @@
     Result<Instance> set(absl::Time now, const std::string &name, const Json &body);
     /// Instances as they were one lag before \a now, in order of name. Instances that were
     /// Gone are left out.
-    std::vector<Instance> listed(absl::Time now) const;
+    std::vector<Instance> visibleInstances(absl::Time now) const;
 
 private:
     /// State of an instance from a point in time on.
--- a/include/rattanrill/fakes/loadedmodels.h
+++ b/include/rattanrill/fakes/loadedmodels.h
@@ -12,7 +12,7 @@
 
 namespace rattanrill::fakes {
 
-enum class OrderKind {
+enum class EngineCommandKind {
     LoadModel,
     LoadAdapter,
     LoadVersion,
@@ -20,9 +20,9 @@
 };
 
 /// An order to an engine to load something or to change its role.
-struct Order
+struct EngineCommand
 {
-    OrderKind kind = OrderKind::LoadModel;
+    EngineCommandKind kind = EngineCommandKind::LoadModel;
     /// Name of the model, adapter, version or role.
     std::string name;
     /// Fencing token with which the order was sent.
@@ -30,16 +30,16 @@
 };
 
 /// Answer of an engine to an order.
-struct OrderAnswer
+struct EngineCommandResult
 {
     bool accepted = false;
     /// Highest fencing token of all orders accepted so far.
     std::int64_t fence = 0;
 };
 
-std::string_view name(OrderKind kind);
+std::string_view name(EngineCommandKind kind);
 /// Inverse of name(). Fails with InvalidRequest for an unknown name.
-Result<OrderKind> orderKindFromName(std::string_view name);
+Result<EngineCommandKind> engineCommandKindFromName(std::string_view name);
 
 /// The models, adapters and versions that an engine was ordered to load, and its role. An engine
 /// that checks fencing tokens refuses an order with an outdated one; an engine that does not check
@@ -50,9 +50,9 @@
     /// \a models are loaded from the start; a model that is ordered later takes \a loadTime.
     LoadedModels(std::vector<std::string> models, bool checksFence, absl::Duration loadTime);
 
-    OrderAnswer apply(absl::Time now, const Order &order);
+    EngineCommandResult apply(absl::Time now, const EngineCommand &order);
     /// Whether \a model is loaded at \a now.
-    bool serves(absl::Time now, std::string_view model) const;
+    bool isLoaded(absl::Time now, std::string_view model) const;
     /// Role of the last accepted SetRole order; empty before the first.
     const std::string &role() const { return m_role; }
 
--- a/include/rattanrill/fakes/requestlog.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -22,7 +22,7 @@
     /// Values of a repeated header are joined with ", ".
     std::map<std::string, std::string> headers;
     /// Whether work on the request has started.
-    bool run = false;
+    bool started = false;
     bool finished = false;
     /// Number of tokens of the whole answer, once finished.
     std::int64_t tokens = 0;
@@ -51,10 +51,10 @@
 
     /// Returns the sequence number of the new record.
     std::int64_t add(RequestRecord record);
-    void markRun(std::int64_t seq);
+    void markStarted(std::int64_t seq);
     void markFinished(std::int64_t seq, std::int64_t tokens);
     /// Records with a sequence number above \a after.
-    std::vector<RequestRecord> after(std::int64_t after) const;
+    std::vector<RequestRecord> recordsAfter(std::int64_t after) const;
     /// Sequence number of the newest record; 0 before the first.
     std::int64_t lastSeq() const;
 
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -29,7 +29,7 @@
 };
 
 /// Answer of the fake service to one request.
-struct ServiceAnswer
+struct ServiceResponse
 {
     std::string path;
     std::string requestId;
@@ -48,7 +48,7 @@
     /// Waits for a slot, calls \a started, occupies the slot for the service time and returns the
     /// answer, which belongs to another request if a fault crossed the two. Fails as NotRun with
     /// UpstreamBusy when too many requests are waiting.
-    Result<ServiceAnswer> serve(ServiceAnswer answer, const std::function<void()> &started);
+    Result<ServiceResponse> serve(ServiceResponse answer, const std::function<void()> &started);
     /// Load as the delayed report shows it.
     LoadSample load() const;
     const ServiceSettings &settings() const { return m_settings; }
@@ -69,7 +69,7 @@
     /// order, so this is also the next ticket to be served.
     std::int64_t m_servedTickets ABSL_GUARDED_BY(m_mutex) = 0;
     /// Answers of the requests that occupy a slot, by ticket.
-    std::map<std::int64_t, ServiceAnswer *> m_running ABSL_GUARDED_BY(m_mutex);
+    std::map<std::int64_t, ServiceResponse *> m_running ABSL_GUARDED_BY(m_mutex);
     LoadHistory m_history ABSL_GUARDED_BY(m_mutex);
 };
 
--- a/include/rattanrill/fakes/tcprelay.h
+++ b/include/rattanrill/fakes/tcprelay.h
@@ -27,7 +27,7 @@
     /// Connections that are open now.
     std::int64_t open = 0;
     /// Bytes that were dropped by LinkMode::Drop.
-    std::int64_t lostBytes = 0;
+    std::int64_t droppedBytes = 0;
 };
 
 /// Accepts TCP connections on one port and relays each to a target, which is chosen when the
@@ -37,9 +37,9 @@
 public:
     /// Returns the target of a new connection; when it returns nothing, the connection is refused.
     /// Called on the relay's thread; must not block.
-    using Chooser = std::function<std::optional<RelayAddress>()>;
+    using TargetSelector = std::function<std::optional<RelayAddress>()>;
 
-    TcpRelay(RelayAddress listen, Chooser chooser);
+    TcpRelay(RelayAddress listen, TargetSelector selectTarget);
     ~TcpRelay();
     TcpRelay(const TcpRelay &) = delete;
     TcpRelay &operator=(const TcpRelay &) = delete;
--- a/include/rattanrill/fakes/weightstore.h
+++ b/include/rattanrill/fakes/weightstore.h
@@ -29,9 +29,9 @@
     Result<std::int64_t> size(const std::string &name) const;
     /// Takes \a bytes from the bucket. Fails with RateLimited while the bucket holds fewer. A read
     /// that is larger than the burst needs only a full bucket and leaves its level negative.
-    Result<void> take(absl::Time now, std::int64_t bytes);
-    /// Time until take() of \a bytes succeeds; zero when it succeeds now.
-    absl::Duration waitFor(absl::Time now, std::int64_t bytes) const;
+    Result<void> consume(absl::Time now, std::int64_t bytes);
+    /// Time until consume() of \a bytes succeeds; zero when it succeeds now.
+    absl::Duration timeUntilAvailable(absl::Time now, std::int64_t bytes) const;
 
 private:
     double level(absl::Time now) const;
--- a/src/fakes/balancer.cpp
+++ b/src/fakes/balancer.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-Balancer::Balancer(BalancerSettings settings, Lister lister, TimerService &timers)
+Balancer::Balancer(BalancerSettings settings, InstanceSource instanceSource, TimerService &timers)
     : m_settings(std::move(settings))
-    , m_lister(std::move(lister))
+    , m_instanceSource(std::move(instanceSource))
     , m_timers(timers)
     , m_checkers(checkerThreads, maxQueuedChecks)
     , m_relay(m_settings.listen, [this] { return chooseTarget(); })
@@ -37,7 +37,7 @@
 std::vector<BalancerTarget> Balancer::targets() const
 {
     std::vector<BalancerTarget> targets;
-    for (const Instance &instance : m_lister()) {
+    for (const Instance &instance : m_instanceSource()) {
         if (instance.role != m_settings.role)
             continue;
         absl::MutexLock lock(&m_mutex);
@@ -53,7 +53,7 @@
 std::vector<Instance> Balancer::liveInstances() const
 {
     std::vector<Instance> live;
-    for (Instance &instance : m_lister()) {
+    for (Instance &instance : m_instanceSource()) {
         if (instance.role == m_settings.role && instance.state == InstanceState::Live)
             live.push_back(std::move(instance));
     }
--- a/src/fakes/cacheeventfeed.cpp
+++ b/src/fakes/cacheeventfeed.cpp
@@ -34,7 +34,7 @@
         m_pending.pop_front();
 }
 
-CacheEventPage CacheEventFeed::page(absl::Time now, std::int64_t after) const
+CacheEventPage CacheEventFeed::poll(absl::Time now, std::int64_t after) const
 {
     CacheEventPage page;
     page.next = std::min(after, m_lastSeq);
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -94,7 +94,7 @@
 
 CacheEventPage EngineModel::cacheEvents(absl::Time now, std::int64_t after) const
 {
-    return m_cacheEvents.page(now, after);
+    return m_cacheEvents.poll(now, after);
 }
 
 void EngineModel::freezeUntil(absl::Time time)
@@ -111,7 +111,7 @@
 
 Result<void> EngineModel::checkRequest(absl::Time now, const EngineRequest &request) const
 {
-    if (!m_loadedModels.serves(now, request.model))
+    if (!m_loadedModels.isLoaded(now, request.model))
         return fail(notRun(ErrorCode::UnknownModel,
                            concat("model \"", request.model, "\" is not loaded")));
     if (isKnown(request.requestId))
--- a/src/fakes/enginerunner.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -69,10 +69,10 @@
     return m_model.cacheEvents(m_clock.now(), after);
 }
 
-OrderAnswer EngineRunner::order(const Order &order)
+EngineCommandResult EngineRunner::execute(const EngineCommand &order)
 {
     absl::MutexLock lock(&m_mutex);
-    return m_model.order(m_clock.now(), order);
+    return m_model.execute(m_clock.now(), order);
 }
 
 void EngineRunner::applyFaults()
@@ -90,7 +90,7 @@
     absl::MutexLock lock(&m_mutex);
     while (!m_stopped) {
         step();
-        const absl::Duration left = m_model.nextEvent() - m_clock.now();
+        const absl::Duration left = m_model.stepEnd() - m_clock.now();
         m_changed.WaitWithTimeout(&m_mutex, left);
     }
 }
@@ -113,7 +113,7 @@
     if (route == m_routes.end())
         return;
     recordEvent(event, route->second);
-    route->second.queue->push(m_clock.now() + m_faults.state().lateAnswer,
+    route->second.queue->push(m_clock.now() + m_faults.state().responseDelay,
                               {event, route->second.request});
     if (event.kind == EngineEvent::Kind::Finished)
         m_routes.erase(route);
@@ -123,7 +123,7 @@
 {
     if (event.kind == EngineEvent::Kind::Started) {
         route.running = true;
-        m_records.markRun(route.recordSeq);
+        m_records.markStarted(route.recordSeq);
     }
     if (event.kind == EngineEvent::Kind::Finished)
         m_records.markFinished(route.recordSeq, event.index);
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -49,12 +49,12 @@
             {"tokens", event.change.tokens}};
 }
 
-Result<Order> orderOf(const std::string &text)
+Result<EngineCommand> orderOf(const std::string &text)
 {
     BOOST_LEAF_AUTO(body, parseJson(text, "body"));
-    Order order;
+    EngineCommand order;
     BOOST_LEAF_AUTO(kind, jsonMember<std::string>(body, "kind"));
-    BOOST_LEAF_ASSIGN(order.kind, orderKindFromName(kind));
+    BOOST_LEAF_ASSIGN(order.kind, engineCommandKindFromName(kind));
     BOOST_LEAF_ASSIGN(order.name, jsonMember<std::string>(body, "name"));
     BOOST_LEAF_ASSIGN(order.fence, jsonMember<std::int64_t>(body, "fence"));
     return order;
@@ -132,7 +132,7 @@
                                        bool chat)
 {
     const std::int64_t seq = m_records.add(recordOf(request, requestIdOf(request)));
-    if (m_faults.state().refuse)
+    if (m_faults.state().rejectRequests)
         return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     BOOST_LEAF_AUTO(body, parseJson(request.body, "body"));
     BOOST_LEAF_AUTO(engineRequest, fakes::engineRequest(body));
@@ -226,10 +226,10 @@
                                       int &status)
 {
     BOOST_LEAF_AUTO(order, orderOf(request.body));
-    const OrderAnswer answer = m_runner.order(order);
+    const EngineCommandResult answer = m_runner.execute(order);
     status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
     if (answer.accepted)
-        m_records.markRun(seq);
+        m_records.markStarted(seq);
     return Json{{"accepted", answer.accepted}, {"fence", answer.fence}};
 }
 
--- a/src/fakes/fakehttpserver.cpp
+++ b/src/fakes/fakehttpserver.cpp
@@ -104,7 +104,7 @@
     const std::int64_t after = numberParam(request, "after");
     Json list = Json::array();
     std::int64_t next = after;
-    for (const RequestRecord &record : records.after(after)) {
+    for (const RequestRecord &record : records.recordsAfter(after)) {
         list.push_back(toJson(record));
         next = record.seq;
     }
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -61,10 +61,10 @@
     absl::Duration freeze;
     BOOST_LEAF_CHECK(read<std::string>(body, "crash_on", state.crashOn, ""));
     BOOST_LEAF_CHECK(read<double>(body, "slow_factor", state.slowFactor, 1));
-    BOOST_LEAF_CHECK(readMilliseconds(body, "late_answer_ms", state.lateAnswer));
+    BOOST_LEAF_CHECK(readMilliseconds(body, "late_answer_ms", state.responseDelay));
     BOOST_LEAF_CHECK(read<std::int64_t>(body, "cross_answers", state.swapAnswers, 0));
     BOOST_LEAF_CHECK(read<std::int64_t>(body, "cut_after_tokens", state.cutAfterTokens, 0));
-    BOOST_LEAF_CHECK(read<bool>(body, "refuse", state.refuse, false));
+    BOOST_LEAF_CHECK(read<bool>(body, "refuse", state.rejectRequests, false));
     BOOST_LEAF_CHECK(readMilliseconds(body, "freeze_ms", freeze));
     absl::MutexLock lock(&m_mutex);
     m_state = std::move(state);
--- a/src/fakes/instancelist.cpp
+++ b/src/fakes/instancelist.cpp
@@ -72,7 +72,7 @@
     return instance;
 }
 
-std::vector<Instance> InstanceList::listed(absl::Time now) const
+std::vector<Instance> InstanceList::visibleInstances(absl::Time now) const
 {
     std::vector<Instance> instances;
     for (const auto &[name, versions] : m_versions) {
--- a/src/fakes/linkserver.cpp
+++ b/src/fakes/linkserver.cpp
@@ -22,7 +22,7 @@
             {"backward", toJson(faults.backward)},
             {"accepted", counters.accepted},
             {"open", counters.open},
-            {"lost_bytes", counters.lostBytes}};
+            {"lost_bytes", counters.droppedBytes}};
 }
 
 Result<void> change(DirectionFaults &faults, const Json &body)
--- a/src/fakes/loadedmodels.cpp
+++ b/src/fakes/loadedmodels.cpp
@@ -8,21 +8,21 @@
 namespace rattanrill::fakes {
 namespace {
 
-constexpr std::array<EnumName<OrderKind>, 4> orderKindNames = {{
-        {OrderKind::LoadModel, "load_model"},
-        {OrderKind::LoadAdapter, "load_adapter"},
-        {OrderKind::LoadVersion, "load_version"},
-        {OrderKind::SetRole, "set_role"},
+constexpr std::array<EnumName<EngineCommandKind>, 4> orderKindNames = {{
+        {EngineCommandKind::LoadModel, "load_model"},
+        {EngineCommandKind::LoadAdapter, "load_adapter"},
+        {EngineCommandKind::LoadVersion, "load_version"},
+        {EngineCommandKind::SetRole, "set_role"},
 }};
 
 } // namespace
 
-std::string_view name(OrderKind kind)
+std::string_view name(EngineCommandKind kind)
 {
     return nameOf(orderKindNames, kind);
 }
 
-Result<OrderKind> orderKindFromName(std::string_view name)
+Result<EngineCommandKind> engineCommandKindFromName(std::string_view name)
 {
     if (const auto kind = valueOf(orderKindNames, name))
         return *kind;
@@ -38,19 +38,19 @@
         m_readyAt[std::move(model)] = absl::InfinitePast();
 }
 
-OrderAnswer LoadedModels::apply(absl::Time now, const Order &order)
+EngineCommandResult LoadedModels::apply(absl::Time now, const EngineCommand &order)
 {
     if (m_checksFence && order.fence < m_fence)
         return {false, m_fence};
     m_fence = std::max(m_fence, order.fence);
-    if (order.kind == OrderKind::SetRole)
+    if (order.kind == EngineCommandKind::SetRole)
         m_role = order.name;
     else
         m_readyAt.emplace(order.name, now + m_loadTime);
     return {true, m_fence};
 }
 
-bool LoadedModels::serves(absl::Time now, std::string_view model) const
+bool LoadedModels::isLoaded(absl::Time now, std::string_view model) const
 {
     const auto entry = m_readyAt.find(model);
     return entry != m_readyAt.end() && entry->second <= now;
--- a/src/fakes/platformserver.cpp
+++ b/src/fakes/platformserver.cpp
@@ -42,7 +42,7 @@
 std::vector<Instance> PlatformServer::listed() const
 {
     absl::MutexLock lock(&m_mutex);
-    return m_instances.listed(m_clock.now());
+    return m_instances.visibleInstances(m_clock.now());
 }
 
 Result<Instance> PlatformServer::addInitial(const std::string &name, const Json &body)
@@ -130,8 +130,8 @@
 {
     absl::MutexLock lock(&m_mutex);
     BOOST_LEAF_AUTO(size, m_weights.size(name));
-    wait = m_weights.waitFor(m_clock.now(), size);
-    BOOST_LEAF_CHECK(m_weights.take(m_clock.now(), size));
+    wait = m_weights.timeUntilAvailable(m_clock.now(), size);
+    BOOST_LEAF_CHECK(m_weights.consume(m_clock.now(), size));
     return size;
 }
 
--- a/src/fakes/requestlog.cpp
+++ b/src/fakes/requestlog.cpp
@@ -12,7 +12,7 @@
     return {
             {"seq", record.seq},       {"request_id", record.requestId},
             {"path", record.path},     {"headers", record.headers},
-            {"run", record.run},       {"finished", record.finished},
+            {"run", record.started},   {"finished", record.finished},
             {"tokens", record.tokens},
     };
 }
@@ -41,13 +41,13 @@
     return m_lastSeq;
 }
 
-void RequestLog::markRun(std::int64_t seq)
+void RequestLog::markStarted(std::int64_t seq)
 {
     absl::MutexLock lock(&m_mutex);
     RequestRecord *record = find(seq);
     if (record == nullptr)
         return;
-    record->run = true;
+    record->started = true;
     append(*record);
 }
 
@@ -62,7 +62,7 @@
     append(*record);
 }
 
-std::vector<RequestRecord> RequestLog::after(std::int64_t after) const
+std::vector<RequestRecord> RequestLog::recordsAfter(std::int64_t after) const
 {
     absl::MutexLock lock(&m_mutex);
     std::vector<RequestRecord> records;
--- a/src/fakes/servicemodel.cpp
+++ b/src/fakes/servicemodel.cpp
@@ -11,8 +11,8 @@
     , m_history(m_settings.loadReportLag)
 {}
 
-Result<ServiceAnswer> ServiceModel::serve(ServiceAnswer answer,
-                                          const std::function<void()> &started)
+Result<ServiceResponse> ServiceModel::serve(ServiceResponse answer,
+                                            const std::function<void()> &started)
 {
     absl::MutexLock lock(&m_mutex);
     const std::int64_t ticket = m_nextTicket;
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -81,27 +81,27 @@
         http::sendFailure(response, answer.failure(), request.get_header_value("X-Request-Id"));
 }
 
-Result<ServiceAnswer> ServiceServer::runRequest(const httplib::Request &request)
+Result<ServiceResponse> ServiceServer::runRequest(const httplib::Request &request)
 {
     const std::string id = request.get_header_value("X-Request-Id");
     const std::int64_t seq = m_records.add(recordOf(request, id));
     const FaultState faults = m_faults.state();
-    if (faults.refuse)
+    if (faults.rejectRequests)
         return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     const bool crashes =
             !faults.crashOn.empty() && request.body.find(faults.crashOn) != std::string::npos;
     BOOST_LEAF_AUTO(answer, m_model.serve({request.path, id, hashText(request.body)}, [&] {
-        m_records.markRun(seq);
+        m_records.markStarted(seq);
         if (crashes)
             crashProcess();
     }));
     m_records.markFinished(seq, 0);
     // The fault delays only the answer: the request has already released its slot.
-    absl::SleepFor(faults.lateAnswer);
+    absl::SleepFor(faults.responseDelay);
     return answer;
 }
 
-void ServiceServer::sendAnswer(httplib::Response &response, const ServiceAnswer &answer)
+void ServiceServer::sendAnswer(httplib::Response &response, const ServiceResponse &answer)
 {
     const Json body = {{"service", m_model.settings().service},
                        {"path", answer.path},
--- a/src/fakes/serviceserver.h
+++ b/src/fakes/serviceserver.h
@@ -18,8 +18,8 @@
     void load(httplib::Response &response);
     void setFaults(const httplib::Request &request, httplib::Response &response);
     void serve(const httplib::Request &request, httplib::Response &response);
-    Result<ServiceAnswer> runRequest(const httplib::Request &request);
-    void sendAnswer(httplib::Response &response, const ServiceAnswer &answer);
+    Result<ServiceResponse> runRequest(const httplib::Request &request);
+    void sendAnswer(httplib::Response &response, const ServiceResponse &answer);
 
     FakeHttpServer &m_server;
     ServiceModel &m_model;
--- a/src/fakes/tcprelay.cpp
+++ b/src/fakes/tcprelay.cpp
@@ -35,9 +35,9 @@
 
 struct TcpRelay::State
 {
-    State(RelayAddress listen, Chooser chooser)
+    State(RelayAddress listen, TargetSelector selectTarget)
         : listen(std::move(listen))
-        , chooser(std::move(chooser))
+        , selectTarget(std::move(selectTarget))
         , acceptor(context)
     {}
 
@@ -48,7 +48,7 @@
     void countLostBytes(std::size_t bytes);
 
     RelayAddress listen;
-    Chooser chooser;
+    TargetSelector selectTarget;
     boost::asio::io_context context;
     tcp::acceptor acceptor;
     /// Used on the relay's thread only.
@@ -88,7 +88,7 @@
 
 void TcpRelay::State::serve(tcp::socket client)
 {
-    const std::optional<RelayAddress> address = chooser();
+    const std::optional<RelayAddress> address = selectTarget();
     const auto target = outcomeOf([&]() -> Result<tcp::endpoint> {
         if (!address)
             return fail(notRun(ErrorCode::UpstreamUnavailable, "no target available"));
@@ -123,11 +123,11 @@
 void TcpRelay::State::countLostBytes(std::size_t bytes)
 {
     absl::MutexLock lock(&mutex);
-    counters.lostBytes += static_cast<std::int64_t>(bytes);
+    counters.droppedBytes += static_cast<std::int64_t>(bytes);
 }
 
-TcpRelay::TcpRelay(RelayAddress listen, Chooser chooser)
-    : m_state(std::make_shared<State>(std::move(listen), std::move(chooser)))
+TcpRelay::TcpRelay(RelayAddress listen, TargetSelector selectTarget)
+    : m_state(std::make_shared<State>(std::move(listen), std::move(selectTarget)))
 {}
 
 TcpRelay::~TcpRelay()
--- a/src/fakes/weightstore.cpp
+++ b/src/fakes/weightstore.cpp
@@ -21,9 +21,9 @@
     return weight->second;
 }
 
-Result<void> WeightStore::take(absl::Time now, std::int64_t bytes)
+Result<void> WeightStore::consume(absl::Time now, std::int64_t bytes)
 {
-    if (waitFor(now, bytes) > absl::ZeroDuration())
+    if (timeUntilAvailable(now, bytes) > absl::ZeroDuration())
         return fail(notRun(ErrorCode::RateLimited,
                            "the read rate limit of the weight store is exhausted"));
     m_level = level(now) - static_cast<double>(bytes);
@@ -31,7 +31,7 @@
     return {};
 }
 
-absl::Duration WeightStore::waitFor(absl::Time now, std::int64_t bytes) const
+absl::Duration WeightStore::timeUntilAvailable(absl::Time now, std::int64_t bytes) const
 {
     const double deficit = needed(bytes) - level(now);
     return absl::Seconds(std::max(deficit, 0.0) / m_settings.bytesPerSecond);
--- a/tests/fakes/answer_test.cpp
+++ b/tests/fakes/answer_test.cpp
@@ -14,7 +14,7 @@
 std::vector<std::string> states(const InstanceList &list, absl::Time now)
 {
     std::vector<std::string> states;
-    for (const Instance &instance : list.listed(now))
+    for (const Instance &instance : list.visibleInstances(now))
         states.push_back(instance.name + " " + std::string(name(instance.state)));
     return states;
 }
@@ -80,11 +80,12 @@
 {
     WeightStore store({{{"w", 250}}, 100, 200}, start);
     const auto accepts = [&](absl::Duration after) {
-        return outcomeOf([&] { return store.take(start + after, 250); }).ok();
+        return outcomeOf([&] { return store.consume(start + after, 250); }).ok();
     };
     BOOST_TEST(accepts(absl::ZeroDuration()));
     BOOST_TEST(!accepts(absl::Milliseconds(2499)));
-    BOOST_TEST((store.waitFor(start + absl::Seconds(2), 250) == absl::Milliseconds(500)));
+    BOOST_TEST(
+            (store.timeUntilAvailable(start + absl::Seconds(2), 250) == absl::Milliseconds(500)));
     BOOST_TEST(accepts(absl::Milliseconds(2500)));
 }
 
--- a/tests/fakes/enginemodel_test.cpp
+++ b/tests/fakes/enginemodel_test.cpp
@@ -51,8 +51,8 @@
 {
     const std::string id = request.requestId;
     BOOST_TEST_REQUIRE(accepts(model, start, std::move(request)));
-    while (model.nextEvent() != absl::InfiniteFuture()) {
-        const absl::Time now = model.nextEvent();
+    while (model.stepEnd() != absl::InfiniteFuture()) {
+        const absl::Time now = model.stepEnd();
         for (const EngineEvent &event : model.advance(now)) {
             if (event.requestId == id && event.kind == EngineEvent::Kind::Token)
                 return now - start;
@@ -247,8 +247,9 @@
     unchecked.checksFence = false;
     for (const EngineModelSettings &engineSettings : {settings(), unchecked}) {
         EngineModel model(engineSettings);
-        BOOST_TEST(model.order(start, {OrderKind::LoadModel, "n", 5}).accepted);
-        const OrderAnswer late = model.order(start, {OrderKind::LoadModel, "o", 4});
+        BOOST_TEST(model.execute(start, {EngineCommandKind::LoadModel, "n", 5}).accepted);
+        const EngineCommandResult late =
+                model.execute(start, {EngineCommandKind::LoadModel, "o", 4});
         BOOST_TEST(late.accepted == !engineSettings.checksFence);
         BOOST_TEST(late.fence == 5);
     }
@@ -258,7 +259,7 @@
 BOOST_AUTO_TEST_CASE(orderedModelServesAfterItsLoadTime)
 {
     EngineModel model(settings());
-    model.order(start, {OrderKind::LoadModel, "n", 1});
+    model.execute(start, {EngineCommandKind::LoadModel, "n", 1});
     EngineRequest other = request("a", 1);
     other.model = "n";
     BOOST_TEST((refusal(model, start, other) == ErrorCode::UnknownModel));
@@ -275,7 +276,7 @@
     EngineModel frozen(settings());
     BOOST_TEST_REQUIRE(accepts(frozen, start, request("a", 1)));
     frozen.freezeUntil(start + absl::Seconds(5));
-    BOOST_TEST((frozen.nextEvent() == start + absl::Seconds(5)));
+    BOOST_TEST((frozen.stepEnd() == start + absl::Seconds(5)));
 
     EngineModel crashing(settings());
     crashing.setCrashOn("bb");
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -68,8 +68,8 @@
     {
         const absl::Time end = SystemClock::instance().now() + absl::Seconds(10);
         while (SystemClock::instance().now() < end) {
-            const std::vector<RequestRecord> seen = records.after(0);
-            if (seen.size() == 2 && seen[0].run && seen[1].run)
+            const std::vector<RequestRecord> seen = records.recordsAfter(0);
+            if (seen.size() == 2 && seen[0].started && seen[1].started)
                 return true;
             std::this_thread::yield();
         }
@@ -162,11 +162,11 @@
     client.Post("/v1/completions", headers, body("r3", "p", 1, false).dump(), json);
     post("/faults", {{"refuse", true}});
     post("/v1/completions", body("r4", "p", 1, false));
-    const std::vector<RequestRecord> seen = records.after(0);
+    const std::vector<RequestRecord> seen = records.recordsAfter(0);
     BOOST_TEST_REQUIRE(seen.size() == 2u);
     BOOST_TEST(seen[0].headers.at("Authorization") == "Bearer secret");
-    BOOST_TEST((seen[0].run && seen[0].finished && seen[0].tokens == 1));
-    BOOST_TEST((!seen[1].run && !seen[1].finished));
+    BOOST_TEST((seen[0].started && seen[0].finished && seen[0].tokens == 1));
+    BOOST_TEST((!seen[1].started && !seen[1].finished));
 }
 
 // Guards against a refusal without NotRun, and against unknown models or faults being accepted.
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -76,7 +76,7 @@
     RequestRecord record;
     record.requestId = "r";
     const std::int64_t seq = records.add(record);
-    records.markRun(seq);
+    records.markStarted(seq);
     std::ifstream stream(file);
     std::string line;
     std::getline(stream, line);
@@ -85,10 +85,10 @@
     BOOST_TEST(Json::parse(line).at("finished") == false);
     records.add(record);
     records.add(record);
-    BOOST_TEST(records.after(0).size() == 2u);
+    BOOST_TEST(records.recordsAfter(0).size() == 2u);
     // Marking a record that is no longer in memory has no effect.
     records.markFinished(seq, 1);
-    BOOST_TEST(!records.after(0).front().finished);
+    BOOST_TEST(!records.recordsAfter(0).front().finished);
     std::remove(file.c_str());
 }
 
--- a/tests/fakes/tcprelay_test.cpp
+++ b/tests/fakes/tcprelay_test.cpp
@@ -83,9 +83,9 @@
     {
         const auto end =
                 std::chrono::steady_clock::now() + std::chrono::milliseconds(arrivalTimeoutMs);
-        while (relay.counters().lostBytes < bytes && std::chrono::steady_clock::now() < end)
+        while (relay.counters().droppedBytes < bytes && std::chrono::steady_clock::now() < end)
             std::this_thread::yield();
-        return relay.counters().lostBytes == bytes;
+        return relay.counters().droppedBytes == bytes;
     }
 
     static LinkFaults forward(LinkMode mode)
