--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr const char *entryAddress = "127.0.0.1:38491";
-constexpr unsigned short entryPort = 38491;
+constexpr const char *entryAddress = "127.0.0.1:28491";
+constexpr unsigned short entryPort = 28491;
 
 /// An entry process that has just started and has no configuration yet.
 struct Fixture
--- a/tests/net/connectionpool_test.cpp
+++ b/tests/net/connectionpool_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-const std::string address = "127.0.0.1:38472";
+const std::string address = "127.0.0.1:28472";
 
 struct CallResult
 {
--- a/tests/net/server_test.cpp
+++ b/tests/net/server_test.cpp
@@ -30,7 +30,7 @@
             limits.headerTimeout = absl::Milliseconds(200);
             limits.idleTimeout = absl::Milliseconds(400);
             server->setLimits(limits);
-            BOOST_REQUIRE(outcomeOf([&] { return server->start("127.0.0.1:38471"); }).ok());
+            BOOST_REQUIRE(outcomeOf([&] { return server->start("127.0.0.1:28471"); }).ok());
         });
     }
     ~TestServer()
@@ -74,7 +74,7 @@
     std::atomic<int> disconnectCount{0};
 };
 
-constexpr int port = 38471;
+constexpr int port = 28471;
 
 std::string statusLine(const std::string &response)
 {
--- a/tests/serving/proxyrequest_test.cpp
+++ b/tests/serving/proxyrequest_test.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-constexpr const char *entryAddress = "127.0.0.1:38481";
-constexpr unsigned short entryPort = 38481;
-constexpr int firstUpstreamPort = 38482;
+constexpr const char *entryAddress = "127.0.0.1:28481";
+constexpr unsigned short entryPort = 28481;
+constexpr int firstUpstreamPort = 28482;
 
 /// A scripted response.
 struct Step
@@ -171,8 +171,8 @@
         index = std::make_shared<const DeploymentIndex>(std::move(deployment));
         thread.run([this] {
             slotClient.setDeployment(index);
-            slotClient.setUpstreams({{"u1", "s", "127.0.0.1:38482", "d", 4, false},
-                                     {"u2", "s", "127.0.0.1:38483", "d", 4, false}},
+            slotClient.setUpstreams({{"u1", "s", "127.0.0.1:28482", "d", 4, false},
+                                     {"u2", "s", "127.0.0.1:28483", "d", 4, false}},
                                     1);
             server = std::make_unique<net::Server>(loop, [this](auto exchange) {
                 RoutedRequest request;
