--- a/include/rattanrill/fleet/fleetclient.h
+++ b/include/rattanrill/fleet/fleetclient.h
@@ -22,12 +22,13 @@
     /// Peer addresses of processes that may hold a replica of the fleet group. The client discovers
     /// further ones from the list of members.
     std::vector<std::string> seeds;
-    /// How long the leader may hold a poll before it responds. This is also the heartbeat period,
-    /// because each poll is a heartbeat.
+    /// Maximum time for which the leader delays the response to a poll while nothing changes. This
+    /// is also the heartbeat period, because each poll is a heartbeat.
     absl::Duration pollWait = absl::Milliseconds(500);
-    /// A poll without a response after this long has failed.
+    /// A poll that has received no response after this time fails.
     absl::Duration pollTimeout = absl::Milliseconds(1200);
-    /// Delay after a failed round of polls; doubles with each further failure up to maxBackoff.
+    /// Delay after a failed round of polls; doubles with each further failed round up to
+    /// maxBackoff.
     absl::Duration minBackoff = absl::Milliseconds(40);
     absl::Duration maxBackoff = absl::Milliseconds(150);
 };
@@ -38,18 +39,20 @@
     std::uint64_t configurationVersion = 0;
     std::string configuration;
     std::vector<wire::FleetMemberStatus> members;
-    /// The list of members is complete.
+    /// Whether the list of members is complete: the leader has led for longer than the member
+    /// timeout, within which every live process should have sent a heartbeat.
     bool membersComplete = false;
-    /// Replica ids of the first voters of the store group; empty until it is founded.
+    /// Replica ids of the initial voters of the store group; empty until the group is bootstrapped.
     std::vector<std::string> storeFounders;
-    /// The platform's list of upstreams has been received at least once.
+    /// Whether the platform's list of upstreams has been received at least once.
     bool upstreamsKnown = false;
     std::vector<wire::FleetUpstream> upstreams;
 };
 
 /// Registers this process with the leader of the fleet group and keeps a copy of the deployment's
 /// state up to date by long polls. Finds the leader through the seeds, the control processes in the
-/// list of members, and the hints that non-leaders return. Used on the event loop only.
+/// list of members, and the leader that a non-leader names in its response. Used on the event loop
+/// only.
 class FleetClient
 {
 public:
@@ -63,9 +66,9 @@
 
     /// Adds \a listener, which is called after each change of the state. Call before start().
     void onChange(Listener listener);
-    /// Sets the function that fills in, for each poll, whether this process leads the store group,
-    /// with which term and which replicas.
-    void setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> report);
+    /// Sets the function that fills in the store group's fields of each poll: whether this process
+    /// leads the group and, if so, its term and replicas.
+    void setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> source);
     void start();
     /// Sends the leader a heartbeat at once, with the same content as the next poll. Does nothing
     /// while no leader is known.
@@ -76,8 +79,7 @@
     /// Replaces the seeds, after the settings have changed.
     void setSeeds(std::vector<std::string> seeds);
     const FleetState &state() const;
-    /// Time since the sending of the last poll that received a response; infinite before the first
-    /// one.
+    /// Time since the last successful poll was sent; infinite before the first one.
     absl::Duration staleness() const;
     /// Last known peer address of the leader of the fleet group; empty when unknown.
     std::string leaderAddress() const;
--- a/include/rattanrill/fleet/fleetservice.h
+++ b/include/rattanrill/fleet/fleetservice.h
@@ -30,14 +30,15 @@
 {
     /// A process that has sent no heartbeat for this long is considered not alive.
     absl::Duration memberTimeout = absl::Seconds(2);
-    /// Interval at which the leader reads the platform's list. Only the leader reads it, because
-    /// the platform limits the calls of all processes together and charges for each one.
+    /// Interval at which the leader reads the platform's list of upstreams. Only the leader reads
+    /// it, because the platform limits the calls of all processes together and charges for each
+    /// one.
     absl::Duration discoveryPeriod = absl::Seconds(1);
 };
 
 /// Serves the polls of FleetClient on the leader of the fleet group. Maintains the FleetView, reads
-/// the platform's list on behalf of all processes, and founds the store group. Used on the event
-/// loop only.
+/// the platform's list of upstreams on behalf of all processes, and bootstraps the store group.
+/// Used on the event loop only.
 class FleetService
 {
 public:
@@ -47,6 +48,7 @@
     FleetService(const FleetService &) = delete;
     FleetService &operator=(const FleetService &) = delete;
 
+    /// Registers the handler of Method::SyncFleet. Call before the server starts.
     void install(peer::Server &server);
     void start();
     void stop();
--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -13,8 +13,8 @@
 namespace rattanrill::fleet {
 
 /// The leader's view of the deployment: the records of the fleet group, the processes that send
-/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number,
-/// which shows a FleetClient that its copy is out of date. Performs no input or output.
+/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number, by
+/// which a FleetClient detects that its copy is out of date. Performs no I/O.
 class FleetView
 {
 public:
@@ -22,8 +22,8 @@
     /// not alive.
     explicit FleetView(absl::Duration memberTimeout);
 
-    /// Resets the view for a new term of leadership. Members and upstreams of earlier terms are
-    /// discarded.
+    /// Resets the view when this replica becomes the leader in \a term. Discards the members and
+    /// upstreams of earlier terms.
     void beginTerm(std::uint64_t term, absl::Time now);
     std::uint64_t term() const { return m_term; }
     std::uint64_t sequence() const { return m_sequence; }
@@ -37,23 +37,24 @@
     /// after 10 times the member timeout.
     void expire(absl::Time now);
 
-    /// True when this leader has led for longer than the member timeout, in which every live
+    /// Whether this replica has led for longer than the member timeout, within which every live
     /// process should have sent a heartbeat.
-    bool membersComplete() const { return m_hasAllMembers; }
-    /// True when the sender of \a request already holds this version of the view.
+    bool membersComplete() const { return m_membersComplete; }
+    /// Whether the sender of \a request already has this version of the view.
     bool isCurrent(const wire::FleetSyncRequest &request) const;
     wire::FleetSyncResponse makeResponse(const wire::FleetSyncRequest &request) const;
     /// Processes of \a role as candidates for the voters of their group. Empty until the view is
-    /// complete, because a voter that has not sent a heartbeat yet would be taken for lost.
+    /// complete, because a voter that has not sent a heartbeat yet would be considered lost.
     std::vector<VoterCandidate> voterCandidates(wire::MemberRole role) const;
-    /// Replica ids of the first voters of the store group, when it can be founded now: 3 live
-    /// stores or, once 3 s of this term have passed, as many as are alive. Empty otherwise.
+    /// Replica ids of the initial voters of the store group if it can be bootstrapped now: 3 live
+    /// stores or, from 3 s after the start of the term, as many as are alive. Empty otherwise, also
+    /// when the group has been bootstrapped before.
     std::vector<std::string> initialStoreVoters(absl::Time now) const;
 
 private:
     struct MemberEntry
     {
-        wire::FleetMemberStatus live;
+        wire::FleetMemberStatus status;
         absl::Time lastHeartbeatAt;
     };
 
@@ -65,12 +66,13 @@
     std::uint64_t m_term = 0;
     std::uint64_t m_sequence = 0;
     absl::Time m_termStartedAt;
-    bool m_hasAllMembers = false;
+    bool m_membersComplete = false;
     wire::FleetSnapshot m_records;
     bool m_upstreamsKnown = false;
     std::vector<wire::FleetUpstream> m_upstreams;
     /// By instance.
     std::map<std::string, MemberEntry> m_members;
+    /// Term and replica ids that the leader of the store group has reported.
     std::uint64_t m_storeTerm = 0;
     std::vector<std::string> m_storeReplicas;
 };
--- a/include/rattanrill/fleet/groupreplica.h
+++ b/include/rattanrill/fleet/groupreplica.h
@@ -21,15 +21,17 @@
 struct GroupReplicaSettings
 {
     std::string group;
+    /// Folder in which the replica uses the subfolder with the group's name.
     std::string dataFolder;
     VoterLimits voterLimits;
     absl::Duration heartbeatPeriod = absl::Milliseconds(100);
-    /// Long enough for a machine on which the replica has a seventh of a core, shared with the
-    /// other work of the machine.
+    /// Long enough that no election starts on a machine whose other processes leave the replica
+    /// only a seventh of a core.
     absl::Duration electionTimeout = absl::Milliseconds(450);
-    /// Replaces electionTimeout until the first message from a leader. Leaves time for a vote,
+    /// Replaces electionTimeout until the first message from a leader. Long enough for a vote,
     /// which takes two synced writes.
     absl::Duration initialElectionTimeout = absl::Milliseconds(120);
+    /// A snapshot is taken after this many bytes of log entries.
     std::uint64_t snapshotAfterBytes = std::uint64_t(8) << 20;
     /// A proposal that was forwarded to the leader fails after this long without a response.
     absl::Duration forwardTimeout = absl::Milliseconds(900);
@@ -59,7 +61,7 @@
     Result<void> open(const ReplicaIdentity &identity,
                       std::unique_ptr<replication::StateMachine> machine);
     bool isOpen() const;
-    void setCandidateSource(CandidateSource candidates);
+    void setCandidateSource(CandidateSource candidateSource);
     void onLeadershipChange(LeadershipListener listener);
     /// Calls \a listener on the loop after commands were applied.
     void onApplied(std::function<void()> listener);
--- a/include/rattanrill/fleet/membershipchange.h
+++ b/include/rattanrill/fleet/membershipchange.h
@@ -14,9 +14,9 @@
 {
     replication::ReplicaId replica;
     std::string failureDomain;
-    /// The process has sent a heartbeat within the member timeout.
+    /// Whether the process has sent a heartbeat within the member timeout.
     bool alive = true;
-    /// The operator has requested that the process holds no replica any more.
+    /// Whether an operator has requested that the process no longer hold a replica.
     bool retiring = false;
 };
 
@@ -31,19 +31,19 @@
 /// Limits on the voters of a group.
 struct VoterLimits
 {
-    /// An odd number, because one more voter would add work but would not increase the number of
-    /// tolerated failures.
+    /// An odd number: one more voter would make each write more expensive without increasing the
+    /// number of tolerated failures.
     std::size_t maxVoters = 5;
 };
 
 /// Decides the next change of a group's voters, on the group's leader. Returns no change when the
-/// set of voters needs none. Designed for machines and disks that are lost one after another
-/// without an operator. A voter is removed only when a replica that has caught up replaces it, so
-/// that the number of copies never decreases; the exception is a retiring voter when enough others
-/// remain. Returns no change when \a candidates is empty, because the state of the voters is then
-/// unknown.
+/// set of voters needs none. Designed for deployments in which machines and disks are lost one
+/// after another and no operator intervenes. A voter is removed only when a replica that has caught
+/// up replaces it, so that the number of copies never decreases; the exception is a retiring voter
+/// when enough others remain. Returns no change when \a candidates is empty, because the state of
+/// the voters is then unknown.
 std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
-                                                     const VoterLimits &rules);
+                                                     const VoterLimits &limits);
 
 } // namespace rattanrill::fleet
--- a/include/rattanrill/fleet/replicaidentity.h
+++ b/include/rattanrill/fleet/replicaidentity.h
@@ -13,7 +13,7 @@
 struct ReplicaIdentity
 {
     replication::ReplicaId replica;
-    /// First voters of the group if this replica is one of them; otherwise empty.
+    /// Initial voters of the group if this replica is one of them; otherwise empty.
     std::vector<replication::ReplicaId> initialVoters;
 };
 
@@ -22,7 +22,7 @@
 replication::ReplicaId makeReplicaId(const std::string &peerAddress,
                                      const std::string &incarnation);
 
-/// Incarnation of the replicas that found a deployment. It is fixed, so that each founder can
+/// Incarnation of the replicas that bootstrap a deployment. It is fixed, so that each of them can
 /// derive the ids of the others without an exchange of messages.
 constexpr const char *bootstrapIncarnation = "founder";
 
--- a/include/rattanrill/fleet/statemachine.h
+++ b/include/rattanrill/fleet/statemachine.h
@@ -6,8 +6,8 @@
 
 namespace rattanrill::fleet {
 
-/// Name of the group that stores the configuration, the founders of the store group and the stores
-/// that are being retired.
+/// Name of the group that stores the configuration, the initial voters of the store group and the
+/// stores that are being retired.
 constexpr const char *fleetGroup = "fleet";
 /// Name of the group that stores batch jobs.
 constexpr const char *storeGroup = "store";
@@ -17,7 +17,7 @@
 ///
 /// A configuration whose version is not higher than the stored one has no effect but returns
 /// success, so that a change that was sent again or superseded is acknowledged. The store group is
-/// founded once. Failures: MalformedMessage.
+/// bootstrapped only once. Failures: MalformedMessage.
 std::unique_ptr<replication::StateMachine> makeFleetStateMachine();
 
 } // namespace rattanrill::fleet
--- a/src/fleet/fleetclient.cpp
+++ b/src/fleet/fleetclient.cpp
@@ -10,8 +10,8 @@
 namespace rattanrill::fleet {
 namespace {
 
-/// Number of addresses that are polled in parallel while no leader is known. Three, because the
-/// fleet group is founded by three processes.
+/// Maximum number of addresses that are polled in parallel while no leader is known. Equal to the
+/// number of processes that bootstrap the fleet group.
 constexpr std::size_t maxParallelPolls = 3;
 
 } // namespace
@@ -35,8 +35,8 @@
         request.viewSequence = viewSequence;
         request.configurationVersion = state.configurationVersion;
         request.waitMs = absl::ToInt64Milliseconds(settings.pollWait);
-        if (storeReport)
-            storeReport(request);
+        if (storeStatusSource)
+            storeStatusSource(request);
         return request;
     }
 
@@ -50,9 +50,9 @@
         channels.channel(leader)->sendOneWay(wire::Method::SyncFleet, wire::encode(message));
     }
 
-    /// Returns the leader's address when it is known. Otherwise returns a few of the known
-    /// addresses, different ones in each call, because a poll of a process that is down ends only
-    /// after a timeout.
+    /// Returns the leader's address if it is known, and otherwise up to maxParallelPolls of the
+    /// known addresses. Successive calls rotate through them, because a poll of a process that is
+    /// down ends only after a timeout.
     std::vector<std::string> nextAddresses()
     {
         if (!leader.empty())
@@ -189,18 +189,19 @@
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::vector<Listener> listeners;
-    std::function<void(wire::FleetSyncRequest &)> storeReport;
+    std::function<void(wire::FleetSyncRequest &)> storeStatusSource;
     std::string leader;
     std::size_t nextAddressIndex = 0;
+    /// Whether the last poll received a valid response.
     bool connected = false;
-    /// The current poll was sent to the leader that the previous response named.
+    /// Whether the current poll was sent to the leader that the previous response named.
     bool followsHint = false;
     std::uint64_t round = 0;
-    /// Polls of this round that have not received a response.
+    /// Number of polls of this round that have not ended yet.
     std::size_t pendingPolls = 0;
     bool stopped = false;
     absl::Duration backoff;
-    /// Sending time of the last poll that received a response.
+    /// Time at which the last successful poll was sent.
     absl::Time lastSyncSentAt = absl::InfinitePast();
 };
 
@@ -219,9 +220,9 @@
     m_impl->listeners.push_back(std::move(listener));
 }
 
-void FleetClient::setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> report)
+void FleetClient::setStoreStatusSource(std::function<void(wire::FleetSyncRequest &)> source)
 {
-    m_impl->storeReport = std::move(report);
+    m_impl->storeStatusSource = std::move(source);
 }
 
 void FleetClient::start()
--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -12,6 +12,7 @@
 
 /// Interval at which pending polls and member timeouts are checked.
 constexpr absl::Duration checkPeriod = absl::Milliseconds(50);
+/// Upper limit of the wait that a poll may request.
 constexpr absl::Duration maxPollWait = absl::Seconds(2);
 
 } // namespace
@@ -59,7 +60,8 @@
         respondToPolls(now);
     }
 
-    /// Returns the leader of the group; empty when it is unknown or this replica.
+    /// Returns the replica id of the leader of the group; empty when the leader is unknown or is
+    /// this replica.
     std::string otherLeader() const
     {
         const replication::RaftNodeStatus status = replica.status();
@@ -86,7 +88,7 @@
         }
     }
 
-    /// True when this replica leads and has read the records that earlier leaders committed.
+    /// Whether this replica leads and has read the records that earlier leaders committed.
     bool leads() const { return isReady && replica.isLeader(); }
 
     void respondToPolls(absl::Time now)
@@ -111,7 +113,7 @@
             poll.reply(notRun(ErrorCode::NotLeader, otherLeader()));
     }
 
-    void leadershipChanged(bool leadsNow)
+    void handleLeadershipChange(bool leadsNow)
     {
         isReady = false;
         failPolls();
@@ -156,7 +158,7 @@
         respondToPolls(clock.now());
     }
 
-    void tick()
+    void checkPollsAndMembers()
     {
         processPollsWithoutLeader(clock.now());
         if (!leads()) {
@@ -166,22 +168,23 @@
         }
         const absl::Time now = clock.now();
         view.expire(now);
-        foundStoreGroup(now);
+        bootstrapStoreGroup(now);
         respondToPolls(now);
     }
 
-    void foundStoreGroup(absl::Time now)
+    void bootstrapStoreGroup(absl::Time now)
     {
-        const std::vector<std::string> founders = view.initialStoreVoters(now);
-        if (founders.empty() || isFounding)
+        const std::vector<std::string> initialVoters = view.initialStoreVoters(now);
+        if (initialVoters.empty() || isBootstrapping)
             return;
-        isFounding = true;
+        isBootstrapping = true;
         log(LogLevel::Info, "store-group-founded",
-            {{"voters", static_cast<std::int64_t>(founders.size())}, {"first", founders.front()}});
-        const wire::FleetCommand command{wire::BootstrapStoreGroup{founders}};
+            {{"voters", static_cast<std::int64_t>(initialVoters.size())},
+             {"first", initialVoters.front()}});
+        const wire::FleetCommand command{wire::BootstrapStoreGroup{initialVoters}};
         replica.propose(wire::encode(command), [self = shared_from_this()](
                                                        const Outcome<std::string> &outcome) {
-            self->isFounding = false;
+            self->isBootstrapping = false;
             if (!outcome.ok())
                 log(LogLevel::Warning, "store-group-founding-failed",
                     {{"code", name(outcome.failure().code)}, {"detail", outcome.failure().detail}});
@@ -228,12 +231,12 @@
     const Clock &clock;
     FleetView view;
     std::list<Poll> polls;
-    /// Received while no leader was known.
+    /// Polls that were received while no leader was known.
     std::list<Poll> pollsWithoutLeader;
     std::vector<TimerService::TimerId> timers;
-    /// The records have been read in the current term.
+    /// Whether the records have been read in the current term.
     bool isReady = false;
-    bool isFounding = false;
+    bool isBootstrapping = false;
     bool isReadingUpstreams = false;
     bool upstreamsReadable = true;
 };
@@ -263,13 +266,14 @@
 void FleetService::start()
 {
     m_impl->replica.onLeadershipChange(
-            [impl = m_impl](bool leads) { impl->leadershipChanged(leads); });
+            [impl = m_impl](bool leads) { impl->handleLeadershipChange(leads); });
     m_impl->replica.onApplied([impl = m_impl] {
         if (impl->leads())
             impl->readRecords();
     });
     auto &timers = m_impl->loop.timers();
-    m_impl->timers.push_back(timers.subscribeEvery(checkPeriod, [impl = m_impl] { impl->tick(); }));
+    m_impl->timers.push_back(
+            timers.subscribeEvery(checkPeriod, [impl = m_impl] { impl->checkPollsAndMembers(); }));
     m_impl->timers.push_back(
             timers.subscribeEvery(m_impl->settings.discoveryPeriod, [impl = m_impl] {
                 if (impl->leads())
--- a/src/fleet/fleetview.cpp
+++ b/src/fleet/fleetview.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// A process is removed after this many member timeouts without a heartbeat.
-constexpr int removalTimeouts = 10;
-/// The store group is founded as soon as this many stores are alive.
-constexpr std::size_t targetFounders = 3;
-/// With fewer live stores, the store group is founded this long after the term began.
-constexpr absl::Duration foundingTimeout = absl::Seconds(3);
+constexpr int timeoutsUntilRemoval = 10;
+/// The store group is bootstrapped as soon as this many stores are alive.
+constexpr std::size_t targetStoreVoters = 3;
+/// With fewer live stores, the store group is bootstrapped this long after the start of the term.
+constexpr absl::Duration bootstrapTimeout = absl::Seconds(3);
 
 bool sameUpstream(const wire::FleetUpstream &left, const wire::FleetUpstream &right)
 {
@@ -38,7 +38,7 @@
     m_term = term;
     m_sequence = 1;
     m_termStartedAt = now;
-    m_hasAllMembers = false;
+    m_membersComplete = false;
     m_upstreamsKnown = false;
     m_upstreams.clear();
     m_members.clear();
@@ -90,9 +90,9 @@
     status.member = request.self;
     status.alive = true;
     status.leadsStores = leadsStores;
-    if (!sameMember(memberEntry.live, status))
+    if (!sameMember(memberEntry.status, status))
         incrementSequence();
-    memberEntry.live = std::move(status);
+    memberEntry.status = std::move(status);
     memberEntry.lastHeartbeatAt = now;
 }
 
@@ -106,8 +106,8 @@
         incrementSequence();
     }
     for (auto &[instance, memberEntry] : m_members) {
-        if (memberEntry.live.leadsStores && instance != request.self.instance) {
-            memberEntry.live.leadsStores = false;
+        if (memberEntry.status.leadsStores && instance != request.self.instance) {
+            memberEntry.status.leadsStores = false;
             incrementSequence();
         }
     }
@@ -115,19 +115,19 @@
 
 void FleetView::expire(absl::Time now)
 {
-    if (!m_hasAllMembers && now - m_termStartedAt > m_memberTimeout) {
-        m_hasAllMembers = true;
+    if (!m_membersComplete && now - m_termStartedAt > m_memberTimeout) {
+        m_membersComplete = true;
         incrementSequence();
     }
     for (auto entry = m_members.begin(); entry != m_members.end();) {
         MemberEntry &memberEntry = entry->second;
         const absl::Duration sinceHeartbeat = now - memberEntry.lastHeartbeatAt;
-        if (memberEntry.live.alive && sinceHeartbeat > m_memberTimeout) {
-            memberEntry.live.alive = false;
-            memberEntry.live.leadsStores = false;
+        if (memberEntry.status.alive && sinceHeartbeat > m_memberTimeout) {
+            memberEntry.status.alive = false;
+            memberEntry.status.leadsStores = false;
             incrementSequence();
         }
-        const bool isExpired = sinceHeartbeat > m_memberTimeout * removalTimeouts;
+        const bool isExpired = sinceHeartbeat > m_memberTimeout * timeoutsUntilRemoval;
         entry = isExpired ? m_members.erase(entry) : std::next(entry);
         if (isExpired)
             incrementSequence();
@@ -156,14 +156,14 @@
     if (isCurrent(request))
         return response;
     for (const auto &[instance, memberEntry] : m_members) {
-        wire::FleetMemberStatus status = memberEntry.live;
+        wire::FleetMemberStatus status = memberEntry.status;
         const std::string &replica = status.member.replica;
         status.retiring = isRetiring(replica);
         status.holdsCopy = std::find(m_storeReplicas.begin(), m_storeReplicas.end(), replica)
                            != m_storeReplicas.end();
         response.members.push_back(std::move(status));
     }
-    response.membersSettled = m_hasAllMembers;
+    response.membersSettled = m_membersComplete;
     response.storeFounders = m_records.storeFounders;
     response.upstreamsKnown = m_upstreamsKnown;
     response.upstreams = m_upstreams;
@@ -174,9 +174,9 @@
 {
     std::vector<VoterCandidate> candidates;
     for (const auto &[instance, memberEntry] : m_members) {
-        const wire::FleetMember &member = memberEntry.live.member;
-        if (m_hasAllMembers && member.role == role)
-            candidates.push_back({member.replica, member.failureDomain, memberEntry.live.alive,
+        const wire::FleetMember &member = memberEntry.status.member;
+        if (m_membersComplete && member.role == role)
+            candidates.push_back({member.replica, member.failureDomain, memberEntry.status.alive,
                                   isRetiring(member.replica)});
     }
     return candidates;
@@ -184,18 +184,18 @@
 
 std::vector<std::string> FleetView::initialStoreVoters(absl::Time now) const
 {
-    std::vector<std::string> founders;
+    std::vector<std::string> voters;
     if (!m_records.storeFounders.empty())
-        return founders;
+        return voters;
     for (const auto &[instance, memberEntry] : m_members) {
-        const bool isStore = memberEntry.live.member.role == wire::MemberRole::Store;
-        if (isStore && memberEntry.live.alive && founders.size() < targetFounders)
-            founders.push_back(memberEntry.live.member.replica);
+        const bool isStore = memberEntry.status.member.role == wire::MemberRole::Store;
+        if (isStore && memberEntry.status.alive && voters.size() < targetStoreVoters)
+            voters.push_back(memberEntry.status.member.replica);
     }
-    const bool timedOut = now - m_termStartedAt >= foundingTimeout;
-    if (founders.size() < targetFounders && !timedOut)
-        founders.clear();
-    return founders;
+    const bool timedOut = now - m_termStartedAt >= bootstrapTimeout;
+    if (voters.size() < targetStoreVoters && !timedOut)
+        voters.clear();
+    return voters;
 }
 
 } // namespace rattanrill::fleet
--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -47,6 +47,7 @@
             current->receive(from.instance, std::move(envelope.value().message));
     }
 
+    /// Runs on a network thread, like receive().
     void servePropose(const std::string &body, peer::ResponseCallback reply)
     {
         auto request = outcomeOf([&] { return wire::decode<wire::ProposeRequest>(body); });
@@ -63,6 +64,7 @@
                          });
     }
 
+    /// Returns a callback that runs \a callback on the event loop.
     Callback onLoop(Callback callback)
     {
         return [self = shared_from_this(),
@@ -101,7 +103,7 @@
         const bool leadsNow = status.role == replication::Role::Leader && !status.stopped;
         if (leadsNow != leads || (leadsNow && status.term != term))
             updateRole(status, leadsNow);
-        if (leadsNow && !isChangingMembers && candidates)
+        if (leadsNow && !isChangingMembers && candidateSource)
             changeMembers(status);
     }
 
@@ -123,7 +125,7 @@
 
     void changeMembers(const replication::RaftNodeStatus &status)
     {
-        const auto change = nextMembershipChange(status, candidates(), settings.voterLimits);
+        const auto change = nextMembershipChange(status, candidateSource(), settings.voterLimits);
         if (!change)
             return;
         isChangingMembers = true;
@@ -154,7 +156,7 @@
     const GroupReplicaSettings settings;
     const Clock &clock;
     std::shared_ptr<replication::RaftNode> node;
-    CandidateSource candidates;
+    CandidateSource candidateSource;
     LeadershipListener leadershipListener;
     std::function<void()> appliedListener;
     TimerService::TimerId timer = 0;
@@ -223,9 +225,9 @@
     return m_impl->node != nullptr;
 }
 
-void GroupReplica::setCandidateSource(CandidateSource candidates)
+void GroupReplica::setCandidateSource(CandidateSource candidateSource)
 {
-    m_impl->candidates = std::move(candidates);
+    m_impl->candidateSource = std::move(candidateSource);
 }
 
 void GroupReplica::onLeadershipChange(LeadershipListener listener)
--- a/src/fleet/membershipchange.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Minimum number of voters that remain when a retiring voter is removed without a replacement.
-constexpr std::size_t minVoters = 2;
+constexpr std::size_t minVotersAfterRetirement = 2;
 
 bool contains(const std::vector<replication::ReplicaId> &ids, const replication::ReplicaId &id)
 {
@@ -40,10 +40,10 @@
 {
 public:
     Planner(const replication::RaftNodeStatus &status,
-            const std::vector<VoterCandidate> &candidates, const VoterLimits &rules)
+            const std::vector<VoterCandidate> &candidates, const VoterLimits &limits)
         : m_status(status)
         , m_candidates(candidates)
-        , m_rules(rules)
+        , m_limits(limits)
     {}
 
     std::optional<MembershipChange> next() const
@@ -138,7 +138,7 @@
         for (const VoterCandidate &candidate : m_candidates)
             available += isSpare(candidate) ? 1 : 0;
         const std::size_t targetVoters =
-                std::min(m_rules.maxVoters, available - (available + 1) % 2);
+                std::min(m_limits.maxVoters, available - (available + 1) % 2);
         return m_status.voters.size() < targetVoters;
     }
 
@@ -147,7 +147,7 @@
         const auto &voters = m_status.voters;
         const bool allAlive = std::none_of(voters.begin(), voters.end(),
                                            [this](const auto &voter) { return isLost(voter); });
-        if (!allAlive || voters.size() <= minVoters)
+        if (!allAlive || voters.size() <= minVotersAfterRetirement)
             return std::nullopt;
         for (const replication::ReplicaId &voter : m_status.voters) {
             const VoterCandidate *candidate = find(m_candidates, voter);
@@ -159,18 +159,18 @@
 
     const replication::RaftNodeStatus &m_status;
     const std::vector<VoterCandidate> &m_candidates;
-    const VoterLimits &m_rules;
+    const VoterLimits &m_limits;
 };
 
 } // namespace
 
 std::optional<MembershipChange> nextMembershipChange(const replication::RaftNodeStatus &status,
                                                      const std::vector<VoterCandidate> &candidates,
-                                                     const VoterLimits &rules)
+                                                     const VoterLimits &limits)
 {
     if (candidates.empty())
         return std::nullopt;
-    return Planner(status, candidates, rules).next();
+    return Planner(status, candidates, limits).next();
 }
 
 } // namespace rattanrill::fleet
--- a/src/fleet/replicaidentity.cpp
+++ b/src/fleet/replicaidentity.cpp
@@ -70,9 +70,9 @@
         if (object.contains("replica") && object.at("replica").is_string())
             identity.replica = object.at("replica").get<std::string>();
         if (object.contains("founders") && object.at("founders").is_array()) {
-            for (const Json &founder : object.at("founders")) {
-                if (founder.is_string())
-                    identity.initialVoters.push_back(founder.get<std::string>());
+            for (const Json &voter : object.at("founders")) {
+                if (voter.is_string())
+                    identity.initialVoters.push_back(voter.get<std::string>());
             }
         }
     }
--- a/tests/fleet/fleetservice_test.cpp
+++ b/tests/fleet/fleetservice_test.cpp
@@ -75,8 +75,8 @@
 BOOST_AUTO_TEST_SUITE(FleetServiceTest)
 
 // Guards against a control process that fails polls at once while the leader is unknown. After a
-// power loss all processes wait for the first leader; they would poll repeatedly and find the
-// leader only with their next poll.
+// power loss all processes wait for the election of a leader; they would poll repeatedly and find
+// the leader only with their next poll.
 BOOST_AUTO_TEST_CASE(pollIsHeldWhileNoLeaderIsKnown)
 {
     net::LoopThread loopThread;
--- a/tests/fleet/fleetview_test.cpp
+++ b/tests/fleet/fleetview_test.cpp
@@ -52,9 +52,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(FleetViewTest, Fixture)
 
-// Guards against entries that request slots from a broker that was lost. The store leader is the
-// broker; a lost one counts as alive until the member timeout, in which it could be reported as the
-// leader besides its successor.
+// Guards against entries that request slots from a lost broker. The broker runs on the leader of
+// the store group. A lost leader counts as alive until the member timeout and could until then be
+// reported as the leader besides its successor.
 BOOST_AUTO_TEST_CASE(onlyTheStoreLeaderOfTheHighestTermIsReported)
 {
     view.recordHeartbeat(storeLeaderRequest("z", 3), start);
@@ -116,18 +116,18 @@
     BOOST_TEST(view.sequence() > previousSequence);
 }
 
-// Guards against a store group that is founded by fewer stores than the deployment has, because the
-// others have not sent a heartbeat yet.
-BOOST_AUTO_TEST_CASE(storeGroupIsFoundedOnceThreeStoresAreAlive)
+// Guards against a store group that is bootstrapped with fewer stores than the deployment has,
+// because the others have not sent a heartbeat yet.
+BOOST_AUTO_TEST_CASE(storeGroupIsBootstrappedWhenThreeStoresAreAlive)
 {
     view.recordHeartbeat(syncRequest("s1", wire::MemberRole::Store), start);
     view.recordHeartbeat(syncRequest("s2", wire::MemberRole::Store), start);
     BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).empty());
     view.recordHeartbeat(syncRequest("s3", wire::MemberRole::Store), start + absl::Seconds(1));
     BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).size() == 3u);
-    wire::FleetSnapshot founded;
-    founded.storeFounders = {"a"};
-    view.setRecords(founded);
+    wire::FleetSnapshot bootstrapped;
+    bootstrapped.storeFounders = {"a"};
+    view.setRecords(bootstrapped);
     BOOST_TEST(view.initialStoreVoters(start + absl::Seconds(1)).empty());
 }
 
--- a/tests/fleet/membershipchange_test.cpp
+++ b/tests/fleet/membershipchange_test.cpp
@@ -34,7 +34,7 @@
     return {replica, "d", false, false};
 }
 
-const VoterLimits rules{5};
+const VoterLimits limits{5};
 
 } // namespace
 
@@ -47,7 +47,7 @@
     const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
                                              {liveCandidate("a/1"), liveCandidate("b/1"),
                                               liveCandidate("c/2"), liveCandidate("d/1")},
-                                             rules);
+                                             limits);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "c/2");
     BOOST_TEST(change->removed == "c/1");
@@ -58,7 +58,7 @@
     const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
                                              {liveCandidate("a/1"), liveCandidate("b/1"),
                                               deadCandidate("c/1"), liveCandidate("d/1")},
-                                             rules);
+                                             limits);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
     BOOST_TEST(change->removed == "c/1");
@@ -70,13 +70,13 @@
 {
     BOOST_TEST(!nextMembershipChange(
             leaderStatus({"a/1", "b/1", "c/1"}),
-            {liveCandidate("a/1"), liveCandidate("b/1"), deadCandidate("c/1")}, rules));
+            {liveCandidate("a/1"), liveCandidate("b/1"), deadCandidate("c/1")}, limits));
 }
 
 // Guards against changes by a leader that does not know yet which processes are alive.
 BOOST_AUTO_TEST_CASE(votersStayUnchangedWithoutCandidates)
 {
-    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), {}, rules));
+    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), {}, limits));
 }
 
 BOOST_AUTO_TEST_CASE(groupGrowsToAnOddNumber)
@@ -84,13 +84,13 @@
     const auto four = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
                                            {liveCandidate("a/1"), liveCandidate("b/1"),
                                             liveCandidate("c/1"), liveCandidate("d/1")},
-                                           rules);
+                                           limits);
     BOOST_TEST(!four.has_value());
     const auto five =
             nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}),
                                  {liveCandidate("a/1"), liveCandidate("b/1"), liveCandidate("c/1"),
                                   liveCandidate("d/1"), liveCandidate("e/1")},
-                                 rules);
+                                 limits);
     BOOST_REQUIRE(five.has_value());
     BOOST_TEST(five->removed.empty());
 }
@@ -100,7 +100,7 @@
     const auto change = nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}, {"d/1"}),
                                              {liveCandidate("a/1"), liveCandidate("b/1"),
                                               liveCandidate("c/1"), deadCandidate("d/1")},
-                                             rules);
+                                             limits);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added.empty());
     BOOST_TEST(change->removed == "d/1");
@@ -112,7 +112,7 @@
                                            liveCandidate("c/1"), liveCandidate("d/1")};
     candidates[1].retiring = true;
     const auto change =
-            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
+            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, limits);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->added == "d/1");
     BOOST_TEST(change->removed == "b/1");
@@ -124,11 +124,11 @@
                                            liveCandidate("c/1")};
     candidates[1].retiring = true;
     const auto change =
-            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules);
+            nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, limits);
     BOOST_REQUIRE(change.has_value());
     BOOST_TEST(change->removed == "b/1");
     candidates[2].alive = false;
-    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, rules));
+    BOOST_TEST(!nextMembershipChange(leaderStatus({"a/1", "b/1", "c/1"}), candidates, limits));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
