--- a/tests/platform/platform_test.py
+++ b/tests/platform/platform_test.py
@@ -247,7 +247,7 @@
         return json.loads(body) if status == 200 else status
 
     def finished_results(self, job, entry=1):
-        """Returns the results of the job; None until all of them are there."""
+        """Returns the results of the job; None until all of them are available."""
         answer = self.read_results(job, entry)
         if isinstance(answer, dict) and len(answer["results"]) == answer["total"]:
             return answer
--- a/tests/platform/platformprotocoladapter_test.cpp
+++ b/tests/platform/platformprotocoladapter_test.cpp
@@ -85,8 +85,8 @@
     BOOST_TEST(adapter.upstreamRequest(callerRequest(), attempt).headers.count("Tenant-Id") == 0u);
 }
 
-// Guards against a status that states that a request has not run although it may have run. The
-// caller would then repeat it.
+// Guards against a status that means "not run" for a request that may have run. The caller would
+// then repeat the request.
 BOOST_AUTO_TEST_CASE(errorStatusClaimsNotRunOnlyWhenCertain)
 {
     const auto statusOf = [](const Failure &failure) {
