--- a/src/entry/admission.cpp
+++ b/src/entry/admission.cpp
@@ -36,7 +36,8 @@
                 decision.value().wait);
         return false;
     }
-    // The grant may be used only at the end of the wait; nothing can end the wait earlier.
+    // The grant may be used only at the end of the wait. The notification is never signalled, so
+    // that the call always waits for the full time.
     if (decision.value().wait > absl::ZeroDuration())
         absl::Notification().WaitForNotificationWithTimeout(decision.value().wait);
     return true;
--- a/src/entry/admission.h
+++ b/src/entry/admission.h
@@ -19,11 +19,11 @@
 public:
     Admission(const KeyAuthenticator &keys, RateAdmission &rate);
 
-    /// Authenticates the caller by its API key. Returns nothing after it has sent a failure
-    /// response.
+    /// Authenticates the caller by its API key. On failure, sends a failure response and returns
+    /// nothing.
     std::optional<Caller> authenticate(Exchange &exchange) const;
-    /// Obtains a rate grant and waits until it may be used. Returns false after it has sent a
-    /// failure response.
+    /// Obtains a rate grant and waits until it may be used. Without a grant, sends a failure
+    /// response and returns false.
     bool admit(Exchange &exchange, const Caller &caller) const;
     const KeyAuthenticator &keys() const { return m_keys; }
 
--- a/src/entry/answerstream.h
+++ b/src/entry/answerstream.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::entry {
 
-/// End of an answer that failed.
+/// End of an answer that could not be completed.
 struct AnswerFailure
 {
     Failure failure;
@@ -32,7 +32,7 @@
 
     /// Returns the next item, or nothing when none arrives within \a timeout.
     std::optional<Item> next(absl::Duration timeout) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Drops all items, including later ones, because the reader has ended.
+    /// Discards all queued and later items. Called when the reader has ended.
     void close() ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/src/entry/batchdispatcher.cpp
+++ b/src/entry/batchdispatcher.cpp
@@ -103,11 +103,11 @@
     command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
     // Not idempotent: a resend would lease further items, while the items of the lost response
     // would stay unprocessed until their leases expire.
-    const auto answer = m_context.partitions.propose(partition, command, false);
-    if (!answer.ok())
+    const auto response = m_context.partitions.propose(partition, command, false);
+    if (!response.ok())
         return;
-    leased = answer.value().leased.size();
-    for (const wire::LeasedItem &item : answer.value().leased)
+    leased = response.value().leased.size();
+    for (const wire::LeasedItem &item : response.value().leased)
         startItem(partition, item);
 }
 
@@ -196,17 +196,17 @@
     requeue(partition, std::move(deferred));
     if (command.results.empty())
         return;
-    const auto answer = m_context.partitions.propose(partition, std::move(command), true);
-    if (!answer.ok()) {
-        // Retried until the leases are lost. The partition drops a second report of the same
-        // result.
+    const auto response = m_context.partitions.propose(partition, std::move(command), true);
+    if (!response.ok()) {
+        // The report is retried until the leases are lost. The partition drops a repeated report of
+        // the same result.
         requeue(partition, std::move(results));
         return;
     }
     m_context.metrics.count("rattanrill_batch_results_total", {{"outcome", "accepted"}},
-                            answer.value().accepted);
+                            response.value().accepted);
     m_context.metrics.count("rattanrill_batch_results_total", {{"outcome", "dropped"}},
-                            answer.value().dropped);
+                            response.value().dropped);
     absl::MutexLock lock(&m_mutex);
     for (const ItemOutcome &outcome : results)
         m_heldItems.erase(keyOf(partition, outcome.result.item));
@@ -252,9 +252,9 @@
         command.holder = m_holder;
         command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
         command.items = std::move(items);
-        const auto answer = m_context.partitions.propose(partition, std::move(command), true);
-        if (answer.ok())
-            cancelLost(partition, answer.value().lost);
+        const auto response = m_context.partitions.propose(partition, std::move(command), true);
+        if (response.ok())
+            cancelLost(partition, response.value().lost);
     }
 }
 
--- a/src/entry/batchdispatcher.h
+++ b/src/entry/batchdispatcher.h
@@ -60,6 +60,7 @@
     using OutcomesByPartition = std::map<int, std::vector<ItemOutcome>>;
 
     void stopPeriodicSteps();
+    /// Runs \a step on the pool, unless \a busy shows that its previous run has not ended.
     void schedule(std::atomic<bool> &busy, void (BatchDispatcher::*step)());
     void leaseStep() ABSL_LOCKS_EXCLUDED(m_mutex);
     void reportStep() ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -80,8 +81,8 @@
     Context m_context;
     BatchSettings m_settings;
     std::string m_holder;
-    /// One thread each for leasing, reporting and renewing, so that a partition that does not
-    /// answer cannot make the leases of other partitions expire.
+    /// One thread each for leasing, reporting and renewing, so that leases are renewed while a
+    /// lease or report command waits for a partition that does not respond.
     WorkerPool m_pool;
     std::atomic<bool> m_leasing{false};
     std::atomic<bool> m_reporting{false};
--- a/src/entry/batchhandler.cpp
+++ b/src/entry/batchhandler.cpp
@@ -97,10 +97,10 @@
     if (contract)
         command.retentionMs = contract->retentionSeconds * msPerSecond;
     command.metadata = request.jobMetadata;
-    const auto answer = m_context.partitions.propose(job.partition, std::move(command), true);
-    if (!answer.ok())
-        return answer.failure();
-    return dumpJson(batchObject(answer.value().job));
+    const auto response = m_context.partitions.propose(job.partition, std::move(command), true);
+    if (!response.ok())
+        return response.failure();
+    return dumpJson(batchObject(response.value().job));
 }
 
 void BatchHandler::list(Exchange &exchange)
@@ -110,12 +110,13 @@
         return;
     std::vector<wire::JobStatus> jobs;
     for (int partition = 0; partition < m_context.partitions.count(); ++partition) {
-        auto answer = m_context.partitions.query(partition, wire::ListJobs{caller->workspace});
-        if (!answer.ok()) {
-            exchange.sendFailure(answer.failure());
+        auto response = m_context.partitions.query(partition, wire::ListJobs{caller->workspace});
+        if (!response.ok()) {
+            exchange.sendFailure(response.failure());
             return;
         }
-        std::move(answer.value().jobs.begin(), answer.value().jobs.end(), std::back_inserter(jobs));
+        std::move(response.value().jobs.begin(), response.value().jobs.end(),
+                  std::back_inserter(jobs));
     }
     std::sort(jobs.begin(), jobs.end(), [](const auto &left, const auto &right) {
         return std::tie(right.createdAtMs, right.jobId) < std::tie(left.createdAtMs, left.jobId);
@@ -137,12 +138,12 @@
         exchange.sendFailure(notRun(ErrorCode::NotFound, concat("no batch \"", id, "\"")));
         return;
     }
-    const auto answer =
+    const auto response =
             m_context.partitions.query(job.value().partition, wire::ReadJob{id, caller->workspace});
-    if (answer.ok())
-        exchange.sendJson(dumpJson(batchObject(answer.value().job)));
+    if (response.ok())
+        exchange.sendJson(dumpJson(batchObject(response.value().job)));
     else
-        exchange.sendFailure(answer.failure());
+        exchange.sendFailure(response.failure());
 }
 
 void BatchHandler::cancel(Exchange &exchange, const std::string &id)
@@ -157,12 +158,12 @@
         exchange.sendFailure(notRun(ErrorCode::NotFound, concat("no batch \"", id, "\"")));
         return;
     }
-    const auto answer = m_context.partitions.propose(job.value().partition,
-                                                     wire::CancelJob{id, caller->workspace}, true);
-    if (answer.ok())
-        exchange.sendJson(dumpJson(batchObject(answer.value().job)));
+    const auto response = m_context.partitions.propose(
+            job.value().partition, wire::CancelJob{id, caller->workspace}, true);
+    if (response.ok())
+        exchange.sendJson(dumpJson(batchObject(response.value().job)));
     else
-        exchange.sendFailure(answer.failure());
+        exchange.sendFailure(response.failure());
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/batchrequest.h
+++ b/src/entry/batchrequest.h
@@ -20,7 +20,8 @@
     std::string jobMetadata;
 };
 
-/// Fails with InvalidRequest.
+/// Parses the body of POST /v1/batches. The completion window starts at \a wallNow. Fails with
+/// InvalidRequest.
 Result<BatchRequest> parseBatchRequest(std::string_view body, absl::Time wallNow);
 
 /// Parses a duration such as "24h", "90m", "30s" or "2d". Fails with InvalidRequest.
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -15,8 +15,9 @@
 namespace {
 
 /// httplib listens with a backlog of 5. In a burst, connections beyond the backlog would be delayed
-/// until the client repeats its SYN.
+/// until the client resends its SYN.
 constexpr int listenBacklog = 512;
+/// Maximum time for a request on a connection that is accepted during a shutdown.
 constexpr absl::Duration lateRequestTimeout = absl::Seconds(1);
 constexpr std::size_t requestIdBytes = 12;
 constexpr int statusBadRequest = 400;
@@ -75,7 +76,7 @@
 {
     if (!m_thread.joinable())
         return;
-    closeAfterAnswers();
+    closeAfterResponses();
     closeListener();
     finish(absl::ZeroDuration());
 }
@@ -93,9 +94,9 @@
     return {};
 }
 
-void CallerServer::closeAfterAnswers()
+void CallerServer::closeAfterResponses()
 {
-    m_connections.closeAfterAnswers();
+    m_connections.closeAfterResponses();
 }
 
 void CallerServer::closeListener()
@@ -145,7 +146,7 @@
 void CallerServer::serve(ConnectionStream &stream)
 {
     const int socket = stream.socket();
-    // A connection that was accepted after closeAfterAnswers(), for example just before the
+    // A connection that was accepted after closeAfterResponses(), for example just before the
     // listener closed, has only a short time to send a request.
     const bool open = m_connections.add(socket);
     const absl::Duration wait = open ? m_options.keepAliveTimeout : lateRequestTimeout;
@@ -162,9 +163,9 @@
 {
     currentRequestId = "req-" + randomHex(requestIdBytes);
     bool closed = false;
-    const bool answered =
-            process_request(stream, m_connections.closingAfterAnswers(), closed, nullptr);
-    return answered && !closed && !stream.closing();
+    const bool responded =
+            process_request(stream, m_connections.closingAfterResponses(), closed, nullptr);
+    return responded && !closed && !stream.closing();
 }
 
 void CallerServer::refuse(ConnectionStream &stream) const
--- a/src/entry/callerserver.h
+++ b/src/entry/callerserver.h
@@ -26,8 +26,9 @@
     Result<void> start(const std::string &host, int port);
     int port() const { return m_port; }
 
-    /// From now on, connections are closed after the current answer, and answers announce that.
-    void closeAfterAnswers();
+    /// Makes the server close each connection after its current response and announce this in the
+    /// response.
+    void closeAfterResponses();
     /// Stops accepting connections; running requests continue.
     void closeListener();
     /// Waits for running requests, closes idle connections and ends all threads. Returns false when
@@ -44,6 +45,7 @@
     bool process_and_close_socket(socket_t socket) override;
     void serve(ConnectionStream &stream);
     bool serveOne(ConnectionStream &stream);
+    /// Responds with status 503, because the limit of connections is reached.
     void refuse(ConnectionStream &stream) const;
 
     http::ServerOptions m_options;
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -24,13 +24,13 @@
     command.requestHash = key.requestHash;
     command.holder = key.holder;
     command.keepMs = absl::ToInt64Milliseconds(m_retention);
-    const auto answer = m_partitions.propose(partition(key), command, true);
-    if (answer.ok())
-        return answer.value().claim;
-    // The claim may have been recorded, but its request was not sent.
-    if (answer.failure().effect == EffectState::MayHaveRun)
+    const auto response = m_partitions.propose(partition(key), command, true);
+    if (response.ok())
+        return response.value().claim;
+    // The claim may have been recorded although its request will not run, so it is released.
+    if (response.failure().effect == EffectState::MayHaveRun)
         abandon(key);
-    return notRun(answer.failure().code, answer.failure().detail);
+    return notRun(response.failure().code, response.failure().detail);
 }
 
 Outcome<Done> Claims::finish(const ClaimKey &key, int status, const std::string &contentType,
@@ -43,12 +43,12 @@
     command.status = status;
     command.contentType = contentType;
     command.body = body;
-    const auto answer = m_partitions.propose(partition(key), command, true);
-    if (answer.ok())
+    const auto response = m_partitions.propose(partition(key), command, true);
+    if (response.ok())
         return Done{};
     log(LogLevel::Warning, "claim-not-finished",
-        {{"workspace", key.workspace}, {"detail", describe(answer.failure())}});
-    return answer.failure();
+        {{"workspace", key.workspace}, {"detail", describe(response.failure())}});
+    return response.failure();
 }
 
 void Claims::abandon(const ClaimKey &key)
@@ -57,10 +57,10 @@
     command.workspace = key.workspace;
     command.idempotencyKey = key.idempotencyKey;
     command.holder = key.holder;
-    const auto answer = m_partitions.propose(partition(key), command, true);
-    if (!answer.ok())
+    const auto response = m_partitions.propose(partition(key), command, true);
+    if (!response.ok())
         log(LogLevel::Warning, "claim-not-abandoned",
-            {{"workspace", key.workspace}, {"detail", describe(answer.failure())}});
+            {{"workspace", key.workspace}, {"detail", describe(response.failure())}});
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/claims.h
+++ b/src/entry/claims.h
@@ -22,8 +22,8 @@
     std::string holder;
 };
 
-/// Claims of requests that must run at most once. All entries compute the same partition for a
-/// claim.
+/// Durable claims of requests that must run at most once. The workspace and the idempotency key
+/// determine the partition of a claim, so that all entries use the same one.
 class Claims
 {
 public:
@@ -32,8 +32,8 @@
     /// Fails with Conflict when the key was used for another request, or with a NotRun failure when
     /// the partition cannot be reached.
     Outcome<wire::ClaimStatus> claim(const ClaimKey &key);
-    /// Stores the answer for later requests with the same key. Without it, such requests fail with
-    /// a failure that says that the request may have run.
+    /// Stores the response for later requests with the same key. Until it is stored, service calls
+    /// with the same key fail with DuplicateRequest (MayHaveRun).
     Outcome<Done> finish(const ClaimKey &key, int status, const std::string &contentType,
                          const std::string &body);
     /// Releases the claim. To be called only when the request certainly did not run.
--- a/src/entry/completionhandler.cpp
+++ b/src/entry/completionhandler.cpp
@@ -130,7 +130,7 @@
 }
 
 AnswerStream::Item CompletionHandler::next(RunningRequest &running,
-                                           const std::function<bool()> &callerGone) const
+                                           const std::function<bool()> &callerDisconnected) const
 {
     std::optional<AnswerStream::Item> item;
     while (!item) {
@@ -138,7 +138,7 @@
         const std::optional<Failure> revoked = m_context.admission.keys().revoked(running.caller);
         if (revoked)
             return AnswerFailure{*revoked, absl::ZeroDuration()};
-        if (!item && callerGone())
+        if (!item && callerDisconnected())
             return AnswerFailure{
                     mayHaveRun(ErrorCode::ClientDisconnected, "the client closed the connection"),
                     {}};
@@ -173,10 +173,10 @@
 
 void CompletionHandler::sendAnswer(Exchange &exchange, RunningRequest &running)
 {
-    const auto callerGone = [] { return CallerServer::connection().callerGone(); };
+    const auto callerDisconnected = [] { return CallerServer::connection().callerDisconnected(); };
     std::string text;
     for (;;) {
-        const AnswerStream::Item item = next(running, callerGone);
+        const AnswerStream::Item item = next(running, callerDisconnected);
         if (const auto *token = std::get_if<engine::Token>(&item)) {
             text += token->text;
             continue;
@@ -194,8 +194,8 @@
 {
     // The status code is sent only when the first item is known, so that a failure can have its own
     // status code.
-    const auto callerGone = [] { return CallerServer::connection().callerGone(); };
-    running->first = next(*running, callerGone);
+    const auto callerDisconnected = [] { return CallerServer::connection().callerDisconnected(); };
+    running->first = next(*running, callerDisconnected);
     if (const auto *failed = std::get_if<AnswerFailure>(&*running->first)) {
         exchange.sendFailure(failed->failure, failed->retryAfter);
         return;
@@ -203,9 +203,10 @@
     exchange.setStreamed();
     exchange.response().set_header("Cache-Control", "no-cache");
     exchange.response().set_chunked_content_provider(
-            "text/event-stream", [this, running, callerGone](std::size_t, httplib::DataSink &sink) {
-                AnswerStream::Item item =
-                        running->first ? std::move(*running->first) : next(*running, callerGone);
+            "text/event-stream",
+            [this, running, callerDisconnected](std::size_t, httplib::DataSink &sink) {
+                AnswerStream::Item item = running->first ? std::move(*running->first)
+                                                         : next(*running, callerDisconnected);
                 running->first.reset();
                 if (!std::holds_alternative<engine::Token>(item))
                     recordStreamEnd(*running, item);
--- a/src/entry/completionhandler.h
+++ b/src/entry/completionhandler.h
@@ -46,7 +46,8 @@
                                           const CompletionRequest &request);
     /// Waits for the next item of the answer. Returns an AnswerFailure when the key was withdrawn
     /// or the caller has disconnected.
-    AnswerStream::Item next(RunningRequest &running, const std::function<bool()> &callerGone) const;
+    AnswerStream::Item next(RunningRequest &running,
+                            const std::function<bool()> &callerDisconnected) const;
     void sendAnswer(Exchange &exchange, RunningRequest &running);
     void sendStream(Exchange &exchange, const std::shared_ptr<RunningRequest> &running);
     void recordToken(RunningRequest &running) const;
--- a/src/entry/connectionqueue.h
+++ b/src/entry/connectionqueue.h
@@ -8,8 +8,8 @@
 namespace rattanrill::entry {
 
 /// Thread pool with one thread for each caller connection. Connections above the limit are passed
-/// to a small second pool that only refuses them; in httplib's own pool they would wait without an
-/// answer.
+/// to a small second pool that only refuses them; in httplib's own pool they would wait without a
+/// response.
 class ConnectionQueue : public httplib::TaskQueue
 {
 public:
--- a/src/entry/connectionregistry.cpp
+++ b/src/entry/connectionregistry.cpp
@@ -33,13 +33,13 @@
     return !m_closing;
 }
 
-void ConnectionRegistry::closeAfterAnswers()
+void ConnectionRegistry::closeAfterResponses()
 {
     absl::MutexLock lock(&m_mutex);
     m_closing = true;
 }
 
-bool ConnectionRegistry::closingAfterAnswers() const
+bool ConnectionRegistry::closingAfterResponses() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_closing;
--- a/src/entry/connectionregistry.h
+++ b/src/entry/connectionregistry.h
@@ -18,14 +18,15 @@
     bool add(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
     void remove(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
     void markBusy(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// To be called after the answer was sent. Returns false when the connection must be closed.
+    /// To be called after the response was sent. Returns false when the connection must be closed.
     bool markIdle(int socket) ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// From now on, connections are closed after the current answer.
-    void closeAfterAnswers() ABSL_LOCKS_EXCLUDED(m_mutex);
-    bool closingAfterAnswers() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Makes add() and markIdle() return false, so that each connection is closed after its current
+    /// response.
+    void closeAfterResponses() ABSL_LOCKS_EXCLUDED(m_mutex);
+    bool closingAfterResponses() const ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Shuts down the receiving side of idle connections, which wakes their threads. A request that
-    /// has already arrived is still read and answered.
+    /// has already arrived is still processed.
     void closeIdle() ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Waits until no request is running; returns false after \a timeout.
     bool waitUntilNoneBusy(absl::Duration timeout) ABSL_LOCKS_EXCLUDED(m_mutex);
--- a/src/entry/connectionstream.cpp
+++ b/src/entry/connectionstream.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t bufferBytes = 16u << 10;
-/// Limits for the data that is discarded after the last answer; a caller that sends more is
+/// Limits for the data that is discarded after the last response; a caller that sends more is
 /// disconnected.
 constexpr std::size_t maxDrainBytes = 64u << 20;
 constexpr absl::Duration drainTimeout = absl::Seconds(2);
@@ -116,7 +116,7 @@
     return recv(m_socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool ConnectionStream::callerGone() const
+bool ConnectionStream::callerDisconnected() const
 {
     if (m_position < m_buffer.size())
         return false;
--- a/src/entry/connectionstream.h
+++ b/src/entry/connectionstream.h
@@ -29,14 +29,14 @@
     bool waitForRequest(absl::Duration timeout);
     /// Whether the caller has closed its side of the connection or the connection has failed. False
     /// while received data is still unread.
-    bool callerGone() const;
-    /// Closes the connection after the current answer, for instance because the body of the request
-    /// was not read.
-    void closeAfterAnswer() { m_closing = true; }
+    bool callerDisconnected() const;
+    /// Makes the server close the connection after the current response, for instance because the
+    /// body of the request was not read.
+    void closeAfterResponse() { m_closing = true; }
     bool closing() const { return m_closing; }
     /// Shuts down the sending side, discards data that the caller still sends, up to a limit of
     /// size and time, and closes the socket. Closing at once would make the system reset the
-    /// connection, and the caller could lose the answer.
+    /// connection, and the caller could lose the response.
     void drainAndClose();
 
 private:
--- a/src/entry/crashreporter.cpp
+++ b/src/entry/crashreporter.cpp
@@ -31,13 +31,13 @@
     command.operation =
             wire::ReportCrash{fingerprint, upstream, absl::ToInt64Milliseconds(m_blockTime)};
     m_control.propose(controlclient::directoryGroupName, wire::encode(command), true, m_timeout,
-                      [callback = std::move(callback)](const Outcome<std::string> &answer) {
-                          if (!answer.ok()) {
-                              callback(answer.failure());
+                      [callback = std::move(callback)](const Outcome<std::string> &response) {
+                          if (!response.ok()) {
+                              callback(response.failure());
                               return;
                           }
                           const auto result = outcomeOf([&] {
-                              return wire::decode<wire::DirectoryResult>(answer.value());
+                              return wire::decode<wire::DirectoryResult>(response.value());
                           });
                           if (result.ok())
                               callback(result.value().held);
--- a/src/entry/engineattempt.cpp
+++ b/src/entry/engineattempt.cpp
@@ -23,8 +23,8 @@
 
 bool EngineAttempt::cancelOnEngine()
 {
-    const Outcome<bool> answer = m_client->cancel(m_requestId);
-    return answer.ok() && answer.value();
+    const Outcome<bool> response = m_client->cancel(m_requestId);
+    return response.ok() && response.value();
 }
 
 void EngineAttempt::preempt(policy::PreemptMethod method)
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -76,7 +76,7 @@
         , control(channels, settings.control, timers, clock)
         , pollClient(control)
         , subscriber(subscriberOptions(settings), pollClient, timers, clock)
-        , engines(settings.timings.engineIdle)
+        , engines(settings.timings.engineIdleTimeout)
         , services(settings.failureDomain, clock)
         , crashReporter(control, settings.scheduler.quarantine.blockTime,
                         settings.timings.controlTimeout, clock)
@@ -92,25 +92,26 @@
                 settings.batch, concat(settings.instance, ".", incarnation))
         , rateOwner(
                   {settings.instance, incarnation, settings.timings.ownerLease,
-                   settings.timings.rateWait},
+                   settings.timings.maxRateWait},
                   subscriber,
                   [this](const std::string &address, const wire::RateBucketTransfer &transfer) {
                       channels.channel(address)->sendOneWay(wire::Method::TransferRateBuckets,
                                                             wire::encode(transfer));
                   },
                   clock)
-        , rateBroker({settings.instance, settings.timings.rateWait, settings.timings.grantTimeout},
-                     subscriber, rateOwner, channels, clock)
+        , rateBroker(
+                  {settings.instance, settings.timings.maxRateWait, settings.timings.grantTimeout},
+                  subscriber, rateOwner, channels, clock)
         , keys(subscriber, settings.timings.keyFreshness, settings.timings.staleStreamLimit)
         , admission(keys, rateBroker)
-        , claims(partitions, settings.timings.claimKeep)
+        , claims(partitions, settings.timings.claimRetention)
         , completions({admission, subscriber, dispatcher, shares, clock, requestMetrics},
                       settings.maxRequestBytes, settings.timings.requestTimeout)
         , files(admission, subscriber, partitions, settings.batch, clock)
         , batches({admission, subscriber, partitions, claims, clock}, settings.maxRequestBytes)
         , serviceHandler({admission, subscriber, services, claims, crashReporter, clock, metrics},
                          settings.maxRequestBytes, settings.timings.requestTimeout)
-        , loads(engines, services, dispatcher, timers, settings.timings.loadPoll, clock)
+        , loads(engines, services, dispatcher, timers, settings.timings.loadPollInterval, clock)
         , heartbeat(control, subscriber, timers, settings.timings.heartbeat)
         , routes({completions, files, batches, serviceHandler, admission, subscriber, metrics,
                   requestMetrics, [this] { return unreadyReason(); }, [this] { refreshMetrics(); }})
@@ -259,7 +260,7 @@
 {
     if (m_impl->stopped)
         return;
-    m_impl->server.closeAfterAnswers();
+    m_impl->server.closeAfterResponses();
     m_impl->server.closeListener();
     m_impl->server.finish(absl::ZeroDuration());
     m_impl->stopComponents();
@@ -294,7 +295,7 @@
     log(LogLevel::Info, "drain-started");
     impl.draining = true;
     impl.heartbeat.leave();
-    impl.server.closeAfterAnswers();
+    impl.server.closeAfterResponses();
     impl.batch.drain();
     absl::Notification().WaitForNotificationWithTimeout(timings.drainNotice);
     impl.server.closeListener();
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -19,9 +19,10 @@
 
     /// Starts the servers for peers and callers. Fails with AddressInUse or InvalidArgument.
     Result<void> start();
-    /// Shuts down gracefully: readiness ends and batch leases are released at once, new requests
-    /// are still accepted for the drain notice time, then the listener closes and running requests
-    /// finish. Returns false when requests had to be aborted after the drain limit.
+    /// Shuts down gracefully: at once, the instance reports that it is not ready and releases its
+    /// batch leases. New requests are accepted for the drain notice time. Then the listener closes
+    /// and running requests finish. Returns false when requests had to be aborted after the drain
+    /// limit.
     bool drain();
     /// Port of the caller interface.
     int httpPort() const;
--- a/src/entry/entrysettings.cpp
+++ b/src/entry/entrysettings.cpp
@@ -126,15 +126,15 @@
             {"staleStreamLimitMs", &Timings::staleStreamLimit},
             {"ownerLeaseMs", &Timings::ownerLease},
             {"heartbeatMs", &Timings::heartbeat},
-            {"loadPollMs", &Timings::loadPoll},
-            {"rateWaitMs", &Timings::rateWait},
+            {"loadPollMs", &Timings::loadPollInterval},
+            {"rateWaitMs", &Timings::maxRateWait},
             {"grantTimeoutMs", &Timings::grantTimeout},
             {"controlTimeoutMs", &Timings::controlTimeout},
             {"requestTimeoutMs", &Timings::requestTimeout},
-            {"engineIdleMs", &Timings::engineIdle},
+            {"engineIdleMs", &Timings::engineIdleTimeout},
             {"drainNoticeMs", &Timings::drainNotice},
             {"drainLimitMs", &Timings::drainLimit},
-            {"claimKeepMs", &Timings::claimKeep},
+            {"claimKeepMs", &Timings::claimRetention},
     };
     for (const auto &[key, member] : rows)
         readDuration(settings, key, timings.*member);
@@ -197,7 +197,7 @@
     entry.http.maxBodyBytes = entry.batch.maxFileBytes;
     entry.scheduler.failureDomain = entry.failureDomain;
     entry.scheduler.onlineTailWeight = settings.value("onlineTailWeight", 0.5);
-    entry.scheduler.loadReportDelay = entry.timings.loadPoll + absl::Milliseconds(50);
+    entry.scheduler.loadReportDelay = entry.timings.loadPollInterval + absl::Milliseconds(50);
     return entry;
 }
 
--- a/src/entry/entrysettings.h
+++ b/src/entry/entrysettings.h
@@ -14,11 +14,14 @@
 
 namespace rattanrill::entry {
 
+/// Limits and intervals for batch files and batch items.
 struct BatchSettings
 {
+    /// Maximum number of items of a batch file.
     std::size_t maxItems = 290000;
     std::size_t maxLineBytes = 1u << 20;
     std::size_t maxFileBytes = 1u << 30;
+    /// Time for which an item is leased. Leases of running items are renewed.
     absl::Duration lease = absl::Seconds(5);
     absl::Duration dispatchInterval = absl::Milliseconds(50);
     /// Maximum number of items leased at the same time. Limits the number of threads and the work
@@ -26,9 +29,10 @@
     std::size_t maxRunning = 128;
 };
 
+/// Intervals, timeouts and other time limits of an entry instance.
 struct Timings
 {
-    /// Requests with an API key are refused when the directory view is older than this.
+    /// Maximum age of the directory view with which requests with an API key are accepted.
     absl::Duration keyFreshness = absl::Seconds(3);
     /// Running streams are aborted when the directory view has been older than keyFreshness for
     /// this long.
@@ -36,24 +40,25 @@
     /// A rate owner grants requests only while its directory view is younger than this.
     absl::Duration ownerLease = absl::Seconds(2);
     absl::Duration heartbeat = absl::Seconds(1);
-    absl::Duration loadPoll = absl::Milliseconds(200);
-    /// Longest time that a request may wait for a rate grant; a request that would wait longer is
-    /// refused. Part of the first-token budget of 410 ms.
-    absl::Duration rateWait = absl::Milliseconds(150);
-    /// Timeouts of one call to the rate owner and to the control instances.
+    absl::Duration loadPollInterval = absl::Milliseconds(200);
+    /// Maximum delay until a rate grant may be used; a request that would be delayed longer is
+    /// refused. Counts towards the time to first token, for which the budget is 410 ms.
+    absl::Duration maxRateWait = absl::Milliseconds(150);
+    /// Timeout of one call to the rate owner.
     absl::Duration grantTimeout = absl::Milliseconds(300);
+    /// Timeout of one call to the control instances.
     absl::Duration controlTimeout = absl::Seconds(5);
-    /// Longest run time of one request, including all attempts.
+    /// Maximum run time of one request, including all attempts.
     absl::Duration requestTimeout = absl::Minutes(10);
-    /// An engine stream that receives no event for this long counts as broken.
-    absl::Duration engineIdle = absl::Seconds(10);
+    /// An engine stream on which no event arrives for this long is considered broken.
+    absl::Duration engineIdleTimeout = absl::Seconds(10);
     /// After SIGTERM, new requests are still served for this long, so that the load balancer can
     /// first stop sending requests to this instance.
     absl::Duration drainNotice = absl::Milliseconds(500);
-    /// Time that running requests have to finish during shutdown.
+    /// Maximum time for running requests to finish during shutdown.
     absl::Duration drainLimit = absl::Minutes(10);
     /// How long the claim of a non-idempotent request is kept.
-    absl::Duration claimKeep = absl::Hours(24);
+    absl::Duration claimRetention = absl::Hours(24);
 };
 
 /// Settings of one entry instance; docs/settings/rattanrill-entry.md describes each.
--- a/src/entry/exchange.cpp
+++ b/src/entry/exchange.cpp
@@ -101,7 +101,7 @@
 {
     if (!hasBody() || m_bodyRead)
         return;
-    CallerServer::connection().closeAfterAnswer();
+    CallerServer::connection().closeAfterResponse();
     m_response.set_header("Connection", "close");
 }
 
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -44,11 +44,11 @@
     RequestLabels &labels() { return m_labels; }
     /// Failure that was sent, if any.
     const std::optional<Failure> &failure() const { return m_failure; }
-    /// Marks the answer as one that continues after the handler has returned; the end of such an
-    /// answer is counted separately.
+    /// Marks the response as one that continues after the handler has returned. The end of such a
+    /// response is counted separately.
     void setStreamed() { m_streamed = true; }
     bool isStreamed() const { return m_streamed; }
-    /// Closes the connection after this answer when the request body was not read.
+    /// Makes the server close the connection after this response if the request body was not read.
     void closeUnlessRead();
 
 private:
--- a/src/entry/filehandler.cpp
+++ b/src/entry/filehandler.cpp
@@ -64,7 +64,7 @@
 void FileHandler::readRaw(Exchange &exchange, FileUpload &upload, Form &form)
 {
     // After a failure the rest of the body is read and discarded, because most clients read the
-    // answer only after they have sent everything.
+    // response only after they have sent the whole request.
     const bool complete = exchange.reader()([&](const char *data, std::size_t size) {
         upload.feed(std::string_view(data, size));
         return true;
@@ -95,7 +95,7 @@
                 return true;
             });
     if (!complete) {
-        CallerServer::connection().closeAfterAnswer();
+        CallerServer::connection().closeAfterResponse();
         upload.refuse(notRun(ErrorCode::InvalidRequest, "the form data is malformed"));
     } else if (!form.hasFile) {
         upload.refuse(notRun(ErrorCode::InvalidRequest, "the form data has no field \"file\""));
@@ -105,10 +105,10 @@
 Outcome<wire::JobStatus> FileHandler::readJob(const Caller &caller, const ObjectId &result)
 {
     const wire::ReadJob query{result.withKind(ObjectKind::Batch).text(), caller.workspace};
-    const auto answer = m_partitions.query(result.partition, query);
-    if (!answer.ok())
-        return answer.failure();
-    return answer.value().job;
+    const auto response = m_partitions.query(result.partition, query);
+    if (!response.ok())
+        return response.failure();
+    return response.value().job;
 }
 
 void FileHandler::describe(Exchange &exchange, const std::string &id)
@@ -131,13 +131,13 @@
                     fileObject(id, 0, job.value().createdAtMs, "results.jsonl", "batch_output")));
         return;
     }
-    const auto answer =
+    const auto response =
             m_partitions.query(file.value().partition, wire::ReadFile{id, caller->workspace});
-    if (!answer.ok())
-        exchange.sendFailure(answer.failure());
+    if (!response.ok())
+        exchange.sendFailure(response.failure());
     else
         exchange.sendJson(
-                dumpJson(fileObject(id, answer.value().file.bytes, 0, "batch.jsonl", "batch")));
+                dumpJson(fileObject(id, response.value().file.bytes, 0, "batch.jsonl", "batch")));
 }
 
 Outcome<wire::BatchQueryResult> FileHandler::readPage(const std::string &workspace,
@@ -192,10 +192,10 @@
                 // mistake a part for the whole.
                 if (m_admission.keys().revoked(caller))
                     return false;
-                const auto answer = readPage(caller.workspace, job, next);
-                if (!answer.ok() || answer.value().nextIndex <= next)
+                const auto response = readPage(caller.workspace, job, next);
+                if (!response.ok() || response.value().nextIndex <= next)
                     return false;
-                *page = answer.value();
+                *page = response.value();
                 return true;
             });
 }
--- a/src/entry/filehandler.h
+++ b/src/entry/filehandler.h
@@ -25,8 +25,10 @@
     void content(Exchange &exchange, const std::string &id);
 
 private:
+    /// Fields of an upload form.
     struct Form
     {
+        /// Name of the field whose content is being received.
         std::string field;
         std::string purpose;
         std::string fileName;
--- a/src/entry/fileupload.cpp
+++ b/src/entry/fileupload.cpp
@@ -75,11 +75,11 @@
     m_pendingBytes = 0;
     m_appended += command.items.size();
     m_commandSent = true;
-    const auto answer = m_partitions.propose(m_id.partition, std::move(command), true);
-    if (answer.ok())
+    const auto response = m_partitions.propose(m_id.partition, std::move(command), true);
+    if (response.ok())
         return Done{};
     // An upload that is not sealed has no effect, so the failure is NotRun.
-    return notRun(answer.failure().code, answer.failure().detail);
+    return notRun(response.failure().code, response.failure().detail);
 }
 
 Outcome<wire::FileStatus> FileUpload::finish()
@@ -97,13 +97,13 @@
     seal.workspace = m_workspace;
     seal.itemCount = m_appended;
     seal.bytes = static_cast<std::int64_t>(m_bytes);
-    const auto answer = m_partitions.propose(m_id.partition, seal, true);
-    if (!answer.ok()) {
-        refuse(answer.failure());
-        return answer.failure();
+    const auto response = m_partitions.propose(m_id.partition, seal, true);
+    if (!response.ok()) {
+        refuse(response.failure());
+        return response.failure();
     }
     m_sealed = true;
-    return answer.value().file;
+    return response.value().file;
 }
 
 void FileUpload::drop()
--- a/src/entry/heartbeat.cpp
+++ b/src/entry/heartbeat.cpp
@@ -45,9 +45,9 @@
     request.member = m_member;
     request.revisionInForce = m_directory.view()->revision();
     request.leaving = m_leaving;
-    m_control.heartbeat(request, m_period, [](const Outcome<wire::HeartbeatResponse> &answer) {
-        if (!answer.ok())
-            log(LogLevel::Warning, "heartbeat-failed", {{"detail", describe(answer.failure())}});
+    m_control.heartbeat(request, m_period, [](const Outcome<wire::HeartbeatResponse> &response) {
+        if (!response.ok())
+            log(LogLevel::Warning, "heartbeat-failed", {{"detail", describe(response.failure())}});
     });
 }
 
--- a/src/entry/loadpoller.h
+++ b/src/entry/loadpoller.h
@@ -19,7 +19,7 @@
 namespace rattanrill::entry {
 
 /// Polls all upstreams for their load and engines for their cache events. Each upstream has at most
-/// one open poll, so that one that does not answer occupies a single thread.
+/// one open poll, so that one that does not respond occupies a single thread.
 class LoadPoller
 {
 public:
--- a/src/entry/partitions.cpp
+++ b/src/entry/partitions.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 template <typename Message>
-Outcome<Message> decodeAnswer(const Outcome<std::string> &answer)
+Outcome<Message> decodeResponse(const Outcome<std::string> &response)
 {
-    if (!answer.ok())
-        return answer.failure();
-    return outcomeOf([&] { return wire::decode<Message>(answer.value()); });
+    if (!response.ok())
+        return response.failure();
+    return outcomeOf([&] { return wire::decode<Message>(response.value()); });
 }
 
 } // namespace
@@ -32,22 +32,22 @@
     wire::BatchCommand command;
     command.nowMs = absl::ToUnixMillis(m_clock.wallNow());
     command.operation = std::move(operation);
-    const auto answer = awaitOutcome<std::string>([&](auto callback) {
+    const auto response = awaitOutcome<std::string>([&](auto callback) {
         m_control.propose(controlclient::batchGroupName(partition), wire::encode(command),
                           idempotent, m_timeout, callback);
     });
-    return decodeAnswer<wire::BatchResult>(answer);
+    return decodeResponse<wire::BatchResult>(response);
 }
 
 Outcome<wire::BatchQueryResult> ControlPartitions::query(int partition,
                                                          wire::BatchQueryOperation query)
 {
     const wire::BatchQueryMessage message{std::move(query)};
-    const auto answer = awaitOutcome<std::string>([&](auto callback) {
+    const auto response = awaitOutcome<std::string>([&](auto callback) {
         m_control.read(controlclient::batchGroupName(partition), wire::encode(message), m_timeout,
                        callback);
     });
-    return decodeAnswer<wire::BatchQueryResult>(answer);
+    return decodeResponse<wire::BatchQueryResult>(response);
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/partitions.h
+++ b/src/entry/partitions.h
@@ -22,8 +22,8 @@
     virtual ~Partitions() = default;
 
     virtual int count() const = 0;
-    /// Proposes a command and waits for the result. An \a idempotent command is sent again when the
-    /// answer is lost.
+    /// Proposes a command and waits for the result. An \a idempotent command is sent again when its
+    /// response is lost.
     virtual Outcome<wire::BatchResult> propose(int partition, wire::BatchOperation operation,
                                                bool idempotent) = 0;
     virtual Outcome<wire::BatchQueryResult> query(int partition,
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -16,7 +16,7 @@
 constexpr absl::Duration ownerRetryInterval = absl::Milliseconds(20);
 
 /// Failure for a request without a grant. There is no grant when the owner's process was replaced,
-/// the owner answers late or its view differs; in all these cases the request has not run.
+/// the owner responds late or its view differs; in all these cases the request has not run.
 Failure rateUnknown(const std::string &detail)
 {
     return notRun(ErrorCode::RateUnknown,
@@ -43,8 +43,8 @@
         if (decision.ok())
             return decision;
         // Ownership of the workspace is being transferred to another entry.
-        const bool isMoving = decision.failure().code == ErrorCode::NotMember;
-        if (!isMoving || m_clock.now() + ownerRetryInterval > deadline)
+        const bool isOwnerChanging = decision.failure().code == ErrorCode::NotMember;
+        if (!isOwnerChanging || m_clock.now() + ownerRetryInterval > deadline)
             return rateUnknown(describe(decision.failure()));
         absl::Notification().WaitForNotificationWithTimeout(ownerRetryInterval);
     }
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -14,8 +14,9 @@
 /// Maximum number of membership changes in the history. A workspace that was owned before the
 /// oldest one counts as owned since the oldest one.
 constexpr std::size_t maxHistoryLength = 16;
-/// How long a received bucket is kept for its first request. A bucket that is created without it
-/// starts empty soon after the transfer and has grown since, also without requests.
+/// How long a received bucket is kept until the first request for its workspace. After that, the
+/// bucket is created as without a transfer: empty shortly after the change of ownership and filled
+/// at the contract's rate since then.
 constexpr absl::Duration receivedBucketRetention = absl::Minutes(10);
 
 bool owns(const std::string &instance, const std::vector<std::string> &members,
@@ -85,7 +86,8 @@
             ++it;
             continue;
         }
-        // A bucket before its start contains no information about what its former owner granted.
+        // A bucket whose start is in the future does not reflect the grants of its former owner, so
+        // it is not transferred.
         if (!members.empty() && now >= it->second.start) {
             const std::string &owner = members[rendezvousOwner(workspace, members)];
             wire::RateBucketTransfer &transfer =
--- a/src/entry/requestmetrics.cpp
+++ b/src/entry/requestmetrics.cpp
@@ -3,8 +3,9 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Whether the caller causes the failure, by its rate or by what it sends. Such failures do not
-/// count against the objective for requests inside the rate.
+/// Whether the caller is responsible for the failure, because it exceeds its rate or because of the
+/// content of its request. Such failures do not count against the service-level objective for
+/// requests within the rate.
 bool isCausedByCaller(ErrorCode code)
 {
     switch (code) {
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -16,8 +16,8 @@
 /// Workspace in the claims of requests on open routes; no workspace can have this name.
 constexpr std::string_view openWorkspace = "/open";
 
-/// Whether a service could resolve the path to another one than the path that the route was
-/// selected by.
+/// Whether a service could resolve the path to a path other than the one by which the route was
+/// selected.
 bool isAmbiguous(std::string_view decoded, std::string_view raw)
 {
     for (const std::string_view part : {"/../", "/./", "//"}) {
@@ -128,23 +128,23 @@
     }
     bool replayed = false;
     const bool claimed = !route.idempotent && !key.empty();
-    const Answer answer = claimed ? runClaimed(route, request.value(), key, replayed)
-                                  : run(route, request.value());
+    const ResponseOutcome response = claimed ? runClaimed(route, request.value(), key, replayed)
+                                             : run(route, request.value());
     if (replayed)
         exchange.response().set_header("Idempotent-Replayed", "true");
     const std::optional<Failure> revoked = m_context.admission.keys().revoked(*caller);
     if (revoked) {
         exchange.sendFailure(*revoked);
-    } else if (!answer.ok()) {
-        exchange.sendFailure(answer.failure(), absl::Seconds(1));
+    } else if (!response.ok()) {
+        exchange.sendFailure(response.failure(), absl::Seconds(1));
     } else {
-        exchange.response().status = answer.value().status;
-        exchange.response().set_content(answer.value().body, answer.value().contentType);
+        exchange.response().status = response.value().status;
+        exchange.response().set_content(response.value().body, response.value().contentType);
     }
 }
 
-ServiceHandler::Answer ServiceHandler::run(const wire::Route &route,
-                                           const service::ServiceRequest &request)
+ServiceHandler::ResponseOutcome ServiceHandler::run(const wire::Route &route,
+                                                    const service::ServiceRequest &request)
 {
     const std::int64_t nowMs = absl::ToUnixMillis(m_context.clock.wallNow());
     if (m_context.directory.view()->quarantinedRequest(fingerprintOf(request), nowMs))
@@ -152,46 +152,47 @@
                       "the request crashed the upstreams that ran it");
     std::vector<std::string> excluded;
     bool mayHaveRunBefore = false;
-    Answer answer = notRun(ErrorCode::UpstreamUnavailable,
-                           concat("no instance of \"", route.service, "\" can take the request"));
+    ResponseOutcome response =
+            notRun(ErrorCode::UpstreamUnavailable,
+                   concat("no instance of \"", route.service, "\" can take the request"));
     for (int i = 0; i < maxAttempts; ++i) {
         const std::size_t attemptsBefore = excluded.size();
-        Answer next = runAttempt(route, request, excluded);
+        ResponseOutcome next = runAttempt(route, request, excluded);
         const bool attempted = excluded.size() > attemptsBefore;
         if (next.ok() || attempted)
-            answer = std::move(next);
-        if (answer.ok() || !attempted)
+            response = std::move(next);
+        if (response.ok() || !attempted)
             break;
-        mayHaveRunBefore = mayHaveRunBefore || answer.failure().effect == EffectState::MayHaveRun;
+        mayHaveRunBefore = mayHaveRunBefore || response.failure().effect == EffectState::MayHaveRun;
         if (mayHaveRunBefore && !route.idempotent)
             break;
     }
-    if (!answer.ok() && mayHaveRunBefore)
-        return mayHaveRun(answer.failure().code, answer.failure().detail);
-    return answer;
+    if (!response.ok() && mayHaveRunBefore)
+        return mayHaveRun(response.failure().code, response.failure().detail);
+    return response;
 }
 
-ServiceHandler::Answer ServiceHandler::runAttempt(const wire::Route &route,
-                                                  const service::ServiceRequest &request,
-                                                  std::vector<std::string> &excluded)
+ServiceHandler::ResponseOutcome ServiceHandler::runAttempt(const wire::Route &route,
+                                                           const service::ServiceRequest &request,
+                                                           std::vector<std::string> &excluded)
 {
     const ServiceTable::Client client = m_context.services.beginCall(route.service, excluded);
     if (!client)
         return notRun(ErrorCode::UpstreamUnavailable, "no further instance is available");
     const std::string &upstream = client->options().name;
     excluded.push_back(upstream);
-    Answer answer = client->call(request);
-    const bool lost = !answer.ok() && answer.failure().code == ErrorCode::ConnectionLost;
+    ResponseOutcome response = client->call(request);
+    const bool lost = !response.ok() && response.failure().code == ErrorCode::ConnectionLost;
     bool crashed = false;
     if (lost) {
         const Outcome<Done> probe = client->probe();
         crashed = !probe.ok() && probe.failure().code == ErrorCode::UpstreamUnavailable;
     }
-    const bool failed = !answer.ok() && answer.failure().code != ErrorCode::UpstreamBusy;
+    const bool failed = !response.ok() && response.failure().code != ErrorCode::UpstreamBusy;
     m_context.services.endCall(upstream, failed, crashed);
     if (crashed)
         reportCrash(fingerprintOf(request), upstream);
-    return answer;
+    return response;
 }
 
 void ServiceHandler::reportCrash(const std::string &fingerprint, const std::string &upstream)
@@ -203,7 +204,7 @@
     });
 }
 
-ServiceHandler::Answer ServiceHandler::answerOf(const wire::ClaimStatus &claim) const
+ServiceHandler::ResponseOutcome ServiceHandler::responseOf(const wire::ClaimStatus &claim) const
 {
     if (claim.state != wire::ClaimState::Finished)
         return mayHaveRun(
@@ -213,9 +214,10 @@
     return service::ServiceResponse{static_cast<int>(claim.status), claim.contentType, claim.body};
 }
 
-ServiceHandler::Answer ServiceHandler::runClaimed(const wire::Route &route,
-                                                  const service::ServiceRequest &request,
-                                                  const std::string &idempotencyKey, bool &replayed)
+ServiceHandler::ResponseOutcome ServiceHandler::runClaimed(const wire::Route &route,
+                                                           const service::ServiceRequest &request,
+                                                           const std::string &idempotencyKey,
+                                                           bool &replayed)
 {
     const std::string workspace = route.open ? std::string(openWorkspace) : request.workspace;
     const ClaimKey key{workspace, "service/" + idempotencyKey, hashOf(request), request.requestId};
@@ -224,16 +226,16 @@
         return claim.failure();
     if (!claim.value().won) {
         replayed = claim.value().state == wire::ClaimState::Finished;
-        return answerOf(claim.value());
+        return responseOf(claim.value());
     }
-    Answer answer = run(route, request);
-    if (answer.ok()) {
-        (void)m_context.claims.finish(key, answer.value().status, answer.value().contentType,
-                                      answer.value().body);
-    } else if (answer.failure().effect == EffectState::NotRun) {
+    ResponseOutcome response = run(route, request);
+    if (response.ok()) {
+        (void)m_context.claims.finish(key, response.value().status, response.value().contentType,
+                                      response.value().body);
+    } else if (response.failure().effect == EffectState::NotRun) {
         m_context.claims.abandon(key);
     }
-    return answer;
+    return response;
 }
 
 } // namespace rattanrill::entry
--- a/src/entry/servicehandler.h
+++ b/src/entry/servicehandler.h
@@ -37,17 +37,17 @@
     bool handle(Exchange &exchange);
 
 private:
-    using Answer = Outcome<service::ServiceResponse>;
+    using ResponseOutcome = Outcome<service::ServiceResponse>;
 
     void serve(Exchange &exchange, const wire::Route &route);
     std::optional<Caller> admitCaller(Exchange &exchange, const wire::Route &route) const;
     Outcome<service::ServiceRequest> makeRequest(Exchange &exchange, const Caller &caller) const;
-    Answer run(const wire::Route &route, const service::ServiceRequest &request);
-    Answer runAttempt(const wire::Route &route, const service::ServiceRequest &request,
-                      std::vector<std::string> &excluded);
-    Answer runClaimed(const wire::Route &route, const service::ServiceRequest &request,
-                      const std::string &idempotencyKey, bool &replayed);
-    Answer answerOf(const wire::ClaimStatus &claim) const;
+    ResponseOutcome run(const wire::Route &route, const service::ServiceRequest &request);
+    ResponseOutcome runAttempt(const wire::Route &route, const service::ServiceRequest &request,
+                               std::vector<std::string> &excluded);
+    ResponseOutcome runClaimed(const wire::Route &route, const service::ServiceRequest &request,
+                               const std::string &idempotencyKey, bool &replayed);
+    ResponseOutcome responseOf(const wire::ClaimStatus &claim) const;
     void reportCrash(const std::string &fingerprint, const std::string &upstream);
 
     Context m_context;
--- a/src/entry/taskdispatcher.cpp
+++ b/src/entry/taskdispatcher.cpp
@@ -220,20 +220,20 @@
     // view or have a view that is too old to serve it.
     const bool quarantinedNow = reject.failure.code == ErrorCode::RequestQuarantined
                                 && reject.failure.effect == EffectState::MayHaveRun;
-    const auto answer = [this, fail, quarantinedNow] {
+    const auto sendFailure = [this, fail, quarantinedNow] {
         if (quarantinedNow)
-            m_context.timers.subscribeOnce(m_context.quarantineAnswerDelay, fail);
+            m_context.timers.subscribeOnce(m_context.quarantineResponseDelay, fail);
         else
             fail();
     };
-    const auto answerAfterRecord = [this, task, answer] {
+    const auto sendFailureAfterRecord = [this, task, sendFailure] {
         (void)m_crashRecords.await(task->submission.task.fingerprint, crashRecordTimeout);
-        answer();
+        sendFailure();
     };
-    return [this, task, answer, answerAfterRecord] {
+    return [this, task, sendFailure, sendFailureAfterRecord] {
         const bool pending = m_crashRecords.pending(task->submission.task.fingerprint);
-        if (!pending || !m_context.attemptPool.post(answerAfterRecord))
-            answer();
+        if (!pending || !m_context.attemptPool.post(sendFailureAfterRecord))
+            sendFailure();
     };
 }
 
--- a/src/entry/taskdispatcher.h
+++ b/src/entry/taskdispatcher.h
@@ -55,9 +55,10 @@
         WorkerPool &callPool;
         const Clock &clock;
         Metrics &metrics;
-        /// Delay of the failure of a request that has just been quarantined. After this time, no
-        /// entry runs the request any more.
-        absl::Duration quarantineAnswerDelay = absl::ZeroDuration();
+        /// Delay of the failure response to a request that has just been quarantined. After this
+        /// time, every entry refuses the request: its directory view either lists the quarantine or
+        /// is too old to serve requests.
+        absl::Duration quarantineResponseDelay = absl::ZeroDuration();
     };
 
     TaskDispatcher(const policy::SchedulerSettings &settings, std::uint64_t seed, Context context);
--- a/tests/entry/batch_test.cpp
+++ b/tests/entry/batch_test.cpp
@@ -30,10 +30,10 @@
 
 std::string upload(TestFleet &fleet, int entry, const std::string &lines)
 {
-    const auto answer =
+    const auto response =
             fleet.post(entry, "/v1/files?purpose=batch", "acme", lines, {}, "application/jsonl");
-    BOOST_REQUIRE_MESSAGE(answer->status == 200, answer->body);
-    return Json::parse(answer->body).at("id");
+    BOOST_REQUIRE_MESSAGE(response->status == 200, response->body);
+    return Json::parse(response->body).at("id");
 }
 
 Json createBatch(TestFleet &fleet, int entry, const std::string &file, const std::string &key)
@@ -43,9 +43,9 @@
         headers.emplace("Idempotency-Key", key);
     const Json body = {
             {"input_file_id", file}, {"endpoint", "/v1/completions"}, {"completion_window", "24h"}};
-    const auto answer = fleet.post(entry, "/v1/batches", "acme", body.dump(), headers);
-    BOOST_REQUIRE_MESSAGE(answer->status == 200, answer->body);
-    return Json::parse(answer->body);
+    const auto response = fleet.post(entry, "/v1/batches", "acme", body.dump(), headers);
+    BOOST_REQUIRE_MESSAGE(response->status == 200, response->body);
+    return Json::parse(response->body);
 }
 
 Json awaitEnd(TestFleet &fleet, int entry, const std::string &batch)
@@ -60,10 +60,10 @@
 
 std::vector<Json> resultLines(TestFleet &fleet, int entry, const std::string &file)
 {
-    const auto answer = fleet.get(entry, "/v1/files/" + file + "/content", "acme");
-    BOOST_REQUIRE(answer);
+    const auto response = fleet.get(entry, "/v1/files/" + file + "/content", "acme");
+    BOOST_REQUIRE(response);
     std::vector<Json> lines;
-    std::istringstream stream(answer->body);
+    std::istringstream stream(response->body);
     for (std::string line; std::getline(stream, line);)
         lines.push_back(Json::parse(line));
     return lines;
@@ -96,7 +96,7 @@
     BOOST_TEST(lines[60].at("error").at("code") == "invalid_request");
     // R4: another workspace can access neither the job nor its results.
     fleet.addWorkspace("other", 100, 100);
-    fleet.awaitInForce();
+    fleet.awaitReady();
     BOOST_TEST(fleet.get(0, "/v1/batches/" + job.at("id").get<std::string>(), "other")->status
                == 404);
     BOOST_TEST(fleet.get(0,
@@ -122,13 +122,13 @@
              "url"},
     };
     for (const auto &[line, expected] : rows) {
-        const auto answer =
+        const auto response =
                 fleet.post(0, "/v1/files", "acme", itemLines(1500) + line, {}, "application/jsonl");
-        BOOST_TEST(answer->status == 400);
-        const std::string message = errorOf(answer).at("message");
+        BOOST_TEST(response->status == 400);
+        const std::string message = errorOf(response).at("message");
         BOOST_TEST(message.find("line 1501") != std::string::npos, message);
         BOOST_TEST(message.find(expected) != std::string::npos, message);
-        BOOST_TEST(errorOf(answer).at("run") == "not_run");
+        BOOST_TEST(errorOf(response).at("run") == "not_run");
     }
 }
 
@@ -141,10 +141,10 @@
     const httplib::MultipartFormDataItems form = {
             {"purpose", "batch", "", ""},
             {"file", itemLines(30), "items.jsonl", "application/octet-stream"}};
-    const auto answer = client.Post("/v1/files", form);
-    BOOST_REQUIRE(answer);
-    BOOST_REQUIRE(answer->status == 200);
-    const Json file = Json::parse(answer->body);
+    const auto response = client.Post("/v1/files", form);
+    BOOST_REQUIRE(response);
+    BOOST_REQUIRE(response->status == 200);
+    const Json file = Json::parse(response->body);
     BOOST_TEST(file.at("filename") == "items.jsonl");
     BOOST_TEST(file.at("purpose") == "batch");
     const Json job = createBatch(fleet, 0, file.at("id"), "");
@@ -173,9 +173,9 @@
     TestFleet fleet(0, 1);
     fleet.settings().batch.lease = absl::Milliseconds(600);
     fleet.startEntry();
-    fleet.awaitInForce();
+    fleet.awaitReady();
     ScriptedEngine::Script script;
-    script.holdAt = 1;
+    script.pauseAt = 1;
     fleet.engine(0).setScript(script);
     const std::size_t runs = fleet.engine(0).runs();
     const std::string file = upload(fleet, 0, itemLines(200));
@@ -194,7 +194,7 @@
 {
     TestFleet fleet(1, 1);
     ScriptedEngine::Script script;
-    script.holdAt = 2;
+    script.pauseAt = 2;
     fleet.engine(0).setScript(script);
     const std::size_t runs = fleet.engine(0).runs();
     const std::string file = upload(fleet, 0, itemLines(8));
@@ -228,9 +228,9 @@
     fleet.settings().batch.lease = absl::Minutes(5);
     fleet.startEntry();
     fleet.startEntry();
-    fleet.awaitInForce();
+    fleet.awaitReady();
     ScriptedEngine::Script script;
-    script.holdAt = 2;
+    script.pauseAt = 2;
     fleet.engine(0).setScript(script);
     const std::size_t runs = fleet.engine(0).runs();
     const std::string file = upload(fleet, 0, itemLines(30));
--- a/tests/entry/fakecontrol.cpp
+++ b/tests/entry/fakecontrol.cpp
@@ -14,6 +14,7 @@
 namespace rattanrill::entry {
 namespace {
 
+/// Delay of the response to a poll when there are no changes.
 constexpr absl::Duration pollDelay = absl::Milliseconds(20);
 const std::string directoryGroup = "directory";
 const std::string pollGroup = "polls";
@@ -73,8 +74,8 @@
                                       bool write)
 {
     replication::StateMachine &machine = *m_groups.at(group);
-    const std::string answer = write ? machine.apply(++m_index, bytes) : machine.query(bytes);
-    const auto result = decoded<wire::CommandResult>(answer);
+    const std::string response = write ? machine.apply(++m_index, bytes) : machine.query(bytes);
+    const auto result = decoded<wire::CommandResult>(response);
     if (result.failure.failed)
         return wire::fromMessage(result.failure);
     return result.body;
@@ -87,8 +88,8 @@
     command.nowMs = absl::ToUnixMillis(SystemClock::instance().wallNow());
     command.operation = std::move(operation);
     absl::MutexLock lock(&m_mutex);
-    const auto answer = run(directoryGroup, wire::encode(command), true);
-    BOOST_REQUIRE(answer.ok());
+    const auto response = run(directoryGroup, wire::encode(command), true);
+    BOOST_REQUIRE(response.ok());
 }
 
 void FakeControl::setUnresponsive(const std::string &group, bool unresponsive)
@@ -105,42 +106,42 @@
 void FakeControl::propose(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::ProposeRequest>(body);
-    Outcome<std::string> answer = std::string();
+    Outcome<std::string> response = std::string();
     {
         absl::MutexLock lock(&m_mutex);
         if (m_unresponsive[request.group])
             return;
-        answer = run(request.group, request.command, true);
+        response = run(request.group, request.command, true);
     }
-    if (answer.ok())
-        reply(wire::encode(wire::GroupResponse{answer.value()}));
+    if (response.ok())
+        reply(wire::encode(wire::GroupResponse{response.value()}));
     else
-        reply(answer.failure());
+        reply(response.failure());
 }
 
 void FakeControl::read(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = decoded<wire::ReadRequest>(body);
-    Outcome<std::string> answer = std::string();
+    Outcome<std::string> response = std::string();
     {
         absl::MutexLock lock(&m_mutex);
         if (m_unresponsive[request.group])
             return;
-        answer = run(request.group, request.query, false);
+        response = run(request.group, request.query, false);
     }
-    if (answer.ok())
-        reply(wire::encode(wire::GroupResponse{answer.value()}));
+    if (response.ok())
+        reply(wire::encode(wire::GroupResponse{response.value()}));
     else
-        reply(answer.failure());
+        reply(response.failure());
 }
 
 std::string FakeControl::changesSince(std::uint64_t afterRevision, bool &hasChanges)
 {
-    const auto answer =
+    const auto response =
             run(directoryGroup, wire::encode(wire::DirectoryQuery{afterRevision}), false);
-    BOOST_REQUIRE(answer.ok());
-    hasChanges = decoded<wire::PollChangesResponse>(answer.value()).revision > afterRevision;
-    return answer.value();
+    BOOST_REQUIRE(response.ok());
+    hasChanges = decoded<wire::PollChangesResponse>(response.value()).revision > afterRevision;
+    return response.value();
 }
 
 std::uint64_t FakeControl::revision()
@@ -168,18 +169,18 @@
         if (m_unresponsive[pollGroup])
             return;
         bool hasChanges = false;
-        std::string answer = changesSince(request.afterRevision, hasChanges);
+        std::string response = changesSince(request.afterRevision, hasChanges);
         if (hasChanges) {
-            reply(std::move(answer));
+            reply(std::move(response));
             return;
         }
     }
     m_timers.subscribeOnce(pollDelay, [this, afterRevision = request.afterRevision, reply] {
-        answerPoll(afterRevision, reply);
+        respondToPoll(afterRevision, reply);
     });
 }
 
-void FakeControl::answerPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
+void FakeControl::respondToPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
 {
     absl::MutexLock lock(&m_mutex);
     bool hasChanges = false;
--- a/tests/entry/fakecontrol.h
+++ b/tests/entry/fakecontrol.h
@@ -25,9 +25,10 @@
     std::string address() const;
     /// Applies \a operation to the directory and fails the test when the directory refuses it.
     void write(wire::DirectoryOperation operation) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Sets whether requests to \a group (for example "directory" or "batch-0") stay unanswered.
+    /// Sets whether requests to \a group (for example "directory" or "batch-0") receive no
+    /// response.
     void setUnresponsive(const std::string &group, bool unresponsive) ABSL_LOCKS_EXCLUDED(m_mutex);
-    /// Sets whether polls for directory changes stay unanswered.
+    /// Sets whether polls for directory changes receive no response.
     void setPollsUnresponsive(bool unresponsive) ABSL_LOCKS_EXCLUDED(m_mutex);
     std::uint64_t revision() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::size_t members() ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -46,7 +47,7 @@
     /// Encoded changes after \a afterRevision; sets \a hasChanges to whether there are any.
     std::string changesSince(std::uint64_t afterRevision, bool &hasChanges)
             ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void answerPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
+    void respondToPoll(std::uint64_t afterRevision, const peer::ResponseCallback &reply)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
     absl::Mutex m_mutex;
--- a/tests/entry/limit_test.cpp
+++ b/tests/entry/limit_test.cpp
@@ -34,13 +34,13 @@
     TestFleet fleet(3, 1);
     // The rate adds less than one request during the test.
     fleet.addWorkspace("small", 0.01, 5);
-    fleet.awaitInForce();
+    fleet.awaitReady();
     int granted = 0;
     int limited = 0;
     BOOST_REQUIRE(eventually([&] {
-        const auto answer = fleet.complete((granted + limited) % 3, "small", "p", 1);
-        granted += answer->status == 200 ? 1 : 0;
-        limited += answer->status == 429 ? 1 : 0;
+        const auto response = fleet.complete((granted + limited) % 3, "small", "p", 1);
+        granted += response->status == 200 ? 1 : 0;
+        limited += response->status == 429 ? 1 : 0;
         return limited >= 12;
     }));
     BOOST_TEST(granted <= 5);
@@ -58,11 +58,11 @@
     const std::string used = workspaceOf(1, 2);
     // The rate adds less than one request during the test.
     fleet.addWorkspace(used, 0.01, 9);
-    fleet.awaitInForce();
+    fleet.awaitReady();
     for (int i = 0; i < 4; ++i)
         BOOST_TEST(fleet.complete(0, used, "p", 1)->status == 200);
     fleet.startEntry();
-    fleet.awaitInForce();
+    fleet.awaitReady();
     int granted = 4;
     for (int i = 0; i < 10; ++i)
         granted += fleet.complete(i % 2, used, "p", 1)->status == 200 ? 1 : 0;
@@ -75,7 +75,7 @@
     TestFleet fleet(2, 1);
     const std::string workspace = workspaceOf(0, 2);
     fleet.addWorkspace(workspace, 0.01, 5);
-    fleet.awaitInForce();
+    fleet.awaitReady();
     int granted = fleet.complete(0, workspace, "p", 1)->status == 200 ? 1 : 0;
     BOOST_TEST(fleet.entry(0).drain());
     for (int i = 0; i < 7; ++i)
@@ -90,7 +90,7 @@
     TestFleet fleet(2, 1);
     const std::string workspace = workspaceOf(1, 2);
     fleet.addWorkspace(workspace, 1000, 1000);
-    fleet.awaitInForce();
+    fleet.awaitReady();
     BOOST_TEST(eventually([&] { return fleet.complete(0, workspace, "p", 1)->status == 200; }));
     const std::size_t runs = fleet.engine(0).runs();
     fleet.control().setPollsUnresponsive(true);
@@ -109,7 +109,7 @@
 {
     TestFleet fleet(2, 2);
     ScriptedEngine::Script script;
-    script.holdAt = 2;
+    script.pauseAt = 2;
     fleet.engine(0).setScript(script);
     fleet.engine(1).setScript(script);
     std::vector<std::unique_ptr<StreamedCall>> calls;
@@ -151,9 +151,9 @@
     TestFleet fleet(0, 1);
     fleet.settings().http.maxConnections = 3;
     fleet.startEntry();
-    fleet.awaitInForce();
+    fleet.awaitReady();
     ScriptedEngine::Script script;
-    script.holdAt = 1;
+    script.pauseAt = 1;
     fleet.engine(0).setScript(script);
     std::vector<std::unique_ptr<StreamedCall>> calls;
     for (int i = 0; i < 3; ++i) {
--- a/tests/entry/online_test.cpp
+++ b/tests/entry/online_test.cpp
@@ -38,15 +38,15 @@
     TestFleet fleet(1, 1);
     fleet.addWorkspace("gone", 10, 10);
     fleet.control().write(wire::RevokeKey{"id-gone"});
-    fleet.awaitInForce();
+    fleet.awaitReady();
     const std::size_t runs = fleet.engine(0).runs();
     const std::pair<const char *, const char *> rows[] = {
             {"", "missing_key"}, {"stranger", "invalid_key"}, {"gone", "key_withdrawn"}};
     for (const auto &[workspace, code] : rows) {
-        const auto answer = fleet.complete(0, workspace, "p", 1);
-        BOOST_TEST(answer->status == 401);
-        BOOST_TEST(errorOf(answer).at("code") == code);
-        BOOST_TEST(errorOf(answer).at("run") == "not_run");
+        const auto response = fleet.complete(0, workspace, "p", 1);
+        BOOST_TEST(response->status == 401);
+        BOOST_TEST(errorOf(response).at("code") == code);
+        BOOST_TEST(errorOf(response).at("run") == "not_run");
     }
     BOOST_TEST(fleet.engine(0).runs() == runs);
 }
@@ -57,7 +57,7 @@
     TestFleet fleet(1, 1, 1);
     wire::Route route{"desk", "/desk", "desk", false, true};
     fleet.control().write(wire::PutRoute{route});
-    fleet.awaitInForce();
+    fleet.awaitReady();
     const httplib::Headers headers = {{"Cookie", "session=1"},
                                       {"X-Api-Key", "key-acme"},
                                       {"Proxy-Authorization", "Basic key-acme"}};
@@ -88,7 +88,7 @@
     fleet.settings().timings.keyFreshness = absl::Seconds(1);
     fleet.control().write(wire::PutRoute{{"open", "/desk/open", "desk", true, true}});
     fleet.startEntry();
-    fleet.awaitInForce();
+    fleet.awaitReady();
     fleet.control().setPollsUnresponsive(true);
     BOOST_TEST(eventually([&] { return fleet.complete(0, "acme", "p", 1)->status == 503; }));
     BOOST_TEST(eventually([&] {
@@ -110,7 +110,7 @@
 {
     TestFleet fleet(1, 1);
     ScriptedEngine::Script script;
-    script.holdAt = 3;
+    script.pauseAt = 3;
     fleet.engine(0).setScript(script);
     StreamedCall call(fleet.port(0), "key-acme", "long", 1000);
     BOOST_TEST(call.awaitText(expectedText("long", 3)));
@@ -158,9 +158,9 @@
     script.wrongRequestId = true;
     fleet.engine(0).setScript(script);
     for (int i = 0; i < 4; ++i) {
-        const auto answer = fleet.complete(0, "acme", "mine", 5);
-        BOOST_REQUIRE(answer->status == 200);
-        BOOST_TEST(Json::parse(answer->body).at("choices").at(0).at("text")
+        const auto response = fleet.complete(0, "acme", "mine", 5);
+        BOOST_REQUIRE(response->status == 200);
+        BOOST_TEST(Json::parse(response->body).at("choices").at(0).at("text")
                    == expectedText("mine", 5));
     }
 }
@@ -170,7 +170,7 @@
 {
     TestFleet fleet(1, 1);
     ScriptedEngine::Script script;
-    script.holdAt = 2;
+    script.pauseAt = 2;
     fleet.engine(0).setScript(script);
     httplib::Client client("127.0.0.1", fleet.port(0));
     client.set_read_timeout(0, 300000);
@@ -185,7 +185,7 @@
 {
     TestFleet fleet(2, 3);
     ScriptedEngine::Script script;
-    script.holdAt = 0;
+    script.pauseAt = 0;
     for (int i = 0; i < 3; ++i)
         fleet.engine(i).setScript(script);
     std::size_t before[3];
--- a/tests/entry/scriptedengine.cpp
+++ b/tests/entry/scriptedengine.cpp
@@ -96,7 +96,7 @@
 void ScriptedEngine::release()
 {
     absl::MutexLock lock(&m_mutex);
-    m_script.holdAt.reset();
+    m_script.pauseAt.reset();
 }
 
 void ScriptedEngine::stop()
@@ -140,7 +140,7 @@
 
 bool ScriptedEngine::canContinue(const Stream &stream) const
 {
-    return m_stopped || !m_script.holdAt || stream.next < *m_script.holdAt
+    return m_stopped || !m_script.pauseAt || stream.next < *m_script.pauseAt
            || m_cancelled.count(stream.requestId) > 0;
 }
 
--- a/tests/entry/scriptedengine.h
+++ b/tests/entry/scriptedengine.h
@@ -29,10 +29,10 @@
 public:
     struct Script
     {
-        /// The server closes the connection of a stream after this many tokens of an attempt.
+        /// The server closes the connection of a stream after this number of tokens of an attempt.
         std::optional<std::uint64_t> disconnectAfter;
         /// A stream pauses before the token with this index until release() or a cancellation.
-        std::optional<std::uint64_t> holdAt;
+        std::optional<std::uint64_t> pauseAt;
         /// Number of attempts to which disconnectAfter still applies.
         int disconnects = 0;
         /// Responses carry the id of another request.
@@ -52,6 +52,7 @@
 
     int port() const;
     void setScript(const Script &script) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Lets paused streams and later ones continue.
     void release() ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Simulates a crash: stops listening first and then breaks the open streams.
     void stop() ABSL_LOCKS_EXCLUDED(m_mutex);
@@ -59,7 +60,9 @@
     /// Number of completions and service calls received; excludes load reports, health checks and
     /// cancellations.
     std::size_t runs() const ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Waits until runs() is at least \a count; returns false when a time limit passes first.
     bool awaitRuns(std::size_t count) ABSL_LOCKS_EXCLUDED(m_mutex);
+    /// Waits until a cancellation was received; returns false when a time limit passes first.
     bool awaitCancel() ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/tests/entry/service_test.cpp
+++ b/tests/entry/service_test.cpp
@@ -8,7 +8,7 @@
 void addRoute(TestFleet &fleet, bool idempotent)
 {
     fleet.control().write(wire::PutRoute{{"desk", "/desk", "desk", false, idempotent}});
-    fleet.awaitInForce();
+    fleet.awaitReady();
 }
 
 httplib::Result sendOrder(TestFleet &fleet, int entry, const std::string &key,
@@ -71,13 +71,13 @@
     ScriptedEngine::Script script;
     script.wrongRequestId = true;
     fleet.service(0).setScript(script);
-    const auto answer = sendOrder(fleet, 0, "");
-    BOOST_TEST(errorOf(answer).value("code", "") == "upstream_failed");
-    BOOST_TEST(errorOf(answer).value("run", "") == "may_have_run");
+    const auto response = sendOrder(fleet, 0, "");
+    BOOST_TEST(errorOf(response).value("code", "") == "upstream_failed");
+    BOOST_TEST(errorOf(response).value("run", "") == "may_have_run");
 }
 
 // R10: guards against running a call without a claim while the groups that store claims do not
-// answer.
+// respond.
 BOOST_AUTO_TEST_CASE(callIsRefusedAsNotRunWhileClaimsAreUnreachable)
 {
     TestFleet fleet(1, 1, 1);
@@ -97,8 +97,8 @@
     addRoute(fleet, true);
     for (const char *path : {"/desk/open/../orders", "/desk/open/%2e%2e/orders",
                              "/desk/open/..%2forders", "/desk/open//x"}) {
-        const auto answer = fleet.get(0, path, "");
-        BOOST_TEST(answer->status == 400, path);
+        const auto response = fleet.get(0, path, "");
+        BOOST_TEST(response->status == 400, path);
     }
     BOOST_TEST(fleet.get(0, "/desk/openings", "")->status == 401);
     BOOST_TEST(fleet.service(0).runs() == 0u);
--- a/tests/entry/testfleet.cpp
+++ b/tests/entry/testfleet.cpp
@@ -34,7 +34,7 @@
     settings.batch.maxRunning = 16;
     settings.batch.dispatchInterval = absl::Milliseconds(10);
     settings.timings.heartbeat = absl::Milliseconds(100);
-    settings.timings.loadPoll = absl::Milliseconds(30);
+    settings.timings.loadPollInterval = absl::Milliseconds(30);
     // Short, because the bucket of a new owner stays empty until the former owner's lease ends.
     settings.timings.ownerLease = absl::Milliseconds(300);
     settings.timings.drainNotice = absl::Milliseconds(100);
@@ -181,7 +181,7 @@
     addWorkspace("acme", 1000, 1000);
     for (int i = 0; i < entries; ++i)
         startEntry();
-    awaitInForce();
+    awaitReady();
 }
 
 TestFleet::~TestFleet()
@@ -213,7 +213,7 @@
     m_control.write(wire::AddKey{key});
 }
 
-void TestFleet::awaitInForce()
+void TestFleet::awaitReady()
 {
     BOOST_REQUIRE(eventually([&] { return m_control.members() == m_entries.size(); }));
     const auto revision = static_cast<double>(m_control.revision());
--- a/tests/entry/testfleet.h
+++ b/tests/entry/testfleet.h
@@ -59,13 +59,13 @@
     ScriptedEngine &service(int i) { return *m_services.at(i); }
     Entry &entry(int i) { return *m_entries.at(i); }
     int port(int i) const { return m_entries.at(i)->httpPort(); }
-    /// Settings of entries that startEntry() starts later.
+    /// Settings for the entries that later calls of startEntry() start.
     EntrySettings &settings() { return m_settings; }
     void startEntry();
     /// Adds a contract for \a workspace and the API key "key-WORKSPACE".
     void addWorkspace(const std::string &workspace, double rate, double burst);
     /// Waits until every entry has joined, applies all directory writes and serves requests.
-    void awaitInForce();
+    void awaitReady();
 
     httplib::Result post(int entry, const std::string &path, const std::string &workspace,
                          const std::string &body, httplib::Headers headers = {},
