--- a/include/rattanrill/net/requestparser.h
+++ b/include/rattanrill/net/requestparser.h
@@ -63,7 +63,7 @@
     State m_state = State::Idle;
     int m_status = 0;
     bool m_headerChecked = false;
-    bool m_wantsContinue = false;
+    bool m_expectsContinue = false;
     bool m_isKeepAlive = true;
 };
 
--- a/include/rattanrill/net/responseparser.h
+++ b/include/rattanrill/net/responseparser.h
@@ -46,7 +46,7 @@
     struct Parser;
 
     void startResponse();
-    bool step();
+    bool parseAvailable();
     void handleHeader();
     void forwardBody();
     void handleComplete();
@@ -55,8 +55,8 @@
     std::unique_ptr<Parser> m_parser;
     std::string m_pending;
     State m_state = State::Reading;
-    bool m_headerSeen = false;
-    bool m_isOwn = true;
+    bool m_headerHandled = false;
+    bool m_isOwnResponse = true;
     bool m_isKeepAlive = false;
 };
 
--- a/include/rattanrill/net/server.h
+++ b/include/rattanrill/net/server.h
@@ -37,7 +37,8 @@
     virtual const Request &request() const = 0;
     /// Time at which the request had arrived completely.
     virtual absl::Time receivedAt() const = 0;
-    /// Calls \a handler once if the client disconnects before the response is complete.
+    /// Sets \a handler, which is called once if the client disconnects before the response is
+    /// complete.
     virtual void onClientDisconnected(std::function<void()> handler) = 0;
     /// Sends a complete response.
     virtual void respond(Response response) = 0;
@@ -47,7 +48,7 @@
     virtual void write(std::string_view bytes) = 0;
     /// Ends a streamed response as complete.
     virtual void finish() = 0;
-    /// Closes the connection, so that the client cannot take the response for a complete one.
+    /// Closes the connection, so that the client cannot mistake the response for a complete one.
     virtual void abort() = 0;
     /// Whether startStream() was called.
     virtual bool streamStarted() const = 0;
--- a/src/http/serversetup.cpp
+++ b/src/http/serversetup.cpp
@@ -36,8 +36,8 @@
     server.set_keep_alive_max_count(keepAliveMaxRequests);
     server.set_tcp_nodelay(true);
     server.set_socket_options([](socket_t socket) {
-        const int yes = 1;
-        setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
+        const int enabled = 1;
+        setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
     });
 }
 
--- a/src/net/requestparser.cpp
+++ b/src/net/requestparser.cpp
@@ -104,14 +104,14 @@
     const std::string target = text(message.target());
     if (target.empty() || target.front() != '/')
         return refuse(400);
-    m_wantsContinue = message.count(http::field::expect) > 0;
+    m_expectsContinue = message.count(http::field::expect) > 0;
 }
 
 bool RequestParser::takeExpectContinue()
 {
-    const bool expectsContinue = m_wantsContinue && m_state == State::Body;
-    m_wantsContinue = m_wantsContinue && !expectsContinue;
-    return expectsContinue;
+    const bool isPending = m_expectsContinue && m_state == State::Body;
+    m_expectsContinue = m_expectsContinue && !isPending;
+    return isPending;
 }
 
 void RequestParser::refuse(int status)
@@ -130,7 +130,7 @@
         request.headers.add(text(field.name_string()), text(field.value()));
     request.body = std::move(message.body());
     m_parser.reset();
-    m_wantsContinue = false;
+    m_expectsContinue = false;
     m_state = State::Idle;
     parse();
     return request;
--- a/src/net/responseparser.cpp
+++ b/src/net/responseparser.cpp
@@ -42,19 +42,19 @@
     m_parser->parser.header_limit(maxHeaderBytes);
     // The body is passed on as it arrives and not collected, so its length needs no limit.
     m_parser->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
-    m_headerSeen = false;
-    m_isOwn = true;
+    m_headerHandled = false;
+    m_isOwnResponse = true;
 }
 
 void ResponseParser::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
-    while (m_state == State::Reading && !m_pending.empty() && step()) {
+    while (m_state == State::Reading && !m_pending.empty() && parseAvailable()) {
     }
 }
 
 /// Parses the pending bytes. Returns false when more bytes are needed or the response is broken.
-bool ResponseParser::step()
+bool ResponseParser::parseAvailable()
 {
     auto &parser = m_parser->parser;
     boost::system::error_code error;
@@ -78,9 +78,9 @@
 
 void ResponseParser::handleHeader()
 {
-    if (m_headerSeen)
+    if (m_headerHandled)
         return;
-    m_headerSeen = true;
+    m_headerHandled = true;
     const auto &message = m_parser->parser.get();
     ResponseHead head;
     head.status = static_cast<int>(message.result_int());
@@ -88,20 +88,20 @@
     for (const auto &field : message)
         head.headers.add(text(field.name_string()), text(field.value()));
     const bool isInterim = head.status >= 100 && head.status < 200;
-    m_isOwn = !isInterim && m_handlers.onHead(head);
+    m_isOwnResponse = !isInterim && m_handlers.onHead(head);
 }
 
 void ResponseParser::forwardBody()
 {
     std::string part;
     part.swap(m_parser->parser.get().body());
-    if (!part.empty() && m_isOwn && m_handlers.onBody)
+    if (!part.empty() && m_isOwnResponse && m_handlers.onBody)
         m_handlers.onBody(part);
 }
 
 void ResponseParser::handleComplete()
 {
-    if (!m_isOwn) {
+    if (!m_isOwnResponse) {
         startResponse();
         return;
     }
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -26,7 +26,7 @@
     Impl(EventLoop &loop, Handler handler)
         : loop(loop)
         , acceptor(loop.ioContext())
-        , shared(std::make_shared<ServerShared>())
+        , shared(std::make_shared<SharedServerState>())
     {
         shared->handler = std::move(handler);
     }
@@ -89,7 +89,7 @@
 
     EventLoop &loop;
     Tcp::acceptor acceptor;
-    std::shared_ptr<ServerShared> shared;
+    std::shared_ptr<SharedServerState> shared;
 };
 
 Server::Server(EventLoop &loop, Handler handler)
--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -17,8 +17,9 @@
 namespace {
 
 /// Maximum number of bytes of following requests that are buffered while a request is served.
-constexpr std::size_t maxReadAhead = 64 * 1024;
-/// Maximum time for sending the rest of the last response, and for the client to close afterwards.
+constexpr std::size_t maxReadAheadBytes = 64 * 1024;
+/// Maximum time for which the connection stays open after the last response was sent, so that the
+/// client can read the response and close the connection.
 constexpr absl::Duration closeTimeout = absl::Seconds(2);
 /// A client that accepts no bytes of a response for this long is treated as disconnected.
 constexpr absl::Duration sendTimeout = absl::Seconds(15);
@@ -28,7 +29,7 @@
 } // namespace
 
 ServerConnection::ServerConnection(boost::asio::ip::tcp::socket socket,
-                                   std::shared_ptr<ServerShared> shared)
+                                   std::shared_ptr<SharedServerState> shared)
     : m_socket(std::move(socket))
     , m_timer(m_socket.get_executor())
     , m_shared(std::move(shared))
@@ -49,7 +50,7 @@
 
 void ServerConnection::read()
 {
-    if (m_reading || m_phase == Phase::Closed || m_parser.pendingBytes() > maxReadAhead)
+    if (m_reading || m_phase == Phase::Closed || m_parser.pendingBytes() > maxReadAheadBytes)
         return;
     m_reading = true;
     m_socket.async_read_some(
--- a/src/net/serverconnection.h
+++ b/src/net/serverconnection.h
@@ -16,7 +16,7 @@
 class ServerConnection;
 
 /// State shared by the connections of one server.
-struct ServerShared
+struct SharedServerState
 {
     Server::Handler handler;
     ServerLimits limits;
@@ -29,7 +29,8 @@
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
-    ServerConnection(boost::asio::ip::tcp::socket socket, std::shared_ptr<ServerShared> shared);
+    ServerConnection(boost::asio::ip::tcp::socket socket,
+                     std::shared_ptr<SharedServerState> shared);
 
     void start();
     bool isIdle() const;
@@ -52,7 +53,7 @@
         Body,
         /// The handler is processing the request.
         Serving,
-        /// The last bytes are being sent; then the connection is closed.
+        /// The last response is being sent, or the client is expected to close the connection.
         Closing,
         Closed,
     };
@@ -71,20 +72,22 @@
     void handleTimeout();
     void handleDisconnect();
     void endExchange();
+    /// Serializes \a head, with the headers that control keep-alive and the header \a framing.
     std::string framedHead(ResponseHead head, std::string_view framing);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
-    std::shared_ptr<ServerShared> m_shared;
+    std::shared_ptr<SharedServerState> m_shared;
     RequestParser m_parser;
     std::array<char, 8192> m_buffer;
     Phase m_phase = Phase::Idle;
+    /// Bytes that have not been sent yet.
     std::string m_output;
     bool m_writing = false;
     bool m_reading = false;
     bool m_keepAlive = true;
     bool m_isStream = false;
-    /// The handler has completed the response, but some of it may not have been sent yet.
+    /// Whether the handler has completed the response. A part of it may not have been sent yet.
     bool m_responseComplete = false;
     std::weak_ptr<class ServerExchange> m_exchange;
 };
--- a/src/net/serverexchange.h
+++ b/src/net/serverexchange.h
@@ -84,8 +84,8 @@
     std::shared_ptr<ServerConnection> m_connection;
     Request m_request;
     absl::Time m_receivedAt;
-    /// Released when the response ends: the handler holds its owner, which holds this exchange, and
-    /// the reference cycle would keep all of them in memory.
+    /// Cleared when the response ends, because the handler may hold an object that holds this
+    /// exchange; the reference cycle would keep all of them in memory.
     std::function<void()> m_disconnectHandler;
     bool m_streamStarted = false;
 };
--- a/src/net/socketoptions.cpp
+++ b/src/net/socketoptions.cpp
@@ -17,8 +17,8 @@
 
 void setOption(int socket, int level, int option, int value)
 {
-    // Errors are ignored: without an option the loss of a peer is only detected later, and the
-    // timeouts of requests still apply.
+    // Errors are ignored, because the timeouts of requests apply in any case; without an option,
+    // the loss of a peer is only detected later.
     (void)setsockopt(socket, level, option, &value, sizeof(value));
 }
 
--- a/src/net/upstreamconnection.h
+++ b/src/net/upstreamconnection.h
@@ -56,6 +56,7 @@
     const ConnectionPoolOptions m_options;
     Listener m_listener;
     State m_state = State::New;
+    /// Part of the request that has not been sent yet.
     std::string m_output;
     std::optional<ResponseParser> m_parser;
     std::shared_ptr<CallHandlers> m_handlers;
