--- a/src/entry/batchdispatcher.cpp
+++ b/src/entry/batchdispatcher.cpp
@@ -12,6 +12,7 @@
 constexpr std::size_t poolQueueLimit = 16;
 /// Two renewals may be lost before a lease expires.
 constexpr int renewalsPerLease = 3;
+/// Delay until an item whose attempt failed can be leased again.
 constexpr absl::Duration releaseBackoff = absl::Milliseconds(200);
 constexpr std::size_t maxResultsPerCommand = 256;
 
@@ -46,7 +47,7 @@
             m_context.timers.subscribeEvery(
                     interval, [this] { schedule(m_reporting, &BatchDispatcher::reportStep); }),
             m_context.timers.subscribeEvery(
-                    m_settings.lease / renewalsPerLease,
+                    m_settings.leaseDuration / renewalsPerLease,
                     [this] { schedule(m_renewing, &BatchDispatcher::renewStep); }),
     };
 }
@@ -100,7 +101,7 @@
     wire::LeaseItems command;
     command.holder = m_holder;
     command.maxItems = static_cast<std::int64_t>(capacity);
-    command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
+    command.leaseMs = absl::ToInt64Milliseconds(m_settings.leaseDuration);
     // Not idempotent: a resend would lease further items, while the items of the lost response
     // would stay unprocessed until their leases expire.
     const auto response = m_context.partitions.propose(partition, command, false);
@@ -250,7 +251,7 @@
     for (auto &[partition, items] : held) {
         wire::RenewLeases command;
         command.holder = m_holder;
-        command.leaseMs = absl::ToInt64Milliseconds(m_settings.lease);
+        command.leaseMs = absl::ToInt64Milliseconds(m_settings.leaseDuration);
         command.items = std::move(items);
         const auto response = m_context.partitions.propose(partition, std::move(command), true);
         if (response.ok())
--- a/src/entry/completionrequest.cpp
+++ b/src/entry/completionrequest.cpp
@@ -11,6 +11,8 @@
 constexpr std::int64_t defaultCompletionTokens = 16;
 constexpr std::int64_t defaultChatTokens = 256;
 constexpr std::int64_t estimatedBytesPerToken = 4;
+/// Length of the shortest prompt prefix whose hash the scheduler receives; each further prefix is
+/// twice as long as the one before.
 constexpr std::size_t firstPrefixBytes = 64;
 constexpr std::size_t fingerprintDigits = 32;
 
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -112,7 +112,7 @@
         , serviceHandler({admission, subscriber, services, claims, crashReporter, clock, metrics},
                          settings.maxRequestBytes, settings.timings.requestTimeout)
         , loads(engines, services, dispatcher, timers, settings.timings.loadPollInterval, clock)
-        , heartbeat(control, subscriber, timers, settings.timings.heartbeat)
+        , heartbeat(control, subscriber, timers, settings.timings.heartbeatInterval)
         , routes({completions, files, batches, serviceHandler, admission, subscriber, metrics,
                   requestMetrics, [this] { return unreadyReason(); }, [this] { refreshMetrics(); }})
         , server(settings.http)
--- a/src/entry/entrysettings.cpp
+++ b/src/entry/entrysettings.cpp
@@ -115,7 +115,7 @@
     readSize(settings, "maxLineBytes", batch.maxLineBytes);
     readSize(settings, "maxFileBytes", batch.maxFileBytes);
     readSize(settings, "maxRunning", batch.maxRunning);
-    readDuration(settings, "leaseMs", batch.lease);
+    readDuration(settings, "leaseMs", batch.leaseDuration);
     readDuration(settings, "dispatchIntervalMs", batch.dispatchInterval);
 }
 
@@ -125,7 +125,7 @@
             {"keyFreshnessMs", &Timings::keyFreshness},
             {"staleStreamLimitMs", &Timings::staleStreamLimit},
             {"ownerLeaseMs", &Timings::ownerLease},
-            {"heartbeatMs", &Timings::heartbeat},
+            {"heartbeatMs", &Timings::heartbeatInterval},
             {"loadPollMs", &Timings::loadPollInterval},
             {"rateWaitMs", &Timings::maxRateWait},
             {"grantTimeoutMs", &Timings::grantTimeout},
--- a/src/entry/entrysettings.h
+++ b/src/entry/entrysettings.h
@@ -22,7 +22,7 @@
     std::size_t maxLineBytes = 1u << 20;
     std::size_t maxFileBytes = 1u << 30;
     /// Time for which an item is leased. Leases of running items are renewed.
-    absl::Duration lease = absl::Seconds(5);
+    absl::Duration leaseDuration = absl::Seconds(5);
     absl::Duration dispatchInterval = absl::Milliseconds(50);
     /// Maximum number of items leased at the same time. Limits the number of threads and the work
     /// that another entry must repeat after a crash.
@@ -39,7 +39,7 @@
     absl::Duration staleStreamLimit = absl::Seconds(10);
     /// A rate owner grants requests only while its directory view is younger than this.
     absl::Duration ownerLease = absl::Seconds(2);
-    absl::Duration heartbeat = absl::Seconds(1);
+    absl::Duration heartbeatInterval = absl::Seconds(1);
     absl::Duration loadPollInterval = absl::Milliseconds(200);
     /// Maximum delay until a rate grant may be used; a request that would be delayed longer is
     /// refused. Counts towards the time to first token, for which the budget is 410 ms.
--- a/src/entry/itemchecker.cpp
+++ b/src/entry/itemchecker.cpp
@@ -11,6 +11,7 @@
 namespace rattanrill::entry {
 namespace {
 
+/// Seed for the second half of the 128-bit hash of a custom_id.
 constexpr std::uint64_t secondHashSeed = 0x9E3779B97F4A7C15u;
 
 boost::leaf::error_id invalid(std::string detail)
--- a/src/entry/taskdispatcher.h
+++ b/src/entry/taskdispatcher.h
@@ -91,6 +91,8 @@
 
     void runDecisions() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<Action> decide() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    /// Each returns the action that carries out the decision, to be called without holding m_mutex;
+    /// null when the decision no longer applies.
     Action prepare(const policy::StartTask &start) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Action prepare(const policy::PreemptTask &preempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Action prepare(const policy::RejectTask &reject) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
@@ -99,6 +101,8 @@
     void armTimer() ABSL_LOCKS_EXCLUDED(m_mutex);
 
     void runAttempt(const TaskPtr &task, const std::shared_ptr<EngineAttempt> &engineAttempt);
+    /// Runs the attempt and passes its tokens to the listener. Updates \a delivered, the number of
+    /// tokens that the listener has received in all attempts.
     Outcome<engine::StreamSummary> stream(const TaskPtr &task, EngineAttempt &engineAttempt,
                                           std::uint64_t &delivered);
     void reportProgress(const TaskPtr &task, EngineAttempt &engineAttempt, std::uint64_t delivered,
--- a/tests/entry/batch_test.cpp
+++ b/tests/entry/batch_test.cpp
@@ -171,7 +171,7 @@
 BOOST_AUTO_TEST_CASE(cancelledJobStops)
 {
     TestFleet fleet(0, 1);
-    fleet.settings().batch.lease = absl::Milliseconds(600);
+    fleet.settings().batch.leaseDuration = absl::Milliseconds(600);
     fleet.startEntry();
     fleet.awaitReady();
     ScriptedEngine::Script script;
@@ -206,7 +206,7 @@
         BOOST_TEST(calls.back()->awaitText(expectedText("urgent", 2)));
     }
     BOOST_TEST(fleet.engine(0).awaitCancel());
-    fleet.engine(0).release();
+    fleet.engine(0).resume();
     for (const auto &call : calls) {
         call->join();
         BOOST_TEST(call->text == expectedText("urgent", 5));
@@ -225,7 +225,7 @@
 {
     TestFleet fleet(0, 1);
     // Longer than the test, so that items reach the other entry only when they are released.
-    fleet.settings().batch.lease = absl::Minutes(5);
+    fleet.settings().batch.leaseDuration = absl::Minutes(5);
     fleet.startEntry();
     fleet.startEntry();
     fleet.awaitReady();
@@ -237,7 +237,7 @@
     const Json job = createBatch(fleet, 0, file, "");
     BOOST_TEST(fleet.engine(0).awaitRuns(runs + 1));
     BOOST_TEST(fleet.entry(0).drain());
-    fleet.engine(0).release();
+    fleet.engine(0).resume();
     const Json ended = awaitEnd(fleet, 1, job.at("id"));
     BOOST_TEST(ended.at("request_counts").at("completed") == 30);
     BOOST_TEST(resultLines(fleet, 1, ended.at("output_file_id")).size() == 30u);
--- a/tests/entry/limit_test.cpp
+++ b/tests/entry/limit_test.cpp
@@ -134,8 +134,8 @@
         return !client.Get("/healthz");
     }));
     BOOST_TEST(fleet.control().members() == 1u);
-    fleet.engine(0).release();
-    fleet.engine(1).release();
+    fleet.engine(0).resume();
+    fleet.engine(1).resume();
     drain.join();
     BOOST_TEST(finished);
     for (int i = 0; i < 6; ++i) {
@@ -164,7 +164,7 @@
     BOOST_TEST(refused->status == 503);
     BOOST_TEST(errorOf(refused).at("code") == "overloaded");
     BOOST_TEST(errorOf(refused).at("run") == "not_run");
-    fleet.engine(0).release();
+    fleet.engine(0).resume();
     for (const auto &call : calls) {
         call->join();
         BOOST_TEST(call->complete);
--- a/tests/entry/scriptedengine.cpp
+++ b/tests/entry/scriptedengine.cpp
@@ -93,7 +93,7 @@
     m_script = script;
 }
 
-void ScriptedEngine::release()
+void ScriptedEngine::resume()
 {
     absl::MutexLock lock(&m_mutex);
     m_script.pauseAt.reset();
--- a/tests/entry/scriptedengine.h
+++ b/tests/entry/scriptedengine.h
@@ -31,7 +31,7 @@
     {
         /// The server closes the connection of a stream after this number of tokens of an attempt.
         std::optional<std::uint64_t> disconnectAfter;
-        /// A stream pauses before the token with this index until release() or a cancellation.
+        /// A stream pauses before the token with this index until resume() or a cancellation.
         std::optional<std::uint64_t> pauseAt;
         /// Number of attempts to which disconnectAfter still applies.
         int disconnects = 0;
@@ -53,7 +53,7 @@
     int port() const;
     void setScript(const Script &script) ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Lets paused streams and later ones continue.
-    void release() ABSL_LOCKS_EXCLUDED(m_mutex);
+    void resume() ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Simulates a crash: stops listening first and then breaks the open streams.
     void stop() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<RecordedRequest> requests() const ABSL_LOCKS_EXCLUDED(m_mutex);
--- a/tests/entry/testfleet.cpp
+++ b/tests/entry/testfleet.cpp
@@ -33,7 +33,7 @@
     settings.http.maxBodyBytes = 64u << 20;
     settings.batch.maxRunning = 16;
     settings.batch.dispatchInterval = absl::Milliseconds(10);
-    settings.timings.heartbeat = absl::Milliseconds(100);
+    settings.timings.heartbeatInterval = absl::Milliseconds(100);
     settings.timings.loadPollInterval = absl::Milliseconds(30);
     // Short, because the bucket of a new owner stays empty until the former owner's lease ends.
     settings.timings.ownerLease = absl::Milliseconds(300);
@@ -187,7 +187,7 @@
 TestFleet::~TestFleet()
 {
     for (const auto &engine : m_engines)
-        engine->release();
+        engine->resume();
     m_entries.clear();
 }
 
