--- a/include/rattanrill/fleet/fleetview.h
+++ b/include/rattanrill/fleet/fleetview.h
@@ -13,8 +13,9 @@
 namespace rattanrill::fleet {
 
 /// The leader's view of the deployment: the records of the fleet group, the processes that send
-/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number, by
-/// which a FleetClient detects that its copy is out of date. Performs no I/O.
+/// heartbeats, and the platform's list of upstreams. Each change increments the sequence number,
+/// which a FleetClient sends with its polls, so that the leader detects that the client's copy is
+/// out of date. Performs no I/O.
 class FleetView
 {
 public:
--- a/include/rattanrill/fleet/groupreplica.h
+++ b/include/rattanrill/fleet/groupreplica.h
@@ -21,12 +21,12 @@
 struct GroupReplicaSettings
 {
     std::string group;
-    /// Folder in which the replica uses the subfolder with the group's name.
+    /// Parent folder of the replica's data, which is in the subfolder with the group's name.
     std::string dataFolder;
     VoterLimits voterLimits;
     absl::Duration heartbeatPeriod = absl::Milliseconds(100);
-    /// Long enough that no election starts on a machine whose other processes leave the replica
-    /// only a seventh of a core.
+    /// Long enough for a machine on which the replica has a seventh of a core, shared with the
+    /// other work of the machine.
     absl::Duration electionTimeout = absl::Milliseconds(450);
     /// Replaces electionTimeout until the first message from a leader. Long enough for a vote,
     /// which takes two synced writes.
--- a/include/rattanrill/fleet/membershipchange.h
+++ b/include/rattanrill/fleet/membershipchange.h
@@ -20,8 +20,8 @@
     bool retiring = false;
 };
 
-/// One change of a group's voters: adds a replica, removes one, or replaces one by another. One of
-/// the ids may be empty, but not both.
+/// One change of a group's voters: adds a replica, removes one, or replaces one by another. At
+/// least one of the two ids is set; the other may be empty.
 struct MembershipChange
 {
     replication::ReplicaId added;
@@ -31,8 +31,8 @@
 /// Limits on the voters of a group.
 struct VoterLimits
 {
-    /// An odd number: one more voter would make each write more expensive without increasing the
-    /// number of tolerated failures.
+    /// Maximum number of voters. An odd number, because one more voter would add work but would not
+    /// increase the number of tolerated failures.
     std::size_t maxVoters = 5;
 };
 
--- a/include/rattanrill/fleet/operatorprotocoladapter.h
+++ b/include/rattanrill/fleet/operatorprotocoladapter.h
@@ -20,8 +20,8 @@
 struct ReadConfigurationCall
 {};
 
-/// An operator's request to retire the store on this instance, so that it holds no replica any
-/// more.
+/// An operator's request to retire the store on \a instance, so that the store no longer holds a
+/// replica.
 struct StartRetirementCall
 {
     std::string instance;
--- a/src/fleet/membershipchange.cpp
+++ b/src/fleet/membershipchange.cpp
@@ -26,7 +26,7 @@
     return nullptr;
 }
 
-/// True when another replica uses the voter's address, which means that the voter's disk was lost.
+/// Whether another replica uses the voter's address, which means that the voter's disk was lost.
 bool isSuperseded(const replication::ReplicaId &voter,
                   const std::vector<VoterCandidate> &candidates)
 {
@@ -130,7 +130,7 @@
         return best;
     }
 
-    /// True when the group has fewer voters than the largest odd number that the limit and the
+    /// Whether the group has fewer voters than the largest odd number that the limit and the
     /// available processes allow.
     bool canGrow() const
     {
--- a/tests/fleet/statemachine_test.cpp
+++ b/tests/fleet/statemachine_test.cpp
@@ -76,8 +76,7 @@
     BOOST_TEST(records(*machine, 7).configurationVersion == 7u);
 }
 
-// Guards against a second command that replaces the store group, which already stores accepted
-// jobs.
+// Guards against a second store group besides the one that already stores accepted jobs.
 BOOST_AUTO_TEST_CASE(storeGroupIsBootstrappedOnlyOnce)
 {
     perform(wire::BootstrapStoreGroup{{"a", "b", "c"}});
