--- a/src/net/responseparser.cpp
+++ b/src/net/responseparser.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-/// Parses the pending bytes. Returns false when more bytes are needed or the response is broken.
+/// Parses the pending bytes. Returns false when more bytes are needed or the response is malformed.
 bool ResponseParser::parseAvailable()
 {
     auto &parser = m_parser->parser;
--- a/src/net/serverconnection.h
+++ b/src/net/serverconnection.h
@@ -53,7 +53,8 @@
         Body,
         /// The handler is processing the request.
         Serving,
-        /// The last response is being sent, or the client is expected to close the connection.
+        /// The last response is being sent, or was sent and the client has not closed the
+        /// connection yet.
         Closing,
         Closed,
     };
