--- a/src/entry/batchdispatcher.cpp
+++ b/src/entry/batchdispatcher.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t poolThreads = 3;
 constexpr std::size_t poolQueueLimit = 16;
-/// Two renewals may be lost before a lease expires.
+/// Number of renewals in the duration of a lease. Two renewals may be lost before a lease expires.
 constexpr int renewalsPerLease = 3;
 /// Delay until an item whose attempt failed can be leased again.
 constexpr absl::Duration releaseBackoff = absl::Milliseconds(200);
--- a/src/entry/batchdispatcher.h
+++ b/src/entry/batchdispatcher.h
@@ -81,8 +81,9 @@
     Context m_context;
     BatchSettings m_settings;
     std::string m_holder;
-    /// One thread each for leasing, reporting and renewing, so that leases are renewed while a
-    /// lease or report command waits for a partition that does not respond.
+    /// One thread each for leasing, reporting and renewing. Otherwise a lease or report command
+    /// that waits for a partition that does not respond could delay the renewals until leases of
+    /// other partitions expire.
     WorkerPool m_pool;
     std::atomic<bool> m_leasing{false};
     std::atomic<bool> m_reporting{false};
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -14,8 +14,8 @@
 namespace rattanrill::entry {
 namespace {
 
-/// httplib listens with a backlog of 5. In a burst, connections beyond the backlog would be delayed
-/// until the client resends its SYN.
+/// Replaces the backlog of 5 with which httplib listens. In a burst, connections beyond the backlog
+/// would be delayed until the client resends its SYN.
 constexpr int listenBacklog = 512;
 /// Maximum time for a request on a connection that is accepted during a shutdown.
 constexpr absl::Duration lateRequestTimeout = absl::Seconds(1);
--- a/src/entry/completionrequest.cpp
+++ b/src/entry/completionrequest.cpp
@@ -96,7 +96,7 @@
            && options->value("include_usage", Json()) == Json(true);
 }
 
-/// Request body for engines. Engines always stream, so that a broken answer can be resumed.
+/// Request body for engines. Engines always stream, so that an interrupted answer can be resumed.
 std::string engineBody(Json body, const std::string &prompt, bool chat, std::int64_t maxTokens)
 {
     for (const char *key : {"stream", "stream_options", "request_id", "resume_after", "kv_handle"})
--- a/src/entry/completionrequest.h
+++ b/src/entry/completionrequest.h
@@ -22,7 +22,7 @@
     std::string prompt;
     std::int64_t maxTokens = 0;
     bool stream = false;
-    /// The caller requested a usage event at the end of the stream.
+    /// Whether the caller requested a usage event at the end of the stream.
     bool streamUsage = false;
     /// JSON object to send to engines, without the members that control how the answer is
     /// delivered.
--- a/src/entry/entrysettings.h
+++ b/src/entry/entrysettings.h
@@ -32,7 +32,7 @@
 /// Intervals, timeouts and other time limits of an entry instance.
 struct Timings
 {
-    /// Maximum age of the directory view with which requests with an API key are accepted.
+    /// Maximum age of the directory view; requests with an API key are refused when it is older.
     absl::Duration keyFreshness = absl::Seconds(3);
     /// Running streams are aborted when the directory view has been older than keyFreshness for
     /// this long.
@@ -42,7 +42,7 @@
     absl::Duration heartbeatInterval = absl::Seconds(1);
     absl::Duration loadPollInterval = absl::Milliseconds(200);
     /// Maximum delay until a rate grant may be used; a request that would be delayed longer is
-    /// refused. Counts towards the time to first token, for which the budget is 410 ms.
+    /// refused. Part of the budget of 410 ms for the time to first token.
     absl::Duration maxRateWait = absl::Milliseconds(150);
     /// Timeout of one call to the rate owner.
     absl::Duration grantTimeout = absl::Milliseconds(300);
--- a/src/entry/fileupload.cpp
+++ b/src/entry/fileupload.cpp
@@ -5,8 +5,8 @@
 namespace rattanrill::entry {
 namespace {
 
-/// Maximum size of one command to the partition; small enough that lease commands do not wait long
-/// behind it.
+/// Maximum size of one command to the partition. Small enough that it does not delay subsequent
+/// lease commands for long.
 constexpr std::size_t maxCommandItems = 1000;
 constexpr std::size_t maxCommandBytes = 1u << 20;
 
--- a/src/entry/ratebroker.cpp
+++ b/src/entry/ratebroker.cpp
@@ -12,6 +12,7 @@
 namespace rattanrill::entry {
 namespace {
 
+/// Delay before a grant is requested again while ownership of the workspace is being transferred.
 /// A membership change reaches all entries within a few tens of milliseconds.
 constexpr absl::Duration ownerRetryInterval = absl::Milliseconds(20);
 
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Maximum number of membership changes in the history. A workspace that was owned before the
-/// oldest one counts as owned since the oldest one.
+/// oldest recorded change counts as owned since that change.
 constexpr std::size_t maxHistoryLength = 16;
 /// How long a received bucket is kept until the first request for its workspace. After that, the
 /// bucket is created as without a transfer: empty shortly after the change of ownership and filled
--- a/src/entry/taskdispatcher.cpp
+++ b/src/entry/taskdispatcher.cpp
@@ -9,9 +9,10 @@
 /// Interval of progress reports: the scheduler needs them every few hundred milliseconds, not for
 /// every token.
 constexpr absl::Duration progressInterval = absl::Milliseconds(100);
-/// Longer than an export call and a cancel call that both time out.
+/// Maximum wait for the end of a preemption. Longer than an export call and a cancel call that both
+/// time out.
 constexpr absl::Duration preemptionTimeout = absl::Seconds(8);
-/// Longer than a report to the directory that times out.
+/// Maximum wait for the record of a crash. Longer than a report to the directory that times out.
 constexpr absl::Duration crashRecordTimeout = absl::Seconds(6);
 constexpr std::string_view cancelledReason = "cancelled";
 
--- a/src/entry/taskdispatcher.h
+++ b/src/entry/taskdispatcher.h
@@ -36,7 +36,7 @@
     std::shared_ptr<TaskListener> listener;
 };
 
-/// Carries out the scheduler's decisions: runs attempts on engines, resumes broken streams,
+/// Carries out the scheduler's decisions: runs attempts on engines, resumes interrupted streams,
 /// preempts batch tasks and records crashes. Used for both online and batch tasks.
 ///
 /// Lock order: m_mutex is acquired before the locks of EngineAttempt and CrashRecords. It is not
