--- a/src/fleet/fleetservice.cpp
+++ b/src/fleet/fleetservice.cpp
@@ -12,7 +12,7 @@
 
 /// Interval at which pending polls and member timeouts are checked.
 constexpr absl::Duration checkPeriod = absl::Milliseconds(50);
-/// Upper limit of the wait that a poll may request.
+/// Maximum delay of the response to a poll, also if the poll requests a longer one.
 constexpr absl::Duration maxPollWait = absl::Seconds(2);
 
 } // namespace
