--- a/src/entry/rateowner.h
+++ b/src/entry/rateowner.h
@@ -21,8 +21,9 @@
 ///
 /// No two owners may grant at the same time: an owner grants only while its directory view is
 /// younger than the lease. An owner that detects the end of its ownership transfers its bucket to
-/// the new owner. Without a transfer, the new owner's bucket starts empty, and only after the
-/// former owner's lease and the longest wait that the former owner may have granted.
+/// the new owner. Without a transfer, the new owner's bucket starts empty, and it starts only
+/// after the former owner's lease and the longest wait that the former owner may have granted have
+/// passed.
 class RateOwner
 {
 public:
