--- a/src/entry/completionrequest.cpp
+++ b/src/entry/completionrequest.cpp
@@ -11,6 +11,8 @@
 constexpr std::int64_t defaultCompletionTokens = 16;
 constexpr std::int64_t defaultChatTokens = 256;
 constexpr std::int64_t estimatedBytesPerToken = 4;
+/// Length of the shortest prompt prefix whose hash the scheduler receives; each further prefix is
+/// twice as long as the one before.
 constexpr std::size_t firstPrefixBytes = 64;
 constexpr std::size_t fingerprintDigits = 32;
 
@@ -94,7 +96,7 @@
            && options->value("include_usage", Json()) == Json(true);
 }
 
-/// Request body for engines. Engines always stream, so that a broken answer can be resumed.
+/// Request body for engines. Engines always stream, so that an interrupted answer can be resumed.
 std::string engineBody(Json body, const std::string &prompt, bool chat, std::int64_t maxTokens)
 {
     for (const char *key : {"stream", "stream_options", "request_id", "resume_after", "kv_handle"})
--- a/src/entry/taskdispatcher.h
+++ b/src/entry/taskdispatcher.h
@@ -36,7 +36,7 @@
     std::shared_ptr<TaskListener> listener;
 };
 
-/// Carries out the scheduler's decisions: runs attempts on engines, resumes broken streams,
+/// Carries out the scheduler's decisions: runs attempts on engines, resumes interrupted streams,
 /// preempts batch tasks and records crashes. Used for both online and batch tasks.
 ///
 /// Lock order: m_mutex is acquired before the locks of EngineAttempt and CrashRecords. It is not
@@ -55,9 +55,10 @@
         WorkerPool &callPool;
         const Clock &clock;
         Metrics &metrics;
-        /// Delay of the failure of a request that has just been quarantined. After this time, no
-        /// entry runs the request any more.
-        absl::Duration quarantineAnswerDelay = absl::ZeroDuration();
+        /// Delay of the failure response to a request that has just been quarantined. After this
+        /// time, every entry refuses the request: its directory view either lists the quarantine or
+        /// is too old to serve requests.
+        absl::Duration quarantineResponseDelay = absl::ZeroDuration();
     };
 
     TaskDispatcher(const policy::SchedulerSettings &settings, std::uint64_t seed, Context context);
@@ -90,6 +91,8 @@
 
     void runDecisions() ABSL_LOCKS_EXCLUDED(m_mutex);
     std::vector<Action> decide() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    /// Each returns the action that carries out the decision, to be called without holding m_mutex;
+    /// null when the decision no longer applies.
     Action prepare(const policy::StartTask &start) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Action prepare(const policy::PreemptTask &preempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Action prepare(const policy::RejectTask &reject) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
@@ -98,6 +101,8 @@
     void armTimer() ABSL_LOCKS_EXCLUDED(m_mutex);
 
     void runAttempt(const TaskPtr &task, const std::shared_ptr<EngineAttempt> &engineAttempt);
+    /// Runs the attempt and passes its tokens to the listener. Updates \a delivered, the number of
+    /// tokens that the listener has received in all attempts.
     Outcome<engine::StreamSummary> stream(const TaskPtr &task, EngineAttempt &engineAttempt,
                                           std::uint64_t &delivered);
     void reportProgress(const TaskPtr &task, EngineAttempt &engineAttempt, std::uint64_t delivered,
