--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -67,13 +67,13 @@
     EngineReconciler(EngineReconcilerSettings settings, absl::Time now);
 
     /// Replaces the desired states. \a fence is the fencing token that the directory issued with
-    /// them; a token lower than an earlier one is ignored.
+    /// them; when it is lower than an earlier one, the earlier one stays in use.
     void setDesired(absl::Time now, const std::vector<DesiredState> &desired, std::uint64_t fence);
     /// Returns the commands to send now, at most one per engine.
     std::vector<EngineCommand> decide(absl::Time now);
     /// Reports that the engine answered \a command. Ignored unless \a command is outstanding.
     void answered(absl::Time now, const EngineCommand &command, bool accepted);
-    /// Reports that \a command got no answer. The command may still arrive.
+    /// Reports that \a command got no response. The command may still arrive.
     void timedOut(absl::Time now, const EngineCommand &command);
     /// True when the values that the engine has confirmed equal the desired ones; false for unknown
     /// engines.
--- a/include/rattanrill/policy/enginestate.h
+++ b/include/rattanrill/policy/enginestate.h
@@ -38,10 +38,10 @@
     absl::Duration age;
 };
 
-/// State of one engine from the view of one entry: the engine's last load report, the entry's own
+/// State of one engine as estimated by one entry: the engine's last load report, the entry's own
 /// tasks on the engine and an estimate of what other entries have sent since the report. Entries do
-/// not communicate with each other. A random load balancer spreads requests over them, so an
-/// entry's own changes since the report are a sample of 1 / entries of all changes.
+/// not communicate with each other. The load balancer distributes requests over them at random, so
+/// an entry's own changes since the report are a sample of 1 / entries of all changes.
 class EngineState
 {
 public:
@@ -54,8 +54,8 @@
 
     /// Ignores a report that describes an earlier time than the last one.
     void loadReported(absl::Time now, const EngineLoad &load);
-    /// \a prefillTokens are prompt tokens to compute; \a totalTokens is the KV memory, in tokens,
-    /// that the task is expected to occupy.
+    /// Records a task that this entry started. \a prefillTokens is the number of prompt tokens to
+    /// compute; \a totalTokens is the KV memory, in tokens, that the task is expected to occupy.
     void taskStarted(absl::Time now, TaskKind kind, std::int64_t prefillTokens,
                      std::int64_t totalTokens);
     void firstToken(TaskKind kind, std::int64_t prefillTokens);
@@ -105,7 +105,7 @@
     std::array<std::int64_t, 2> m_localTasks{};
     std::array<std::int64_t, 2> m_localPrefillTokens{};
     std::array<std::int64_t, 2> m_localTaskChange{};
-    std::int64_t m_changedTokens = 0;
+    std::int64_t m_localTokenChange = 0;
     /// Changes since the time that the last report describes, oldest first.
     std::deque<Change> m_changes;
 };
--- a/include/rattanrill/policy/fairqueue.h
+++ b/include/rattanrill/policy/fairqueue.h
@@ -14,8 +14,8 @@
 
 /// Queue of waiting tasks. Workspaces are ordered by served tokens relative to their weight
 /// (start-time fair queueing). Within a workspace, tasks are ordered by deadline; of equal
-/// deadlines, resumed tasks go first, then earlier arrivals. A workspace that had no task waiting
-/// or in service re-enters at the current virtual time, so idle time earns no credit.
+/// deadlines, resumed tasks go first, then earlier arrivals. When a workspace without waiting tasks
+/// gets a new one, its virtual time is raised to that of the queue, so idle time earns no credit.
 class FairQueue
 {
 public:
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -34,8 +34,8 @@
     void succeeded(absl::Time now);
     /// Counts a failure. The upstream is ejected at once when \a crashed is true.
     void failed(absl::Time now, bool crashed);
-    /// \a time is the time to first token of one task; \a fleetTime is the smoothed time to first
-    /// token of all upstreams.
+    /// Records a time to first token. The upstream is ejected when it is slow over several samples.
+    /// \a time is the time of one task; \a fleetTime is the smoothed time over all upstreams.
     void firstToken(absl::Time now, absl::Duration time, absl::Duration fleetTime);
 
     /// Share of its normal traffic that the upstream may get at \a now: 0 while ejected, then
--- a/include/rattanrill/policy/prefixindex.h
+++ b/include/rattanrill/policy/prefixindex.h
@@ -21,7 +21,7 @@
     std::uint64_t sequence = 0;
     Kind kind = Kind::Stored;
     std::uint64_t prefixHash = 0;
-    /// Length of the prefix.
+    /// Length of the prefix in tokens.
     std::int64_t tokens = 0;
 };
 
@@ -36,8 +36,8 @@
     explicit PrefixIndex(absl::Duration lifetime = absl::Minutes(5), std::size_t limit = 20000);
 
     void apply(absl::Time now, const std::string &engine, const std::vector<CacheEvent> &events);
-    /// Records that this entry sent a prompt with these prefixes to \a engine, which is known
-    /// before any cache event. \a hashes are as in Task::prefixHashes.
+    /// Records that this entry sent a prompt with these prefixes to \a engine, before cache events
+    /// report them. \a hashes are as in Task::prefixHashes.
     void recordPrompt(absl::Time now, const std::string &engine,
                       const std::vector<std::uint64_t> &hashes, std::int64_t promptTokens);
     void removeEngine(const std::string &engine);
--- a/include/rattanrill/policy/quarantine.h
+++ b/include/rattanrill/policy/quarantine.h
@@ -17,7 +17,8 @@
     std::size_t crashLimit = 2;
     /// Time for which a request that ran alongside others on a crashed upstream stays a suspect.
     absl::Duration suspectTime = absl::Seconds(30);
-    /// Time for which a fingerprint is blocked unless an operator releases it.
+    /// Time for which a fingerprint is blocked unless an operator releases it, and for which a
+    /// request that ran alone on a crashed upstream stays a suspect.
     absl::Duration blockTime = absl::Hours(24);
 };
 
--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -19,7 +19,7 @@
     /// Maximum of the unused budget that is kept, so that the streams of a lost failure domain can
     /// be retried at once.
     double maxBudget = 50;
-    /// Includes the first attempt.
+    /// Maximum number of attempts, including the first one.
     int maxAttempts = 3;
     absl::Duration firstBackoff = absl::Milliseconds(20);
     absl::Duration maxBackoff = absl::Seconds(1);
@@ -37,7 +37,7 @@
     void recordFirstAttempt();
     /// Returns true, and takes 1 from the budget, when a request may be retried after attempt
     /// number \a attempt (from 1).
-    bool tryAcquireRetry(int attempt, EffectState run, bool idempotent);
+    bool tryAcquireRetry(int attempt, EffectState effect, bool idempotent);
     /// Returns the delay before the attempt that follows attempt number \a attempt: exponential
     /// backoff with full jitter.
     absl::Duration backoff(int attempt, std::mt19937_64 &random) const;
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -42,7 +42,7 @@
     /// A batch task is no longer preempted when the time left before its deadline is less than its
     /// remaining run time multiplied by this factor.
     double deadlineSafetyFactor = 2.0;
-    /// Engine prefill speed (tokens/s) used until first tokens have been observed.
+    /// Prefill speed of an engine, in tokens per second, for estimates.
     double prefillTokensPerSecond = 8000;
     /// Number of failed attempts after which a batch item is rejected with ItemFailed. Attempts
     /// that the engine refused do not count.
@@ -63,7 +63,8 @@
     std::string workspace;
     /// Weight of online tasks, by convention the contract's rate.
     double onlineWeight = 1;
-    /// Weight of batch tasks; 0 grants none.
+    /// Weight of batch tasks. With 0, the smallest weight applies, so that batch tasks of other
+    /// workspaces go first.
     double batchWeight = 1;
 };
 
@@ -103,9 +104,9 @@
 struct RejectTask
 {
     TaskId task = 0;
-    /// Its run state is EffectState::NotRun only when no attempt can have run.
+    /// Its effect is EffectState::NotRun only when no attempt can have run.
     Failure failure;
-    /// Value of the Retry-After header; zero when a retry cannot succeed.
+    /// Value of the Retry-After header; zero for none.
     absl::Duration retryAfter;
 };
 
@@ -154,14 +155,15 @@
     /// Replaces the list of engines. Tasks on an engine that left the list keep running until the
     /// caller reports their end. A leaving engine gets no new tasks.
     void setEngines(absl::Time now, const std::vector<EngineInfo> &engines);
-    /// Replaces the weights of the workspaces.
+    /// Sets the weights of the listed workspaces; other workspaces keep theirs.
     void setWorkspaces(const std::vector<WorkspaceWeights> &workspaces);
     /// Replaces the list of entries that share the engines. \a self is this entry's instance, which
-    /// \a instances contains. From the list, all entries derive which of them runs suspects on
-    /// which engine.
+    /// \a instances contains. From the list, each entry derives the engines that it prefers and the
+    /// order in which it uses engines for suspects.
     void setEntries(const std::string &self, const std::vector<std::string> &instances);
     /// Sets the offset of the wall clock from the clock of \a now (wall clock minus monotonic).
-    /// Entries take turns by the wall clock. Call this at the start and every few seconds.
+    /// Entries derive the time windows for batch prefills from the wall clock. Call this at the
+    /// start and every few seconds.
     void setClockOffset(absl::Duration offset);
     /// Merges a crash record of the directory. \a blocked is true for a fingerprint that is
     /// blocked. A record without crashed upstreams releases the fingerprint.
@@ -205,10 +207,11 @@
     /// Same as batchCapacity(), but for one model.
     std::size_t batchCapacity(absl::Time now, std::string_view model) const;
 
-    /// Number of waiting tasks and, below, of running ones, for metrics.
+    /// Number of waiting tasks, for metrics.
     std::size_t waiting(TaskKind kind) const;
+    /// Number of running tasks, for metrics.
     std::size_t running(TaskKind kind) const;
-    /// State of an engine from the view of this entry; nullptr for unknown engines.
+    /// State of an engine as estimated by this entry; nullptr for unknown engines.
     const EngineState *engine(std::string_view name) const;
 
 private:
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -107,7 +107,7 @@
     absl::Duration initialHoldTime = absl::Milliseconds(700);
     /// Shortest Retry-After of a task that is rejected because no slot is free in time.
     absl::Duration minRetryAfter = absl::Milliseconds(300);
-    /// Share of the slots that become free which is expected to be available for callers that
+    /// Fraction of the slots that become free which is assumed to be available to callers that
     /// retry.
     double retryShare = 0.5;
     /// Time for which a load report counts as evidence of requests at an upstream that did not get
@@ -168,7 +168,9 @@
     void loadReported(absl::Time now, const std::string &upstream, std::int64_t requests);
     /// Returns the decisions due at \a now, to be carried out in order.
     std::vector<SlotDecision> decide(absl::Time now);
-    /// Latest time for the next call of decide() when no event occurs before.
+    /// Latest time for the next call of decide() when no event occurs before. Does not take into
+    /// account when ejections and takeoverGracePeriod end, so decide() must also be called at
+    /// regular intervals.
     absl::Time nextDecision() const;
 
     std::size_t waiting(const std::string &service, TaskKind kind) const;
@@ -190,6 +192,7 @@
         Late,
     };
 
+    /// A task that waits in a queue or holds a slot.
     struct Item
     {
         SlotTask task;
@@ -257,7 +260,7 @@
     void moveLateTasks(absl::Time now, Service &service);
     Item *nextBatch(absl::Time now, Service &service);
     bool isOvercommitted(absl::Time now, const Upstream &upstream) const;
-    std::int64_t unprobedSlots(absl::Time now, const Service &service) const;
+    std::int64_t withheldSlots(absl::Time now, const Service &service) const;
     bool isLoadUnknown(absl::Time now, const Upstream &upstream) const;
     Upstream *freeUpstream(absl::Time now, const Service &service, const Item &item) const;
     Upstream *preemptibleUpstream(absl::Time now, const Service &service, const Item &item) const;
@@ -273,13 +276,13 @@
     void dequeue(Service &service, Item &item);
     void releaseSlot(Item &item);
     void removeItem(Item &item);
-    absl::Duration spacing(const Service &service) const;
+    absl::Duration slotReleaseInterval(const Service &service) const;
 
     const SlotSchedulerSettings m_settings;
     std::map<std::string, std::unique_ptr<Upstream>> m_upstreams;
     std::map<std::string, Service> m_services;
     std::map<std::string, std::unique_ptr<Item>> m_items;
-    std::map<TaskId, Item *> m_numbers;
+    std::map<TaskId, Item *> m_itemsByNumber;
     /// Waiting online tasks by deadline.
     std::set<std::pair<absl::Time, TaskId>> m_onlineDeadlines;
     absl::Time m_takeoverAt = absl::InfinitePast();
--- a/include/rattanrill/policy/task.h
+++ b/include/rattanrill/policy/task.h
@@ -9,7 +9,7 @@
 
 namespace rattanrill::policy {
 
-/// Number of one request or batch item, unique within an entry process. All attempts share it.
+/// Id of a request or batch item, unique within an entry process. All attempts share it.
 using TaskId = std::uint64_t;
 
 /// Online tasks have a waiting caller; batch tasks are items of a job.
@@ -42,9 +42,10 @@
     /// Whether a rate grant covers the task. Tasks outside the contract are rejected first under
     /// overload.
     bool insideContract = true;
-    /// Number of tokens that an earlier holder of the task already delivered.
+    /// Number of tokens that were delivered before the task arrived at this entry.
     std::int64_t deliveredTokens = 0;
-    /// Handle of the KV cache that an earlier holder exported; empty for none.
+    /// Handle of the KV cache that was exported before the task arrived at this entry; empty for
+    /// none.
     std::string kvHandle;
 };
 
--- a/include/rattanrill/policy/tokenbucket.h
+++ b/include/rattanrill/policy/tokenbucket.h
@@ -7,9 +7,9 @@
 /// Rate and burst that a workspace's contract grants.
 struct RateContract
 {
-    /// Units (requests) per second. With 0, only the rest of the burst is granted.
+    /// Units (requests) per second. With 0, the bucket never refills.
     double ratePerSecond = 0;
-    /// Units that may exceed the rate at one time.
+    /// Capacity of the bucket: number of units that may come into use at once.
     double burst = 0;
 };
 
--- a/src/policy/batchallowance.cpp
+++ b/src/policy/batchallowance.cpp
@@ -13,8 +13,9 @@
 
 /// Share of the KV memory in use above which no batch task is started, because the contexts of
 /// running tasks still grow.
-constexpr double kvLimit = 0.9;
-/// About two prefill chunks, so that the decoding of running tasks is not slowed for long.
+constexpr double maxKvUtilization = 0.9;
+/// Equals about two prefill chunks, so that prefills slow the decoding of running tasks only
+/// briefly.
 constexpr std::int64_t maxPrefillTokens = 1000;
 
 } // namespace
@@ -41,7 +42,7 @@
                                   double unreportedOnline, std::size_t entries) const
 {
     const EngineState &state = engine.state;
-    if (!state.hasReport() || state.expectedKvUtilization(entries) > kvLimit)
+    if (!state.hasReport() || state.expectedKvUtilization(entries) > maxKvUtilization)
         return 0;
     const double limit = static_cast<double>(state.maxBatch()) - onlineReserve(onlineRatePerEngine)
                          - unreportedOnline;
@@ -53,7 +54,7 @@
     return static_cast<int>(std::floor(share - localChange + engine.roundingOffset));
 }
 
-absl::Duration BatchAllowance::spacing(std::int64_t prefillTokens, std::size_t entries) const
+absl::Duration BatchAllowance::startInterval(std::int64_t prefillTokens, std::size_t entries) const
 {
     const double tokens = static_cast<double>(prefillTokens * static_cast<std::int64_t>(entries));
     return absl::Seconds(tokens / (m_prefillTokensPerSecond * m_prefillRateFactor));
--- a/src/policy/batchallowance.h
+++ b/src/policy/batchallowance.h
@@ -31,9 +31,9 @@
     /// Time between two batch starts of this entry on one engine, so that entries do not start
     /// their batch prompts at the same moment. Shorter with a larger online tail weight, because
     /// the prefill windows are then shorter.
-    absl::Duration spacing(std::int64_t prefillTokens, std::size_t entries) const;
+    absl::Duration startInterval(std::int64_t prefillTokens, std::size_t entries) const;
     /// Maximum number of prompt tokens of this entry's batch tasks that may be in prefill on an
-    /// engine at a time.
+    /// engine at a time. A longer prompt starts only when no other one is in prefill.
     static std::int64_t prefillLimit();
 
 private:
--- a/src/policy/engineassignment.h
+++ b/src/policy/engineassignment.h
@@ -7,8 +7,8 @@
 
 /// Division of a model's engines among the entries. All entries compute the same division. An entry
 /// prefers its own engines for online tasks. Suspects of different entries run on different
-/// engines, so that a request is not blamed for a crash that the suspect of another entry caused.
-/// With more entries than engines, several entries share an engine.
+/// engines, so that a crash caused by the suspect of another entry does not count against a
+/// request. With more entries than engines, several entries share an engine.
 class EngineAssignment
 {
 public:
--- a/src/policy/enginestate.cpp
+++ b/src/policy/enginestate.cpp
@@ -85,7 +85,7 @@
 {
     if (m_load.kvCapacityTokens <= 0)
         return 0;
-    const auto localChange = static_cast<double>(m_changedTokens);
+    const auto localChange = static_cast<double>(m_localTokenChange);
     const double others =
             std::max(localChange, 0.0) * static_cast<double>(entries == 0 ? 0 : entries - 1);
     const double used = static_cast<double>(m_load.kvTokens) + localChange + others;
@@ -96,7 +96,7 @@
 {
     m_localTasks[index(change.kind)] += change.delta;
     m_localTaskChange[index(change.kind)] += change.delta;
-    m_changedTokens += change.tokens;
+    m_localTokenChange += change.tokens;
     m_changes.push_back(change);
     while (m_changes.front().at < change.at - changeLifetime)
         dropOldestChange();
@@ -106,7 +106,7 @@
 {
     const Change &oldest = m_changes.front();
     m_localTaskChange[index(oldest.kind)] -= oldest.delta;
-    m_changedTokens -= oldest.tokens;
+    m_localTokenChange -= oldest.tokens;
     m_changes.pop_front();
 }
 
--- a/src/policy/prefillwindows.cpp
+++ b/src/policy/prefillwindows.cpp
@@ -8,15 +8,17 @@
 
 namespace {
 
-/// Length of a window, by online tail weight. Several decode steps, but short compared with the run
-/// time of a batch item, because a slot that becomes free outside the window stays empty until the
-/// next window.
+/// Length of a window: the maximum applies at an online tail weight of 0, the minimum at 1. A
+/// window takes several decode steps, but is short compared with the run time of a batch item,
+/// because a slot that becomes free outside the window stays empty until the next window.
 constexpr double maxWindowSeconds = 0.25;
 constexpr double minWindowSeconds = 0.12;
+/// Number of groups: the minimum applies at an online tail weight of 0, the maximum at 1.
 constexpr double minGroups = 3;
 constexpr double maxGroups = 9;
 /// Time after the end of a window during which a batch prompt may still be in prefill: the prefill
-/// of a prompt that is started at the end takes one to two decode steps.
+/// of a prompt that is started at the end takes one to two decode steps. The minimum applies at an
+/// online tail weight of 0, the maximum at 1.
 constexpr double minPrefillSeconds = 0.06;
 constexpr double maxPrefillSeconds = 0.1;
 
--- a/src/policy/prefixindex.cpp
+++ b/src/policy/prefixindex.cpp
@@ -80,7 +80,7 @@
 {
     if (cache.estimates.size() <= m_limit)
         return;
-    // At half its lifetime, an estimate is worth less than the memory that it uses.
+    // Past half its lifetime, an estimate is too uncertain to be worth the memory that it uses.
     const absl::Time limit = now + m_lifetime / 2;
     for (auto estimate = cache.estimates.begin(); estimate != cache.estimates.end();) {
         if (estimate->second.expires < limit)
--- a/src/policy/retrypolicy.cpp
+++ b/src/policy/retrypolicy.cpp
@@ -14,9 +14,9 @@
     m_budget = std::min(m_budget + m_settings.budgetShare, m_settings.maxBudget);
 }
 
-bool RetryPolicy::tryAcquireRetry(int attempt, EffectState run, bool idempotent)
+bool RetryPolicy::tryAcquireRetry(int attempt, EffectState effect, bool idempotent)
 {
-    if (run == EffectState::MayHaveRun && !idempotent)
+    if (effect == EffectState::MayHaveRun && !idempotent)
         return false;
     if (attempt >= m_settings.maxAttempts || m_budget < 1)
         return false;
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -56,11 +56,11 @@
 
 void Scheduler::loadReported(absl::Time now, const std::string &engine, const EngineLoad &load)
 {
-    EngineRecord *record = m_state->engine(engine);
-    if (record == nullptr)
+    EngineRecord *engineRecord = m_state->engine(engine);
+    if (engineRecord == nullptr)
         return;
-    record->state.loadReported(now, load);
-    record->roundingOffset = std::uniform_real_distribution<double>(0, 1)(m_state->random);
+    engineRecord->state.loadReported(now, load);
+    engineRecord->roundingOffset = std::uniform_real_distribution<double>(0, 1)(m_state->random);
 }
 
 void Scheduler::cacheEventsReported(absl::Time now, const std::string &engine,
@@ -71,79 +71,80 @@
 
 void Scheduler::arrived(absl::Time now, const Task &task)
 {
-    TaskRecord &item = m_state->items[task.id];
-    item.task = task;
-    item.deliveredTokens = task.deliveredTokens;
-    item.kvHandle = task.kvHandle;
-    item.suspect = m_state->quarantine.status(now, task.fingerprint) == QuarantineStatus::Suspect;
-    if (item.isOnline())
+    TaskRecord &taskRecord = m_state->taskRecords[task.id];
+    taskRecord.task = task;
+    taskRecord.deliveredTokens = task.deliveredTokens;
+    taskRecord.kvHandle = task.kvHandle;
+    taskRecord.suspect =
+            m_state->quarantine.status(now, task.fingerprint) == QuarantineStatus::Suspect;
+    if (taskRecord.isOnline())
         m_state->pool(task.model).onlineRate.arrived(now);
-    m_state->enqueue(now, item);
+    m_state->enqueue(now, taskRecord);
 }
 
 void Scheduler::cancelled(absl::Time now, TaskId task)
 {
-    TaskRecord *item = m_state->find(task);
-    if (item == nullptr)
+    TaskRecord *taskRecord = m_state->find(task);
+    if (taskRecord == nullptr)
         return;
-    if (item->isRunning())
-        m_state->endAttempt(now, *item);
-    m_state->removeTask(*item);
+    if (taskRecord->isRunning())
+        m_state->endAttempt(now, *taskRecord);
+    m_state->removeTask(*taskRecord);
 }
 
 void Scheduler::started(absl::Time now, TaskId task, int attempt)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item != nullptr)
-        item->progressAt = now;
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord != nullptr)
+        taskRecord->progressAt = now;
 }
 
 void Scheduler::firstToken(absl::Time now, TaskId task, int attempt)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item != nullptr)
-        m_state->recordFirstToken(now, *item);
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord != nullptr)
+        m_state->recordFirstToken(now, *taskRecord);
 }
 
 void Scheduler::progress(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item != nullptr)
-        m_state->recordProgress(now, *item, deliveredTokens);
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord != nullptr)
+        m_state->recordProgress(now, *taskRecord, deliveredTokens);
 }
 
 void Scheduler::finished(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item == nullptr)
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord == nullptr)
         return;
-    m_state->recordProgress(now, *item, deliveredTokens);
-    m_state->quarantine.succeeded(item->task.fingerprint);
-    EngineRecord *record = m_state->engine(item->engine);
-    if (record != nullptr)
-        record->state.outlier().succeeded(now);
-    m_state->endAttempt(now, *item);
-    m_state->removeTask(*item);
+    m_state->recordProgress(now, *taskRecord, deliveredTokens);
+    m_state->quarantine.succeeded(taskRecord->task.fingerprint);
+    EngineRecord *engineRecord = m_state->engine(taskRecord->engine);
+    if (engineRecord != nullptr)
+        engineRecord->state.outlier().succeeded(now);
+    m_state->endAttempt(now, *taskRecord);
+    m_state->removeTask(*taskRecord);
 }
 
 void Scheduler::failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item != nullptr)
-        m_state->attemptFailed(now, *item, failure);
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord != nullptr)
+        m_state->attemptFailed(now, *taskRecord, failure);
 }
 
 void Scheduler::preempted(absl::Time now, TaskId task, int attempt, std::int64_t deliveredTokens,
                           const std::string &kvHandle)
 {
-    TaskRecord *item = m_state->running(task, attempt);
-    if (item == nullptr)
+    TaskRecord *taskRecord = m_state->running(task, attempt);
+    if (taskRecord == nullptr)
         return;
-    m_state->recordProgress(now, *item, deliveredTokens);
-    m_state->endAttempt(now, *item);
-    item->kvHandle = kvHandle;
-    ++item->preemptions;
-    m_state->enqueue(now, *item);
+    m_state->recordProgress(now, *taskRecord, deliveredTokens);
+    m_state->endAttempt(now, *taskRecord);
+    taskRecord->kvHandle = kvHandle;
+    ++taskRecord->preemptions;
+    m_state->enqueue(now, *taskRecord);
 }
 
 std::vector<SchedulerDecision> Scheduler::decide(absl::Time now)
@@ -174,8 +175,8 @@
 std::size_t Scheduler::waiting(TaskKind kind) const
 {
     std::size_t count = 0;
-    for (const auto &[id, item] : m_state->items) {
-        if (item.task.kind == kind && !item.isRunning())
+    for (const auto &[id, taskRecord] : m_state->taskRecords) {
+        if (taskRecord.task.kind == kind && !taskRecord.isRunning())
             ++count;
     }
     return count;
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -39,22 +39,22 @@
 
 void Scheduler::State::setEngines(const std::vector<EngineInfo> &list)
 {
-    for (auto &[engineName, record] : engines)
-        record->removed = true;
+    for (auto &[engineName, engineRecord] : engines)
+        engineRecord->removed = true;
     for (auto &[model, modelPool] : pools)
         modelPool.engines.clear();
     for (const EngineInfo &info : list) {
-        std::unique_ptr<EngineRecord> &record = engines[info.name];
-        if (record == nullptr)
-            record = std::make_unique<EngineRecord>(info, settings.router.outlier);
-        record->state.setInfo(info);
-        record->removed = false;
-        pool(info.model).engines.push_back(record.get());
+        std::unique_ptr<EngineRecord> &engineRecord = engines[info.name];
+        if (engineRecord == nullptr)
+            engineRecord = std::make_unique<EngineRecord>(info, settings.router.outlier);
+        engineRecord->state.setInfo(info);
+        engineRecord->removed = false;
+        pool(info.model).engines.push_back(engineRecord.get());
     }
     assignAllEngines();
-    for (auto record = engines.begin(); record != engines.end();) {
-        const bool unused = record->second->removed && record->second->running.empty();
-        record = unused ? engines.erase(record) : std::next(record);
+    for (auto engineRecord = engines.begin(); engineRecord != engines.end();) {
+        const bool unused = engineRecord->second->removed && engineRecord->second->running.empty();
+        engineRecord = unused ? engines.erase(engineRecord) : std::next(engineRecord);
     }
 }
 
@@ -116,244 +116,252 @@
 
 TaskRecord *Scheduler::State::find(TaskId task)
 {
-    const auto found = items.find(task);
-    return found == items.end() ? nullptr : &found->second;
+    const auto found = taskRecords.find(task);
+    return found == taskRecords.end() ? nullptr : &found->second;
 }
 
 TaskRecord *Scheduler::State::running(TaskId task, int attempt)
 {
-    TaskRecord *item = find(task);
-    const bool isCurrent = item != nullptr && item->isRunning() && item->attempt == attempt;
-    return isCurrent ? item : nullptr;
+    TaskRecord *taskRecord = find(task);
+    const bool isCurrent =
+            taskRecord != nullptr && taskRecord->isRunning() && taskRecord->attempt == attempt;
+    return isCurrent ? taskRecord : nullptr;
 }
 
 // Events
 
-void Scheduler::State::enqueue(absl::Time now, TaskRecord &item)
+void Scheduler::State::enqueue(absl::Time now, TaskRecord &taskRecord)
 {
-    item.phase = TaskRecord::Phase::Waiting;
-    item.waitingSince = now;
+    taskRecord.phase = TaskRecord::Phase::Waiting;
+    taskRecord.waitingSince = now;
     // The crash may have been retracted or cleared while the task waited for its retry.
-    if (quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed)
-        item.suspect = false;
-    ModelPool &waitingPool = pool(item.task.model);
-    if (item.isOnline()) {
-        item.onlineDeadline = onlineDeadline(item);
-        onlineDeadlines.insert({item.onlineDeadline, item.task.id});
+    if (quarantine.status(now, taskRecord.task.fingerprint) == QuarantineStatus::Allowed)
+        taskRecord.suspect = false;
+    ModelPool &waitingPool = pool(taskRecord.task.model);
+    if (taskRecord.isOnline()) {
+        taskRecord.onlineDeadline = onlineDeadline(taskRecord);
+        onlineDeadlines.insert({taskRecord.onlineDeadline, taskRecord.task.id});
     }
-    if (item.suspect) {
-        waitingPool.suspects.insert({item.task.kind, item.task.id});
+    if (taskRecord.suspect) {
+        waitingPool.suspects.insert({taskRecord.task.kind, taskRecord.task.id});
         return;
     }
-    if (item.isOnline()) {
+    if (taskRecord.isOnline()) {
         FairQueue &queue =
-                item.task.insideContract ? waitingPool.online : waitingPool.outsideContract;
-        queue.push(item.task.workspace, item.task.id, item.waitingSince);
+                taskRecord.task.insideContract ? waitingPool.online : waitingPool.outsideContract;
+        queue.push(taskRecord.task.workspace, taskRecord.task.id, taskRecord.waitingSince);
         return;
     }
     using TieBreak = FairQueue::TieBreak;
-    const TieBreak order = item.deliveredTokens > 0 ? TieBreak::Resumed : TieBreak::ByArrival;
-    waitingPool.batch.push(item.task.workspace, item.task.id, item.task.deadline, order);
-    item.latestStart = latestStart(item);
-    waitingPool.latestStarts.insert({item.latestStart, item.task.id});
+    const TieBreak order = taskRecord.deliveredTokens > 0 ? TieBreak::Resumed : TieBreak::ByArrival;
+    waitingPool.batch.push(taskRecord.task.workspace, taskRecord.task.id, taskRecord.task.deadline,
+                           order);
+    taskRecord.latestStart = latestStart(taskRecord);
+    waitingPool.latestStarts.insert({taskRecord.latestStart, taskRecord.task.id});
 }
 
-void Scheduler::State::dequeue(TaskRecord &item)
+void Scheduler::State::dequeue(TaskRecord &taskRecord)
 {
-    if (item.phase == TaskRecord::Phase::BackingOff) {
-        backoffs.erase({item.retryAt, item.task.id});
+    if (taskRecord.phase == TaskRecord::Phase::BackingOff) {
+        backoffs.erase({taskRecord.retryAt, taskRecord.task.id});
         return;
     }
-    ModelPool &waitingPool = pool(item.task.model);
-    waitingPool.suspects.erase({item.task.kind, item.task.id});
-    if (item.isOnline()) {
-        onlineDeadlines.erase({item.onlineDeadline, item.task.id});
-        waitingPool.online.remove(item.task.id);
-        waitingPool.outsideContract.remove(item.task.id);
+    ModelPool &waitingPool = pool(taskRecord.task.model);
+    waitingPool.suspects.erase({taskRecord.task.kind, taskRecord.task.id});
+    if (taskRecord.isOnline()) {
+        onlineDeadlines.erase({taskRecord.onlineDeadline, taskRecord.task.id});
+        waitingPool.online.remove(taskRecord.task.id);
+        waitingPool.outsideContract.remove(taskRecord.task.id);
         return;
     }
-    waitingPool.batch.remove(item.task.id);
-    waitingPool.latestStarts.erase({item.latestStart, item.task.id});
+    waitingPool.batch.remove(taskRecord.task.id);
+    waitingPool.latestStarts.erase({taskRecord.latestStart, taskRecord.task.id});
 }
 
-void Scheduler::State::recordProgress(absl::Time now, TaskRecord &item,
+void Scheduler::State::recordProgress(absl::Time now, TaskRecord &taskRecord,
                                       std::int64_t deliveredTokens)
 {
-    const std::int64_t tokens = deliveredTokens - item.deliveredTokens;
+    const std::int64_t tokens = deliveredTokens - taskRecord.deliveredTokens;
     if (tokens <= 0)
         return;
-    if (item.prefillTokens > 0)
-        recordFirstToken(now, item);
+    if (taskRecord.prefillTokens > 0)
+        recordFirstToken(now, taskRecord);
     else
-        timePerToken = smoothed(timePerToken, (now - item.progressAt) / tokens);
-    item.deliveredTokens = deliveredTokens;
-    item.progressAt = now;
-    if (deliveredTokens >= item.clearedAtTokens)
-        clearSuspect(item);
+        timePerToken = smoothed(timePerToken, (now - taskRecord.progressAt) / tokens);
+    taskRecord.deliveredTokens = deliveredTokens;
+    taskRecord.progressAt = now;
+    if (deliveredTokens >= taskRecord.clearedAtTokens)
+        clearSuspect(taskRecord);
 }
 
-void Scheduler::State::recordFirstToken(absl::Time now, TaskRecord &item)
+void Scheduler::State::recordFirstToken(absl::Time now, TaskRecord &taskRecord)
 {
-    if (item.prefillTokens <= 0)
+    if (taskRecord.prefillTokens <= 0)
         return;
-    EngineRecord *record = engine(item.engine);
-    const absl::Duration time = now - item.startedAt;
-    if (item.isOnline()) {
+    EngineRecord *engineRecord = engine(taskRecord.engine);
+    const absl::Duration time = now - taskRecord.startedAt;
+    if (taskRecord.isOnline()) {
         const bool first = timeToFirstToken == absl::ZeroDuration();
         timeToFirstToken = first ? time : smoothed(timeToFirstToken, time);
     }
-    if (record != nullptr) {
-        record->state.firstToken(item.task.kind, item.prefillTokens);
-        if (item.isOnline())
-            record->state.outlier().firstToken(now, time, timeToFirstToken);
+    if (engineRecord != nullptr) {
+        engineRecord->state.firstToken(taskRecord.task.kind, taskRecord.prefillTokens);
+        if (taskRecord.isOnline())
+            engineRecord->state.outlier().firstToken(now, time, timeToFirstToken);
     }
-    item.prefillTokens = 0;
-    item.mayHaveRun = true;
-    item.progressAt = now;
+    taskRecord.prefillTokens = 0;
+    taskRecord.mayHaveRun = true;
+    taskRecord.progressAt = now;
 }
 
-void Scheduler::State::endAttempt(absl::Time now, TaskRecord &item)
+void Scheduler::State::endAttempt(absl::Time now, TaskRecord &taskRecord)
 {
-    --runningCount[index(item.task.kind)];
-    FairQueue &queue = item.isOnline() ? pool(item.task.model).online : pool(item.task.model).batch;
+    --runningCount[index(taskRecord.task.kind)];
+    FairQueue &queue = taskRecord.isOnline() ? pool(taskRecord.task.model).online
+                                             : pool(taskRecord.task.model).batch;
     // The start charged the workspace for maxTokens. The tokens not generated are refunded.
-    const auto unused = static_cast<double>(std::max<std::int64_t>(item.remainingTokens(), 0));
-    queue.charge(item.task.workspace, -std::min(item.chargedTokens, unused));
-    item.chargedTokens = 0;
-    EngineRecord *record = engine(item.engine);
-    if (record == nullptr)
+    const auto unused =
+            static_cast<double>(std::max<std::int64_t>(taskRecord.remainingTokens(), 0));
+    queue.charge(taskRecord.task.workspace, -std::min(taskRecord.chargedTokens, unused));
+    taskRecord.chargedTokens = 0;
+    EngineRecord *engineRecord = engine(taskRecord.engine);
+    if (engineRecord == nullptr)
         return;
-    if (item.prefillTokens > 0)
-        record->state.firstToken(item.task.kind, item.prefillTokens);
-    item.prefillTokens = 0;
-    record->state.taskEnded(now, item.task.kind, item.kvTokens);
-    record->running.erase(item.task.id);
-    if (item.suspect)
-        --record->suspectsRunning;
-    if (item.phase == TaskRecord::Phase::Preempting)
-        --record->preempting;
+    if (taskRecord.prefillTokens > 0)
+        engineRecord->state.firstToken(taskRecord.task.kind, taskRecord.prefillTokens);
+    taskRecord.prefillTokens = 0;
+    engineRecord->state.taskEnded(now, taskRecord.task.kind, taskRecord.kvTokens);
+    engineRecord->running.erase(taskRecord.task.id);
+    if (taskRecord.suspect)
+        --engineRecord->suspectsRunning;
+    if (taskRecord.phase == TaskRecord::Phase::Preempting)
+        --engineRecord->preempting;
 }
 
-void Scheduler::State::removeTask(TaskRecord &item)
+void Scheduler::State::removeTask(TaskRecord &taskRecord)
 {
-    if (!item.isRunning())
-        dequeue(item);
-    items.erase(item.task.id);
+    if (!taskRecord.isRunning())
+        dequeue(taskRecord);
+    taskRecords.erase(taskRecord.task.id);
 }
 
-void Scheduler::State::recordCrash(absl::Time now, TaskRecord &item)
+void Scheduler::State::recordCrash(absl::Time now, TaskRecord &taskRecord)
 {
-    EngineRecord *record = engine(item.engine);
-    if (item.crashRecorded || record == nullptr)
+    EngineRecord *engineRecord = engine(taskRecord.engine);
+    if (taskRecord.crashRecorded || engineRecord == nullptr)
         return;
     std::vector<std::string> fingerprints;
-    for (const TaskId id : record->running) {
-        TaskRecord &other = items.at(id);
+    for (const TaskId id : engineRecord->running) {
+        TaskRecord &other = taskRecords.at(id);
         if (other.crashRecorded)
             continue;
         other.crashRecorded = true;
-        // A request that got past the point of its first crash is not blamed for a second crash
-        // when a suspect that has not got past that point ran on the same engine.
+        // A request that has generated tokens past the point of an earlier crash is not counted as
+        // a cause of this one if a suspect, which has not, ran on the same engine.
         const bool passedCrash =
                 !other.suspect && quarantine.crashCount(other.task.fingerprint) > 0;
-        if (!passedCrash || record->suspectsRunning == 0)
+        if (!passedCrash || engineRecord->suspectsRunning == 0)
             fingerprints.push_back(other.task.fingerprint);
     }
-    record->state.outlier().failed(now, true);
-    prefixes.removeEngine(item.engine);
-    const EngineLoad &load = record->state.load();
-    const bool alone = record->state.hasReport() && load.running + load.waiting <= 1;
+    engineRecord->state.outlier().failed(now, true);
+    prefixes.removeEngine(taskRecord.engine);
+    const EngineLoad &load = engineRecord->state.load();
+    const bool alone = engineRecord->state.hasReport() && load.running + load.waiting <= 1;
     const std::vector<std::string> changed =
-            quarantine.crashed(now, item.engine, fingerprints, alone);
+            quarantine.crashed(now, taskRecord.engine, fingerprints, alone);
     for (const std::string &fingerprint : changed)
-        decisions.emplace_back(RecordCrash{fingerprint, item.engine});
-    const std::string &domain = record->state.info().failureDomain;
-    for (const Crash &crash : crashHistory.add({now, item.engine, domain, std::move(fingerprints)}))
+        decisions.emplace_back(RecordCrash{fingerprint, taskRecord.engine});
+    const std::string &domain = engineRecord->state.info().failureDomain;
+    for (const Crash &crash :
+         crashHistory.add({now, taskRecord.engine, domain, std::move(fingerprints)}))
         retractCrash(now, crash);
 }
 
 void Scheduler::State::retractCrash(absl::Time now, const Crash &crash)
 {
     quarantine.retractCrash(crash.upstream, crash.fingerprints);
-    for (auto &[id, item] : items) {
+    for (auto &[id, taskRecord] : taskRecords) {
         const bool affected =
-                item.suspect && item.phase == TaskRecord::Phase::Waiting
-                && quarantine.status(now, item.task.fingerprint) == QuarantineStatus::Allowed;
+                taskRecord.suspect && taskRecord.phase == TaskRecord::Phase::Waiting
+                && quarantine.status(now, taskRecord.task.fingerprint) == QuarantineStatus::Allowed;
         if (!affected)
             continue;
-        dequeue(item);
-        item.suspect = false;
-        enqueue(now, item);
+        dequeue(taskRecord);
+        taskRecord.suspect = false;
+        enqueue(now, taskRecord);
     }
 }
 
-void Scheduler::State::clearSuspect(TaskRecord &item)
+void Scheduler::State::clearSuspect(TaskRecord &taskRecord)
 {
-    if (!item.suspect)
+    if (!taskRecord.suspect)
         return;
-    item.suspect = false;
-    EngineRecord *record = engine(item.engine);
-    if (record != nullptr && item.isRunning())
-        --record->suspectsRunning;
+    taskRecord.suspect = false;
+    EngineRecord *engineRecord = engine(taskRecord.engine);
+    if (engineRecord != nullptr && taskRecord.isRunning())
+        --engineRecord->suspectsRunning;
 }
 
-void Scheduler::State::attemptFailed(absl::Time now, TaskRecord &item,
+void Scheduler::State::attemptFailed(absl::Time now, TaskRecord &taskRecord,
                                      const AttemptFailure &failure)
 {
-    recordProgress(now, item, failure.deliveredTokens);
+    recordProgress(now, taskRecord, failure.deliveredTokens);
     const bool crashed = failure.kind == AttemptFailure::Kind::Crashed;
     if (crashed)
-        recordCrash(now, item);
-    EngineRecord *record = engine(item.engine);
+        recordCrash(now, taskRecord);
+    EngineRecord *engineRecord = engine(taskRecord.engine);
     const bool isEngineFailure = !crashed && failure.kind != AttemptFailure::Kind::Invalid
                                  && failure.failure.code != ErrorCode::UpstreamBusy;
-    if (record != nullptr && isEngineFailure)
-        record->state.outlier().failed(now, false);
+    if (engineRecord != nullptr && isEngineFailure)
+        engineRecord->state.outlier().failed(now, false);
     if (failure.kind != AttemptFailure::Kind::Refused)
-        item.mayHaveRun = true;
-    endAttempt(now, item);
-    item.phase = TaskRecord::Phase::BackingOff;
-    item.retryAt = now;
-    item.excluded.push_back(item.engine);
-    const QuarantineStatus status = quarantine.status(now, item.task.fingerprint);
-    item.suspect = status == QuarantineStatus::Suspect;
+        taskRecord.mayHaveRun = true;
+    endAttempt(now, taskRecord);
+    taskRecord.phase = TaskRecord::Phase::BackingOff;
+    taskRecord.retryAt = now;
+    taskRecord.excluded.push_back(taskRecord.engine);
+    const QuarantineStatus status = quarantine.status(now, taskRecord.task.fingerprint);
+    taskRecord.suspect = status == QuarantineStatus::Suspect;
     if (crashed)
-        item.clearedAtTokens = item.deliveredTokens + tokensPastCrash;
+        taskRecord.clearedAtTokens = taskRecord.deliveredTokens + tokensPastCrash;
     if (failure.kind == AttemptFailure::Kind::Invalid)
-        reject(item, failure.failure.code, failure.failure.detail);
+        reject(taskRecord, failure.failure.code, failure.failure.detail);
     else if (status == QuarantineStatus::Blocked)
-        reject(item, ErrorCode::RequestQuarantined,
+        reject(taskRecord, ErrorCode::RequestQuarantined,
                "the request crashed the upstreams that ran it");
-    else if (item.isOnline())
-        retryOnline(now, item, failure);
+    else if (taskRecord.isOnline())
+        retryOnline(now, taskRecord, failure);
     else
-        retryBatch(now, item, failure);
+        retryBatch(now, taskRecord, failure);
 }
 
-void Scheduler::State::retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
+void Scheduler::State::retryOnline(absl::Time now, TaskRecord &taskRecord,
+                                   const AttemptFailure &failure)
 {
-    const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
-    ++item.failures;
-    if (retry.tryAcquireRetry(item.failures, run, item.task.idempotent))
-        backOff(now, item);
+    const EffectState effect =
+            taskRecord.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
+    ++taskRecord.failures;
+    if (retry.tryAcquireRetry(taskRecord.failures, effect, taskRecord.task.idempotent))
+        backOff(now, taskRecord);
     else
-        reject(item, failure.failure.code, failure.failure.detail);
+        reject(taskRecord, failure.failure.code, failure.failure.detail);
 }
 
-void Scheduler::State::retryBatch(absl::Time now, TaskRecord &item, const AttemptFailure &failure)
+void Scheduler::State::retryBatch(absl::Time now, TaskRecord &taskRecord,
+                                  const AttemptFailure &failure)
 {
     if (failure.kind != AttemptFailure::Kind::Refused)
-        ++item.failures;
-    if (item.failures < settings.maxBatchAttempts)
-        backOff(now, item);
+        ++taskRecord.failures;
+    if (taskRecord.failures < settings.maxBatchAttempts)
+        backOff(now, taskRecord);
     else
-        reject(item, ErrorCode::ItemFailed, failure.failure.detail);
+        reject(taskRecord, ErrorCode::ItemFailed, failure.failure.detail);
 }
 
-void Scheduler::State::backOff(absl::Time now, TaskRecord &item)
+void Scheduler::State::backOff(absl::Time now, TaskRecord &taskRecord)
 {
-    item.retryAt = now + retry.backoff(std::max(item.failures, 1), random);
-    backoffs.insert({item.retryAt, item.task.id});
+    taskRecord.retryAt = now + retry.backoff(std::max(taskRecord.failures, 1), random);
+    backoffs.insert({taskRecord.retryAt, taskRecord.task.id});
 }
 
 } // namespace rattanrill::policy
--- a/src/policy/schedulerstate.h
+++ b/src/policy/schedulerstate.h
@@ -63,20 +63,20 @@
     TaskRecord *running(TaskId task, int attempt);
 
     // Events
-    void enqueue(absl::Time now, TaskRecord &item);
-    void dequeue(TaskRecord &item);
-    void recordProgress(absl::Time now, TaskRecord &item, std::int64_t deliveredTokens);
-    void recordFirstToken(absl::Time now, TaskRecord &item);
-    void endAttempt(absl::Time now, TaskRecord &item);
-    void removeTask(TaskRecord &item);
-    void recordCrash(absl::Time now, TaskRecord &item);
+    void enqueue(absl::Time now, TaskRecord &taskRecord);
+    void dequeue(TaskRecord &taskRecord);
+    void recordProgress(absl::Time now, TaskRecord &taskRecord, std::int64_t deliveredTokens);
+    void recordFirstToken(absl::Time now, TaskRecord &taskRecord);
+    void endAttempt(absl::Time now, TaskRecord &taskRecord);
+    void removeTask(TaskRecord &taskRecord);
+    void recordCrash(absl::Time now, TaskRecord &taskRecord);
     void retractCrash(absl::Time now, const Crash &crash);
     /// Allows the task to run alongside other suspects again.
-    void clearSuspect(TaskRecord &item);
-    void attemptFailed(absl::Time now, TaskRecord &item, const AttemptFailure &failure);
-    void retryOnline(absl::Time now, TaskRecord &item, const AttemptFailure &failure);
-    void retryBatch(absl::Time now, TaskRecord &item, const AttemptFailure &failure);
-    void backOff(absl::Time now, TaskRecord &item);
+    void clearSuspect(TaskRecord &taskRecord);
+    void attemptFailed(absl::Time now, TaskRecord &taskRecord, const AttemptFailure &failure);
+    void retryOnline(absl::Time now, TaskRecord &taskRecord, const AttemptFailure &failure);
+    void retryBatch(absl::Time now, TaskRecord &taskRecord, const AttemptFailure &failure);
+    void backOff(absl::Time now, TaskRecord &taskRecord);
 
     // Decisions
     void decide(absl::Time now);
@@ -85,42 +85,43 @@
     /// Returns the engine on which this entry runs the suspect, apart from suspects of other
     /// entries.
     EngineRecord *chooseSuspectEngine(absl::Time now, const ModelPool &pool,
-                                      const TaskRecord &item);
+                                      const TaskRecord &taskRecord);
     /// Returns true when the engine is neither leaving nor ejected and its load report is recent.
-    static bool isUsable(absl::Time now, const EngineRecord &record);
+    static bool isUsable(absl::Time now, const EngineRecord &engineRecord);
     void dispatchOnline(absl::Time now, ModelPool &pool, FairQueue &queue);
     void rejectOutsideContract(ModelPool &pool);
     void rejectExpired(absl::Time now);
     void dispatchUrgent(absl::Time now, ModelPool &pool);
     void dispatchBatch(absl::Time now, ModelPool &pool);
-    bool startBatchOn(absl::Time now, ModelPool &pool, EngineRecord &record);
-    EngineRecord *chooseOnlineEngine(absl::Time now, ModelPool &pool, const TaskRecord &item);
+    bool startBatchOn(absl::Time now, ModelPool &pool, EngineRecord &engineRecord);
+    EngineRecord *chooseOnlineEngine(absl::Time now, ModelPool &pool, const TaskRecord &taskRecord);
     RouteCandidate candidate(absl::Time now, const ModelPool &pool,
-                             const EngineRecord &record) const;
+                             const EngineRecord &engineRecord) const;
     /// Returns true when the model has enough engines for prefill windows: online tasks need other
     /// engines while batch prompts start.
     static bool usesWindows(const ModelPool &pool);
     void assignEngines(ModelPool &pool);
     void assignAllEngines();
-    bool hasCapacity(absl::Time now, const EngineRecord &record) const;
-    void preemptIfFull(absl::Time now, ModelPool &pool, EngineRecord &record);
-    TaskRecord *chooseVictim(absl::Time now, const EngineRecord &record);
-    bool isPreemptible(absl::Time now, const TaskRecord &item) const;
-    void preempt(TaskRecord &item);
-    void start(absl::Time now, TaskRecord &item, EngineRecord &record);
-    void reject(TaskRecord &item, ErrorCode code, std::string detail);
+    bool hasCapacity(absl::Time now, const EngineRecord &engineRecord) const;
+    void preemptIfFull(absl::Time now, ModelPool &pool, EngineRecord &engineRecord);
+    TaskRecord *chooseVictim(absl::Time now, const EngineRecord &engineRecord);
+    bool isPreemptible(absl::Time now, const TaskRecord &taskRecord) const;
+    void preempt(TaskRecord &taskRecord);
+    void start(absl::Time now, TaskRecord &taskRecord, EngineRecord &engineRecord);
+    void reject(TaskRecord &taskRecord, ErrorCode code, std::string detail);
     /// Rejects the task and returns true when its fingerprint is blocked.
-    bool rejectBlocked(absl::Time now, TaskRecord &item);
+    bool rejectBlocked(absl::Time now, TaskRecord &taskRecord);
 
     // Estimates
-    absl::Duration remainingTime(const TaskRecord &item) const;
-    absl::Time latestStart(const TaskRecord &item) const;
-    absl::Time onlineDeadline(const TaskRecord &item) const;
+    absl::Duration remainingTime(const TaskRecord &taskRecord) const;
+    absl::Time latestStart(const TaskRecord &taskRecord) const;
+    absl::Time onlineDeadline(const TaskRecord &taskRecord) const;
     double onlineRatePerEngine(absl::Time now, const ModelPool &pool) const;
     /// Estimated number of online tasks that other entries have sent to each engine since its last
     /// report.
     double unreportedOnline(const ModelPool &pool) const;
-    int batchCapacityOn(absl::Time now, const ModelPool &pool, const EngineRecord &record) const;
+    int batchCapacityOn(absl::Time now, const ModelPool &pool,
+                        const EngineRecord &engineRecord) const;
     std::size_t batchCapacity(absl::Time now, const ModelPool &pool) const;
     /// Requests a call of decide() at \a time or earlier.
     void scheduleDecision(absl::Time time) { nextDecision = std::min(nextDecision, time); }
@@ -139,7 +140,7 @@
     std::map<std::string, std::unique_ptr<EngineRecord>, std::less<>> engines;
     std::map<std::string, ModelPool, std::less<>> pools;
     std::map<std::string, WorkspaceWeights> workspaces;
-    std::unordered_map<TaskId, TaskRecord> items;
+    std::unordered_map<TaskId, TaskRecord> taskRecords;
     std::set<TimedTask> onlineDeadlines;
     std::set<TimedTask> backoffs;
     std::vector<SchedulerDecision> decisions;
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -55,9 +55,9 @@
 void Scheduler::State::enqueueBackedOff(absl::Time now)
 {
     while (!backoffs.empty() && backoffs.begin()->first <= now) {
-        TaskRecord &item = items.at(backoffs.begin()->second);
+        TaskRecord &taskRecord = taskRecords.at(backoffs.begin()->second);
         backoffs.erase(backoffs.begin());
-        enqueue(now, item);
+        enqueue(now, taskRecord);
     }
     if (!backoffs.empty())
         scheduleDecision(backoffs.begin()->first);
@@ -67,37 +67,38 @@
 {
     const std::set<std::pair<TaskKind, TaskId>> waiting = modelPool.suspects;
     for (const auto &[kind, id] : waiting) {
-        TaskRecord &item = items.at(id);
-        if (rejectBlocked(now, item))
+        TaskRecord &taskRecord = taskRecords.at(id);
+        if (rejectBlocked(now, taskRecord))
             continue;
-        EngineRecord *record = chooseSuspectEngine(now, modelPool, item);
-        if (record == nullptr || record->suspectsRunning > 0 || !hasCapacity(now, *record))
+        EngineRecord *engineRecord = chooseSuspectEngine(now, modelPool, taskRecord);
+        if (engineRecord == nullptr || engineRecord->suspectsRunning > 0
+            || !hasCapacity(now, *engineRecord))
             continue;
-        preemptIfFull(now, modelPool, *record);
-        start(now, item, *record);
+        preemptIfFull(now, modelPool, *engineRecord);
+        start(now, taskRecord, *engineRecord);
     }
 }
 
 EngineRecord *Scheduler::State::chooseSuspectEngine(absl::Time now, const ModelPool &modelPool,
-                                                    const TaskRecord &item)
+                                                    const TaskRecord &taskRecord)
 {
     EngineRecord *fallback = nullptr;
     for (const std::string &engineName : modelPool.suspectOrder) {
-        EngineRecord *record = engine(engineName);
-        if (!isUsable(now, *record))
+        EngineRecord *engineRecord = engine(engineName);
+        if (!isUsable(now, *engineRecord))
             continue;
-        if (!quarantine.hasCrashed(item.task.fingerprint, engineName))
-            return record;
+        if (!quarantine.hasCrashed(taskRecord.task.fingerprint, engineName))
+            return engineRecord;
         // When no other engine is usable, the suspect, which may not have caused the crash, runs
         // again on an engine that crashed while it ran there.
-        fallback = record;
+        fallback = engineRecord;
     }
     return fallback;
 }
 
-bool Scheduler::State::isUsable(absl::Time now, const EngineRecord &record)
+bool Scheduler::State::isUsable(absl::Time now, const EngineRecord &engineRecord)
 {
-    const EngineState &state = record.state;
+    const EngineState &state = engineRecord.state;
     return !state.info().leaving && !state.outlier().ejected(now)
            && now - state.reportedAt() < reportLifetime;
 }
@@ -105,35 +106,36 @@
 void Scheduler::State::dispatchOnline(absl::Time now, ModelPool &modelPool, FairQueue &queue)
 {
     while (const std::optional<TaskId> next = queue.front()) {
-        TaskRecord &item = items.at(*next);
-        if (rejectBlocked(now, item))
+        TaskRecord &taskRecord = taskRecords.at(*next);
+        if (rejectBlocked(now, taskRecord))
             continue;
-        EngineRecord *record = chooseOnlineEngine(now, modelPool, item);
-        if (record == nullptr)
+        EngineRecord *engineRecord = chooseOnlineEngine(now, modelPool, taskRecord);
+        if (engineRecord == nullptr)
             break;
-        if (!item.task.insideContract
-            && expectedLoad(record->state, entries) > outsideContractLoadLimit)
+        if (!taskRecord.task.insideContract
+            && expectedLoad(engineRecord->state, entries) > outsideContractLoadLimit)
             break;
-        preemptIfFull(now, modelPool, *record);
-        start(now, item, *record);
+        preemptIfFull(now, modelPool, *engineRecord);
+        start(now, taskRecord, *engineRecord);
     }
     while (queue.size() > settings.maxOnlineQueueLength) {
-        TaskRecord &item = items.at(*queue.back());
-        reject(item, ErrorCode::Overloaded, "the queue of online requests is full");
+        TaskRecord &taskRecord = taskRecords.at(*queue.back());
+        reject(taskRecord, ErrorCode::Overloaded, "the queue of online requests is full");
     }
 }
 
 void Scheduler::State::rejectOutsideContract(ModelPool &modelPool)
 {
     while (const std::optional<TaskId> next = modelPool.outsideContract.front())
-        reject(items.at(*next), ErrorCode::Overloaded, "no capacity beyond the contract");
+        reject(taskRecords.at(*next), ErrorCode::Overloaded, "no capacity beyond the contract");
 }
 
 void Scheduler::State::rejectExpired(absl::Time now)
 {
     while (!onlineDeadlines.empty() && onlineDeadlines.begin()->first <= now) {
-        TaskRecord &item = items.at(onlineDeadlines.begin()->second);
-        reject(item, ErrorCode::Overloaded, "no engine had a free slot within the queue limit");
+        TaskRecord &taskRecord = taskRecords.at(onlineDeadlines.begin()->second);
+        reject(taskRecord, ErrorCode::Overloaded,
+               "no engine had a free slot within the queue limit");
     }
     if (!onlineDeadlines.empty())
         scheduleDecision(onlineDeadlines.begin()->first);
@@ -143,19 +145,19 @@
 {
     std::set<TimedTask> &latest = modelPool.latestStarts;
     while (!latest.empty() && latest.begin()->first <= now) {
-        TaskRecord &item = items.at(latest.begin()->second);
-        if (rejectBlocked(now, item))
+        TaskRecord &taskRecord = taskRecords.at(latest.begin()->second);
+        if (rejectBlocked(now, taskRecord))
             continue;
         // An item that can no longer meet its deadline keeps its position in the batch queue.
-        if (now + remainingTime(item) > item.task.deadline) {
+        if (now + remainingTime(taskRecord) > taskRecord.task.deadline) {
             latest.erase(latest.begin());
             continue;
         }
-        EngineRecord *record = chooseOnlineEngine(now, modelPool, item);
-        if (record == nullptr)
+        EngineRecord *engineRecord = chooseOnlineEngine(now, modelPool, taskRecord);
+        if (engineRecord == nullptr)
             return;
-        preemptIfFull(now, modelPool, *record);
-        start(now, item, *record);
+        preemptIfFull(now, modelPool, *engineRecord);
+        start(now, taskRecord, *engineRecord);
     }
     if (!latest.empty())
         scheduleDecision(latest.begin()->first);
@@ -166,88 +168,92 @@
     if (modelPool.batch.empty() || !modelPool.online.empty())
         return;
     std::vector<std::pair<int, EngineRecord *>> enginesWithCapacity;
-    for (EngineRecord *record : modelPool.engines) {
-        const int capacity = batchCapacityOn(now, modelPool, *record);
+    for (EngineRecord *engineRecord : modelPool.engines) {
+        const int capacity = batchCapacityOn(now, modelPool, *engineRecord);
         if (capacity > 0)
-            enginesWithCapacity.emplace_back(capacity, record);
+            enginesWithCapacity.emplace_back(capacity, engineRecord);
     }
     std::stable_sort(enginesWithCapacity.begin(), enginesWithCapacity.end(),
                      [](const auto &left, const auto &right) { return left.first > right.first; });
-    for (const auto &[capacity, record] : enginesWithCapacity) {
-        for (int i = 0; i < capacity && startBatchOn(now, modelPool, *record); ++i) {
+    for (const auto &[capacity, engineRecord] : enginesWithCapacity) {
+        for (int i = 0; i < capacity && startBatchOn(now, modelPool, *engineRecord); ++i) {
         }
     }
 }
 
-bool Scheduler::State::startBatchOn(absl::Time now, ModelPool &modelPool, EngineRecord &record)
+bool Scheduler::State::startBatchOn(absl::Time now, ModelPool &modelPool,
+                                    EngineRecord &engineRecord)
 {
     while (const std::optional<TaskId> next = modelPool.batch.front()) {
-        TaskRecord &item = items.at(*next);
-        if (rejectBlocked(now, item))
+        TaskRecord &taskRecord = taskRecords.at(*next);
+        if (rejectBlocked(now, taskRecord))
             continue;
-        if (usesWindows(modelPool) && !prefillWindows.isOpen(now, record.windowGroup)) {
-            scheduleDecision(prefillWindows.nextOpening(now, record.windowGroup));
+        if (usesWindows(modelPool) && !prefillWindows.isOpen(now, engineRecord.windowGroup)) {
+            scheduleDecision(prefillWindows.nextOpening(now, engineRecord.windowGroup));
             return false;
         }
-        if (now < record.nextBatchStart) {
-            scheduleDecision(record.nextBatchStart);
+        if (now < engineRecord.nextBatchStart) {
+            scheduleDecision(engineRecord.nextBatchStart);
             return false;
         }
-        const std::int64_t prefill = record.state.localPrefillTokens(TaskKind::Batch);
-        if (prefill > 0 && prefill + item.contextTokens() > batchAllowance.prefillLimit())
+        const std::int64_t prefill = engineRecord.state.localPrefillTokens(TaskKind::Batch);
+        if (prefill > 0 && prefill + taskRecord.contextTokens() > batchAllowance.prefillLimit())
             return false;
-        const std::int64_t tokens = item.kvHandle.empty() ? item.contextTokens() : 0;
-        record.nextBatchStart = now + batchAllowance.spacing(tokens, entries);
-        start(now, item, record);
+        const std::int64_t tokens = taskRecord.kvHandle.empty() ? taskRecord.contextTokens() : 0;
+        engineRecord.nextBatchStart = now + batchAllowance.startInterval(tokens, entries);
+        start(now, taskRecord, engineRecord);
         return true;
     }
     return false;
 }
 
 EngineRecord *Scheduler::State::chooseOnlineEngine(absl::Time now, ModelPool &modelPool,
-                                                   const TaskRecord &item)
+                                                   const TaskRecord &taskRecord)
 {
     std::vector<EngineRecord *> records;
     std::vector<RouteCandidate> candidates;
-    for (EngineRecord *record : modelPool.engines) {
-        const bool recent = now - record->state.reportedAt() < reportLifetime;
-        if (recent && hasCapacity(now, *record)) {
-            records.push_back(record);
-            candidates.push_back(candidate(now, modelPool, *record));
+    for (EngineRecord *engineRecord : modelPool.engines) {
+        const bool recent = now - engineRecord->state.reportedAt() < reportLifetime;
+        if (recent && hasCapacity(now, *engineRecord)) {
+            records.push_back(engineRecord);
+            candidates.push_back(candidate(now, modelPool, *engineRecord));
         }
     }
     static const std::vector<std::string> noExclusions;
-    int chosen =
-            router.choose(now, item.task, candidates, item.excluded, prefixes, entries, random);
+    int chosen = router.choose(now, taskRecord.task, candidates, taskRecord.excluded, prefixes,
+                               entries, random);
     if (chosen < 0)
-        chosen = router.choose(now, item.task, candidates, noExclusions, prefixes, entries, random);
+        chosen = router.choose(now, taskRecord.task, candidates, noExclusions, prefixes, entries,
+                               random);
     if (chosen >= 0)
         return records[static_cast<std::size_t>(chosen)];
     records.clear();
     candidates.clear();
-    for (EngineRecord *record : modelPool.engines) {
-        const bool recent = now - record->state.reportedAt() < reportLifetime;
-        const std::int64_t localOnline = record->state.localTasks(TaskKind::Online);
+    for (EngineRecord *engineRecord : modelPool.engines) {
+        const bool recent = now - engineRecord->state.reportedAt() < reportLifetime;
+        const std::int64_t localOnline = engineRecord->state.localTasks(TaskKind::Online);
         if (!recent && localOnline < maxTasksWithoutReport) {
-            records.push_back(record);
-            candidates.push_back(candidate(now, modelPool, *record));
+            records.push_back(engineRecord);
+            candidates.push_back(candidate(now, modelPool, *engineRecord));
         }
     }
-    chosen = router.choose(now, item.task, candidates, item.excluded, prefixes, entries, random);
+    chosen = router.choose(now, taskRecord.task, candidates, taskRecord.excluded, prefixes, entries,
+                           random);
     return chosen < 0 ? nullptr : records[static_cast<std::size_t>(chosen)];
 }
 
 RouteCandidate Scheduler::State::candidate(absl::Time now, const ModelPool &modelPool,
-                                           const EngineRecord &record) const
+                                           const EngineRecord &engineRecord) const
 {
     // While this entry runs no batch tasks, the windows are not considered.
     const bool busy = runningCount[index(TaskKind::Batch)] > 0 && usesWindows(modelPool)
-                      && prefillWindows.isBusy(now, record.windowGroup);
-    const double nonPreferredCost = record.preferred
+                      && prefillWindows.isBusy(now, engineRecord.windowGroup);
+    const double nonPreferredCost = engineRecord.preferred
                                             ? 0
                                             : interpolate(minNonPreferredCost, maxNonPreferredCost,
                                                           settings.onlineTailWeight);
-    return RouteCandidate{&record.state, nonPreferredCost + (busy ? settings.batchPrefillCost : 0)};
+    return RouteCandidate{&engineRecord.state,
+                          nonPreferredCost + (busy ? settings.batchPrefillCost : 0)};
 }
 
 bool Scheduler::State::usesWindows(const ModelPool &modelPool)
@@ -255,134 +261,143 @@
     return modelPool.engines.size() >= minEnginesForWindows;
 }
 
-bool Scheduler::State::hasCapacity(absl::Time now, const EngineRecord &record) const
+bool Scheduler::State::hasCapacity(absl::Time now, const EngineRecord &engineRecord) const
 {
-    const EngineState &state = record.state;
+    const EngineState &state = engineRecord.state;
     if (state.info().leaving || state.outlier().ejected(now) || !state.hasReport())
         return false;
-    const double requests = state.reportedRequests() - record.preempting;
+    const double requests = state.reportedRequests() - engineRecord.preempting;
     if (requests + 1 <= static_cast<double>(state.maxBatch()))
         return true;
-    return std::any_of(record.running.begin(), record.running.end(),
-                       [&](TaskId id) { return isPreemptible(now, items.at(id)); });
+    return std::any_of(engineRecord.running.begin(), engineRecord.running.end(),
+                       [&](TaskId id) { return isPreemptible(now, taskRecords.at(id)); });
 }
 
-void Scheduler::State::preemptIfFull(absl::Time now, ModelPool &modelPool, EngineRecord &record)
+void Scheduler::State::preemptIfFull(absl::Time now, ModelPool &modelPool,
+                                     EngineRecord &engineRecord)
 {
-    const EngineState &state = record.state;
+    const EngineState &state = engineRecord.state;
     const double requests =
-            state.reportedRequests() - record.preempting + unreportedOnline(modelPool);
+            state.reportedRequests() - engineRecord.preempting + unreportedOnline(modelPool);
     if (!state.hasReport() || requests + 1 <= static_cast<double>(state.maxBatch()))
         return;
     // One preemption for each start: other entries preempt tasks for their own starts.
-    if (TaskRecord *victim = chooseVictim(now, record))
+    if (TaskRecord *victim = chooseVictim(now, engineRecord))
         preempt(*victim);
 }
 
-TaskRecord *Scheduler::State::chooseVictim(absl::Time now, const EngineRecord &record)
+TaskRecord *Scheduler::State::chooseVictim(absl::Time now, const EngineRecord &engineRecord)
 {
     TaskRecord *victim = nullptr;
-    const auto costOf = [](const TaskRecord &item) {
-        return std::make_pair(item.preemptions, item.contextTokens());
+    const auto costOf = [](const TaskRecord &taskRecord) {
+        return std::make_pair(taskRecord.preemptions, taskRecord.contextTokens());
     };
-    for (const TaskId id : record.running) {
-        TaskRecord &item = items.at(id);
-        if (!isPreemptible(now, item))
+    for (const TaskId id : engineRecord.running) {
+        TaskRecord &taskRecord = taskRecords.at(id);
+        if (!isPreemptible(now, taskRecord))
             continue;
-        if (victim == nullptr || costOf(item) < costOf(*victim))
-            victim = &item;
+        if (victim == nullptr || costOf(taskRecord) < costOf(*victim))
+            victim = &taskRecord;
     }
     return victim;
 }
 
-bool Scheduler::State::isPreemptible(absl::Time now, const TaskRecord &item) const
+bool Scheduler::State::isPreemptible(absl::Time now, const TaskRecord &taskRecord) const
 {
-    return !item.isOnline() && item.phase == TaskRecord::Phase::Running && !item.suspect
-           && now < latestStart(item);
+    return !taskRecord.isOnline() && taskRecord.phase == TaskRecord::Phase::Running
+           && !taskRecord.suspect && now < latestStart(taskRecord);
 }
 
-void Scheduler::State::preempt(TaskRecord &item)
+void Scheduler::State::preempt(TaskRecord &taskRecord)
 {
-    item.phase = TaskRecord::Phase::Preempting;
-    EngineRecord *record = engine(item.engine);
-    if (record != nullptr)
-        ++record->preempting;
-    const bool exportsKv =
-            item.prefillTokens == 0 && item.contextTokens() >= settings.minKvExportTokens;
+    taskRecord.phase = TaskRecord::Phase::Preempting;
+    EngineRecord *engineRecord = engine(taskRecord.engine);
+    if (engineRecord != nullptr)
+        ++engineRecord->preempting;
+    const bool exportsKv = taskRecord.prefillTokens == 0
+                           && taskRecord.contextTokens() >= settings.minKvExportTokens;
     const PreemptMethod method = exportsKv ? PreemptMethod::ExportKv : PreemptMethod::Cancel;
-    decisions.emplace_back(PreemptTask{item.task.id, item.engine, item.attempt, method});
+    decisions.emplace_back(
+            PreemptTask{taskRecord.task.id, taskRecord.engine, taskRecord.attempt, method});
 }
 
-void Scheduler::State::start(absl::Time now, TaskRecord &item, EngineRecord &record)
+void Scheduler::State::start(absl::Time now, TaskRecord &taskRecord, EngineRecord &engineRecord)
 {
-    dequeue(item);
-    item.phase = TaskRecord::Phase::Running;
-    item.engine = record.state.info().name;
-    ++item.attempt;
-    item.startedAt = now;
-    item.progressAt = now;
-    item.crashRecorded = false;
-    const bool importsKv = !item.kvHandle.empty();
-    item.prefillTokens = importsKv ? 1 : std::max<std::int64_t>(item.contextTokens(), 1);
-    item.kvTokens = item.contextTokens() + item.remainingTokens() / 2;
-    item.chargedTokens = static_cast<double>(item.prefillTokens + item.remainingTokens());
-    ModelPool &modelPool = pool(item.task.model);
-    FairQueue &queue = item.isOnline() ? modelPool.online : modelPool.batch;
-    queue.charge(item.task.workspace, item.chargedTokens);
-    if (item.isOnline() && item.attempt == 1)
+    dequeue(taskRecord);
+    taskRecord.phase = TaskRecord::Phase::Running;
+    taskRecord.engine = engineRecord.state.info().name;
+    ++taskRecord.attempt;
+    taskRecord.startedAt = now;
+    taskRecord.progressAt = now;
+    taskRecord.crashRecorded = false;
+    const bool importsKv = !taskRecord.kvHandle.empty();
+    taskRecord.prefillTokens =
+            importsKv ? 1 : std::max<std::int64_t>(taskRecord.contextTokens(), 1);
+    taskRecord.kvTokens = taskRecord.contextTokens() + taskRecord.remainingTokens() / 2;
+    taskRecord.chargedTokens =
+            static_cast<double>(taskRecord.prefillTokens + taskRecord.remainingTokens());
+    ModelPool &modelPool = pool(taskRecord.task.model);
+    FairQueue &queue = taskRecord.isOnline() ? modelPool.online : modelPool.batch;
+    queue.charge(taskRecord.task.workspace, taskRecord.chargedTokens);
+    if (taskRecord.isOnline() && taskRecord.attempt == 1)
         retry.recordFirstAttempt();
-    record.state.taskStarted(now, item.task.kind, item.prefillTokens, item.kvTokens);
-    record.running.insert(item.task.id);
-    record.suspectsRunning += item.suspect ? 1 : 0;
-    ++runningCount[index(item.task.kind)];
-    prefixes.recordPrompt(now, item.engine, item.task.prefixHashes, item.task.promptTokens);
-    decisions.emplace_back(StartTask{item.task.id, item.engine, item.attempt, item.deliveredTokens,
-                                     item.kvHandle});
-    item.kvHandle.clear();
+    engineRecord.state.taskStarted(now, taskRecord.task.kind, taskRecord.prefillTokens,
+                                   taskRecord.kvTokens);
+    engineRecord.running.insert(taskRecord.task.id);
+    engineRecord.suspectsRunning += taskRecord.suspect ? 1 : 0;
+    ++runningCount[index(taskRecord.task.kind)];
+    prefixes.recordPrompt(now, taskRecord.engine, taskRecord.task.prefixHashes,
+                          taskRecord.task.promptTokens);
+    decisions.emplace_back(StartTask{taskRecord.task.id, taskRecord.engine, taskRecord.attempt,
+                                     taskRecord.deliveredTokens, taskRecord.kvHandle});
+    taskRecord.kvHandle.clear();
 }
 
-void Scheduler::State::reject(TaskRecord &item, ErrorCode code, std::string detail)
+void Scheduler::State::reject(TaskRecord &taskRecord, ErrorCode code, std::string detail)
 {
-    const EffectState run = item.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
+    const EffectState effect =
+            taskRecord.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     const bool overloaded = code == ErrorCode::Overloaded;
-    if (overloaded && item.failures > 0)
+    if (overloaded && taskRecord.failures > 0)
         code = ErrorCode::UpstreamFailed;
     const absl::Duration retryAfter = overloaded ? overloadRetryAfter : absl::ZeroDuration();
     decisions.emplace_back(
-            RejectTask{item.task.id, Failure{code, run, std::move(detail)}, retryAfter});
-    removeTask(item);
+            RejectTask{taskRecord.task.id, Failure{code, effect, std::move(detail)}, retryAfter});
+    removeTask(taskRecord);
 }
 
-bool Scheduler::State::rejectBlocked(absl::Time now, TaskRecord &item)
+bool Scheduler::State::rejectBlocked(absl::Time now, TaskRecord &taskRecord)
 {
-    if (quarantine.status(now, item.task.fingerprint) != QuarantineStatus::Blocked)
+    if (quarantine.status(now, taskRecord.task.fingerprint) != QuarantineStatus::Blocked)
         return false;
-    reject(item, ErrorCode::RequestQuarantined, "the request crashed the upstreams that ran it");
+    reject(taskRecord, ErrorCode::RequestQuarantined,
+           "the request crashed the upstreams that ran it");
     return true;
 }
 
 // Estimates
 
-absl::Duration Scheduler::State::remainingTime(const TaskRecord &item) const
+absl::Duration Scheduler::State::remainingTime(const TaskRecord &taskRecord) const
 {
     const double prefill =
-            static_cast<double>(item.contextTokens()) / settings.prefillTokensPerSecond;
-    const auto tokens = static_cast<double>(std::max<std::int64_t>(item.remainingTokens(), 1));
+            static_cast<double>(taskRecord.contextTokens()) / settings.prefillTokensPerSecond;
+    const auto tokens =
+            static_cast<double>(std::max<std::int64_t>(taskRecord.remainingTokens(), 1));
     return absl::Seconds(prefill) + timePerToken * tokens;
 }
 
-absl::Time Scheduler::State::latestStart(const TaskRecord &item) const
+absl::Time Scheduler::State::latestStart(const TaskRecord &taskRecord) const
 {
-    return item.task.deadline - remainingTime(item) * settings.deadlineSafetyFactor;
+    return taskRecord.task.deadline - remainingTime(taskRecord) * settings.deadlineSafetyFactor;
 }
 
-absl::Time Scheduler::State::onlineDeadline(const TaskRecord &item) const
+absl::Time Scheduler::State::onlineDeadline(const TaskRecord &taskRecord) const
 {
-    const bool needsIsolation = item.suspect;
+    const bool needsIsolation = taskRecord.suspect;
     const absl::Duration limit =
             needsIsolation ? settings.maxIsolationWait : settings.maxOnlineQueueTime;
-    const absl::Time end = item.waitingSince + limit;
-    return needsIsolation ? end : std::min(end, item.task.deadline);
+    const absl::Time end = taskRecord.waitingSince + limit;
+    return needsIsolation ? end : std::min(end, taskRecord.task.deadline);
 }
 
 double Scheduler::State::onlineRatePerEngine(absl::Time now, const ModelPool &modelPool) const
@@ -394,8 +409,8 @@
 double Scheduler::State::unreportedOnline(const ModelPool &modelPool) const
 {
     std::int64_t change = 0;
-    for (const EngineRecord *record : modelPool.engines)
-        change += record->state.localTaskChange(TaskKind::Online);
+    for (const EngineRecord *engineRecord : modelPool.engines)
+        change += engineRecord->state.localTaskChange(TaskKind::Online);
     const auto localChange = static_cast<double>(std::max<std::int64_t>(change, 0));
     const auto otherEntries = static_cast<double>(entries - 1);
     return localChange * otherEntries
@@ -403,14 +418,14 @@
 }
 
 int Scheduler::State::batchCapacityOn(absl::Time now, const ModelPool &modelPool,
-                                      const EngineRecord &record) const
+                                      const EngineRecord &engineRecord) const
 {
-    const EngineState &state = record.state;
-    if (!isUsable(now, record))
+    const EngineState &state = engineRecord.state;
+    if (!isUsable(now, engineRecord))
         return 0;
     const double rate = onlineRatePerEngine(now, modelPool);
     const int capacity =
-            batchAllowance.batchCapacity(record, rate, unreportedOnline(modelPool), entries);
+            batchAllowance.batchCapacity(engineRecord, rate, unreportedOnline(modelPool), entries);
     const double share = state.outlier().trafficShare(now);
     return share < 1 ? static_cast<int>(capacity * share) : capacity;
 }
@@ -421,9 +436,10 @@
         return 0;
     std::size_t capacity = 0;
     std::size_t running = 0;
-    for (const EngineRecord *record : modelPool.engines) {
-        capacity += static_cast<std::size_t>(std::max(batchCapacityOn(now, modelPool, *record), 0));
-        running += static_cast<std::size_t>(record->state.localTasks(TaskKind::Batch));
+    for (const EngineRecord *engineRecord : modelPool.engines) {
+        capacity += static_cast<std::size_t>(
+                std::max(batchCapacityOn(now, modelPool, *engineRecord), 0));
+        running += static_cast<std::size_t>(engineRecord->state.localTasks(TaskKind::Batch));
     }
     capacity += static_cast<std::size_t>(std::ceil(static_cast<double>(running) * leaseAheadShare));
     const std::size_t waiting = modelPool.batch.size();
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -56,8 +56,8 @@
 
 SlotScheduler::Item *SlotScheduler::itemOf(TaskId number)
 {
-    const auto found = m_numbers.find(number);
-    return found == m_numbers.end() ? nullptr : found->second;
+    const auto found = m_itemsByNumber.find(number);
+    return found == m_itemsByNumber.end() ? nullptr : found->second;
 }
 
 void SlotScheduler::setUpstreams(const std::vector<SlotUpstream> &upstreams)
@@ -95,7 +95,7 @@
     item->task = task;
     item->number = m_nextNumber++;
     item->since = now;
-    m_numbers[item->number] = item.get();
+    m_itemsByNumber[item->number] = item.get();
     enqueue(now, service(task.service), *item);
     m_items[task.id] = std::move(item);
 }
@@ -141,7 +141,7 @@
     item->since = now;
     item->upstream = found->second.get();
     (isOnline(task) ? item->upstream->online : item->upstream->batch).insert(item.get());
-    m_numbers[item->number] = item.get();
+    m_itemsByNumber[item->number] = item.get();
     m_items[task.id] = std::move(item);
 }
 
@@ -172,7 +172,7 @@
 
 void SlotScheduler::removeItem(Item &item)
 {
-    m_numbers.erase(item.number);
+    m_itemsByNumber.erase(item.number);
     m_items.erase(std::string(item.task.id));
 }
 
@@ -389,7 +389,7 @@
 }
 
 /// Moves tasks that can no longer meet their deadline to the late queue. Checks all interrupted
-/// tasks, but the batch queue only up to its first task that is in time.
+/// tasks, and the batch queue up to the first task that can still meet its deadline.
 void SlotScheduler::moveLateTasks(absl::Time now, Service &service)
 {
     const auto late =
@@ -408,7 +408,7 @@
 }
 
 /// Returns the interrupted task that is nearest to its end, else a task that has not started, else
-/// a late one. Every grantsPerLateTask grants, a late task goes first.
+/// a late one. After grantsPerLateTask grants to other batch tasks, a late task goes first.
 SlotScheduler::Item *SlotScheduler::nextBatch(absl::Time now, Service &service)
 {
     moveLateTasks(now, service);
@@ -426,7 +426,7 @@
 }
 
 /// Expected time between the ends of two online requests when all slots are occupied.
-absl::Duration SlotScheduler::spacing(const Service &service) const
+absl::Duration SlotScheduler::slotReleaseInterval(const Service &service) const
 {
     std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams)
@@ -435,8 +435,8 @@
 }
 
 /// Number of slots that are withheld until their upstreams have reported their load. Most of them
-/// turn out to be free.
-std::int64_t SlotScheduler::unprobedSlots(absl::Time now, const Service &service) const
+/// are usually free.
+std::int64_t SlotScheduler::withheldSlots(absl::Time now, const Service &service) const
 {
     std::int64_t slots = 0;
     for (const Upstream *upstream : service.upstreams) {
@@ -446,8 +446,8 @@
     return slots;
 }
 
-/// Rejects tasks that will not get a slot before their deadline, rather than at the deadline. The
-/// tasks of the workspace with the most service are rejected first.
+/// Rejects tasks that are not expected to get a slot before their deadline at once, rather than at
+/// the deadline. The tasks of the workspace with the most service are rejected first.
 void SlotScheduler::rejectUnservable(absl::Time now, Service &service)
 {
     for (auto entry = service.online.rbegin(); entry != service.online.rend(); ++entry) {
@@ -455,9 +455,9 @@
         while (const std::optional<TaskId> last = queue.back()) {
             Item &item = *itemOf(*last);
             const std::int64_t ahead =
-                    static_cast<std::int64_t>(service.onlineWaiting) - unprobedSlots(now, service);
-            const absl::Duration wait =
-                    spacing(service) * static_cast<double>(std::max<std::int64_t>(ahead, 0));
+                    static_cast<std::int64_t>(service.onlineWaiting) - withheldSlots(now, service);
+            const absl::Duration wait = slotReleaseInterval(service)
+                                        * static_cast<double>(std::max<std::int64_t>(ahead, 0));
             if (now + wait <= item.task.deadline)
                 break;
             reject(now, service, item);
@@ -476,7 +476,7 @@
 void SlotScheduler::reject(absl::Time now, Service &service, Item &item)
 {
     absl::Duration wait = noUpstreamRetryAfter;
-    const absl::Duration interval = spacing(service);
+    const absl::Duration interval = slotReleaseInterval(service);
     if (interval != absl::InfiniteDuration()) {
         const absl::Time next = std::max(service.lastRetryAt, now + m_settings.minRetryAfter)
                                 + interval / m_settings.retryShare;
--- a/src/policy/taskrecord.h
+++ b/src/policy/taskrecord.h
@@ -33,8 +33,8 @@
     std::string kvHandle;
     absl::Time waitingSince;
     absl::Time startedAt;
-    /// These two and retryAt are the task's keys in the scheduler's ordered sets. They are stored
-    /// because the estimates change while the task waits.
+    /// latestStart, onlineDeadline and retryAt are the task's keys in the scheduler's ordered sets.
+    /// They are stored because the values that they are computed from change while the task waits.
     absl::Time latestStart;
     absl::Time onlineDeadline;
     /// End of the backoff.
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -44,7 +44,7 @@
 BOOST_FIXTURE_TEST_SUITE(RouterTest, RouterFixture)
 
 // Guards against new tasks on an engine that is about to shut down.
-BOOST_AUTO_TEST_CASE(leavingEngineGetsNothing)
+BOOST_AUTO_TEST_CASE(leavingEngineIsNotChosen)
 {
     add("leaving", 0, true);
     BOOST_TEST(choose() == "");
@@ -128,7 +128,7 @@
 
 // Guards against prefixes that count as cached although their eviction events were lost. After a
 // gap in the sequence numbers, older estimates expire sooner.
-BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensTheLifetimeOfGuesses)
+BOOST_AUTO_TEST_CASE(gapInCacheEventsShortensTheLifetimeOfEstimates)
 {
     const absl::Duration lifetime = absl::Seconds(100);
     PrefixIndex index(lifetime);
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -198,7 +198,7 @@
 }
 
 // Guards against an online task that waits without end, and against a rejection with the wrong code
-// or run state.
+// or effect.
 BOOST_AUTO_TEST_CASE(onlineTaskIsRejectedAsNotRunAfterTheQueueLimit)
 {
     setEngines(1, 1);
