--- a/include/rattanrill/serving/protocoladapter.h
+++ b/include/rattanrill/serving/protocoladapter.h
@@ -22,7 +22,7 @@
     std::string host;
     /// Empty when the request carries no key.
     std::string apiKey;
-    /// How long the caller waits for the response, counted from the arrival of the request.
+    /// Time for which the caller waits for the response, counted from the arrival of the request.
     absl::Duration timeout = absl::InfiniteDuration();
     /// Id of the last event that the caller has received; absent unless it resumes a stream.
     std::optional<std::int64_t> resumeAfter;
@@ -98,6 +98,8 @@
     /// and the API key is removed.
     virtual net::Request upstreamRequest(const net::Request &request,
                                          const UpstreamAttempt &attempt) const = 0;
+    /// Returns the request that runs \a item of a batch job. \a host is the host to which the job
+    /// was submitted.
     virtual net::Request itemRequest(const wire::JobItem &item, const std::string &host,
                                      const UpstreamAttempt &attempt) const = 0;
     virtual ResponseInfo parseResponse(const net::ResponseHead &head) const = 0;
--- a/include/rattanrill/serving/slotbroker.h
+++ b/include/rattanrill/serving/slotbroker.h
@@ -74,7 +74,8 @@
 
     /// Discards all granted slots and waiting requests; batch handlers are not called. Starts with
     /// unknown loads and with rate buckets that hold no more than the rate tolerance allows,
-    /// because another process may have granted everything a moment ago.
+    /// because another process may just have granted all slots and the whole burst of each
+    /// workspace.
     void reset();
     void setDeployment(std::shared_ptr<const DeploymentIndex> deployment);
     /// Sets the upstreams and the share of them and of the rates that this broker grants.
--- a/include/rattanrill/serving/slotclient.h
+++ b/include/rattanrill/serving/slotclient.h
@@ -52,6 +52,7 @@
     /// Releases a slot. May also be called for a request whose outcome has not arrived.
     void release(const wire::SlotRelease &release);
     void reportLoad(const wire::UpstreamLoad &load);
+    /// Ignores the responses to calls that are still pending.
     void stop();
 
 private:
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -18,15 +18,16 @@
 /// after it. The rest of the objective is left for the next attempt.
 constexpr double firstEventTimeoutFraction = 0.6;
 constexpr double interEventTimeoutFraction = 0.6;
-/// The same for responses that are not streams, as a multiple of the latency objective, because
-/// processing times of several times the mean are common there.
+/// The timeout of responses that are not streams, as a multiple of the latency objective. It
+/// exceeds the objective because processing times of several times the mean are common there.
 constexpr double completeResponseTimeoutFactor = 2.5;
 /// A caller with more unsent response bytes than this does not read its response and is treated as
 /// disconnected.
 constexpr std::size_t maxUnsentBytes = std::size_t(4) << 20;
-/// Retry-After when no upstream has accepted the request; the cause may soon pass.
+/// Retry-After when no upstream has accepted the request. It is short because the cause
+/// may be temporary.
 constexpr absl::Duration unavailableRetryAfter = absl::Milliseconds(300);
-/// With less time than this until the deadline, an attempt is not worth starting.
+/// No attempt is started with less time than this until the deadline.
 constexpr absl::Duration minRemainingTime = absl::Milliseconds(20);
 /// Maximum size of a response that is not a stream: its body is buffered until it is complete, so a
 /// longer one fails the attempt.
--- a/src/serving/slotclient.cpp
+++ b/src/serving/slotclient.cpp
@@ -145,7 +145,7 @@
     SlotBroker localBroker;
     std::string brokerAddress;
     absl::Time brokerRetryAt = absl::InfinitePast();
-    /// Ids of the requests that wait for a slot or hold one of the local share.
+    /// Ids of the requests that wait for a slot of the local share or hold one.
     std::set<std::string> localRequests;
     struct GrantedSlot
     {
--- a/tests/serving/deployment_test.cpp
+++ b/tests/serving/deployment_test.cpp
@@ -45,7 +45,7 @@
 }
 
 // Guards against an invalid configuration that takes effect because a check is missing.
-BOOST_AUTO_TEST_CASE(eachInvalidKindIsRefused)
+BOOST_AUTO_TEST_CASE(eachInvalidConfigurationIsRejected)
 {
     const std::map<std::string, void (*)(Deployment &)> faults = {
             {"unknown service",
--- a/tests/serving/proxyrequest_test.cpp
+++ b/tests/serving/proxyrequest_test.cpp
@@ -254,6 +254,7 @@
     BOOST_TEST(upstreams.requests().size() == 1u);
 }
 
+// Guards against an error response although the request did not run and another upstream is free.
 BOOST_AUTO_TEST_CASE(requestRefusedByAnUpstreamRunsAtAnother)
 {
     ScriptedUpstreams upstreams({{completeResponse("a", "full", 503, "Not-Run: 1\r\n")},
@@ -263,6 +264,7 @@
     BOOST_TEST(upstreams.requests().size() == 2u);
 }
 
+// Guards against a truncated response that reaches the caller although the request may run again.
 BOOST_AUTO_TEST_CASE(idempotentRequestIsRetriedAfterATruncatedResponse)
 {
     ScriptedUpstreams upstreams({{"HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 9\r\n\r\nha", true},
@@ -273,8 +275,9 @@
     BOOST_TEST(!contains(response, "\r\n\r\nha"));
 }
 
-// Guards against the response to another request that reaches the caller.
-BOOST_AUTO_TEST_CASE(foreignAnswerIsNotDelivered)
+// Guards against a response that reaches the wrong caller: the upstream sends the response to
+// another request first on the same connection.
+BOOST_AUTO_TEST_CASE(responseToAnotherRequestIsNotDelivered)
 {
     ScriptedUpstreams upstreams(
             {{completeResponse("other", "foreign") + completeResponse("a", "mine")}});
@@ -286,7 +289,7 @@
 
 // Guards against a stream in which an event is missing, repeated or truncated after the connection
 // to its upstream broke in the middle of an event.
-BOOST_AUTO_TEST_CASE(resumableStreamGoesOnAtAnotherUpstream)
+BOOST_AUTO_TEST_CASE(resumableStreamContinuesAtAnotherUpstream)
 {
     ScriptedUpstreams upstreams(
             {{streamHead("a") + chunk(event(1)) + chunk(event(2) + "id: 3\nda"), true},
@@ -304,7 +307,7 @@
 }
 
 // Guards against a truncated stream that looks complete to the caller.
-BOOST_AUTO_TEST_CASE(streamThatMayNotGoOnIsCutOff)
+BOOST_AUTO_TEST_CASE(nonResumableStreamIsAborted)
 {
     ScriptedUpstreams upstreams({{streamHead("a") + chunk(event(1)), true}});
     Entry entry(routeOf(RouteKind::Streaming, 2, false));
--- a/tests/serving/slotbroker_test.cpp
+++ b/tests/serving/slotbroker_test.cpp
@@ -75,8 +75,8 @@
 BOOST_FIXTURE_TEST_SUITE(SlotBrokerTest, Fixture)
 
 // Guards against a workspace that gets more requests in some window than its rate, its burst and
-// the tolerance allow. A new broker does not know what the previous one granted.
-BOOST_AUTO_TEST_CASE(rateHoldsInEveryWindowOverChangesOfTheBroker)
+// the tolerance allow. A new broker has no record of what the previous one granted.
+BOOST_AUTO_TEST_CASE(rateHoldsInEveryWindowAcrossBrokerReplacements)
 {
     std::vector<absl::Time> grants;
     for (int step = 0; step < 3000; ++step) {
@@ -101,6 +101,8 @@
     BOOST_TEST(grants.size() > 290u);
 }
 
+// Guards against refused callers that retry at once, and against a Retry-After that is longer than
+// the time in which the rate grants the next request.
 BOOST_AUTO_TEST_CASE(overRateResponseContainsRetryAfter)
 {
     timers.advance(absl::Seconds(10));
@@ -114,7 +116,7 @@
 }
 
 // Guards against further attempts of a request that are charged to the rate again.
-BOOST_AUTO_TEST_CASE(furtherTryIsNotCharged)
+BOOST_AUTO_TEST_CASE(furtherAttemptIsNotCharged)
 {
     timers.advance(absl::Seconds(10));
     for (int i = 0; i < 10; ++i)
@@ -124,8 +126,8 @@
     BOOST_TEST((acquire(furtherAttempt)->verdict == SlotOutcome::Granted));
 }
 
-// Guards against the loss of a broker that is detected only after the whole wait for a slot,
-// because a broker does not respond before its decision.
+// Guards against a lost broker that the requester detects only after the longest wait for a slot: a
+// broker that responds only with its decision is silent until then.
 BOOST_AUTO_TEST_CASE(waitingRequestGetsOutcomeWaitingAndItsSlotWhenRepeated)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
@@ -142,8 +144,8 @@
     BOOST_TEST((acquire(waitingRequest)->verdict == SlotOutcome::Granted));
 }
 
-// Guards against a requester that takes the broker for unreachable: its caller disconnects while
-// the request waits, and the pending call gets no response.
+// Guards against a requester that treats the broker as unreachable because its pending call gets no
+// response when the caller disconnects while the request waits.
 BOOST_AUTO_TEST_CASE(requestReleasedWhileWaitingGetsAResponse)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
@@ -164,6 +166,7 @@
     BOOST_TEST(tryAcquire("next"));
 }
 
+// Guards against a slot that stays occupied because the message that releases it was lost.
 BOOST_AUTO_TEST_CASE(unreleasedSlotIsReclaimedAfterItsDeadline)
 {
     broker.setUpstreams({{"u", "llm", "u:1", "d", 1, false}}, CapacityShare());
