--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -49,10 +49,12 @@
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
                                           const ProcessContext &processContext);
 
-/// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
-/// the settings again and returns their peer addresses.
+/// One of the functions above.
 using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
                                                     const ProcessContext &);
+
+/// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
+/// the settings again and returns their peer addresses.
 int runProcess(const ProcessSettings &settings, const ProcessContext &processContext,
                ProcessFactory makeProcess, std::function<std::vector<std::string>()> readSeeds);
 
--- a/include/rattanrill/gateway/processsettings.h
+++ b/include/rattanrill/gateway/processsettings.h
@@ -21,7 +21,7 @@
     std::string operatorAddress;
     std::string metricsAddress;
     std::string peerHost;
-    /// The same on all machines of a deployment.
+    /// Port of the peer address. The same on all machines of a deployment.
     int peerPort = 0;
     /// Operator addresses of control processes.
     std::vector<std::string> seeds;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,14 +14,17 @@
 /// Requests are held only within this time after the start of the process. If no configuration has
 /// arrived by then, none is expected soon.
 constexpr absl::Duration startupTime = absl::Seconds(5);
+/// Number of held requests above which further ones are refused.
 constexpr std::size_t maxEarlyRequests = 512;
-/// Retry-After while this entry process has no configuration yet, and while no store can respond.
+/// Retry-After while this entry process has no configuration yet.
 constexpr absl::Duration startRetryAfter = absl::Seconds(1);
+/// Retry-After of a failed call to the stores.
 constexpr absl::Duration storeRetryAfter = absl::Milliseconds(500);
 /// Retry-After of a job that exceeds the limit of waiting tokens. Items that run for several
 /// seconds must end before it can be accepted.
 constexpr absl::Duration jobRetryAfter = absl::Seconds(1);
-/// Timeout of a call to the stores, in addition to the time for which the caller lets it wait.
+/// Timeout of a call to the stores. A call that waits for new results has this much time in
+/// addition to its wait.
 constexpr absl::Duration storeTimeout = absl::Milliseconds(2500);
 
 } // namespace
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -109,8 +109,8 @@
                             });
                 });
         installOneWayHandler(wire::Method::ReleaseSlot, &StoreProcess::release);
-        installOneWayHandler(wire::Method::ReportLoad, &StoreProcess::updateLoad);
-        installOneWayHandler(wire::Method::ReportHeldSlots, &StoreProcess::restoreHeldSlots);
+        installOneWayHandler(wire::Method::ReportLoad, &StoreProcess::reportLoad);
+        installOneWayHandler(wire::Method::ReportHeldSlots, &StoreProcess::adoptHeldSlots);
     }
 
     void installOneWayHandler(wire::Method method,
@@ -125,7 +125,7 @@
                 });
     }
 
-    void restoreHeldSlots(const std::string &body)
+    void adoptHeldSlots(const std::string &body)
     {
         const auto held = outcomeOf([&] { return wire::decode<wire::HeldSlots>(body); });
         if (held.ok())
@@ -134,7 +134,7 @@
             log(LogLevel::Warning, "held-places-unreadable", {{"code", name(held.failure().code)}});
     }
 
-    void updateLoad(const std::string &body)
+    void reportLoad(const std::string &body)
     {
         const auto load = outcomeOf([&] { return wire::decode<wire::UpstreamLoad>(body); });
         if (load.ok())
