--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -24,8 +24,8 @@
 /// A caller with more unsent response bytes than this does not read its response and is treated as
 /// disconnected.
 constexpr std::size_t maxUnsentBytes = std::size_t(4) << 20;
-/// Retry-After when no upstream has accepted the request. It is short because the cause
-/// may be temporary.
+/// Retry-After when no upstream has accepted the request. It is short because the cause may be
+/// temporary.
 constexpr absl::Duration unavailableRetryAfter = absl::Milliseconds(300);
 /// No attempt is started with less time than this until the deadline.
 constexpr absl::Duration minRemainingTime = absl::Milliseconds(20);
