--- a/src/policybench/baselinepolicy.cpp
+++ b/src/policybench/baselinepolicy.cpp
@@ -36,51 +36,51 @@
         if (reported.name != engine)
             continue;
         reported.load = load;
-        const double limit = static_cast<double>(load.maxBatch) * m_rules.fill;
-        const auto free = static_cast<std::int64_t>(limit) - load.running - load.waiting;
+        const double limit = static_cast<double>(load.maxBatch) * m_rules.batchFillLimit;
+        const auto freeSlots = static_cast<std::int64_t>(limit) - load.running - load.waiting;
         const auto entries = static_cast<std::int64_t>(m_entries);
-        reported.free = std::max<std::int64_t>((free + entries - 1) / entries, 0);
+        reported.freeSlots = std::max<std::int64_t>((freeSlots + entries - 1) / entries, 0);
     }
 }
 
 void BaselinePolicy::arrived(absl::Time /*now*/, const Task &task)
 {
-    Item &item = m_items[task.id];
-    item.task = task;
-    item.delivered = task.deliveredTokens;
+    TaskState &state = m_tasks[task.id];
+    state.task = task;
+    state.delivered = task.deliveredTokens;
     (task.kind == TaskKind::Online ? m_online : m_batch).push_back(task.id);
 }
 
 void BaselinePolicy::progress(absl::Time /*now*/, TaskId task, int attempt, std::int64_t tokens)
 {
-    const auto item = m_items.find(task);
-    if (item != m_items.end() && item->second.attempt == attempt)
-        item->second.delivered = tokens;
+    const auto state = m_tasks.find(task);
+    if (state != m_tasks.end() && state->second.attempt == attempt)
+        state->second.delivered = tokens;
 }
 
 void BaselinePolicy::finished(absl::Time /*now*/, TaskId task, int /*attempt*/,
                               std::int64_t /*tokens*/)
 {
-    m_items.erase(task);
+    m_tasks.erase(task);
 }
 
 void BaselinePolicy::failed(absl::Time now, TaskId task, int attempt, const AttemptFailure &failure)
 {
-    const auto found = m_items.find(task);
-    if (found == m_items.end() || found->second.attempt != attempt)
+    const auto found = m_tasks.find(task);
+    if (found == m_tasks.end() || found->second.attempt != attempt)
         return;
-    Item &item = found->second;
-    item.delivered = std::max(item.delivered, failure.deliveredTokens);
+    TaskState &state = found->second;
+    state.delivered = std::max(state.delivered, failure.deliveredTokens);
     for (Engine &engine : m_engines) {
-        if (engine.name == item.engine)
+        if (engine.name == state.engine)
             engine.avoidUntil = now + avoidTime;
     }
-    if (item.attempt < maxAttempts) {
-        (item.task.kind == TaskKind::Online ? m_online : m_batch).push_back(task);
+    if (state.attempt < maxAttempts) {
+        (state.task.kind == TaskKind::Online ? m_online : m_batch).push_back(task);
         return;
     }
     m_decisions.emplace_back(RejectTask{task, failure.failure, absl::ZeroDuration()});
-    m_items.erase(task);
+    m_tasks.erase(task);
 }
 
 void BaselinePolicy::preempted(absl::Time /*now*/, TaskId /*task*/, int /*attempt*/,
@@ -93,13 +93,13 @@
         Engine *engine = choose(now);
         if (engine == nullptr)
             break;
-        start(m_items.at(m_online.front()), *engine);
+        start(m_tasks.at(m_online.front()), *engine);
         m_online.pop_front();
     }
     for (Engine &engine : m_engines) {
-        while (engine.free > 0 && now >= engine.avoidUntil && !m_batch.empty()) {
-            --engine.free;
-            start(m_items.at(m_batch.front()), engine);
+        while (engine.freeSlots > 0 && now >= engine.avoidUntil && !m_batch.empty()) {
+            --engine.freeSlots;
+            start(m_tasks.at(m_batch.front()), engine);
             m_batch.pop_front();
         }
     }
@@ -108,11 +108,11 @@
 
 std::size_t BaselinePolicy::batchCapacity(absl::Time /*now*/) const
 {
-    std::int64_t free = 0;
+    std::int64_t freeSlots = 0;
     for (const Engine &engine : m_engines)
-        free += engine.free;
+        freeSlots += engine.freeSlots;
     const auto waiting = static_cast<std::int64_t>(m_batch.size());
-    return static_cast<std::size_t>(std::max<std::int64_t>(free - waiting, 0));
+    return static_cast<std::size_t>(std::max<std::int64_t>(freeSlots - waiting, 0));
 }
 
 BaselinePolicy::Engine *BaselinePolicy::choose(absl::Time now)
@@ -133,12 +133,12 @@
     return best;
 }
 
-void BaselinePolicy::start(Item &item, const Engine &engine)
+void BaselinePolicy::start(TaskState &state, const Engine &engine)
 {
-    ++item.attempt;
-    item.engine = engine.name;
+    ++state.attempt;
+    state.engine = engine.name;
     m_decisions.emplace_back(
-            StartTask{item.task.id, engine.name, item.attempt, item.delivered, {}});
+            StartTask{state.task.id, engine.name, state.attempt, state.delivered, {}});
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/baselinepolicy.h
+++ b/src/policybench/baselinepolicy.h
@@ -11,15 +11,15 @@
 /// Parameters in which the baselines differ.
 struct BaselineRules
 {
-    /// Selects engines in turn. Otherwise the one with the least reported load is selected.
+    /// Selects the engines in turn instead of the one with the least reported load.
     bool roundRobin = false;
     /// Share of an engine's slots up to which batch tasks are started.
-    double fill = 0.9;
+    double batchFillLimit = 0.9;
 };
 
-/// Simple policy to compare with. It has no preemption, no fairness and no quarantine, and doesn't
-/// add its own tasks in flight to the reported load. Online tasks start at once; batch tasks fill
-/// the slots that the last report shows as free.
+/// Simple policy that Scheduler is compared with. It has no preemption, no fairness and no
+/// quarantine, and doesn't add the tasks that it has started since the last report to the reported
+/// load. Online tasks start at once; batch tasks fill the slots that the last report shows as free.
 class BaselinePolicy : public BenchPolicy
 {
 public:
@@ -55,9 +55,9 @@
         /// The engine failed recently and is not selected before this time.
         absl::Time avoidUntil = absl::InfinitePast();
         /// Batch tasks that this entry may still start, based on the last load report.
-        std::int64_t free = 0;
+        std::int64_t freeSlots = 0;
     };
-    struct Item
+    struct TaskState
     {
         Task task;
         int attempt = 0;
@@ -66,13 +66,13 @@
     };
 
     Engine *choose(absl::Time now);
-    void start(Item &item, const Engine &engine);
+    void start(TaskState &state, const Engine &engine);
 
     BaselineRules m_rules;
     std::size_t m_entries = 1;
     std::size_t m_next = 0;
     std::vector<Engine> m_engines;
-    std::unordered_map<TaskId, Item> m_items;
+    std::unordered_map<TaskId, TaskState> m_tasks;
     std::deque<TaskId> m_online;
     std::deque<TaskId> m_batch;
     std::vector<SchedulerDecision> m_decisions;
--- a/src/policybench/benchadmission.cpp
+++ b/src/policybench/benchadmission.cpp
@@ -52,18 +52,18 @@
 {
     for (const std::size_t entry : lost)
         m_lost[entry] = true;
-    std::vector<std::string> left;
-    std::vector<std::size_t> leftIndex;
+    std::vector<std::string> remaining;
+    std::vector<std::size_t> remainingIndex;
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         if (!m_lost[i]) {
-            left.push_back(m_entries[i]);
-            leftIndex.push_back(i);
+            remaining.push_back(m_entries[i]);
+            remainingIndex.push_back(i);
         }
     }
     for (std::size_t i = 0; i < m_contracts.size() && m_kind == AdmissionKind::Owner; ++i) {
         if (!m_lost[m_owners[i]])
             continue;
-        m_owners[i] = leftIndex[rendezvousOwner(concat("workspace-", i), left)];
+        m_owners[i] = remainingIndex[rendezvousOwner(concat("workspace-", i), remaining)];
         m_ownerSince[i] = ownedFrom;
         m_buckets[i] = TokenBucket(m_contracts[i], ownedFrom + maxGrantWait);
     }
--- a/src/policybench/benchbatchpool.cpp
+++ b/src/policybench/benchbatchpool.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Prompt lengths have a log-normal distribution with this mean and sigma, answer lengths a clamped
+/// Prompt lengths have a log-normal distribution with this mean and sigma, output lengths a clamped
 /// exponential distribution.
 constexpr double promptMeanTokens = 250;
 constexpr double promptSigma = 0.4;
-constexpr double answerMeanTokens = 200;
-constexpr std::int64_t maxAnswerTokens = 400;
+constexpr double outputMeanTokens = 200;
+constexpr std::int64_t maxOutputTokens = 400;
 
 } // namespace
 
@@ -36,7 +36,7 @@
 
 int BenchBatchPool::lease(absl::Time now)
 {
-    const int index = static_cast<int>(*m_queue.pop(now, promptMeanTokens + answerMeanTokens));
+    const int index = static_cast<int>(*m_queue.pop(now, promptMeanTokens + outputMeanTokens));
     const BatchItem &leased = item(index);
     // Keeps one item of the endless job in the queue.
     if (leased.due == absl::InfiniteFuture() && leased.delivered == 0)
@@ -69,8 +69,8 @@
     const double mu = std::log(promptMeanTokens) - promptSigma * promptSigma / 2;
     const double prompt = std::lognormal_distribution<double>(mu, promptSigma)(m_random);
     item.promptTokens = std::max<std::int64_t>(std::llround(prompt), 16);
-    const double answer = std::exponential_distribution<double>(1 / answerMeanTokens)(m_random);
-    item.answerTokens = std::clamp<std::int64_t>(std::llround(answer), 8, maxAnswerTokens);
+    const double output = std::exponential_distribution<double>(1 / outputMeanTokens)(m_random);
+    item.outputTokens = std::clamp<std::int64_t>(std::llround(output), 8, maxOutputTokens);
     item.due = due;
     m_items.push_back(item);
     return static_cast<int>(m_items.size()) - 1;
--- a/src/policybench/benchbatchpool.h
+++ b/src/policybench/benchbatchpool.h
@@ -16,7 +16,7 @@
 {
     int workspace = 0;
     std::int64_t promptTokens = 0;
-    std::int64_t answerTokens = 0;
+    std::int64_t outputTokens = 0;
     std::int64_t delivered = 0;
     absl::Time due = absl::InfiniteFuture();
     absl::Time finishedAt = absl::InfiniteFuture();
--- a/src/policybench/benchengine.cpp
+++ b/src/policybench/benchengine.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-void BenchEngine::crash(absl::Duration restart)
+void BenchEngine::crash(absl::Duration restartTime)
 {
     if (!m_alive)
         return;
@@ -58,8 +58,8 @@
     m_prefixTokens = 0;
     m_kvTokens = 0;
     m_listener.crashed(m_index, lost);
-    if (restart < absl::InfiniteDuration())
-        m_loop.after(restart, [this] { m_alive = true; });
+    if (restartTime < absl::InfiniteDuration())
+        m_loop.after(restartTime, [this] { m_alive = true; });
 }
 
 EngineLoad BenchEngine::load() const
@@ -68,7 +68,7 @@
     load.running = static_cast<std::int64_t>(m_running.size());
     load.waiting = static_cast<std::int64_t>(m_waiting.size());
     load.kvTokens = m_kvTokens;
-    load.kvCapacityTokens = m_model.kvCapacity;
+    load.kvCapacityTokens = m_model.kvCapacityTokens;
     load.maxBatch = m_model.maxBatch;
     return load;
 }
@@ -78,7 +78,7 @@
     while (!m_waiting.empty() && static_cast<std::int64_t>(m_running.size()) < m_model.maxBatch) {
         EngineAttempt run = m_waiting.front();
         const std::int64_t context = run.promptTokens + run.delivered;
-        if (m_kvTokens + context > m_model.kvCapacity && !m_running.empty())
+        if (m_kvTokens + context > m_model.kvCapacityTokens && !m_running.empty())
             return;
         m_waiting.pop_front();
         m_kvTokens += context;
@@ -106,7 +106,7 @@
     const auto decoding =
             std::count_if(m_running.begin(), m_running.end(),
                           [](const EngineAttempt &run) { return run.prefillLeft == 0; });
-    const absl::Duration time = m_model.stepBase + m_model.perAnswer * decoding
+    const absl::Duration time = m_model.stepBase + m_model.perDecodingRequest * decoding
                                 + m_model.perContextToken * m_kvTokens
                                 + m_model.perPrefillToken * prefill;
     m_longestStep = std::max(m_longestStep, time);
@@ -123,7 +123,7 @@
 void BenchEngine::endStep()
 {
     const auto ended = [&](const EngineAttempt &run) {
-        const bool done = run.prefillLeft == 0 && run.delivered >= run.answerTokens;
+        const bool done = run.prefillLeft == 0 && run.delivered >= run.outputTokens;
         if (!done && !run.cancelled)
             return false;
         m_kvTokens -= run.promptTokens + run.delivered;
@@ -162,7 +162,7 @@
         if (run.prefillLeft > 0)
             continue;
         if (run.poison) {
-            crash(m_model.restart);
+            crash(m_model.restartTime);
             return;
         }
         ++run.delivered;
--- a/src/policybench/benchengine.h
+++ b/src/policybench/benchengine.h
@@ -23,7 +23,7 @@
     int entry = 0;
     TaskKind kind = TaskKind::Online;
     std::int64_t promptTokens = 0;
-    std::int64_t answerTokens = 0;
+    std::int64_t outputTokens = 0;
     std::int64_t delivered = 0;
     std::uint64_t prefix = 0;
     std::int64_t prefixTokens = 0;
@@ -38,8 +38,7 @@
     bool exportKv = false;
 };
 
-/// Receives the events of engines at the time at which they happen. The listener adds the network
-/// delays.
+/// Receives the events of engines when they occur. The listener adds the network delays.
 class EngineListener
 {
 public:
@@ -58,8 +57,8 @@
 
 /// Model of an engine with continuous batching. Requests wait in order of arrival for one of
 /// maxBatch slots. Each step prefills up to one chunk of tokens in order of admission and decodes
-/// one token of every answer whose prefill is complete. The duration of a step grows with the
-/// number of answers, context tokens and prefilled tokens.
+/// one token of every request whose prefill is complete. The duration of a step grows with the
+/// number of decoding requests, context tokens and prefilled tokens.
 class BenchEngine
 {
 public:
@@ -69,9 +68,9 @@
     /// Takes effect at the end of the current step, or at once for an attempt that is still
     /// waiting.
     void cancel(TaskId task, int attempt, bool exportKv);
-    /// Loses all attempts and the prefix cache. The engine is up again after \a restart unless that
-    /// is infinite.
-    void crash(absl::Duration restart);
+    /// Loses all attempts and the prefix cache. The engine is up again after \a restartTime unless
+    /// that is infinite.
+    void crash(absl::Duration restartTime);
 
     bool alive() const { return m_alive; }
     EngineLoad load() const;
--- a/src/policybench/benchfigures.cpp
+++ b/src/policybench/benchfigures.cpp
@@ -123,13 +123,13 @@
 void addNominal(const FigureInput &input, Figures &figures)
 {
     const BenchResult &result = input.result;
-    constexpr double ttftBound = 0.41;
-    constexpr double tbtBound = 0.067;
-    setBound(figures, "online_ttft_p95_s", BoundKind::AtMost, ttftBound);
+    constexpr double maxTtftP95Seconds = 0.41;
+    constexpr double maxTbtP95Seconds = 0.067;
+    setBound(figures, "online_ttft_p95_s", BoundKind::AtMost, maxTtftP95Seconds);
     setBound(figures, "batch_share_of_idle_capacity", BoundKind::AtLeast,
              input.deployment.idleShareBound);
     figures.push_back({"online_tbt_p95_s", quantile(result.tokenGaps, 0.95), "s", BoundKind::AtMost,
-                       tbtBound});
+                       maxTbtP95Seconds});
     const double alone = quantile(input.withoutBatch->firstToken, 0.99);
     figures.push_back({"online_ttft_p99_ratio", ratio(quantile(result.firstToken, 0.99), alone),
                        "ratio", BoundKind::AtMost, input.deployment.ttftRatioBound});
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -23,8 +23,8 @@
 constexpr int jobItems = 60;
 constexpr absl::Duration jobDueAfter = absl::Seconds(45);
 constexpr std::int64_t prefixTokens = 256;
-constexpr std::int64_t maxOnlineAnswerTokens = 600;
-constexpr std::int64_t maxBatchAnswerTokens = 400;
+constexpr std::int64_t maxOnlineOutputTokens = 600;
+constexpr std::int64_t maxBatchOutputTokens = 400;
 constexpr int sharedPrefixHashes = 5;
 
 AdmissionKind admissionOf(PolicyKind policy)
@@ -122,14 +122,14 @@
         entry.domain = static_cast<int>(i) % m_deployment.domains;
         entry.policy = makePolicy(m_options.policy, settingsOf(entry), m_options.seed * 10 + i);
     }
-    std::vector<WorkspaceWeights> shares;
+    std::vector<WorkspaceWeights> weights;
     for (std::size_t i = 0; i < m_plan.contracts.size(); ++i)
-        shares.push_back({workspaceName(static_cast<int>(i)), m_plan.contracts[i].ratePerSecond,
-                          m_deployment.shares[i]});
+        weights.push_back({workspaceName(static_cast<int>(i)), m_plan.contracts[i].ratePerSecond,
+                           m_deployment.shares[i]});
     for (Entry &entry : m_entries) {
         const double error = std::uniform_real_distribution<double>(-1, 1)(m_random);
         entry.policy->setClockOffset(maxClockError * error);
-        entry.policy->setWorkspaces(shares);
+        entry.policy->setWorkspaces(weights);
         entry.policy->setEntries(entry.name, entryNames());
         entry.policy->setEngines(m_loop.now(), engineList());
     }
@@ -216,21 +216,21 @@
 {
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
     const bool isResend = callerAttempts > 1;
-    const double share =
+    const double position =
             isResend ? std::uniform_real_distribution<double>(0, 1)(m_random) : planned.entryChoice;
-    const std::size_t entry = chooseEntry(share);
+    const std::size_t entry = chooseEntry(position);
     m_loop.after(m_deployment.clientDelay,
                  [this, request, callerAttempts, entry] { admit(request, callerAttempts, entry); });
 }
 
-std::size_t BenchFleet::chooseEntry(double share) const
+std::size_t BenchFleet::chooseEntry(double position) const
 {
     std::vector<std::size_t> alive;
     for (std::size_t i = 0; i < m_entries.size(); ++i) {
         if (m_entries[i].alive)
             alive.push_back(i);
     }
-    const auto choice = static_cast<std::size_t>(share * static_cast<double>(alive.size()));
+    const auto choice = static_cast<std::size_t>(position * static_cast<double>(alive.size()));
     return alive[std::min(choice, alive.size() - 1)];
 }
 
@@ -277,40 +277,40 @@
         return;
     }
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
-    Running running;
-    running.entry = entry;
-    running.index = request;
-    running.callerAttempts = callerAttempts;
-    running.answerTokens = planned.answerTokens;
-    running.arrivedAt = m_loop.now();
-    running.task.id = m_nextTask++;
-    running.task.workspace = workspaceName(planned.workspace);
-    running.task.model = "model";
-    running.task.promptTokens = planned.promptTokens;
-    running.task.maxTokens = maxOnlineAnswerTokens;
-    running.task.prefixHashes = prefixHashes(planned.prefixGroup);
-    running.task.fingerprint = concat("request-", request);
-    const Task task = running.task;
-    m_running[task.id] = std::move(running);
+    TaskState state;
+    state.entry = entry;
+    state.index = request;
+    state.callerAttempts = callerAttempts;
+    state.outputTokens = planned.outputTokens;
+    state.arrivedAt = m_loop.now();
+    state.task.id = m_nextTask++;
+    state.task.workspace = workspaceName(planned.workspace);
+    state.task.model = "model";
+    state.task.promptTokens = planned.promptTokens;
+    state.task.maxTokens = maxOnlineOutputTokens;
+    state.task.prefixHashes = prefixHashes(planned.prefixGroup);
+    state.task.fingerprint = concat("request-", request);
+    const Task task = state.task;
+    m_tasks[task.id] = std::move(state);
     m_entries[entry].policy->arrived(m_loop.now(), task);
     decide(entry);
 }
 
-void BenchFleet::onlineRejected(const Running &running, const Failure &failure)
+void BenchFleet::onlineRejected(const TaskState &state, const Failure &failure)
 {
-    const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(running.index)];
+    const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(state.index)];
     ++m_result.refusals[std::string(rattanrill::name(failure.code))];
     if (planned.poison) {
-        if (running.callerAttempts < maxCallerAttempts)
+        if (state.callerAttempts < maxCallerAttempts)
             m_loop.after(callerResendDelay,
-                         [this, request = running.index, attempts = running.callerAttempts] {
+                         [this, request = state.index, attempts = state.callerAttempts] {
                              send(request, attempts + 1);
                          });
         return;
     }
     if (failure.code == ErrorCode::RequestQuarantined)
         ++m_result.bystandersQuarantined;
-    if (!isCounted(running.index) || running.firstTokenReceived)
+    if (!isCounted(state.index) || state.firstTokenReceived)
         return;
     ++m_result.workspaces[static_cast<std::size_t>(planned.workspace)].refused;
 }
@@ -329,63 +329,62 @@
         std::visit([&](const auto &alternative) { execute(index, alternative); }, decision);
     leaseBatch(index);
     const absl::Time next = entry.policy->nextDecision();
-    if (next >= entry.wakeAt || next > m_options.times.end())
+    if (next >= entry.nextDecisionAt || next > m_options.times.end())
         return;
-    entry.wakeAt = next;
-    // The wake-up is 1 ns late. A time that was rounded down would otherwise cause a second
-    // wake-up.
+    entry.nextDecisionAt = next;
+    // The call is 1 ns late. A time that was rounded down would otherwise cause a second call.
     m_loop.at(next + absl::Nanoseconds(1), [this, index, next] {
-        if (!m_entries[index].alive || m_entries[index].wakeAt != next)
+        if (!m_entries[index].alive || m_entries[index].nextDecisionAt != next)
             return;
-        m_entries[index].wakeAt = absl::InfiniteFuture();
+        m_entries[index].nextDecisionAt = absl::InfiniteFuture();
         decide(index);
     });
 }
 
 void BenchFleet::execute(std::size_t entry, const StartTask &start)
 {
-    Running &running = m_running.at(start.task);
-    running.attempt = start.attempt;
-    running.engine = engineIndex(start.engine);
-    if (running.task.kind == TaskKind::Online) {
-        for (auto &[id, other] : m_running) {
+    TaskState &state = m_tasks.at(start.task);
+    state.attempt = start.attempt;
+    state.engine = engineIndex(start.engine);
+    if (state.task.kind == TaskKind::Online) {
+        for (auto &[id, other] : m_tasks) {
             if (other.entry == entry && !other.preemptedFor.empty()
                 && other.preemptedFor.back() == absl::InfinitePast())
-                other.preemptedFor.back() = running.arrivedAt;
+                other.preemptedFor.back() = state.arrivedAt;
         }
     }
     EngineAttempt run;
     run.task = start.task;
     run.attempt = start.attempt;
     run.entry = static_cast<int>(entry);
-    run.kind = running.task.kind;
-    run.promptTokens = running.task.promptTokens;
-    run.answerTokens = running.answerTokens;
+    run.kind = state.task.kind;
+    run.promptTokens = state.task.promptTokens;
+    run.outputTokens = state.outputTokens;
     run.delivered = start.resumeAfter;
     run.imported = !start.kvHandle.empty();
     const bool online = run.kind == TaskKind::Online;
-    run.prefix = online ? running.task.prefixHashes.back() : 0;
+    run.prefix = online ? state.task.prefixHashes.back() : 0;
     run.prefixTokens = prefixTokens;
-    run.poison = online && m_plan.online[static_cast<std::size_t>(running.index)].poison;
-    BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
-    m_loop.after(linkDelay(entry, running.engine), [&engine, run] { engine.submit(run); });
+    run.poison = online && m_plan.online[static_cast<std::size_t>(state.index)].poison;
+    BenchEngine &engine = *m_engines[static_cast<std::size_t>(state.engine)];
+    m_loop.after(linkDelay(entry, state.engine), [&engine, run] { engine.submit(run); });
 }
 
 void BenchFleet::execute(std::size_t entry, const PreemptTask &preempt)
 {
-    Running &running = m_running.at(preempt.task);
-    running.preemptedFor.push_back(absl::InfinitePast());
+    TaskState &state = m_tasks.at(preempt.task);
+    state.preemptedFor.push_back(absl::InfinitePast());
     ++m_result.preemptions;
-    BenchEngine &engine = *m_engines[static_cast<std::size_t>(running.engine)];
-    m_loop.after(linkDelay(entry, running.engine), [&engine, preempt] {
+    BenchEngine &engine = *m_engines[static_cast<std::size_t>(state.engine)];
+    m_loop.after(linkDelay(entry, state.engine), [&engine, preempt] {
         engine.cancel(preempt.task, preempt.attempt, preempt.method == PreemptMethod::ExportKv);
     });
 }
 
 void BenchFleet::execute(std::size_t /*entry*/, const RejectTask &reject)
 {
-    const auto found = m_running.find(reject.task);
-    if (found == m_running.end())
+    const auto found = m_tasks.find(reject.task);
+    if (found == m_tasks.end())
         return;
     if (found->second.task.kind == TaskKind::Online) {
         onlineRejected(found->second, reject.failure);
@@ -394,7 +393,7 @@
         if (reject.failure.code == ErrorCode::RequestQuarantined)
             ++m_result.bystandersQuarantined;
     }
-    m_running.erase(found);
+    m_tasks.erase(found);
 }
 
 void BenchFleet::execute(std::size_t /*entry*/, const RecordCrash &record)
@@ -426,15 +425,15 @@
         const std::size_t capacity = leaser.policy->batchCapacity(m_loop.now());
         for (std::size_t i = 0; i < capacity; ++i) {
             const int item = m_batch.lease(m_loop.now());
-            Running running;
-            running.entry = index;
-            running.index = item;
-            running.answerTokens = m_batch.item(item).answerTokens;
-            running.delivered = m_batch.item(item).delivered;
-            running.task = batchTask(item, m_nextTask++);
-            running.task.deliveredTokens = running.delivered;
-            const Task task = running.task;
-            m_running[task.id] = std::move(running);
+            TaskState state;
+            state.entry = index;
+            state.index = item;
+            state.outputTokens = m_batch.item(item).outputTokens;
+            state.delivered = m_batch.item(item).delivered;
+            state.task = batchTask(item, m_nextTask++);
+            state.task.deliveredTokens = state.delivered;
+            const Task task = state.task;
+            m_tasks[task.id] = std::move(state);
             leaser.policy->arrived(m_loop.now(), task);
         }
         decide(index);
@@ -450,7 +449,7 @@
     task.kind = TaskKind::Batch;
     task.model = "model";
     task.promptTokens = leased.promptTokens;
-    task.maxTokens = maxBatchAnswerTokens;
+    task.maxTokens = maxBatchOutputTokens;
     task.deadline = leased.due;
     task.fingerprint = concat("item-", item);
     return task;
--- a/src/policybench/benchfleet.h
+++ b/src/policybench/benchfleet.h
@@ -51,19 +51,23 @@
         int domain = 0;
         bool alive = true;
         bool leasing = false;
-        absl::Time wakeAt = absl::InfiniteFuture();
+        /// Time of the next scheduled call of decide().
+        absl::Time nextDecisionAt = absl::InfiniteFuture();
         std::unique_ptr<BenchPolicy> policy;
     };
-    struct Running
+    /// A request or leased batch item at an entry.
+    struct TaskState
     {
         Task task;
         std::size_t entry = 0;
         /// Index of the request in the plan, or of the batch item in the pool.
         int index = 0;
         int callerAttempts = 0;
-        std::int64_t answerTokens = 0;
+        std::int64_t outputTokens = 0;
         std::int64_t delivered = 0;
         absl::Time arrivedAt;
+        /// For each preemption, the arrival of the online task that it made room for; InfinitePast
+        /// until that task starts.
         std::vector<absl::Time> preemptedFor;
         int engine = -1;
         int attempt = 0;
@@ -86,8 +90,8 @@
     void admit(int request, int callerAttempts, std::size_t entry);
     void refusedByRate(int request, bool ownerMoving);
     void arrive(int request, int callerAttempts, std::size_t entry);
-    void onlineRejected(const Running &running, const Failure &failure);
-    std::size_t chooseEntry(double share) const;
+    void onlineRejected(const TaskState &state, const Failure &failure);
+    std::size_t chooseEntry(double position) const;
 
     // Entries
     void decide(std::size_t entry);
@@ -117,6 +121,8 @@
     void deliver(int engine, const EngineAttempt &run, Event event);
 
     // Faults
+    /// Stops an engine for good. Its connections are reset or, if not \a reset, hang until they
+    /// time out.
     void loseUpstream(int engine, bool reset);
     void loseEntry(std::size_t entry);
     void loseDomain(int domain);
@@ -124,7 +130,7 @@
 
     absl::Duration linkDelay(std::size_t entry, int engine) const;
     absl::Duration entryLinkDelay(std::size_t from, std::size_t to) const;
-    bool measured(absl::Time time) const;
+    bool isMeasured(absl::Time time) const;
     bool isCounted(int request) const;
 
     const Deployment &m_deployment;
@@ -141,7 +147,7 @@
     /// Dead engines whose connections hang instead of being reset.
     std::vector<bool> m_hanging;
     std::vector<Entry> m_entries;
-    std::unordered_map<TaskId, Running> m_running;
+    std::unordered_map<TaskId, TaskState> m_tasks;
     TaskId m_nextTask = 1;
     std::map<std::string, std::set<std::string>> m_crashRecords;
     BenchResult m_result;
--- a/src/policybench/benchfleet_engines.cpp
+++ b/src/policybench/benchfleet_engines.cpp
@@ -15,15 +15,19 @@
 /// Time without data after which a connection is considered lost.
 constexpr absl::Duration silenceTimeout = absl::Seconds(1);
 constexpr absl::Duration connectTimeout = absl::Milliseconds(500);
+/// Time after the loss of an entry at which it is removed from the list of entries.
 constexpr absl::Duration memberTimeout = absl::Seconds(4);
+/// Lease of the owner of a rate bucket. A new owner grants nothing before its end.
 constexpr absl::Duration ownerLease = absl::Seconds(2);
+/// Time after which the batch items of a lost entry are queued again.
 constexpr absl::Duration batchLease = absl::Seconds(5);
 /// Delay until a lost upstream is removed from the list of upstreams.
 constexpr absl::Duration upstreamListDelay = absl::Seconds(5);
-constexpr int progressEveryReports = 3;
+/// Number of load reports of an engine per report of the progress of its tasks.
+constexpr int reportsPerProgress = 3;
 /// Requests that arrive within this time before the end of the run are not counted, because the run
 /// ends before they can be served.
-constexpr absl::Duration drainTime = absl::Seconds(2);
+constexpr absl::Duration uncountedTime = absl::Seconds(2);
 
 } // namespace
 
@@ -34,8 +38,8 @@
 {
     const auto entry = static_cast<std::size_t>(run.entry);
     m_loop.after(linkDelay(entry, engine), [this, entry, run, event] {
-        const auto found = m_running.find(run.task);
-        const bool current = found != m_running.end() && found->second.attempt == run.attempt;
+        const auto found = m_tasks.find(run.task);
+        const bool current = found != m_tasks.end() && found->second.attempt == run.attempt;
         if (!m_entries[entry].alive || !current)
             return;
         event(found->second, *m_entries[entry].policy);
@@ -45,7 +49,7 @@
 
 void BenchFleet::admitted(int /*engine*/, const EngineAttempt &run)
 {
-    if (run.kind == TaskKind::Online && measured(m_loop.now()))
+    if (run.kind == TaskKind::Online && isMeasured(m_loop.now()))
         m_result.slotWaits.push_back(absl::ToDoubleSeconds(m_loop.now() - run.submittedAt));
     if (run.attempt > 1 && !run.imported)
         m_result.wastedTokens += run.prefillLeft;
@@ -53,14 +57,14 @@
 
 void BenchFleet::firstToken(int engine, const EngineAttempt &run)
 {
-    deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
+    deliver(engine, run, [this, run](TaskState &state, BenchPolicy &policy) {
         policy.firstToken(m_loop.now(), run.task, run.attempt);
-        running.delivered = std::max(running.delivered, run.delivered);
-        if (run.kind == TaskKind::Batch || running.firstTokenReceived)
+        state.delivered = std::max(state.delivered, run.delivered);
+        if (run.kind == TaskKind::Batch || state.firstTokenReceived)
             return;
-        running.firstTokenReceived = true;
-        const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(running.index)];
-        if (!isCounted(running.index))
+        state.firstTokenReceived = true;
+        const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(state.index)];
+        if (!isCounted(state.index))
             return;
         ++m_result.workspaces[static_cast<std::size_t>(planned.workspace)].served;
         const absl::Duration time = m_loop.now() + m_deployment.clientDelay - planned.at;
@@ -70,18 +74,18 @@
 
 void BenchFleet::token(int /*engine*/, const EngineAttempt &run, absl::Duration gap)
 {
-    if (run.kind == TaskKind::Online && measured(m_loop.now()))
+    if (run.kind == TaskKind::Online && isMeasured(m_loop.now()))
         m_result.tokenGaps.push_back(absl::ToDoubleSeconds(gap));
-    if (run.kind == TaskKind::Batch && measured(m_loop.now()))
+    if (run.kind == TaskKind::Batch && isMeasured(m_loop.now()))
         ++m_result.batchTokens;
 }
 
 void BenchFleet::finished(int engine, const EngineAttempt &run)
 {
-    deliver(engine, run, [this, run](Running &running, BenchPolicy &policy) {
+    deliver(engine, run, [this, run](TaskState &state, BenchPolicy &policy) {
         if (run.kind == TaskKind::Batch)
-            m_batch.item(running.index).finishedAt = m_loop.now();
-        m_running.erase(run.task);
+            m_batch.item(state.index).finishedAt = m_loop.now();
+        m_tasks.erase(run.task);
         policy.finished(m_loop.now(), run.task, run.attempt, run.delivered);
     });
 }
@@ -89,13 +93,13 @@
 void BenchFleet::cancelled(int engine, const EngineAttempt &run)
 {
     const absl::Time freedAt = m_loop.now();
-    deliver(engine, run, [this, run, freedAt](Running &running, BenchPolicy &policy) {
-        const bool forOnline = !running.preemptedFor.empty()
-                               && running.preemptedFor.back() != absl::InfinitePast();
-        if (forOnline && measured(freedAt))
+    deliver(engine, run, [this, run, freedAt](TaskState &state, BenchPolicy &policy) {
+        const bool forOnline =
+                !state.preemptedFor.empty() && state.preemptedFor.back() != absl::InfinitePast();
+        if (forOnline && isMeasured(freedAt))
             m_result.preemptionDelays.push_back(
-                    absl::ToDoubleSeconds(freedAt - running.preemptedFor.back()));
-        running.delivered = run.delivered;
+                    absl::ToDoubleSeconds(freedAt - state.preemptedFor.back()));
+        state.delivered = run.delivered;
         const std::string handle = run.exportKv ? concat("kv-", run.task) : std::string();
         policy.preempted(m_loop.now(), run.task, run.attempt, run.delivered, handle);
     });
@@ -124,10 +128,10 @@
                       absl::Duration delay)
 {
     m_loop.after(delay, [this, engine, run, kind] {
-        deliver(engine, run, [this, run, kind](Running &running, BenchPolicy &policy) {
+        deliver(engine, run, [this, run, kind](TaskState &state, BenchPolicy &policy) {
             AttemptFailure failure;
             failure.kind = kind;
-            failure.deliveredTokens = std::max(running.delivered, run.delivered);
+            failure.deliveredTokens = std::max(state.delivered, run.delivered);
             const bool ran = kind != AttemptFailure::Kind::Refused;
             failure.failure = ran ? mayHaveRun(ErrorCode::UpstreamFailed, "connection lost")
                                   : notRun(ErrorCode::UpstreamUnavailable, "no connection");
@@ -170,13 +174,13 @@
     const auto tick =
             static_cast<int>(absl::ToUnixMillis(m_loop.now())
                              / absl::ToInt64Milliseconds(m_deployment.engine.reportInterval));
-    if (tick % progressEveryReports != 0)
+    if (tick % reportsPerProgress != 0)
         return;
     for (const EngineAttempt &run : engine.running()) {
         if (run.prefillLeft > 0)
             continue;
-        const auto found = m_running.find(run.task);
-        if (found == m_running.end() || !m_entries[static_cast<std::size_t>(run.entry)].alive)
+        const auto found = m_tasks.find(run.task);
+        if (found == m_tasks.end() || !m_entries[static_cast<std::size_t>(run.entry)].alive)
             continue;
         found->second.delivered = run.delivered;
         m_entries[static_cast<std::size_t>(run.entry)].policy->progress(m_loop.now(), run.task,
@@ -186,7 +190,7 @@
 
 void BenchFleet::sample(const BenchEngine &engine)
 {
-    if (!measured(m_loop.now()))
+    if (!isMeasured(m_loop.now()))
         return;
     const double seconds = absl::ToDoubleSeconds(m_deployment.engine.reportInterval);
     std::int64_t online = 0;
@@ -215,27 +219,27 @@
 {
     Entry &entry = m_entries[index];
     entry.alive = false;
-    std::vector<Running> lost;
-    for (auto running = m_running.begin(); running != m_running.end();) {
-        if (running->second.entry != index) {
-            ++running;
+    std::vector<TaskState> lost;
+    for (auto state = m_tasks.begin(); state != m_tasks.end();) {
+        if (state->second.entry != index) {
+            ++state;
             continue;
         }
-        lost.push_back(running->second);
-        running = m_running.erase(running);
+        lost.push_back(state->second);
+        state = m_tasks.erase(state);
     }
-    std::sort(lost.begin(), lost.end(), [](const Running &left, const Running &right) {
+    std::sort(lost.begin(), lost.end(), [](const TaskState &left, const TaskState &right) {
         return left.task.id < right.task.id;
     });
-    for (const Running &running : lost) {
-        if (running.engine >= 0)
-            m_engines[static_cast<std::size_t>(running.engine)]->cancel(running.task.id,
-                                                                        running.attempt, false);
-        if (running.task.kind == TaskKind::Batch)
-            m_loop.after(batchLease, [this, item = running.index] { m_batch.returnItem(item); });
+    for (const TaskState &state : lost) {
+        if (state.engine >= 0)
+            m_engines[static_cast<std::size_t>(state.engine)]->cancel(state.task.id, state.attempt,
+                                                                      false);
+        if (state.task.kind == TaskKind::Batch)
+            m_loop.after(batchLease, [this, item = state.index] { m_batch.returnItem(item); });
         else
             m_loop.after(callerResendDelay,
-                         [this, request = running.index, attempts = running.callerAttempts] {
+                         [this, request = state.index, attempts = state.callerAttempts] {
                              send(request, attempts + 1);
                          });
     }
@@ -281,7 +285,7 @@
     return sameDomain ? sameDomainDelay : m_deployment.interDomainDelay;
 }
 
-bool BenchFleet::measured(absl::Time time) const
+bool BenchFleet::isMeasured(absl::Time time) const
 {
     return time >= m_options.times.start() && time < m_options.times.end();
 }
@@ -289,8 +293,8 @@
 bool BenchFleet::isCounted(int request) const
 {
     const PlannedRequest &planned = m_plan.online[static_cast<std::size_t>(request)];
-    return !planned.poison && measured(planned.at)
-           && planned.at < m_options.times.end() - drainTime;
+    return !planned.poison && isMeasured(planned.at)
+           && planned.at < m_options.times.end() - uncountedTime;
 }
 
 } // namespace rattanrill::policy::bench
--- a/src/policybench/benchpolicy.cpp
+++ b/src/policybench/benchpolicy.cpp
@@ -17,9 +17,11 @@
         {PolicyKind::LeastReportedLoad, "least_reported_load"},
 }};
 
-/// Batch tasks may fill every slot, as in a system that doesn't distinguish them from online tasks.
-constexpr double fcfsFill = 1.0;
-constexpr double simpleFill = 0.9;
+/// Share of the slots that batch tasks may fill: every slot, as in a system that doesn't
+/// distinguish them from online tasks.
+constexpr double fcfsBatchFillLimit = 1.0;
+/// The same for the other baselines.
+constexpr double defaultBatchFillLimit = 0.9;
 
 } // namespace
 
@@ -33,11 +35,11 @@
 {
     switch (kind) {
     case PolicyKind::FirstComeFirstServed:
-        return std::make_unique<BaselinePolicy>(BaselineRules{false, fcfsFill});
+        return std::make_unique<BaselinePolicy>(BaselineRules{false, fcfsBatchFillLimit});
     case PolicyKind::RoundRobin:
-        return std::make_unique<BaselinePolicy>(BaselineRules{true, simpleFill});
+        return std::make_unique<BaselinePolicy>(BaselineRules{true, defaultBatchFillLimit});
     case PolicyKind::LeastReportedLoad:
-        return std::make_unique<BaselinePolicy>(BaselineRules{false, simpleFill});
+        return std::make_unique<BaselinePolicy>(BaselineRules{false, defaultBatchFillLimit});
     case PolicyKind::Rattanrill:
     case PolicyKind::StaticRateShare:
         break;
--- a/src/policybench/benchscenario.cpp
+++ b/src/policybench/benchscenario.cpp
@@ -47,9 +47,9 @@
     const double mu = std::log(deployment.promptTokens) - promptSigma * promptSigma / 2;
     const double prompt = std::lognormal_distribution<double>(mu, promptSigma)(random);
     request.promptTokens = std::clamp(std::llround(prompt), 16LL, (long long)maxPromptTokens);
-    const double answer =
-            std::exponential_distribution<double>(1 / deployment.answerTokens)(random);
-    request.answerTokens = std::clamp(std::llround(answer), 8LL, 600LL);
+    const double output =
+            std::exponential_distribution<double>(1 / deployment.outputTokens)(random);
+    request.outputTokens = std::clamp(std::llround(output), 8LL, 600LL);
     request.prefixGroup = workspace * prefixGroupsPerWorkspace
                           + static_cast<int>(uniform(random) * prefixGroupsPerWorkspace);
     request.entryChoice = uniform(random);
@@ -92,7 +92,7 @@
     deployment.onlineRate = 36;
     deployment.shares = {0.30, 0.25, 0.20, 0.08, 0.06, 0.05, 0.04, 0.02};
     deployment.promptTokens = 500;
-    deployment.answerTokens = 150;
+    deployment.outputTokens = 150;
     deployment.onlineTailWeight = 0;
     deployment.ttftRatioBound = 1.25;
     deployment.idleShareBound = 0.90;
@@ -109,7 +109,7 @@
     deployment.onlineRate = 27;
     deployment.shares = {0.28, 0.24, 0.18, 0.10, 0.08, 0.06, 0.04, 0.02};
     deployment.promptTokens = 350;
-    deployment.answerTokens = 120;
+    deployment.outputTokens = 120;
     deployment.onlineTailWeight = 1;
     deployment.ttftRatioBound = 1.10;
     deployment.idleShareBound = 0.80;
--- a/src/policybench/benchscenario.h
+++ b/src/policybench/benchscenario.h
@@ -22,27 +22,32 @@
 
 std::string_view name(Scenario scenario);
 
-/// Parameters of an engine model. A step decodes one token of every answer and prefills up to
-/// prefillChunk tokens.
+/// Parameters of an engine model. A step decodes one token of every request whose prefill is
+/// complete and prefills up to prefillChunk tokens. Its duration is stepBase plus the sum of the
+/// per-unit times.
 struct EngineModel
 {
     absl::Duration stepBase = absl::Milliseconds(20);
-    absl::Duration perAnswer = absl::Microseconds(80);
+    absl::Duration perDecodingRequest = absl::Microseconds(80);
     absl::Duration perContextToken = absl::Nanoseconds(20);
     absl::Duration perPrefillToken = absl::Microseconds(60);
     std::int64_t prefillChunk = 512;
     std::int64_t maxBatch = 64;
-    std::int64_t kvCapacity = 96000;
+    std::int64_t kvCapacityTokens = 96000;
     std::int64_t prefixCacheTokens = 24000;
     /// Number of tokens that a KV import loads in the time in which one token is prefilled.
     std::int64_t importSpeed = 16;
     absl::Duration reportInterval = absl::Milliseconds(100);
+    /// Age of the values of a load report when the engine sends it.
     absl::Duration reportLag = absl::Milliseconds(150);
     absl::Duration cacheEventDelay = absl::Seconds(1);
+    /// Probability that a cache event is lost.
     double cacheEventLoss = 0.1;
-    absl::Duration restart = absl::Seconds(20);
+    /// Time from a crash that a request causes until the engine is up again.
+    absl::Duration restartTime = absl::Seconds(20);
 };
 
+/// A simulated deployment with its load and the bounds of its figures.
 struct Deployment
 {
     std::string name;
@@ -55,12 +60,15 @@
     double onlineRate = 0;
     /// Share of each workspace in the load. A few workspaces have large shares.
     std::vector<double> shares;
+    /// Mean lengths of online prompts and of their outputs, in tokens, before they are clamped.
     double promptTokens = 0;
-    double answerTokens = 0;
+    double outputTokens = 0;
     double onlineTailWeight = 0;
     EngineModel engine;
-    // Bounds
+    /// Upper bound of the 99th percentile of the time to first token, relative to the same run
+    /// without batch tasks.
     double ttftRatioBound = 0;
+    /// Lower bound of the share of the idle capacity that batch tasks use.
     double idleShareBound = 0;
 };
 
@@ -72,7 +80,7 @@
     absl::Time at;
     int workspace = 0;
     std::int64_t promptTokens = 0;
-    std::int64_t answerTokens = 0;
+    std::int64_t outputTokens = 0;
     int prefixGroup = 0;
     /// Selects the entry: relative position, 0 to 1, in the list of live entries.
     double entryChoice = 0;
--- a/src/policybench/main_bench.cpp
+++ b/src/policybench/main_bench.cpp
@@ -33,8 +33,9 @@
 /// Duration of a step of an engine with a full batch, a full chunk of prefill and full KV memory.
 absl::Duration longestStep(const EngineModel &model)
 {
-    return model.stepBase + model.perAnswer * model.maxBatch
-           + model.perContextToken * model.kvCapacity + model.perPrefillToken * model.prefillChunk;
+    return model.stepBase + model.perDecodingRequest * model.maxBatch
+           + model.perContextToken * model.kvCapacityTokens
+           + model.perPrefillToken * model.prefillChunk;
 }
 
 /// Runs one combination and prints its figures. Returns whether all bounds hold.
