--- a/include/rattanrill/policy/retrypolicy.h
+++ b/include/rattanrill/policy/retrypolicy.h
@@ -21,6 +21,8 @@
     double maxBudget = 50;
     /// Maximum number of attempts, including the first one.
     int maxAttempts = 3;
+    /// Upper limit of the random backoff before the first retry. It doubles with each attempt, up
+    /// to maxBackoff.
     absl::Duration firstBackoff = absl::Milliseconds(20);
     absl::Duration maxBackoff = absl::Seconds(1);
 };
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -42,7 +42,7 @@
     /// A batch task is no longer preempted when the time left before its deadline is less than its
     /// remaining run time multiplied by this factor.
     double deadlineSafetyFactor = 2.0;
-    /// Prefill speed of an engine, in tokens per second, for estimates.
+    /// Assumed prefill speed of an engine, in tokens per second.
     double prefillTokensPerSecond = 8000;
     /// Number of failed attempts after which a batch item is rejected with ItemFailed. Attempts
     /// that the engine refused do not count.
--- a/src/policy/schedulerstate.h
+++ b/src/policy/schedulerstate.h
@@ -70,6 +70,8 @@
     void endAttempt(absl::Time now, TaskRecord &taskRecord);
     void removeTask(TaskRecord &taskRecord);
     void recordCrash(absl::Time now, TaskRecord &taskRecord);
+    /// Withdraws a crash that the loss of a failure domain caused, so that the requests affected
+    /// are no longer suspects.
     void retractCrash(absl::Time now, const Crash &crash);
     /// Allows the task to run alongside other suspects again.
     void clearSuspect(TaskRecord &taskRecord);
@@ -91,7 +93,9 @@
     void dispatchOnline(absl::Time now, ModelPool &pool, FairQueue &queue);
     void rejectOutsideContract(ModelPool &pool);
     void rejectExpired(absl::Time now);
+    /// Starts batch tasks that have reached their latest start, as online tasks are started.
     void dispatchUrgent(absl::Time now, ModelPool &pool);
+    /// Starts batch tasks on engines with capacity for them. Does nothing while online tasks wait.
     void dispatchBatch(absl::Time now, ModelPool &pool);
     bool startBatchOn(absl::Time now, ModelPool &pool, EngineRecord &engineRecord);
     EngineRecord *chooseOnlineEngine(absl::Time now, ModelPool &pool, const TaskRecord &taskRecord);
@@ -103,6 +107,7 @@
     void assignEngines(ModelPool &pool);
     void assignAllEngines();
     bool hasCapacity(absl::Time now, const EngineRecord &engineRecord) const;
+    /// Preempts a batch task of this entry when the engine has no free slot.
     void preemptIfFull(absl::Time now, ModelPool &pool, EngineRecord &engineRecord);
     TaskRecord *chooseVictim(absl::Time now, const EngineRecord &engineRecord);
     bool isPreemptible(absl::Time now, const TaskRecord &taskRecord) const;
