--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -30,7 +30,8 @@
     virtual ~Process() = default;
 
     /// Opens the stored state and the listening addresses. Fails with the error of the first one
-    /// that can't be opened.
+    /// that can't be opened; a store process, however, only logs the error when its replica can't
+    /// be opened.
     virtual Result<void> start() = 0;
     /// Replaces the seeds, after the settings have changed.
     virtual void setSeeds(const std::vector<std::string> &seedPeers) = 0;
