--- a/include/rattanrill/policy/enginereconciler.h
+++ b/include/rattanrill/policy/enginereconciler.h
@@ -29,7 +29,8 @@
 struct DesiredState
 {
     std::string engine;
-    /// Whether the engine rejects commands with a fencing token older than one it has seen.
+    /// Whether the engine rejects commands with a fencing token lower than one that it has
+    /// received.
     bool checksFence = false;
     /// Desired value of each kind. Kinds that are not listed are left as they are.
     std::map<EngineCommandKind, std::string> values;
--- a/include/rattanrill/policy/leasequeue.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -29,7 +29,7 @@
 /// Queue of batch items that wait to be leased to entries. Workspaces share the leases by contract
 /// weight; within a workspace, the earliest deadline goes first. The weights are overridden when
 /// items would miss their deadlines: once the items due by some time need all the time that is left
-/// until then, the item with the earliest deadline goes first, whichever its workspace.
+/// until then, the item with the earliest deadline goes first, regardless of its workspace.
 class LeaseQueue
 {
 public:
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -158,7 +158,7 @@
     /// cancelled.
     void request(absl::Time now, const SlotTask &task);
     /// Adds a task that holds a slot granted by another scheduler. Does nothing when the upstream
-    /// is not listed or the task is already known.
+    /// is not listed or a task with the same id exists.
     void adopt(absl::Time now, const SlotTask &task, const std::string &upstream);
     /// Reports that the task has left its slot. Cancels the task when it still waits.
     void release(absl::Time now, const std::string &task, ReleaseReason reason);
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -238,7 +238,8 @@
     BOOST_TEST(filter<StartTask>(advance(absl::Seconds(1))).size() == 1U);
 }
 
-// Guards against a broken stream that starts over: an idempotent task resumes on another engine.
+// Guards against tokens that are generated again after a stream broke: an idempotent task resumes
+// on another engine after its last token.
 BOOST_AUTO_TEST_CASE(idempotentTaskResumesOnAnotherEngineFromTheLastToken)
 {
     setEngines(3);
