--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -17,8 +17,8 @@
 constexpr absl::Duration leadershipTransferTime = absl::Milliseconds(500);
 
 /// Returns the identity of a replica whose data folder is new. At the first start of a deployment
-/// the seeds are the founders of the group. Their incarnation is fixed, so that each can derive the
-/// ids of the others without an exchange of messages.
+/// the seeds are the initial voters of the group. Their incarnation is fixed, so that each can
+/// derive the ids of the others without an exchange of messages.
 fleet::ReplicaIdentity newIdentity(const ProcessSettings &settings)
 {
     fleet::ReplicaIdentity identity;
--- a/src/gateway/storeprocess.cpp
+++ b/src/gateway/storeprocess.cpp
@@ -194,23 +194,24 @@
     }
 
     /// True when the replica has stored data of the group. It then opens without the list of
-    /// founders.
+    /// initial voters.
     bool hasReplicaData() const
     {
         const std::string folder = concat(m_settings.dataFolder, "/", fleet::storeGroup);
         return access(folder.c_str(), F_OK) == 0;
     }
 
-    /// Opens the replica once the founders of the group are known. A founder that has lost its disk
-    /// has another replica id, and joins as any other replica does.
-    void openBootstrappedReplica(const std::vector<std::string> &founders)
+    /// Opens the replica once the initial voters of the group are known. An initial voter that has
+    /// lost its disk has another replica id and joins as any other replica does.
+    void openBootstrappedReplica(const std::vector<std::string> &initialVoters)
     {
-        if (m_replica->isOpen() || founders.empty())
+        if (m_replica->isOpen() || initialVoters.empty())
             return;
-        const bool isFounder =
-                std::find(founders.begin(), founders.end(), m_identity.replica) != founders.end();
-        if (isFounder)
-            m_identity.initialVoters = founders;
+        const bool isInitialVoter =
+                std::find(initialVoters.begin(), initialVoters.end(), m_identity.replica)
+                != initialVoters.end();
+        if (isInitialVoter)
+            m_identity.initialVoters = initialVoters;
         openReplica();
     }
 
