--- a/src/policybench/benchfleet.h
+++ b/src/policybench/benchfleet.h
@@ -115,8 +115,9 @@
     void sample(const BenchEngine &engine);
     void fail(int engine, const EngineAttempt &run, AttemptFailure::Kind kind,
               absl::Duration delay);
-    /// Runs \a event at the entry of \a run after the delay of the link and lets the entry decide.
-    /// Does nothing if the entry is lost or the attempt is no longer the current one of its task.
+    /// Runs \a event at the entry of \a run after the delay of the link and then calls decide() for
+    /// the entry. Does nothing if the entry is lost or the attempt is no longer the current one of
+    /// its task.
     template <typename Event>
     void deliver(int engine, const EngineAttempt &run, Event event);
 
