--- a/include/rattanrill/policy/leasequeue.h
+++ b/include/rattanrill/policy/leasequeue.h
@@ -28,8 +28,9 @@
 
 /// Queue of batch items that wait to be leased to entries. Workspaces share the leases by contract
 /// weight; within a workspace, the earliest deadline goes first. The weights are overridden when
-/// items would miss their deadlines: once the items due by some time need all the time that is left
-/// until then, the item with the earliest deadline goes first, regardless of its workspace.
+/// items could miss their deadlines: once the items due by some time need all the time that is left
+/// until then, except for the slack, the item with the earliest deadline goes first, regardless of
+/// its workspace.
 class LeaseQueue
 {
 public:
@@ -45,7 +46,8 @@
     std::size_t size() const { return m_queue.size(); }
 
 private:
-    /// True when the items due up to some time need all the time that is left until then.
+    /// True when the items due up to some time need all the time that is left until then, except
+    /// for the slack.
     bool isUrgent(absl::Time now) const;
 
     LeaseQueueSettings m_settings;
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -9,11 +9,11 @@
 {
     /// Number of consecutive failures after which an upstream is ejected.
     int consecutiveFailures = 3;
-    /// An upstream whose smoothed time to first token exceeds this many times that of the fleet is
-    /// treated as slow.
+    /// An upstream is treated as slow only when its smoothed time to first token exceeds this
+    /// multiple of that of the fleet.
     double slowFactor = 3.0;
-    /// An upstream that is slower than the fleet by less than this is never an outlier. Avoids
-    /// ejections because of noise at low load.
+    /// An upstream whose smoothed time to first token exceeds that of the fleet by less than this
+    /// is not treated as slow. Avoids ejections because of noise at low load.
     absl::Duration slowMargin = absl::Milliseconds(300);
     /// Length of the first ejection. Each further one before the upstream has recovered takes twice
     /// as long, up to maxEjection.
--- a/include/rattanrill/policy/scheduler.h
+++ b/include/rattanrill/policy/scheduler.h
@@ -39,8 +39,9 @@
     std::int64_t minKvExportTokens = 512;
     /// Duration of one decode step with a full batch, used until progress has been observed.
     absl::Duration initialDecodeStep = absl::Milliseconds(50);
-    /// A batch task is no longer preempted when the time left before its deadline is less than its
-    /// remaining run time multiplied by this factor.
+    /// When the time left before the deadline of a batch task is less than its remaining run time
+    /// multiplied by this factor, the task is no longer preempted and, if it waits, is started as
+    /// an online task is.
     double deadlineSafetyFactor = 2.0;
     /// Assumed prefill speed of an engine, in tokens per second.
     double prefillTokensPerSecond = 8000;
@@ -201,8 +202,9 @@
     std::vector<SchedulerDecision> decide(absl::Time now);
     /// Latest time for the next call of decide() when no event occurs before.
     absl::Time nextDecision() const;
-    /// Number of batch items to lease now, so that capacity that becomes free is used at once. 0
-    /// while the engines are busy or enough items wait.
+    /// Number of batch items to lease now, over all models, so that capacity that becomes free is
+    /// used at once. A model adds nothing while its online tasks wait or enough of its batch tasks
+    /// do.
     std::size_t batchCapacity(absl::Time now) const;
     /// Same as batchCapacity(), but for one model.
     std::size_t batchCapacity(absl::Time now, std::string_view model) const;
--- a/include/rattanrill/policy/slotscheduler.h
+++ b/include/rattanrill/policy/slotscheduler.h
@@ -118,8 +118,8 @@
     /// Time after beginTakeover() for which requests of a process that no longer exists may still
     /// run at upstreams.
     absl::Duration takeoverGracePeriod = absl::Milliseconds(1500);
-    /// Number of concurrent requests at an upstream within takeoverGracePeriod and before the
-    /// upstream's first load report.
+    /// Maximum number of requests that run at an upstream as probes, that is, were sent within
+    /// takeoverGracePeriod and before the upstream's first load report.
     int maxProbes = 2;
 };
 
--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -256,8 +256,8 @@
         if (other.crashRecorded)
             continue;
         other.crashRecorded = true;
-        // A request that has generated tokens past the point of an earlier crash is not counted as
-        // a cause of this one if a suspect, which has not, ran on the same engine.
+        // A crash does not count against a request that has got past the point of its earlier crash
+        // (see tokensPastCrash) if a suspect that has not got past its own ran on the same engine.
         const bool passedCrash =
                 !other.suspect && quarantine.crashCount(other.task.fingerprint) > 0;
         if (!passedCrash || engineRecord->suspectsRunning == 0)
--- a/src/policy/schedulerstate.h
+++ b/src/policy/schedulerstate.h
@@ -40,8 +40,8 @@
     /// Waiting online tasks outside their contract.
     FairQueue outsideContract;
     FairQueue batch;
-    /// Waiting batch tasks by the latest time at which they can start and still meet their
-    /// deadline.
+    /// Waiting batch tasks by the latest time at which they should start, which leaves a safety
+    /// margin before their deadline.
     std::set<TimedTask> latestStarts;
     /// Suspects that wait for an engine that runs no other suspect; online tasks before batch
     /// tasks.
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -15,7 +15,8 @@
 /// Age from which a load report is outdated. An engine with an outdated report is used only when no
 /// engine with a newer report is available.
 constexpr absl::Duration reportLifetime = absl::Seconds(2);
-/// Maximum number of this entry's online tasks on an engine whose load is unknown.
+/// Maximum number of this entry's online tasks on an engine whose load report is missing or
+/// outdated.
 constexpr std::int64_t maxTasksWithoutReport = 4;
 /// Load above which an engine gets no tasks outside their contract, so that they never displace
 /// other tasks.
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -425,7 +425,7 @@
     return late ? itemOf(*late) : nullptr;
 }
 
-/// Expected time between the ends of two online requests when all slots are occupied.
+/// Expected time between the ends of two successive online requests when all slots are occupied.
 absl::Duration SlotScheduler::slotReleaseInterval(const Service &service) const
 {
     std::int64_t slots = 0;
--- a/tests/policy/assignment_test.cpp
+++ b/tests/policy/assignment_test.cpp
@@ -77,7 +77,7 @@
 }
 
 // Guards against a lost failure domain that makes suspects of all requests that ran there, and
-// against a request that crashes two upstreams of one domain and passes for the loss of the domain.
+// against two crashes in one domain by the same request that are treated as the loss of the domain.
 BOOST_AUTO_TEST_CASE(lostDomainIsDistinguishedFromAPoisonRequest)
 {
     CrashHistory history;
