--- a/src/serving/deployment.cpp
+++ b/src/serving/deployment.cpp
@@ -95,6 +95,7 @@
 
 const std::string &selectService(const Route &route, std::string_view key)
 {
+    // Number of positions that hashes of keys are mapped to.
     constexpr std::uint64_t resolution = 1000003;
     double total = 0;
     for (const RouteTarget &target : route.targets)
--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -27,7 +27,7 @@
 /// Retry-After when no upstream has accepted the request. It is short because the cause may be
 /// temporary.
 constexpr absl::Duration unavailableRetryAfter = absl::Milliseconds(300);
-/// No attempt is started with less time than this until the deadline.
+/// Time until the deadline below which an attempt is not worth starting.
 constexpr absl::Duration minRemainingTime = absl::Milliseconds(20);
 /// Maximum size of a response that is not a stream: its body is buffered until it is complete, so a
 /// longer one fails the attempt.
--- a/src/serving/proxiedrequest.h
+++ b/src/serving/proxiedrequest.h
@@ -81,8 +81,8 @@
     std::string m_heldSlotId;
     std::string m_requestedSlotId;
     int m_slotRequestCount = 0;
-    /// The upstream has not responded in time. A slot at another upstream is requested while this
-    /// one may still respond.
+    /// The upstream has not responded in time. It may still respond while a slot at another
+    /// upstream is requested.
     bool m_isUnresponsive = false;
     bool m_isCalling = false;
     net::ConnectionPool::CallId m_call = 0;
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -10,6 +10,7 @@
 namespace rattanrill::serving {
 namespace {
 
+/// Period of the check for requests and slots that have expired.
 constexpr absl::Duration sweepPeriod = absl::Seconds(1);
 /// Number of prompt tokens that cost an upstream as much as one output token.
 constexpr double promptTokensPerOutputToken = 100;
@@ -71,8 +72,8 @@
     }
 }
 
-/// Returns the rate bucket with which a broker starts. It holds less than the burst, because the
-/// previous broker may just have granted the whole burst.
+/// Returns the rate bucket with which a broker starts. It holds half of the rate tolerance, at most
+/// the burst, because the previous broker may just have granted the whole burst.
 policy::TokenBucket SlotBroker::initialBucket(const policy::RateContract &contract) const
 {
     const double window = absl::ToDoubleSeconds(m_settings.rateWindow);
