--- a/src/gateway/entryprocess.cpp
+++ b/src/gateway/entryprocess.cpp
@@ -22,7 +22,8 @@
 /// Fraction of the shutdown timeout after which open requests are abandoned, so that the process
 /// ends by itself.
 constexpr double drainTimeFraction = 0.94;
-/// The limit follows from the number of file descriptors; an idle connection needs little memory.
+/// Maximum number of connections from callers. The limit follows from the number of file
+/// descriptors; an idle connection needs little memory.
 constexpr std::size_t maxCallerConnections = 3000;
 
 serving::SlotClientSettings slotClientSettings(const ProcessSettings &settings)
--- a/src/gateway/processcore.cpp
+++ b/src/gateway/processcore.cpp
@@ -7,7 +7,8 @@
 namespace rattanrill::gateway {
 namespace {
 
-/// The kernel resends a lost SYN packet after one second; a new connection attempt is faster.
+/// Timeout of an attempt to connect to another process. The kernel resends a lost SYN packet after
+/// one second; a new attempt is faster.
 constexpr absl::Duration peerConnectTimeout = absl::Milliseconds(300);
 constexpr absl::Duration peerMaxBackoff = absl::Milliseconds(200);
 constexpr absl::Duration peerKeepAlive = absl::Milliseconds(500);
