--- a/src/policybench/baselinepolicy.cpp
+++ b/src/policybench/baselinepolicy.cpp
@@ -7,6 +7,7 @@
 namespace {
 
 constexpr int maxAttempts = 3;
+/// Time for which an engine is not selected after a failure.
 constexpr absl::Duration avoidTime = absl::Seconds(10);
 
 } // namespace
--- a/src/policybench/benchadmission.cpp
+++ b/src/policybench/benchadmission.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Longest wait for a grant that still fits into the first-token budget.
+/// Longest wait for a grant that still fits into the latency budget of the first token.
 constexpr absl::Duration maxGrantWait = absl::Milliseconds(200);
 
 } // namespace
--- a/src/policybench/benchfigures.cpp
+++ b/src/policybench/benchfigures.cpp
@@ -30,7 +30,7 @@
         const double excess = static_cast<double>(i + 1) - granted - least - contract.burst;
         worst = std::max(worst, excess);
     }
-    // Times are rounded to a quarter of a nanosecond.
+    // In requests. Times are rounded to a quarter of a nanosecond.
     constexpr double tolerance = 1e-6;
     return worst < tolerance ? 0 : worst;
 }
@@ -50,8 +50,7 @@
     double withinRate = 0;
     for (const WorkspaceResult &workspace : input.result.workspaces) {
         const std::size_t aboveRate = workspace.demand - workspace.withinRate;
-        // Requests that are refused because no owner may grant count as refused within the rate
-        // too.
+        // Includes the requests that were refused because the bucket had no owner that may grant.
         const std::size_t all = workspace.refused + workspace.refusedOwnerMoving;
         const std::size_t counted = std::max(all, aboveRate) - aboveRate;
         refused += static_cast<double>(counted);
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -16,12 +16,14 @@
 constexpr absl::Duration commitTime = absl::Milliseconds(3);
 /// Delay until the long polls of the entries return a new crash record.
 constexpr absl::Duration crashRecordDelay = absl::Milliseconds(100);
-/// Largest error of the wall clock of an entry. Two entries can differ by twice this value.
+/// Largest error of the wall clock of an entry. The clocks of two entries can differ by twice this
+/// value.
 constexpr absl::Duration maxClockError = absl::Milliseconds(10);
 /// A job of jobItems items is added every jobInterval and is due jobDueAfter later.
 constexpr absl::Duration jobInterval = absl::Seconds(5);
 constexpr int jobItems = 60;
 constexpr absl::Duration jobDueAfter = absl::Seconds(45);
+/// Length of the shared part of a prompt, in tokens.
 constexpr std::int64_t prefixTokens = 256;
 constexpr std::int64_t maxOnlineOutputTokens = 600;
 constexpr std::int64_t maxBatchOutputTokens = 400;
--- a/src/policybench/benchresult.h
+++ b/src/policybench/benchresult.h
@@ -14,13 +14,13 @@
 struct WorkspaceResult
 {
     std::size_t demand = 0;
-    /// Requests that an ideal bucket, which all entries reach without delay, grants.
+    /// Requests that a single bucket would grant if all entries reached it without delay.
     std::size_t withinRate = 0;
     std::size_t served = 0;
     std::size_t refused = 0;
     /// Requests refused because the owner of the bucket was lost and the new one may not grant yet.
     std::size_t refusedOwnerMoving = 0;
-    /// Times from which the grants are valid.
+    /// For each request that was granted, the time from which the grant is valid.
     std::vector<absl::Time> admitted;
 };
 
--- a/src/policybench/benchscenario.cpp
+++ b/src/policybench/benchscenario.cpp
@@ -24,6 +24,7 @@
 /// Burst of a contract in seconds of its rate, and the smallest burst in requests.
 constexpr double burstSeconds = 2;
 constexpr double minBurst = 5;
+/// Load of the surging workspace relative to its nominal demand.
 constexpr double surgeFactor = 10;
 constexpr double promptSigma = 0.6;
 constexpr std::int64_t maxPromptTokens = 3000;
--- a/src/policybench/benchscenario.h
+++ b/src/policybench/benchscenario.h
@@ -84,6 +84,7 @@
     int prefixGroup = 0;
     /// Selects the entry: relative position, 0 to 1, in the list of live entries.
     double entryChoice = 0;
+    /// Whether the request crashes each engine that has prefilled it.
     bool poison = false;
 };
 
@@ -101,7 +102,7 @@
 
     absl::Time start() const { return absl::UnixEpoch() + warmup; }
     absl::Time end() const { return start() + measured; }
-    /// Time of the scenario's disturbance.
+    /// Time at which the scenario's fault or additional load begins.
     absl::Time disturbance() const { return start() + measured / 4; }
 };
 
