--- a/include/rattanrill/gateway/processes.h
+++ b/include/rattanrill/gateway/processes.h
@@ -30,7 +30,8 @@
     virtual ~Process() = default;
 
     /// Opens the stored state and the listening addresses. Fails with the error of the first one
-    /// that can't be opened.
+    /// that can't be opened; a store process, however, only logs the error when its replica can't
+    /// be opened.
     virtual Result<void> start() = 0;
     /// Replaces the seeds, after the settings have changed.
     virtual void setSeeds(const std::vector<std::string> &seedPeers) = 0;
@@ -49,10 +50,12 @@
 std::unique_ptr<Process> makeStoreProcess(const ProcessSettings &settings,
                                           const ProcessContext &processContext);
 
-/// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
-/// the settings again and returns their peer addresses.
+/// One of the functions above.
 using ProcessFactory = std::unique_ptr<Process> (*)(const ProcessSettings &,
                                                     const ProcessContext &);
+
+/// Runs a process until a signal ends it; returns the exit code. \a readSeeds reads the seeds from
+/// the settings again and returns their peer addresses.
 int runProcess(const ProcessSettings &settings, const ProcessContext &processContext,
                ProcessFactory makeProcess, std::function<std::vector<std::string>()> readSeeds);
 
--- a/include/rattanrill/policy/outlierdetector.h
+++ b/include/rattanrill/policy/outlierdetector.h
@@ -9,11 +9,11 @@
 {
     /// Number of consecutive failures after which an upstream is ejected.
     int consecutiveFailures = 3;
-    /// An upstream whose smoothed time to first token exceeds this many times that of the fleet is
-    /// treated as slow.
+    /// An upstream is treated as slow only when its smoothed time to first token exceeds this
+    /// multiple of that of the fleet.
     double slowFactor = 3.0;
-    /// An upstream that is slower than the fleet by less than this is never an outlier. Avoids
-    /// ejections because of noise at low load.
+    /// An upstream whose smoothed time to first token exceeds that of the fleet by less than this
+    /// is not treated as slow. Avoids ejections because of noise at low load.
     absl::Duration slowMargin = absl::Milliseconds(300);
     /// Length of the first ejection. Each further one before the upstream has recovered takes twice
     /// as long, up to maxEjection.
@@ -34,8 +34,8 @@
     void succeeded(absl::Time now);
     /// Counts a failure. The upstream is ejected at once when \a crashed is true.
     void failed(absl::Time now, bool crashed);
-    /// \a time is the time to first token of one task; \a fleetTime is the smoothed time to first
-    /// token of all upstreams.
+    /// Records a time to first token. The upstream is ejected when it is slow over several samples.
+    /// \a time is the time of one task; \a fleetTime is the smoothed time over all upstreams.
     void firstToken(absl::Time now, absl::Duration time, absl::Duration fleetTime);
 
     /// Share of its normal traffic that the upstream may get at \a now: 0 while ejected, then
--- a/src/policybench/benchfigures.cpp
+++ b/src/policybench/benchfigures.cpp
@@ -30,7 +30,7 @@
         const double excess = static_cast<double>(i + 1) - granted - least - contract.burst;
         worst = std::max(worst, excess);
     }
-    // Times are rounded to a quarter of a nanosecond.
+    // In requests. Times are rounded to a quarter of a nanosecond.
     constexpr double tolerance = 1e-6;
     return worst < tolerance ? 0 : worst;
 }
@@ -50,8 +50,7 @@
     double withinRate = 0;
     for (const WorkspaceResult &workspace : input.result.workspaces) {
         const std::size_t aboveRate = workspace.demand - workspace.withinRate;
-        // Requests that are refused because no owner may grant count as refused within the rate
-        // too.
+        // Includes the requests that were refused because the bucket had no owner that may grant.
         const std::size_t all = workspace.refused + workspace.refusedOwnerMoving;
         const std::size_t counted = std::max(all, aboveRate) - aboveRate;
         refused += static_cast<double>(counted);
@@ -123,13 +122,13 @@
 void addNominal(const FigureInput &input, Figures &figures)
 {
     const BenchResult &result = input.result;
-    constexpr double ttftBound = 0.41;
-    constexpr double tbtBound = 0.067;
-    setBound(figures, "online_ttft_p95_s", BoundKind::AtMost, ttftBound);
+    constexpr double maxTtftP95Seconds = 0.41;
+    constexpr double maxTbtP95Seconds = 0.067;
+    setBound(figures, "online_ttft_p95_s", BoundKind::AtMost, maxTtftP95Seconds);
     setBound(figures, "batch_share_of_idle_capacity", BoundKind::AtLeast,
              input.deployment.idleShareBound);
     figures.push_back({"online_tbt_p95_s", quantile(result.tokenGaps, 0.95), "s", BoundKind::AtMost,
-                       tbtBound});
+                       maxTbtP95Seconds});
     const double alone = quantile(input.withoutBatch->firstToken, 0.99);
     figures.push_back({"online_ttft_p99_ratio", ratio(quantile(result.firstToken, 0.99), alone),
                        "ratio", BoundKind::AtMost, input.deployment.ttftRatioBound});
