--- a/include/rattanrill/jobs/jobclient.h
+++ b/include/rattanrill/jobs/jobclient.h
@@ -14,9 +14,10 @@
 
 namespace rattanrill::jobs {
 
-/// Sends calls about batch jobs to the leader of the store group. All calls are idempotent, so that
-/// a failed attempt is repeated at another store until the timeout; a failure reports MayHaveRun
-/// when any attempt may have taken effect. Used on the event loop only.
+/// Sends calls about batch jobs to the leader of the store group, the Raft group that replicates
+/// the jobs. All calls are idempotent, so a failed attempt is repeated, possibly at another store,
+/// until the timeout. A call that receives no response in time fails with Timeout; every failure is
+/// MayHaveRun if any attempt may have taken effect. Used on the event loop only.
 class JobClient
 {
 public:
@@ -31,14 +32,22 @@
     /// \a stores: peer addresses of the stores. \a leader: peer address of their leader; empty when
     /// unknown.
     void setStores(std::vector<std::string> stores, const std::string &leader);
+    /// Stores a job. Has no effect if the job was accepted before. Fails with UnknownRoute, with
+    /// RateLimited when the job exceeds the workspace's limit of waiting tokens on the route, and
+    /// with Conflict when its id belongs to a job of another workspace.
     void submit(const wire::SubmitJobRequest &request, absl::Duration timeout,
                 Callback<Done> callback);
+    /// Reads the results from position request.after on. Waits up to request.waitMs for the first
+    /// of them. Fails with NotFound.
     void read(const wire::ReadJobRequest &request, absl::Duration timeout,
               Callback<wire::ReadJobResponse> callback);
+    /// Returns the body of an item. Fails with NotFound.
     void readItem(const wire::ReadItemRequest &request, absl::Duration timeout,
                   Callback<wire::ReadItemResponse> callback);
+    /// Ends a job: items without a result are not run any more. Fails with NotFound.
     void cancel(const wire::EndJobRequest &request, absl::Duration timeout,
                 Callback<Done> callback);
+    /// Open calls make no further attempt, and later calls fail with Timeout.
     void stop();
 
 private:
--- a/include/rattanrill/jobs/jobexecutor.h
+++ b/include/rattanrill/jobs/jobexecutor.h
@@ -39,8 +39,10 @@
     JobExecutor(const JobExecutor &) = delete;
     JobExecutor &operator=(const JobExecutor &) = delete;
 
+    /// Sets the configuration by which items run. No item starts before the first call. Items of a
+    /// route that the configuration does not contain are dead-lettered.
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
-    /// Calls \a listener with the job's id after a result was stored.
+    /// Sets the listener that is called with the id of a job after a result of the job was stored.
     void onResultStored(std::function<void(const std::string &job)> listener);
     /// Adds an accepted job. Adding the same job again has no effect.
     void add(const wire::OpenJob &job);
@@ -48,6 +50,7 @@
     void cancel(const std::string &job);
     /// Stops all items, because this replica no longer leads the store group.
     void stopAll();
+    /// Number of items that have not ended yet.
     std::size_t openItemCount() const;
 
 private:
--- a/include/rattanrill/jobs/jobservice.h
+++ b/include/rattanrill/jobs/jobservice.h
@@ -17,9 +17,11 @@
     JobService(const JobService &) = delete;
     JobService &operator=(const JobService &) = delete;
 
+    /// Registers the handlers for the calls of JobClient. Must be called before the server starts.
     void install(peer::Server &server);
+    /// Sets the configuration that defines the routes of submitted jobs and their limits.
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
-    /// Call when this replica has gained or lost leadership of the store group.
+    /// Must be called when this replica has gained or lost leadership of the store group.
     void handleLeadershipChange(bool isLeader);
     void stop();
 
--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -17,7 +17,7 @@
 constexpr absl::Duration minBackoff = absl::Milliseconds(100);
 constexpr absl::Duration maxBackoff = absl::Seconds(2);
 /// An attempt fails when its upstream sends no data for this long; the item then requests another
-/// slot. Longer than the prefill of a busy engine, because batch items are not urgent and each
+/// slot. Longer than the prefill time of a busy engine: batch items are not urgent, and each
 /// further attempt computes the prompt again.
 constexpr absl::Duration idleTimeout = absl::Milliseconds(1500);
 
@@ -87,7 +87,8 @@
         return;
     const serving::Route *current = route();
     if (current == nullptr)
-        return finish(wire::ItemOutcome::DeadLettered, "the route was removed");
+        return finish(wire::ItemOutcome::DeadLettered,
+                      "the configuration no longer contains the route of the job");
     if (m_state != State::Idle)
         return;
     const absl::Duration age =
@@ -122,13 +123,13 @@
     serving::SlotBroker::BatchHandlers handlers;
     handlers.granted = [self = shared_from_this()](const std::string &upstream,
                                                    const std::string &address) {
-        self->slotGranted(upstream, address);
+        self->handleSlotGranted(upstream, address);
     };
-    handlers.preempted = [self = shared_from_this()] { self->slotPreempted(); };
+    handlers.preempted = [self = shared_from_this()] { self->handleSlotPreempted(); };
     m_context.broker.acquireBatch(task, std::move(handlers));
 }
 
-void ItemRun::slotGranted(const std::string &upstream, const std::string &address)
+void ItemRun::handleSlotGranted(const std::string &upstream, const std::string &address)
 {
     m_state = State::Running;
     m_upstream = upstream;
@@ -157,9 +158,9 @@
             std::move(handlers));
 }
 
-/// Frees the slot for an online request. The item continues after its last event when it is granted
-/// another slot.
-void ItemRun::slotPreempted()
+/// Ends the call because an online request takes the slot. The item continues after its last event
+/// when it is granted another slot.
+void ItemRun::handleSlotPreempted()
 {
     if (m_state != State::Running)
         return;
@@ -199,7 +200,7 @@
     for (const serving::StreamEvent &event : events) {
         const serving::SequenceCheck check = m_position.advance(event);
         if (check == serving::SequenceCheck::Gap)
-            return attemptFailed("an event is missing", ReleaseReason::Failed);
+            return failAttempt("an event is missing", ReleaseReason::Failed);
         if (check == serving::SequenceCheck::Repeated)
             continue;
         if (m_hasOutput)
@@ -219,16 +220,17 @@
     if (m_state != State::Running)
         return;
     if (status == net::CallStatus::NotConnected)
-        return attemptFailed(net::name(status), ReleaseReason::Unreachable);
+        return failAttempt(net::name(status), ReleaseReason::Unreachable);
     if (status == net::CallStatus::Broken)
-        return attemptFailed(net::name(status), ReleaseReason::Failed);
+        return failAttempt(net::name(status), ReleaseReason::Failed);
     if (m_responseInfo.notRun)
-        return attemptFailed("the upstream reported that the request did not run",
-                             m_responseInfo.isInstanceMismatch ? ReleaseReason::Unreachable
-                                                               : ReleaseReason::Failed);
+        return failAttempt("the upstream reported that the request did not run",
+                           m_responseInfo.isInstanceMismatch ? ReleaseReason::Unreachable
+                                                             : ReleaseReason::Failed);
     if (m_head.status == statusUnprocessable) {
         releaseSlot(ReleaseReason::Completed);
-        return finish(wire::ItemOutcome::DeadLettered, "the upstream cannot do the item");
+        return finish(wire::ItemOutcome::DeadLettered,
+                      "the upstream refused the item with status 422");
     }
     if (m_head.status >= 200 && m_head.status < 300)
         return handleSuccess();
@@ -236,20 +238,21 @@
         ++m_serverErrors;
     if (m_serverErrors >= route()->maxAttempts) {
         releaseSlot(ReleaseReason::Completed);
-        return finish(wire::ItemOutcome::DeadLettered, "the item failed at every try");
+        return finish(wire::ItemOutcome::DeadLettered,
+                      "the attempts that failed with status 500 reached the maximum of the route");
     }
-    attemptFailed(concat("status ", m_head.status), ReleaseReason::Completed);
+    failAttempt(concat("status ", m_head.status), ReleaseReason::Completed);
 }
 
 void ItemRun::handleSuccess()
 {
     if (!m_splitter.incompleteEvent().empty())
-        return attemptFailed("the response ends with an incomplete event", ReleaseReason::Failed);
+        return failAttempt("the response ends with an incomplete event", ReleaseReason::Failed);
     releaseSlot(ReleaseReason::Completed);
     finish(wire::ItemOutcome::Completed, "");
 }
 
-void ItemRun::attemptFailed(std::string_view reason, ReleaseReason releaseReason)
+void ItemRun::failAttempt(std::string_view reason, ReleaseReason releaseReason)
 {
     m_context.upstreamConnections.cancel(m_call);
     releaseSlot(releaseReason);
@@ -309,8 +312,8 @@
     m_idleTimer = m_context.loop.timers().subscribeOnce(idleTimeout, [self = shared_from_this()] {
         self->m_idleTimer = 0;
         if (self->m_state == State::Running)
-            self->attemptFailed("the upstream sent no data within the idle timeout",
-                                ReleaseReason::Failed);
+            self->failAttempt("the upstream sent no data within the idle timeout",
+                              ReleaseReason::Failed);
     });
 }
 
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -30,8 +30,8 @@
     std::optional<wire::ItemProgress> unstoredProgress() const;
     /// Records that the store has the output up to \a lastEvent.
     void markStored(std::int64_t lastEvent);
-    /// Sets the configuration by which the item runs. The first call requests a slot. The item ends
-    /// as dead-lettered when the configuration does not contain the job's route.
+    /// Sets the configuration by which the item runs. The first call requests a slot. The item is
+    /// dead-lettered when the configuration does not contain the job's route.
     void setDeployment(std::shared_ptr<const serving::DeploymentIndex> deployment);
     /// Ends the run without a result.
     void stop();
@@ -48,14 +48,17 @@
 
     const serving::Route *route() const;
     void acquireSlot();
-    void slotGranted(const std::string &upstream, const std::string &address);
-    void slotPreempted();
+    void handleSlotGranted(const std::string &upstream, const std::string &address);
+    void handleSlotPreempted();
     bool handleHead(const net::ResponseHead &head);
     void handleBody(std::string_view bytes);
     void handleCallEnd(net::CallStatus status);
-    void attemptFailed(std::string_view reason, policy::ReleaseReason releaseReason);
+    /// Ends the current attempt and requests another slot after a backoff.
+    void failAttempt(std::string_view reason, policy::ReleaseReason releaseReason);
     void handleSuccess();
     void finish(wire::ItemOutcome outcome, std::string_view reason);
+    /// Dead-letters the item when the time limit of its route (serving::Route::abandonAfter)
+    /// expires.
     void abandon();
     void restartIdleTimer();
     void releaseSlot(policy::ReleaseReason reason);
@@ -81,6 +84,7 @@
     serving::EventSplitter m_splitter;
     serving::StreamPosition m_position{std::nullopt};
     std::string m_output;
+    /// Whether \a m_output contains an event, which may be empty.
     bool m_hasOutput = false;
     /// Last event whose data the store has; -1 for none.
     std::int64_t m_storedEvent = -1;
@@ -88,11 +92,12 @@
     std::size_t m_storedOutputLength = 0;
     /// Length in bytes of the output up to each event that is not stored, by event id.
     std::map<std::int64_t, std::size_t> m_unstoredOutputLengths;
-    /// Run time in earlier slots. The run time in the current slot counts from m_grantedAt once an
-    /// event was received.
+    /// Run time in earlier slots. The run time in the current slot is counted from m_grantedAt once
+    /// an event was received.
     absl::Duration m_priorRunTime;
     absl::Time m_grantedAt;
     bool m_hasProgressed = false;
+    /// Number of attempts that failed with status 500.
     int m_serverErrors = 0;
     int m_consecutiveFailures = 0;
     int m_preemptions = 0;
--- a/src/jobs/jobexecutor.cpp
+++ b/src/jobs/jobexecutor.cpp
@@ -15,9 +15,9 @@
 
 /// Delay before a result that could not be stored is proposed again.
 constexpr absl::Duration proposeRetryDelay = absl::Milliseconds(200);
-/// Interval at which the progress of running items is stored. After the executor is lost, at most
-/// the output of one interval is produced again; a shorter interval costs more writes, each of
-/// which is synced to disk on a majority of the stores.
+/// Interval at which the progress of running items is stored. When another replica takes over after
+/// a failure, an item repeats at most the output of one interval. A shorter interval costs more
+/// writes, each of which is synced to disk on a majority of the stores.
 constexpr absl::Duration progressPeriod = absl::Milliseconds(500);
 
 } // namespace
@@ -43,7 +43,7 @@
             runs[item.id] = std::make_shared<ItemRun>(
                     context, record, item,
                     [self = shared_from_this(), job = record->id,
-                     expectedGeneration = generation](wire::JobItemResult result) {
+                     expectedGeneration = leadershipGeneration](wire::JobItemResult result) {
                         self->handleItemResult(expectedGeneration, job, std::move(result));
                     });
         }
@@ -63,8 +63,8 @@
                     progressPeriod, [self = shared_from_this()] { self->storeProgress(); });
     }
 
-    /// Stores the progress of all items with one command. Progress in a command that failed is sent
-    /// again with the next one.
+    /// Stores the progress of all items with one command. If the command fails, the next one
+    /// contains the same progress again.
     void storeProgress()
     {
         if (isStoringProgress || jobs.empty())
@@ -82,15 +82,15 @@
         const std::string command = wire::encode(wire::JobCommand{operation});
         context.replica.propose(
                 command,
-                [self = shared_from_this(), expectedGeneration = generation,
+                [self = shared_from_this(), expectedGeneration = leadershipGeneration,
                  progressItems = std::move(operation.items)](const Outcome<std::string> &outcome) {
                     self->isStoringProgress = false;
-                    if (expectedGeneration == self->generation && outcome.ok())
-                        self->progressStored(progressItems);
+                    if (expectedGeneration == self->leadershipGeneration && outcome.ok())
+                        self->handleProgressStored(progressItems);
                 });
     }
 
-    void progressStored(const std::vector<wire::ItemProgress> &progressItems)
+    void handleProgressStored(const std::vector<wire::ItemProgress> &progressItems)
     {
         for (const wire::ItemProgress &progress : progressItems) {
             const auto job = jobs.find(progress.job);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Starts \a runs, which must be a copy, because a run may end at once and is then removed from
-    /// jobs.
+    /// Starts \a runs, which must be a copy: a run may end immediately and is then removed from
+    /// \a jobs.
     void startRuns(const Runs &runs)
     {
         if (!deployment)
@@ -115,7 +115,7 @@
     void handleItemResult(std::uint64_t expectedGeneration, const std::string &job,
                           wire::JobItemResult result)
     {
-        if (expectedGeneration != generation)
+        if (expectedGeneration != leadershipGeneration)
             return;
         const auto found = jobs.find(job);
         if (found != jobs.end()) {
@@ -134,7 +134,7 @@
     {
         context.replica.propose(command, [self = shared_from_this(), expectedGeneration, job,
                                           command](const Outcome<std::string> &outcome) {
-            if (expectedGeneration != self->generation)
+            if (expectedGeneration != self->leadershipGeneration)
                 return;
             if (outcome.ok())
                 return self->notifyResultStored(job);
@@ -142,7 +142,7 @@
                 {{"code", name(outcome.failure().code)}, {"detail", outcome.failure().detail}});
             self->context.loop.timers().subscribeOnce(
                     proposeRetryDelay, [self, expectedGeneration, job, command] {
-                        if (expectedGeneration == self->generation)
+                        if (expectedGeneration == self->leadershipGeneration)
                             self->propose(expectedGeneration, job, command);
                     });
         });
@@ -168,12 +168,12 @@
 
     void stopAll()
     {
-        ++generation;
+        ++leadershipGeneration;
         cancelledJobs.clear();
         if (progressTimer != 0)
             context.loop.timers().unsubscribe(std::exchange(progressTimer, 0));
-        const auto ended = std::exchange(jobs, {});
-        for (const auto &[job, runs] : ended) {
+        const auto stoppedJobs = std::exchange(jobs, {});
+        for (const auto &[job, runs] : stoppedJobs) {
             for (const auto &[item, run] : runs)
                 run->stop();
         }
@@ -186,9 +186,9 @@
     /// read before a cancellation still contains the job.
     std::set<std::string> cancelledJobs;
     std::function<void(const std::string &)> resultStoredListener;
-    /// Incremented when this replica loses leadership, so that callbacks of an earlier leadership
-    /// are recognized and ignored.
-    std::uint64_t generation = 0;
+    /// Incremented when this replica loses leadership; callbacks that were registered before are
+    /// then ignored.
+    std::uint64_t leadershipGeneration = 0;
     TimerService::TimerId progressTimer = 0;
     bool isStoringProgress = false;
 };
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -12,15 +12,15 @@
 namespace rattanrill::jobs {
 namespace {
 
+/// Maximum time for which a read waits for a result.
 constexpr absl::Duration maxReadWait = absl::Seconds(2);
-/// Jobs that are finished or were ended by a cancellation are removed this long after they were
-/// accepted.
+/// Finished and cancelled jobs are removed this long after they were accepted.
 constexpr absl::Duration retentionPeriod = absl::Minutes(10);
 constexpr absl::Duration cleanupPeriod = absl::Seconds(30);
 constexpr absl::Duration listRetryDelay = absl::Milliseconds(100);
-/// Delay before a new leader starts the open jobs. Items of the former leader may still run at
-/// upstreams to which its connections are not closed yet. The upstreams report them in their next
-/// responses, so that their slots are not granted twice.
+/// Delay before a new leader starts the items of open jobs. Until the connections of the former
+/// leader are closed, its items may still run at upstreams. The delay leaves time for the upstreams
+/// to report these items in their responses, so that the same slots are not granted twice.
 constexpr absl::Duration takeOverDelay = absl::Milliseconds(600);
 
 } // namespace
@@ -101,7 +101,7 @@
              {"code", result.ok() ? "ok" : name(result.failure().code)},
              {"detail", result.ok() ? "" : result.failure().detail}});
         if (!result.ok()) {
-            // The job may have been committed nevertheless.
+            // The job may have been committed although the proposal failed.
             if (result.failure().effect == EffectState::MayHaveRun)
                 listOpenJobs();
             return reply(result.failure());
@@ -130,15 +130,15 @@
     void readNow(WaitingRead waiting)
     {
         const std::string query = wire::encode(wire::JobQuery{waiting.request});
-        const std::uint64_t previousStoredCount = storedCount;
+        const std::uint64_t previousStoredResultCount = storedResultCount;
         context.replica.readOnLeader(
                 query, [self = shared_from_this(), waiting = std::move(waiting),
-                        previousStoredCount](const Outcome<std::string> &outcome) {
-                    self->handleReadOutcome(waiting, previousStoredCount, outcome);
+                        previousStoredResultCount](const Outcome<std::string> &outcome) {
+                    self->handleReadOutcome(waiting, previousStoredResultCount, outcome);
                 });
     }
 
-    void handleReadOutcome(const WaitingRead &waiting, std::uint64_t previousStoredCount,
+    void handleReadOutcome(const WaitingRead &waiting, std::uint64_t previousStoredResultCount,
                            const Outcome<std::string> &outcome)
     {
         if (!outcome.ok())
@@ -152,18 +152,18 @@
                              || waiting.deadline <= context.clock.now() || !isReady;
         if (isFinal)
             return waiting.reply(outcome.value());
-        if (previousStoredCount != storedCount)
+        if (previousStoredResultCount != storedResultCount)
             return readNow(waiting);
-        reads.push_back(waiting);
+        waitingReads.push_back(waiting);
         armReadTimer();
     }
 
     void armReadTimer()
     {
-        if (readTimer != 0 || reads.empty())
+        if (readTimer != 0 || waitingReads.empty())
             return;
         absl::Time next = absl::InfiniteFuture();
-        for (const WaitingRead &waiting : reads)
+        for (const WaitingRead &waiting : waitingReads)
             next = std::min(next, waiting.deadline);
         readTimer = context.loop.timers().subscribeOnce(
                 std::max(next - context.clock.now(), absl::ZeroDuration()),
@@ -177,24 +177,24 @@
     {
         const absl::Time now = context.clock.now();
         std::list<WaitingRead> expired;
-        for (auto waiting = reads.begin(); waiting != reads.end();) {
+        for (auto waiting = waitingReads.begin(); waiting != waitingReads.end();) {
             const auto current = waiting++;
             if (current->deadline <= now)
-                expired.splice(expired.end(), reads, current);
+                expired.splice(expired.end(), waitingReads, current);
         }
         for (const WaitingRead &waiting : expired)
             readNow(waiting);
         armReadTimer();
     }
 
-    void resultStored(const std::string &job)
+    void handleResultStored(const std::string &job)
     {
-        ++storedCount;
+        ++storedResultCount;
         std::list<WaitingRead> waiting;
-        for (auto read = reads.begin(); read != reads.end();) {
+        for (auto read = waitingReads.begin(); read != waitingReads.end();) {
             const auto current = read++;
             if (current->request.job == job)
-                waiting.splice(waiting.end(), reads, current);
+                waiting.splice(waiting.end(), waitingReads, current);
         }
         for (const WaitingRead &read : waiting)
             readNow(read);
@@ -229,10 +229,10 @@
     void leadershipChanged(bool leads)
     {
         isReady = false;
-        isTakenOver = false;
+        hasTakenOver = false;
         ++leadershipGeneration;
         executor.stopAll();
-        const auto waiting = std::exchange(reads, {});
+        const auto waiting = std::exchange(waitingReads, {});
         for (const WaitingRead &read : waiting)
             read.reply(notLeader());
         if (leads)
@@ -271,15 +271,15 @@
             log(LogLevel::Info, "open-jobs-taken-over",
                 {{"jobs", static_cast<std::int64_t>(open.value().jobs.size())},
                  {"term", context.replica.status().term}});
-        if (isTakenOver)
+        if (hasTakenOver)
             return addOpenJobs(open.value());
-        context.loop.timers().subscribeOnce(takeOverDelay, [self = shared_from_this(),
-                                                            startGeneration = leadershipGeneration,
-                                                            open = open.value()] {
-            self->isTakenOver = self->leadershipGeneration == startGeneration;
-            if (self->isTakenOver)
-                self->addOpenJobs(open);
-        });
+        context.loop.timers().subscribeOnce(
+                takeOverDelay, [self = shared_from_this(),
+                                expectedGeneration = leadershipGeneration, open = open.value()] {
+                    self->hasTakenOver = self->leadershipGeneration == expectedGeneration;
+                    if (self->hasTakenOver)
+                        self->addOpenJobs(open);
+                });
     }
 
     void addOpenJobs(const wire::OpenJobs &open)
@@ -305,16 +305,17 @@
     const JobExecutorContext context;
     JobExecutor &executor;
     std::shared_ptr<const serving::DeploymentIndex> deployment;
-    /// The open jobs have been read since this replica gained leadership.
+    /// Whether the open jobs have been read since this replica gained leadership.
     bool isReady = false;
-    /// The open jobs of earlier leaders have been added to the executor.
-    bool isTakenOver = false;
-    /// Incremented when this replica gains or loses leadership, so that callbacks of an earlier
-    /// leadership are recognized.
+    /// Whether the open jobs of earlier leaders have been added to the executor.
+    bool hasTakenOver = false;
+    /// Incremented when this replica gains or loses leadership, so that a delayed start of open
+    /// jobs is dropped when the leadership has changed meanwhile.
     std::uint64_t leadershipGeneration = 0;
-    std::list<WaitingRead> reads;
-    /// Number of results stored so far. Shows whether a result was stored during a read.
-    std::uint64_t storedCount = 0;
+    std::list<WaitingRead> waitingReads;
+    /// Number of results that this executor has stored. A read compares the numbers before and
+    /// after its query, because a result that is stored meanwhile may be missing from the response.
+    std::uint64_t storedResultCount = 0;
     TimerService::TimerId readTimer = 0;
     TimerService::TimerId cleanupTimer = 0;
 };
@@ -325,7 +326,7 @@
     m_impl->cleanupTimer = context.loop.timers().subscribeEvery(
             cleanupPeriod, [impl = m_impl.get()] { impl->removeOldJobs(); });
     executor.onResultStored(
-            [impl = m_impl.get()](const std::string &job) { impl->resultStored(job); });
+            [impl = m_impl.get()](const std::string &job) { impl->handleResultStored(job); });
 }
 
 JobService::~JobService()
--- a/src/jobs/jobstatemachine.cpp
+++ b/src/jobs/jobstatemachine.cpp
@@ -10,8 +10,8 @@
 namespace rattanrill::jobs {
 namespace {
 
-/// Maximum output in bytes that the response to one read contains. A larger result is returned
-/// alone.
+/// Maximum total output of the results in one response, in bytes. A larger result is returned in a
+/// response of its own.
 constexpr std::size_t maxReadBytes = 1000000;
 
 Failure jobNotFound(const std::string &job)
--- a/src/jobs/jobstatemachine.h
+++ b/src/jobs/jobstatemachine.h
@@ -27,6 +27,7 @@
     {
         wire::JobRecord record;
         std::vector<wire::JobItemResult> results;
+        /// Ids of the items that have a result.
         std::set<std::string> finished;
         /// Progress of items without a result, by item id.
         std::map<std::string, wire::ItemProgress> progress;
--- a/tests/jobs/executor_test.cpp
+++ b/tests/jobs/executor_test.cpp
@@ -37,6 +37,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(JobExecutorTest, Fixture)
 
+// Guards against items that run again although their result is stored, and against items that run
+// twice because their job was added twice.
 BOOST_AUTO_TEST_CASE(onlyItemsWithoutAResultAreRun)
 {
     executor.add(openJob("j"));
--- a/tests/jobs/statemachine_test.cpp
+++ b/tests/jobs/statemachine_test.cpp
@@ -132,7 +132,7 @@
     BOOST_TEST(perform(wire::AcceptJob{job("d", 1), 300}).value().overLimit);
 }
 
-// Guards against items of an ended job that a new executor runs again.
+// Guards against a new executor that runs the items of an ended job.
 BOOST_AUTO_TEST_CASE(endedJobIsNotOpenAndKeepsItsResults)
 {
     perform(wire::AcceptJob{job("j", 2), 0});
@@ -163,6 +163,7 @@
     BOOST_TEST(listOpenJobs().jobs.empty());
 }
 
+// Guards against the removal of a job that has items without a result.
 BOOST_AUTO_TEST_CASE(onlyFinishedJobsAreRemoved)
 {
     wire::JobRecord old = job("old", 1);
@@ -175,6 +176,7 @@
     BOOST_TEST(!read("old").ok());
 }
 
+// Guards against a response that contains all results of a job, whatever their size.
 BOOST_AUTO_TEST_CASE(largeResultsAreReadInParts)
 {
     perform(wire::AcceptJob{job("j", 3), 0});
