--- a/include/rattanrill/engine/abortsignal.h
+++ b/include/rattanrill/engine/abortsignal.h
@@ -8,7 +8,7 @@
 namespace rattanrill::engine {
 
 /// Allows another thread to abort a blocking call of EngineClient. An abort closes the connection;
-/// use EngineClient::cancel() instead to let the engine end the stream in an orderly way.
+/// EngineClient::cancel() instead requests the engine to end the stream.
 class AbortSignal
 {
 public:
@@ -16,9 +16,10 @@
     void abort() ABSL_LOCKS_EXCLUDED(m_mutex);
     bool aborted() const ABSL_LOCKS_EXCLUDED(m_mutex);
 
-    /// Sets the action with which abort() ends the running call; null when no call is running. If
-    /// abort() was called before, \a action runs immediately. It runs under the lock of the signal
-    /// and must not block. For use by clients such as EngineClient only.
+    /// Sets the function that abort() calls to end the running call; null when no call is running.
+    /// If abort() was called before, \a action is called immediately. It is called while the mutex
+    /// of the signal is locked, so it must neither block nor use the signal. For clients such as
+    /// EngineClient only.
     void setAbortAction(std::function<void()> action) ABSL_LOCKS_EXCLUDED(m_mutex);
 
 private:
--- a/include/rattanrill/engine/engineclient.h
+++ b/include/rattanrill/engine/engineclient.h
@@ -38,7 +38,7 @@
     std::string body;
     /// Unique per attempt.
     std::string requestId;
-    /// Number of tokens that earlier attempts have already delivered.
+    /// Number of tokens that earlier attempts have delivered to the caller.
     std::uint64_t deliveredTokens = 0;
     /// Handle of the KV export of an earlier attempt; empty for none.
     std::string kvHandle;
@@ -52,7 +52,7 @@
     std::int64_t running = 0;
     /// Number of waiting requests.
     std::int64_t waiting = 0;
-    /// Occupied KV memory in tokens.
+    /// Occupied part of the KV cache in tokens.
     std::int64_t kvTokens = 0;
     std::int64_t kvCapacityTokens = 0;
     /// Maximum number of running requests.
@@ -85,13 +85,13 @@
 {
     /// For StreamRequest::kvHandle of the next attempt.
     std::string handle;
-    /// Number of tokens of the answer so far.
+    /// Number of tokens of the completion at the time of the export.
     std::int64_t tokens = 0;
 };
 
 /// Client of one model engine; docs/upstream-protocol.md describes the protocol. Calls block and
 /// may be made from several threads at the same time. Each call opens its own connection: a failure
-/// to connect then proves that nothing ran, which a failure on a reused connection would not.
+/// to connect then proves that nothing ran, whereas a failure on a reused connection does not.
 class EngineClient
 {
 public:
@@ -116,10 +116,10 @@
     /// Ends a stream and exports its KV cache for a later attempt.
     Outcome<ExportedCache> exportCache(const std::string &requestId);
     Outcome<EngineLoadReport> fetchLoadReport();
-    /// Returns the events of the prefix cache with sequence numbers above \a after. Events are
-    /// delayed and some are missing.
+    /// Returns the events of the prefix cache with sequence numbers above \a after. The engine may
+    /// report events late or omit them.
     Outcome<CacheEventPage> cacheEvents(std::uint64_t after);
-    /// Checks that the engine answers. Fails with UpstreamUnavailable when nothing listens at its
+    /// Checks that the engine responds. Fails with UpstreamUnavailable when nothing listens at its
     /// address.
     Outcome<Done> probe();
 
--- a/include/rattanrill/engine/streamevents.h
+++ b/include/rattanrill/engine/streamevents.h
@@ -5,10 +5,10 @@
 
 namespace rattanrill::engine {
 
-/// One token of an answer.
+/// One token of a completion.
 struct Token
 {
-    /// Position in the whole answer, from 0.
+    /// Position in the completion, from 0, counted across all attempts.
     std::uint64_t index = 0;
     std::string text;
 };
@@ -20,7 +20,7 @@
     std::string finishReason;
     /// The engine's "usage" object as JSON text; empty when the engine sent none.
     std::string usage;
-    /// Number of tokens of the whole answer, including those of earlier attempts.
+    /// Number of tokens of the completion, including those of earlier attempts.
     std::uint64_t tokens = 0;
 };
 
--- a/src/engine/abortsignal.cpp
+++ b/src/engine/abortsignal.cpp
@@ -4,8 +4,8 @@
 
 void AbortSignal::abort()
 {
-    // The action runs under the lock, so that it can't run after the call has removed it. It does
-    // not block, since it only shuts down a socket.
+    // The action is called under the lock, so that it can't run after the call has removed it. This
+    // does not block, because the action only shuts down a socket.
     absl::MutexLock lock(&m_mutex);
     m_aborted = true;
     if (m_action)
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -12,11 +12,12 @@
 namespace rattanrill::engine {
 namespace {
 
-/// Longer bodies of error answers are cut off at about this size.
+/// Bodies of error responses are truncated at about this size.
 constexpr std::size_t maxErrorBytes = 64u << 10;
 constexpr int statusOk = 200;
 constexpr absl::Duration minTimeout = absl::Milliseconds(1);
-/// A socket timeout that was set to the time until the deadline may fire this long before it.
+/// A socket timeout that is set to the time until the deadline may expire up to this long before
+/// the deadline.
 constexpr absl::Duration timerTolerance = absl::Milliseconds(2);
 
 void setTimeouts(httplib::Client &client, absl::Duration connect, absl::Duration read)
@@ -24,10 +25,11 @@
     const auto micros = [](absl::Duration duration) {
         return static_cast<time_t>(absl::ToInt64Microseconds(std::max(duration, minTimeout)));
     };
-    constexpr time_t second = 1000000;
-    client.set_connection_timeout(micros(connect) / second, micros(connect) % second);
-    client.set_read_timeout(micros(read) / second, micros(read) % second);
-    client.set_write_timeout(micros(read) / second, micros(read) % second);
+    constexpr time_t microsPerSecond = 1000000;
+    client.set_connection_timeout(micros(connect) / microsPerSecond,
+                                  micros(connect) % microsPerSecond);
+    client.set_read_timeout(micros(read) / microsPerSecond, micros(read) % microsPerSecond);
+    client.set_write_timeout(micros(read) / microsPerSecond, micros(read) % microsPerSecond);
     client.set_tcp_nodelay(true);
     client.set_keep_alive(false);
 }
@@ -38,14 +40,14 @@
            || error == httplib::Error::BindIPAddress;
 }
 
-/// Returns the "error" object of an error answer; null when \a body contains none.
+/// Returns the "error" object of an error response; null when \a body contains none.
 Json errorOf(const std::string &body)
 {
-    const Json answer = Json::parse(body, nullptr, false);
-    if (!answer.is_object())
+    const Json response = Json::parse(body, nullptr, false);
+    if (!response.is_object())
         return {};
-    const auto error = answer.find("error");
-    return error != answer.end() && error->is_object() ? *error : Json();
+    const auto error = response.find("error");
+    return error != response.end() && error->is_object() ? *error : Json();
 }
 
 ErrorCode codeOfStatus(int status)
@@ -78,13 +80,13 @@
     return event;
 }
 
-/// Returns the failure for an answer with the HTTP status \a status. The request was sent, so the
+/// Returns the failure for a response with the HTTP status \a status. The request was sent, so the
 /// failure is NotRun only when the engine reports that the request did not run.
 Failure failureOfStatus(const std::string &engine, int status, const std::string &body)
 {
     const Json error = errorOf(body);
     const bool reportsNotRun = error.is_object() && error.value("run", Json()) == Json("not_run");
-    const std::string detail = concat("engine \"", engine, "\" answered with status ", status);
+    const std::string detail = concat("engine \"", engine, "\" responded with status ", status);
     if (reportsNotRun)
         return notRun(codeOfStatus(status), detail);
     return mayHaveRun(codeOfStatus(status), detail);
@@ -122,8 +124,8 @@
         return mayHaveRun(ErrorCode::StreamBroken, detail);
     }
 
-    /// Makes a short call and returns the body of the answer as JSON, of any type; a discarded
-    /// value when the body is not JSON.
+    /// Makes a call other than stream() and returns the body of the response as JSON of any type,
+    /// or a discarded value when the body is not JSON.
     Outcome<Json> call(const std::string &method, const std::string &path, const Json &body) const
     {
         httplib::Client client(options.host, options.port);
@@ -140,8 +142,8 @@
             return transportFailure(result.error());
         if (result->status != statusOk)
             return failureOfStatus(options.name, result->status, result->body);
-        Json answer = Json::parse(result->body, nullptr, false);
-        return answer;
+        Json response = Json::parse(result->body, nullptr, false);
+        return response;
     }
 
     EngineOptions options;
@@ -177,7 +179,7 @@
         return result ? httplib::Error::Success : result.error();
     }
 
-    /// HTTP status of the answer; 0 when none arrived.
+    /// HTTP status of the response; 0 when none was received.
     int status() const { return m_status; }
     const std::string &errorBody() const { return m_errorBody; }
     const StreamReader &reader() const { return m_reader; }
@@ -204,7 +206,7 @@
         return httpRequest;
     }
 
-    /// Returns false when the rest of the answer is not needed.
+    /// Returns false when the rest of the response is not needed.
     bool handleBodyBytes(std::string_view bytes)
     {
         if (m_status == statusOk)
@@ -269,34 +271,35 @@
 
 Outcome<bool> EngineClient::cancel(const std::string &requestId)
 {
-    const Outcome<Json> answer =
+    const Outcome<Json> response =
             m_impl->call("POST", "/engine/cancel", Json{{"request_id", requestId}});
-    if (!answer.ok())
-        return answer.failure();
-    return answer.value().is_object() && answer.value().value("cancelled", Json()) == Json(true);
+    if (!response.ok())
+        return response.failure();
+    return response.value().is_object()
+           && response.value().value("cancelled", Json()) == Json(true);
 }
 
 Outcome<ExportedCache> EngineClient::exportCache(const std::string &requestId)
 {
-    const Outcome<Json> answer =
+    const Outcome<Json> response =
             m_impl->call("POST", "/engine/kv/export", Json{{"request_id", requestId}});
-    if (!answer.ok())
-        return answer.failure();
+    if (!response.ok())
+        return response.failure();
     return outcomeOf([&]() -> Result<ExportedCache> {
         ExportedCache cache;
-        BOOST_LEAF_ASSIGN(cache.handle, jsonMember<std::string>(answer.value(), "kv_handle"));
-        BOOST_LEAF_ASSIGN(cache.tokens, jsonMemberOr<std::int64_t>(answer.value(), "tokens", 0));
+        BOOST_LEAF_ASSIGN(cache.handle, jsonMember<std::string>(response.value(), "kv_handle"));
+        BOOST_LEAF_ASSIGN(cache.tokens, jsonMemberOr<std::int64_t>(response.value(), "tokens", 0));
         return cache;
     });
 }
 
 Outcome<EngineLoadReport> EngineClient::fetchLoadReport()
 {
-    const Outcome<Json> answer = m_impl->call("GET", "/engine/load", Json());
-    if (!answer.ok())
-        return answer.failure();
+    const Outcome<Json> response = m_impl->call("GET", "/engine/load", Json());
+    if (!response.ok())
+        return response.failure();
     const auto number = [&](const char *key) {
-        return jsonMemberOr<std::int64_t>(answer.value(), key, 0);
+        return jsonMemberOr<std::int64_t>(response.value(), key, 0);
     };
     return outcomeOf([&]() -> Result<EngineLoadReport> {
         EngineLoadReport load;
@@ -313,15 +316,15 @@
 
 Outcome<CacheEventPage> EngineClient::cacheEvents(std::uint64_t after)
 {
-    const Outcome<Json> answer =
+    const Outcome<Json> response =
             m_impl->call("GET", concat("/engine/cache_events?after=", after), Json());
-    if (!answer.ok())
-        return answer.failure();
+    if (!response.ok())
+        return response.failure();
     return outcomeOf([&]() -> Result<CacheEventPage> {
         CacheEventPage page;
-        BOOST_LEAF_AUTO(next, jsonMember<std::int64_t>(answer.value(), "next"));
+        BOOST_LEAF_AUTO(next, jsonMember<std::int64_t>(response.value(), "next"));
         page.next = static_cast<std::uint64_t>(next);
-        for (const Json &row : answer.value().value("events", Json::array())) {
+        for (const Json &row : response.value().value("events", Json::array())) {
             BOOST_LEAF_AUTO(event, cacheEventOf(row));
             page.events.push_back(event);
         }
@@ -331,13 +334,13 @@
 
 Outcome<Done> EngineClient::probe()
 {
-    Outcome<Json> answer = m_impl->call("GET", "/healthz", Json());
-    // A process that is stopping may still accept a connection and then close it without an
-    // answer. When the call is repeated, nothing listens any more and the connection is refused.
-    if (!answer.ok() && answer.failure().effect == EffectState::MayHaveRun)
-        answer = m_impl->call("GET", "/healthz", Json());
-    if (!answer.ok())
-        return answer.failure();
+    Outcome<Json> response = m_impl->call("GET", "/healthz", Json());
+    // A process that is stopping may still accept a connection and then close it without a
+    // response. When the call is repeated, nothing listens any more and the connection is refused.
+    if (!response.ok() && response.failure().effect == EffectState::MayHaveRun)
+        response = m_impl->call("GET", "/healthz", Json());
+    if (!response.ok())
+        return response.failure();
     return Done{};
 }
 
--- a/src/engine/streamreader.cpp
+++ b/src/engine/streamreader.cpp
@@ -7,11 +7,12 @@
 
 constexpr std::string_view dataPrefix = "data:";
 constexpr std::string_view doneMarker = "[DONE]";
-/// Events of the protocol are shorter. The limit prevents a faulty engine from exhausting memory.
+/// Maximum length of a line. Valid events are shorter; the limit prevents a faulty engine from
+/// exhausting the memory of this process.
 constexpr std::size_t maxLineBytes = 4u << 20;
-/// After this many consecutive dropped events, the stream is taken to belong to another request.
+/// After this many consecutive dropped events, the stream is treated as that of another request.
 /// Reading it to its end would only delay the next attempt.
-constexpr std::uint64_t maxDroppedInRow = 16;
+constexpr std::uint64_t maxConsecutiveDrops = 16;
 
 std::string_view trimmed(std::string_view text)
 {
@@ -48,9 +49,10 @@
 
 } // namespace
 
-StreamReader::StreamReader(std::string requestId, std::uint64_t resumeAfter, TokenHandler onToken)
+StreamReader::StreamReader(std::string requestId, std::uint64_t deliveredTokens,
+                           TokenHandler onToken)
     : m_requestId(std::move(requestId))
-    , m_nextIndex(resumeAfter)
+    , m_nextIndex(deliveredTokens)
     , m_onToken(std::move(onToken))
 {}
 
@@ -68,7 +70,7 @@
     }
     m_buffer.erase(0, start);
     if (m_buffer.size() > maxLineBytes)
-        return breakStream("an event is longer than 4 MiB");
+        return markBroken("an event is longer than 4 MiB");
     return true;
 }
 
@@ -94,7 +96,7 @@
     }
     const Json event = Json::parse(data.begin(), data.end(), nullptr, false);
     if (!event.is_object())
-        return breakStream("an event is not a JSON object");
+        return markBroken("an event is not a JSON object");
     return handleEvent(event);
 }
 
@@ -106,14 +108,14 @@
         return dropEvent();
     const Json *choice = firstChoice(event);
     if (choice == nullptr)
-        return breakStream("an event has no choice");
+        return markBroken("an event has no choice");
     const std::string text = textOf(*choice);
     const std::string reason = stringAt(*choice, "finish_reason");
-    // The last event may carry no token. handleEnd() checks that no token is missing before it.
+    // The last event may carry no token. handleFinish() checks that no token is missing before it.
     if ((reason.empty() || !text.empty()) && !handleToken(event, text))
         return false;
     if (!reason.empty() && m_breakReason.empty())
-        handleEnd(event, reason);
+        handleFinish(event, reason);
     return m_breakReason.empty();
 }
 
@@ -121,45 +123,46 @@
 {
     const auto index = event.find("index");
     if (index == event.end() || !index->is_number_integer())
-        return breakStream("an event has no token index");
+        return markBroken("an event has no token index");
     const auto position = index->get<std::uint64_t>();
     if (position < m_nextIndex)
         return dropEvent();
     if (position > m_nextIndex)
-        return breakStream(
-                concat("token ", m_nextIndex, " is missing, token ", position, " arrived"));
-    m_droppedInRow = 0;
+        return markBroken(
+                concat("expected token ", m_nextIndex, " but token ", position, " was received"));
+    m_consecutiveDrops = 0;
     ++m_nextIndex;
     m_onToken(Token{position, text});
     return true;
 }
 
-void StreamReader::handleEnd(const Json &event, const std::string &reason)
+void StreamReader::handleFinish(const Json &event, const std::string &reason)
 {
     const auto index = event.find("index");
     if (index != event.end() && index->is_number_integer()
         && index->get<std::uint64_t>() > m_nextIndex) {
-        breakStream(concat("token ", m_nextIndex, " is missing at the end"));
+        markBroken(concat("token ", m_nextIndex, " is missing before the end of the stream"));
         return;
     }
-    StreamSummary end;
-    end.finishReason = reason;
-    end.tokens = m_nextIndex;
+    StreamSummary summary;
+    summary.finishReason = reason;
+    summary.tokens = m_nextIndex;
     const auto usage = event.find("usage");
     if (usage != event.end() && usage->is_object())
-        end.usage = dumpJson(*usage);
-    m_summary = std::move(end);
+        summary.usage = dumpJson(*usage);
+    m_summary = std::move(summary);
 }
 
 bool StreamReader::dropEvent()
 {
     ++m_dropped;
-    if (++m_droppedInRow >= maxDroppedInRow)
-        return breakStream("the stream carries the events of another request");
+    if (++m_consecutiveDrops >= maxConsecutiveDrops)
+        return markBroken(
+                "too many consecutive events belong to another request or repeat a token");
     return true;
 }
 
-bool StreamReader::breakStream(std::string reason)
+bool StreamReader::markBroken(std::string reason)
 {
     m_breakReason = std::move(reason);
     return false;
--- a/src/engine/streamreader.h
+++ b/src/engine/streamreader.h
@@ -12,14 +12,14 @@
 namespace rattanrill::engine {
 
 /// Reads the server-sent events of one completion stream and checks that each belongs to the
-/// request and continues it. Events of other requests and repeated tokens are dropped and
-/// counted. A gap between tokens and an end without "[DONE]" break the stream.
+/// request and continues it. Events of other requests and repeated tokens are dropped and counted.
+/// The stream is broken when a token is missing or when it ends without "[DONE]".
 class StreamReader
 {
 public:
     using TokenHandler = std::function<void(const Token &token)>;
 
-    StreamReader(std::string requestId, std::uint64_t resumeAfter, TokenHandler onToken);
+    StreamReader(std::string requestId, std::uint64_t deliveredTokens, TokenHandler onToken);
 
     /// Processes the next bytes of the body. Returns false when the stream is broken.
     bool feed(std::string_view bytes);
@@ -27,7 +27,7 @@
     Outcome<StreamSummary> finish() const;
     /// Number of dropped events.
     std::uint64_t dropped() const { return m_dropped; }
-    /// Whether "[DONE]" has arrived.
+    /// Whether "[DONE]" was received.
     bool complete() const { return m_done; }
 
 private:
@@ -35,10 +35,10 @@
     bool handleLine(std::string_view line);
     bool handleEvent(const Json &event);
     bool handleToken(const Json &event, const std::string &text);
-    void handleEnd(const Json &event, const std::string &reason);
+    void handleFinish(const Json &event, const std::string &reason);
     bool dropEvent();
     /// Marks the stream as broken. Always returns false.
-    bool breakStream(std::string reason);
+    bool markBroken(std::string reason);
 
     std::string m_requestId;
     /// Index of the next token.
@@ -48,11 +48,11 @@
     std::string m_buffer;
     /// Set by the event with a finish reason.
     std::optional<StreamSummary> m_summary;
-    /// Why the stream is broken; empty while it is not.
+    /// Why the stream is broken; empty while it is intact.
     std::string m_breakReason;
     std::uint64_t m_dropped = 0;
-    /// Dropped events since the last token that was passed on.
-    std::uint64_t m_droppedInRow = 0;
+    /// Number of events dropped since the last token was passed to the handler.
+    std::uint64_t m_consecutiveDrops = 0;
     bool m_done = false;
 };
 
--- a/tests/engine/engineclient_test.cpp
+++ b/tests/engine/engineclient_test.cpp
@@ -13,7 +13,7 @@
 namespace rattanrill::engine {
 namespace {
 
-/// An engine inside the test process that answers completions with a given handler.
+/// An engine in the test process that serves completions with a given handler.
 class Server
 {
 public:
@@ -64,7 +64,7 @@
 }
 
 /// Sends the start of a stream and then neither continues nor ends it.
-void startStreamAndHang(const httplib::Request &, httplib::Response &response)
+void startStreamAndStall(const httplib::Request &, httplib::Response &response)
 {
     const auto started = std::make_shared<bool>(false);
     response.set_chunked_content_provider("text/event-stream",
@@ -81,9 +81,9 @@
 
 BOOST_AUTO_TEST_SUITE(EngineClientTest)
 
-// R9: guards against a failure with the state NotRun although the engine received the request and
-// did not report that it did not run.
-BOOST_AUTO_TEST_CASE(runStateOfFailuresIsTrue)
+// R9: guards against a failure that is NotRun although the engine received the request and did not
+// report that the request did not run.
+BOOST_AUTO_TEST_CASE(failureIsNotRunOnlyWhenTheRequestDidNotRun)
 {
     int status = 503;
     std::string body = R"({"error":{"code":"upstream_busy","run":"not_run"}})";
@@ -106,10 +106,11 @@
     BOOST_TEST((refused.failure().effect == EffectState::NotRun));
 }
 
-// Guards against a call that blocks for ever because the engine has frozen.
-BOOST_AUTO_TEST_CASE(silentStreamEndsAtTheIdleLimitAndAtTheDeadline)
+// Guards against a call that blocks forever because the engine stops sending but keeps the
+// connection open.
+BOOST_AUTO_TEST_CASE(stalledStreamEndsAtTheIdleTimeoutAndAtTheDeadline)
 {
-    Server server(startStreamAndHang);
+    Server server(startStreamAndStall);
     EngineClient client(server.options());
     AbortSignal abortSignal;
     const auto broken = run(client, abortSignal);
@@ -124,7 +125,7 @@
 {
     absl::Notification streamStarted;
     Server server([&](const httplib::Request &request, httplib::Response &response) {
-        startStreamAndHang(request, response);
+        startStreamAndStall(request, response);
         streamStarted.Notify();
     });
     EngineOptions options = server.options();
--- a/tests/engine/streamreader_test.cpp
+++ b/tests/engine/streamreader_test.cpp
@@ -21,8 +21,8 @@
 /// Reads the stream of request "r" and collects its text.
 struct CollectingReader
 {
-    explicit CollectingReader(std::uint64_t resumeAfter = 0)
-        : reader("r", resumeAfter, [this](const Token &token) { text += token.text; })
+    explicit CollectingReader(std::uint64_t deliveredTokens = 0)
+        : reader("r", deliveredTokens, [this](const Token &token) { text += token.text; })
     {}
 
     std::string text;
@@ -49,7 +49,8 @@
     }
 }
 
-// R8: guards against tokens in the answer that repeat earlier ones or belong to another request.
+// R8: guards against tokens in the completion that repeat earlier ones or belong to another
+// request.
 BOOST_AUTO_TEST_CASE(foreignAndRepeatedEventsAreDroppedAndCounted)
 {
     CollectingReader collector(5);
@@ -61,7 +62,7 @@
     BOOST_TEST(collector.reader.dropped() == 3u);
 }
 
-// R8: guards against an answer in which a token is missing, in the middle or at the end.
+// R8: guards against a completion in which a token is missing, in the middle or at the end.
 BOOST_AUTO_TEST_CASE(gapBreaksTheStream)
 {
     CollectingReader collector;
@@ -72,7 +73,7 @@
     BOOST_TEST(!gapAtEnd.reader.feed(makeEvent("r", 0, "a") + makeEvent("r", 3, "", "stop")));
 }
 
-// R8: guards against an incomplete answer that is reported as complete.
+// R8: guards against an incomplete completion that is reported as complete.
 BOOST_AUTO_TEST_CASE(endWithoutDoneOrFinishReasonIsBroken)
 {
     CollectingReader withoutDone;
@@ -83,7 +84,7 @@
     BOOST_TEST((withoutReason.reader.finish().failure().effect == EffectState::MayHaveRun));
 }
 
-// Guards against a reader that reads the complete answer of another request before it fails.
+// Guards against a reader that fails only after it has read the whole stream of another request.
 BOOST_AUTO_TEST_CASE(streamOfAnotherRequestIsBroken)
 {
     CollectingReader collector;
