--- a/include/rattanrill/service/serviceclient.h
+++ b/include/rattanrill/service/serviceclient.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::service {
 
-/// Address and limits of a plain service.
+/// Address and limits of a plain service, an HTTP upstream that is not a model engine.
 struct ServiceOptions
 {
     /// Name of the upstream.
@@ -39,7 +39,7 @@
     absl::Time deadline = absl::InfiniteFuture();
 };
 
-/// Answer of a plain service.
+/// Response of a plain service.
 struct ServiceResponse
 {
     /// HTTP status code.
@@ -72,21 +72,21 @@
 
     const ServiceOptions &options() const;
 
-    /// Sends \a request and returns the answer. Any HTTP status is an answer, except for a 503 that
+    /// Sends \a request and returns the response, whatever its HTTP status, except for a 503 that
     /// reports that the request did not run. Failures:
     /// - UpstreamUnavailable (NotRun): the connection could not be opened.
     /// - UpstreamBusy (NotRun): the service reported 503 and that the request did not run.
     /// - Timeout: the deadline passed; NotRun when it passed before the request was sent,
     ///   MayHaveRun otherwise.
-    /// - ConnectionLost (MayHaveRun)
-    /// - UpstreamFailed (MayHaveRun): the answer exceeds maxResponseBytes or carries the id of
+    /// - ConnectionLost (MayHaveRun): the connection was lost after the request was sent.
+    /// - UpstreamFailed (MayHaveRun): the response exceeds maxResponseBytes or carries the id of
     ///   another request.
     Outcome<ServiceResponse> call(const ServiceRequest &request);
     Outcome<ServiceLoadReport> fetchLoadReport();
-    /// Checks that the service answers fetchLoadReport(). Fails with UpstreamUnavailable when
+    /// Checks that the service responds to fetchLoadReport(). Fails with UpstreamUnavailable when
     /// nothing listens at its address.
     Outcome<Done> probe();
-    /// Number of answers that were dropped because they carried the id of another request.
+    /// Number of responses that were dropped because they carried the id of another request.
     std::uint64_t droppedResponses() const;
 
 private:
--- a/src/service/credentials.cpp
+++ b/src/service/credentials.cpp
@@ -7,6 +7,7 @@
 namespace rattanrill::service {
 namespace {
 
+/// Names of credential parameters as normalized() returns them.
 constexpr std::array<std::string_view, 9> credentialNames = {
         "apikey",  "key",    "accesstoken", "token",    "authorization",
         "xapikey", "bearer", "secret",      "password",
--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -13,8 +13,8 @@
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
 constexpr absl::Duration minTimeout = absl::Milliseconds(1);
-/// Socket timeout of a request without a deadline, so that a silent connection can't block its
-/// thread for ever.
+/// Maximum socket timeout, so that a request without a deadline can't block its thread forever on a
+/// connection that sends nothing.
 constexpr absl::Duration maxTimeout = absl::Minutes(10);
 
 void setTimeouts(httplib::Client &client, absl::Duration connect, absl::Duration read)
@@ -23,10 +23,11 @@
         return static_cast<time_t>(
                 absl::ToInt64Microseconds(std::clamp(duration, minTimeout, maxTimeout)));
     };
-    constexpr time_t second = 1000000;
-    client.set_connection_timeout(micros(connect) / second, micros(connect) % second);
-    client.set_read_timeout(micros(read) / second, micros(read) % second);
-    client.set_write_timeout(micros(read) / second, micros(read) % second);
+    constexpr time_t microsPerSecond = 1000000;
+    client.set_connection_timeout(micros(connect) / microsPerSecond,
+                                  micros(connect) % microsPerSecond);
+    client.set_read_timeout(micros(read) / microsPerSecond, micros(read) % microsPerSecond);
+    client.set_write_timeout(micros(read) / microsPerSecond, micros(read) % microsPerSecond);
     client.set_tcp_nodelay(true);
     client.set_keep_alive(false);
     client.set_url_encode(false);
@@ -40,24 +41,24 @@
 
 bool reportsNotRun(const std::string &body)
 {
-    const Json answer = Json::parse(body, nullptr, false);
-    if (!answer.is_object() || !answer.contains("error") || !answer.at("error").is_object())
+    const Json json = Json::parse(body, nullptr, false);
+    if (!json.is_object() || !json.contains("error") || !json.at("error").is_object())
         return false;
-    return answer.at("error").value("run", Json()) == Json("not_run");
+    return json.at("error").value("run", Json()) == Json("not_run");
 }
 
-/// Returns the request id that the answer carries; empty when it carries none.
+/// Returns the request id that the response carries; empty when it carries none.
 std::string responseRequestId(const httplib::Response &response)
 {
     if (response.has_header("X-Request-Id"))
         return response.get_header_value("X-Request-Id");
     if (response.get_header_value("Content-Type").find("json") == std::string::npos)
         return {};
-    const Json answer = Json::parse(response.body, nullptr, false);
-    if (!answer.is_object())
+    const Json json = Json::parse(response.body, nullptr, false);
+    if (!json.is_object())
         return {};
-    const auto id = answer.find("request_id");
-    return id != answer.end() && id->is_string() ? id->get<std::string>() : std::string();
+    const auto id = json.find("request_id");
+    return id != json.end() && id->is_string() ? id->get<std::string>() : std::string();
 }
 
 } // namespace
@@ -93,7 +94,7 @@
         if (!id.empty() && id != request.requestId) {
             ++dropped;
             return mayHaveRun(ErrorCode::UpstreamFailed,
-                              concat(description(), " sent the answer to another request"));
+                              concat(description(), " sent the response to another request"));
         }
         return ServiceResponse{response.status, response.get_header_value("Content-Type"),
                                response.body};
@@ -143,11 +144,11 @@
     setTimeouts(client, std::min(m_impl->options.connectTimeout, remaining), remaining);
     httplib::Request httpRequest = makeRequest(request);
     std::string body;
-    bool tooLong = false;
+    bool exceedsLimit = false;
     httpRequest.content_receiver = [&](const char *data, std::size_t size, std::uint64_t,
                                        std::uint64_t) {
-        tooLong = body.size() + size > m_impl->options.maxResponseBytes;
-        if (tooLong || m_impl->clock.now() >= request.deadline)
+        exceedsLimit = body.size() + size > m_impl->options.maxResponseBytes;
+        if (exceedsLimit || m_impl->clock.now() >= request.deadline)
             return false;
         body.append(data, size);
         return true;
@@ -155,10 +156,10 @@
     httplib::Response response;
     httplib::Error error = httplib::Error::Success;
     if (!client.send(httpRequest, response, error)) {
-        if (tooLong)
-            return mayHaveRun(
-                    ErrorCode::UpstreamFailed,
-                    concat(m_impl->description(), " sent an answer that exceeds the maximum size"));
+        if (exceedsLimit)
+            return mayHaveRun(ErrorCode::UpstreamFailed,
+                              concat(m_impl->description(),
+                                     " sent a response that exceeds the maximum size"));
         return m_impl->transportFailure(error, request.deadline);
     }
     response.body = std::move(body);
@@ -174,14 +175,14 @@
         return m_impl->transportFailure(result.error(), absl::InfiniteFuture());
     if (result->status != statusOk)
         return notRun(ErrorCode::UpstreamFailed,
-                      concat(m_impl->description(), " answered the load request with status ",
+                      concat(m_impl->description(), " responded to the load request with status ",
                              result->status));
     return outcomeOf([&]() -> Result<ServiceLoadReport> {
-        BOOST_LEAF_AUTO(answer, parseJson(result->body, "load report"));
+        BOOST_LEAF_AUTO(json, parseJson(result->body, "load report"));
         ServiceLoadReport load;
-        BOOST_LEAF_ASSIGN(load.running, jsonMemberOr<std::int64_t>(answer, "running", 0));
-        BOOST_LEAF_ASSIGN(load.capacity, jsonMemberOr<std::int64_t>(answer, "capacity", 0));
-        BOOST_LEAF_AUTO(ageMs, jsonMemberOr<std::int64_t>(answer, "age_ms", 0));
+        BOOST_LEAF_ASSIGN(load.running, jsonMemberOr<std::int64_t>(json, "running", 0));
+        BOOST_LEAF_ASSIGN(load.capacity, jsonMemberOr<std::int64_t>(json, "capacity", 0));
+        BOOST_LEAF_AUTO(ageMs, jsonMemberOr<std::int64_t>(json, "age_ms", 0));
         load.ageWhenSent = absl::Milliseconds(ageMs);
         return load;
     });
@@ -189,13 +190,13 @@
 
 Outcome<Done> ServiceClient::probe()
 {
-    Outcome<ServiceLoadReport> answer = fetchLoadReport();
-    // A process that is stopping may still accept a connection and then close it without an
-    // answer. When the call is repeated, nothing listens any more and the connection is refused.
-    if (!answer.ok() && answer.failure().effect == EffectState::MayHaveRun)
-        answer = fetchLoadReport();
-    if (!answer.ok())
-        return answer.failure();
+    Outcome<ServiceLoadReport> report = fetchLoadReport();
+    // A process that is stopping may still accept a connection and then close it without a
+    // response. When the call is repeated, nothing listens any more and the connection is refused.
+    if (!report.ok() && report.failure().effect == EffectState::MayHaveRun)
+        report = fetchLoadReport();
+    if (!report.ok())
+        return report.failure();
     return Done{};
 }
 
