--- a/include/rattanrill/replication/raftnode.h
+++ b/include/rattanrill/replication/raftnode.h
@@ -42,9 +42,9 @@
     /// Each election timeout is drawn at random between this value and twice this value. A leader
     /// that has received nothing from a quorum for this time steps down.
     absl::Duration electionTimeout = absl::Milliseconds(400);
-    /// Replaces electionTimeout until the first contact with a leader: when all replicas restart
-    /// together, there is no leader to wait for. Pre-vote prevents a replica that restarts alone
-    /// from disrupting the group. Zero means electionTimeout.
+    /// Replaces electionTimeout until the first message from a leader. It can be shorter, because
+    /// there is no leader to wait for when all replicas restart together; pre-vote prevents a
+    /// replica that restarts alone from disrupting the group. Zero means electionTimeout.
     absl::Duration initialElectionTimeout;
     /// A snapshot is taken after this many bytes of log entries.
     std::uint64_t snapshotAfterBytes = 16u << 20;
@@ -93,9 +93,9 @@
     virtual void propose(std::string command, Callback callback) = 0;
     /// Linearizable read on the leader. Fails like propose(), but always with NotRun.
     virtual void readOnLeader(std::string query, Callback callback) = 0;
-    /// Linearizable read that followers serve as well. Evaluates \a query on the local state once
-    /// that includes every command that was committed when the leader, after this call, confirmed
-    /// its leadership.
+    /// Linearizable read that followers serve as well. After this call, the leader confirms its
+    /// leadership; \a query is evaluated on the local state as soon as that includes every command
+    /// that was committed at that time.
     virtual void readOnAnyReplica(std::string query, Callback callback) = 0;
     /// Handles a Raft message from the replica \a from.
     virtual void receive(const ReplicaId &from, std::string message) = 0;
@@ -103,9 +103,9 @@
     /// Calls \a listener with the applied index after each batch of applied commands.
     virtual void onApplied(std::function<void(std::uint64_t)> listener) = 0;
     /// Adds \a member as a learner and makes it a voter after it has caught up. If \a replaced is
-    /// not empty, \a member takes the place of that replica. Membership changes by one replica at a
-    /// time, and only on the leader. Fails with Timeout (MayHaveRun) when the learner stops
-    /// responding; \a member then remains a learner until it is removed or added again.
+    /// not empty, \a member replaces that replica. Membership changes by one replica at a time, and
+    /// only on the leader. Fails with Timeout (MayHaveRun) when the learner stops responding;
+    /// \a member then remains a learner until it is removed or added again.
     virtual void addReplica(const ReplicaId &member, const ReplicaId &replaced,
                             Callback callback) = 0;
     /// Removes \a member from the group; leader only.
--- a/src/replication/applythread.cpp
+++ b/src/replication/applythread.cpp
@@ -46,9 +46,9 @@
     m_queue.push(std::move(task));
 }
 
-void ApplyThread::finish(Callback callback, Outcome<std::string> outcome)
+void ApplyThread::invokeCallback(Callback callback, Outcome<std::string> outcome)
 {
-    push(Finished{std::move(callback), std::move(outcome)});
+    push(CallbackInvocation{std::move(callback), std::move(outcome)});
 }
 
 void ApplyThread::onApplied(std::function<void(std::uint64_t)> listener)
@@ -120,9 +120,9 @@
         m_reads.emplace(read.index, std::move(read));
 }
 
-void ApplyThread::runTask(Finished &finished)
+void ApplyThread::runTask(CallbackInvocation &invocation)
 {
-    finished.callback(std::move(finished.outcome));
+    invocation.callback(std::move(invocation.outcome));
 }
 
 void ApplyThread::runTask(absl::Time &now)
--- a/src/replication/applythread.h
+++ b/src/replication/applythread.h
@@ -27,7 +27,7 @@
         /// Callback of the local proposer; empty when there is none.
         Callback callback;
     };
-    /// A read whose read index has been determined.
+    /// A read whose read index is known.
     struct Read
     {
         std::uint64_t index = 0;
@@ -50,10 +50,12 @@
     void apply(std::vector<CommittedEntry> entries) { push(std::move(entries)); }
     void restore(InstalledSnapshot snapshot) { push(std::move(snapshot)); }
     void read(Read read) { push(std::move(read)); }
-    void finish(Callback callback, Outcome<std::string> outcome);
+    /// Invokes \a callback with \a outcome on the apply thread.
+    void invokeCallback(Callback callback, Outcome<std::string> outcome);
     /// Fails reads whose deadline has passed.
     void expireReads(absl::Time now) { push(now); }
-    /// Ends the pending snapshot, so that the next one may be taken.
+    /// Must be called when the latest snapshot was saved or discarded. Before that, no further
+    /// snapshot is taken.
     void snapshotDone() { m_snapshotPending = false; }
     void onApplied(std::function<void(std::uint64_t)> listener);
     std::uint64_t appliedIndex() const { return m_appliedIndex; }
@@ -61,20 +63,20 @@
     void stop();
 
 private:
-    struct Finished
+    struct CallbackInvocation
     {
         Callback callback;
         Outcome<std::string> outcome;
     };
-    using Task = std::variant<std::vector<CommittedEntry>, InstalledSnapshot, Read, Finished,
-                              absl::Time>;
+    using Task = std::variant<std::vector<CommittedEntry>, InstalledSnapshot, Read,
+                              CallbackInvocation, absl::Time>;
 
     void push(Task task);
     void run();
     void runTask(std::vector<CommittedEntry> &entries);
     void runTask(InstalledSnapshot &snapshot);
     void runTask(Read &read);
-    void runTask(Finished &finished);
+    void runTask(CallbackInvocation &invocation);
     void runTask(absl::Time &now);
     void applyEntry(CommittedEntry &committed);
     void completeReadyReads();
@@ -88,9 +90,12 @@
     TaskQueue<Task> m_queue;
     std::atomic<std::uint64_t> m_appliedIndex;
     std::uint64_t m_appliedTerm = 0;
+    /// Size of the entries applied since the last snapshot.
     std::uint64_t m_bytesSinceSnapshot = 0;
     std::atomic<bool> m_snapshotPending = false;
+    /// Whether restoring a snapshot has failed; nothing is applied or read after that.
     bool m_failed = false;
+    /// Reads by read index, which the state does not include yet.
     std::multimap<std::uint64_t, Read> m_reads;
     absl::Mutex m_mutex;
     std::vector<std::function<void(std::uint64_t)>> m_appliedListeners ABSL_GUARDED_BY(m_mutex);
--- a/src/replication/calllimit.h
+++ b/src/replication/calllimit.h
@@ -16,7 +16,8 @@
         , m_maxBytes(maxBytes)
     {}
 
-    /// Returns false when the limit is reached. After true, the caller must call release().
+    /// Returns false when the limit is reached. Otherwise the caller must call release() with the
+    /// same \a bytes when the call ends.
     bool acquire(std::size_t bytes)
     {
         const std::int64_t calls = m_calls.fetch_add(1) + 1;
--- a/src/replication/filestorage.cpp
+++ b/src/replication/filestorage.cpp
@@ -70,7 +70,7 @@
     BOOST_LEAF_CHECK(readSegments(state));
     BOOST_LEAF_CHECK(reconcileSnapshotAndLog(state));
     if (m_hardState.founders.empty()) {
-        for (const ReplicaId &id : m_identity.founders)
+        for (const ReplicaId &id : m_identity.initialVoters)
             m_hardState.founders[id] = id == m_options.self ? m_identity.incarnation : "";
     }
     state.start.hardState = m_hardState;
@@ -113,8 +113,8 @@
         bool isUnused = false;
         if (name == firstSegment) {
             // The identity is written after the first segment, so an interrupted initialization
-            // leaves a segment that has only a header. A longer one was used and has lost its
-            // identity file.
+            // leaves a segment that has only a header. A longer one was in use, and its identity
+            // file was lost.
             BOOST_LEAF_AUTO(bytes, m_fileSystem.read(path(name)));
             const std::string head = encodeSegmentHeader(1, 0);
             isUnused = bytes.size() == head.size();
@@ -131,9 +131,10 @@
 Result<void> FileStorage::createIdentity()
 {
     m_identity = {m_options.group, m_options.self, randomHex(incarnationBytes), {}};
-    const auto &founders = m_options.founders;
-    if (std::find(founders.begin(), founders.end(), m_options.self) != founders.end())
-        m_identity.founders = founders;
+    const auto &initialVoters = m_options.initialVoters;
+    if (std::find(initialVoters.begin(), initialVoters.end(), m_options.self)
+        != initialVoters.end())
+        m_identity.initialVoters = initialVoters;
     BOOST_LEAF_CHECK(
             writeFile(numberedName(segmentPrefix, 1), encodeSegmentHeader(1, identityHash()), ""));
     return writeFile(std::string(identityName), encodeIdentity(m_identity), "");
@@ -229,7 +230,7 @@
             {{"file", file}, {"bytes", content.intactBytes}, {"group", m_options.group}});
         BOOST_LEAF_CHECK(m_file->truncate(content.intactBytes));
     }
-    // The process may have crashed before it synced what was read here.
+    // The process may have crashed before it synced the data that was just read.
     BOOST_LEAF_CHECK(m_file->sync());
     return m_fileSystem.syncFolder(m_options.folder);
 }
@@ -250,8 +251,8 @@
     const bool conflicts =
             coversSnapshot && log[snapshot.index - log.front().index].term != snapshot.term;
     if (isOlder || conflicts) {
-        // An installed snapshot replaces the log. The process stopped before it had switched to a
-        // new segment.
+        // An installed snapshot replaces the log. The process stopped after it had written the
+        // snapshot and before it started the new segment.
         log.clear();
         BOOST_LEAF_CHECK(startSegment(snapshot.index));
         return removeSegmentsBefore(m_segments.back().sequence);
@@ -420,7 +421,7 @@
 bool FileStorage::hasSpace()
 {
     const auto free = outcomeOf([&] { return m_fileSystem.freeBytes(m_options.folder); });
-    return free.ok() && free.value() >= m_options.reserveBytes;
+    return free.ok() && free.value() >= m_options.minFreeBytes;
 }
 
 std::string FileStorage::path(std::string_view name) const
--- a/src/replication/filestorage.h
+++ b/src/replication/filestorage.h
@@ -14,12 +14,12 @@
     std::string group;
     ReplicaId self;
     /// Voters of a new group; stored when the folder is created.
-    std::vector<ReplicaId> founders;
+    std::vector<ReplicaId> initialVoters;
     /// A new segment is started once the current one is larger than this.
     std::uint64_t segmentBytes = 8u << 20;
-    /// hasSpace() is false below this many free bytes. Must be at least the size of the writes that
-    /// can be in progress.
-    std::uint64_t reserveBytes = 16u << 20;
+    /// hasSpace() returns false when fewer bytes are free. Must be at least the total size of the
+    /// writes that can be in progress.
+    std::uint64_t minFreeBytes = 16u << 20;
 };
 
 /// Storage in one folder, which contains the file `identity`, the log segments `log-SEQUENCE` and
--- a/src/replication/filesystem.cpp
+++ b/src/replication/filesystem.cpp
@@ -70,7 +70,7 @@
     Result<void> sync() override
     {
         // Must not be retried after a failure: the kernel may have dropped the pages that it could
-        // not write, and a second fdatasync() could then succeed.
+        // not write, and a second fdatasync() could then succeed although the data is lost.
         if (::fdatasync(m_descriptor.get()) != 0)
             return fail(systemFailure(ErrorCode::FsyncFailed, "sync", m_path, errno));
         return {};
--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -11,13 +11,15 @@
 namespace rattanrill::replication {
 namespace {
 
-/// Maximum number and bytes of the open proposals, reads and membership changes of one replica.
+/// Maximum number and total size of the open proposals, reads and membership changes of one
+/// replica.
 constexpr std::int64_t maxOpenCalls = 32768;
-constexpr std::int64_t maxOpenBytes = std::int64_t(64) << 20;
-/// Received messages beyond this many queued bytes are dropped; the sender resends them.
+constexpr std::int64_t maxOpenCallBytes = std::int64_t(64) << 20;
+/// Maximum size of the received messages that wait for processing. Further messages are dropped;
+/// the sender resends them.
 constexpr std::int64_t maxQueuedMessageBytes = std::int64_t(64) << 20;
 /// A call without a result fails after this many election timeouts.
-constexpr int callElectionTimeouts = 25;
+constexpr int maxCallElectionTimeouts = 25;
 
 Failure stoppedFailure(const std::optional<Failure> &reason)
 {
@@ -39,7 +41,7 @@
     : m_options(std::move(options))
     , m_transport(transport)
     , m_clock(clock)
-    , m_calls(maxOpenCalls, maxOpenBytes)
+    , m_calls(maxOpenCalls, maxOpenCallBytes)
     , m_core(std::move(parts.raft), parts.start, clock.now())
     , m_apply(std::move(parts.machine), parts.start.snapshot.index, m_options.snapshotAfterBytes,
               applyListener())
@@ -140,7 +142,7 @@
         return;
     const auto begin = [this, start, query = std::move(query), callback]() mutable {
         if (m_stopReason) {
-            m_apply.finish(std::move(callback), stoppedFailure(m_stopReason));
+            m_apply.invokeCallback(std::move(callback), stoppedFailure(m_stopReason));
             return;
         }
         const std::uint64_t token = m_nextToken++;
@@ -168,7 +170,7 @@
         return;
     const auto begin = [this, member, replaced, callback]() mutable {
         if (m_stopReason) {
-            m_apply.finish(std::move(callback), stoppedFailure(m_stopReason));
+            m_apply.invokeCallback(std::move(callback), stoppedFailure(m_stopReason));
             return;
         }
         const std::uint64_t token = m_nextToken++;
@@ -262,22 +264,22 @@
 void GroupDriver::startProposal(std::string command, Callback callback)
 {
     if (m_stopReason) {
-        m_apply.finish(std::move(callback), stoppedFailure(m_stopReason));
+        m_apply.invokeCallback(std::move(callback), stoppedFailure(m_stopReason));
         return;
     }
     const Outcome<EntryPosition> position = m_core.propose(std::move(command));
     if (!position.ok()) {
-        m_apply.finish(std::move(callback), position.failure());
+        m_apply.invokeCallback(std::move(callback), position.failure());
         return;
     }
-    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callElectionTimeouts;
+    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * maxCallElectionTimeouts;
     OpenProposal proposal{position.value().term, std::move(callback), deadline};
     m_proposals.insert_or_assign(position.value().index, std::move(proposal));
 }
 
 void GroupDriver::handleOutput()
 {
-    RaftOutput output = m_core.output();
+    RaftOutput output = m_core.takeOutput();
     if (output.persist)
         m_storage.persist(std::move(*output.persist));
     sendMessages(std::move(output.messages));
@@ -316,9 +318,9 @@
             if (proposal->second.term == entry.term)
                 callback = std::move(proposal->second.callback);
             else
-                m_apply.finish(std::move(proposal->second.callback),
-                               mayHaveRun(ErrorCode::ProposalLost,
-                                          "another entry was committed at its index"));
+                m_apply.invokeCallback(std::move(proposal->second.callback),
+                                       mayHaveRun(ErrorCode::ProposalLost,
+                                                  "another entry was committed at its index"));
             m_proposals.erase(proposal);
         }
         committed.push_back({std::move(entry), std::move(callback)});
@@ -328,7 +330,7 @@
 
 void GroupDriver::finishReads(const std::vector<ReadResult> &results)
 {
-    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * callElectionTimeouts;
+    const absl::Time deadline = m_clock.now() + m_options.electionTimeout * maxCallElectionTimeouts;
     for (const ReadResult &result : results) {
         const auto found = m_reads.find(result.token);
         if (found == m_reads.end())
@@ -336,7 +338,7 @@
         OpenRead open = std::move(found->second);
         m_reads.erase(found);
         if (result.failure)
-            m_apply.finish(std::move(open.callback), *result.failure);
+            m_apply.invokeCallback(std::move(open.callback), *result.failure);
         else
             m_apply.read({result.index, std::move(open.query), std::move(open.callback), deadline});
     }
@@ -351,29 +353,29 @@
         Callback callback = std::move(found->second);
         m_changes.erase(found);
         if (result.failure)
-            m_apply.finish(std::move(callback), *result.failure);
+            m_apply.invokeCallback(std::move(callback), *result.failure);
         else
-            m_apply.finish(std::move(callback), std::string());
+            m_apply.invokeCallback(std::move(callback), std::string());
     }
 }
 
 void GroupDriver::failProposals(const Failure &failure)
 {
     for (auto &[index, proposal] : std::exchange(m_proposals, {}))
-        m_apply.finish(std::move(proposal.callback), failure);
+        m_apply.invokeCallback(std::move(proposal.callback), failure);
 }
 
 void GroupDriver::expireCalls()
 {
     const absl::Time now = m_clock.now();
-    if (now < m_nextExpiry)
+    if (now < m_nextExpiryCheck)
         return;
-    m_nextExpiry = now + m_options.electionTimeout;
+    m_nextExpiryCheck = now + m_options.electionTimeout;
     m_apply.expireReads(now);
     while (!m_proposals.empty() && m_proposals.begin()->second.deadline <= now) {
-        m_apply.finish(std::move(m_proposals.begin()->second.callback),
-                       mayHaveRun(ErrorCode::NoQuorum,
-                                  "no quorum stored the command before the deadline"));
+        m_apply.invokeCallback(std::move(m_proposals.begin()->second.callback),
+                               mayHaveRun(ErrorCode::NoQuorum,
+                                          "no quorum stored the command before the deadline"));
         m_proposals.erase(m_proposals.begin());
     }
 }
@@ -407,9 +409,9 @@
 {
     failProposals(failure);
     for (auto &[token, callback] : std::exchange(m_changes, {}))
-        m_apply.finish(std::move(callback), failure);
+        m_apply.invokeCallback(std::move(callback), failure);
     for (auto &[token, open] : std::exchange(m_reads, {}))
-        m_apply.finish(std::move(open.callback), notRun(failure.code, failure.detail));
+        m_apply.invokeCallback(std::move(open.callback), notRun(failure.code, failure.detail));
 }
 
 void GroupDriver::publishStatus()
@@ -454,7 +456,7 @@
     files.folder = options.dataFolder;
     files.group = options.group;
     files.self = options.self;
-    files.founders = options.initialVoters;
+    files.initialVoters = options.initialVoters;
     GroupDriver::Parts parts;
     StoredState state;
     BOOST_LEAF_ASSIGN(parts.storage, FileStorage::open(files, posixFileSystem(), state));
--- a/src/replication/groupdriver.h
+++ b/src/replication/groupdriver.h
@@ -54,12 +54,15 @@
         Callback callback;
     };
 
+    /// Counts a call of \a bytes until the returned callback is called. At the limit, calls
+    /// \a callback with QueueFull and returns null.
     Callback withCallLimit(Callback callback, std::size_t bytes);
+    /// Runs \a task on the Raft thread. After stop(), calls \a callback with Stopped instead.
     void post(Task task, const Callback &callback);
     void startRead(StartRead start, std::string query, Callback callback);
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, Callback callback);
 
-    // On the Raft thread
+    // The following run on the Raft thread.
     void run();
     absl::Duration timeToDeadline() const;
     void startProposal(std::string command, Callback callback);
@@ -84,6 +87,7 @@
     const Clock &m_clock;
     CallLimit m_calls;
     TaskQueue<Task> m_inbox;
+    /// Size of the received messages in the inbox.
     std::atomic<std::int64_t> m_queuedMessageBytes = 0;
 
     // Used by the Raft thread only
@@ -92,7 +96,8 @@
     std::unordered_map<std::uint64_t, OpenRead> m_reads;
     std::unordered_map<std::uint64_t, Callback> m_changes;
     std::uint64_t m_nextToken = 1;
-    absl::Time m_nextExpiry = absl::InfinitePast();
+    /// Time at which expireCalls() next looks for calls whose deadline has passed.
+    absl::Time m_nextExpiryCheck = absl::InfinitePast();
     std::optional<Failure> m_stopReason;
 
     mutable absl::Mutex m_statusMutex;
--- a/src/replication/logformat.cpp
+++ b/src/replication/logformat.cpp
@@ -235,7 +235,7 @@
                                            {"group", identity.group},
                                            {"replica", identity.replica},
                                            {"incarnation", identity.incarnation},
-                                           {"founders", identity.founders}});
+                                           {"founders", identity.initialVoters}});
     return concat(text, "\n", stableHash(text), "\n");
 }
 
@@ -253,8 +253,8 @@
     BOOST_LEAF_ASSIGN(identity.group, jsonMember<std::string>(json, "group"));
     BOOST_LEAF_ASSIGN(identity.replica, jsonMember<std::string>(json, "replica"));
     BOOST_LEAF_ASSIGN(identity.incarnation, jsonMember<std::string>(json, "incarnation"));
-    for (const Json &founder : json.value("founders", Json::array()))
-        identity.founders.push_back(founder.get<std::string>());
+    for (const Json &voter : json.value("founders", Json::array()))
+        identity.initialVoters.push_back(voter.get<std::string>());
     return identity;
 }
 
--- a/src/replication/logformat.h
+++ b/src/replication/logformat.h
@@ -18,7 +18,7 @@
 struct LogRecord
 {
     std::optional<HardState> hardState;
-    /// When set, a snapshot replaced the log, which continues after this index.
+    /// Set when a snapshot replaced the log; the log continues after this index.
     std::optional<std::uint64_t> resetIndex;
     /// Replace the existing entries at the same and higher indexes.
     std::vector<Entry> entries;
@@ -36,7 +36,8 @@
 
 std::string encodeSegmentHeader(std::uint64_t sequence, std::uint64_t identityHash);
 std::string encodeLogRecord(const LogRecord &record);
-/// \a offset is the position of the frame in the file. The frame is invalid at any other position.
+/// \a offset is the position of the frame in the file. The checksum covers this position, so the
+/// frame is invalid at any other one.
 std::string encodeFrame(std::uint64_t sequence, std::uint64_t offset, std::string_view payload);
 /// Fails with CorruptData or UnsupportedFormat; the failure contains \a path and, when the data is
 /// corrupt, the offset.
@@ -60,7 +61,7 @@
     ReplicaId replica;
     std::string incarnation;
     /// Initial voters of the group if this replica is one of them, otherwise empty.
-    std::vector<ReplicaId> founders;
+    std::vector<ReplicaId> initialVoters;
 };
 
 std::string encodeIdentity(const FolderIdentity &identity);
--- a/src/replication/main_bench.cpp
+++ b/src/replication/main_bench.cpp
@@ -27,8 +27,8 @@
 constexpr absl::Duration leaderTimeout = absl::Seconds(30);
 constexpr int failoverRuns = 9;
 
-/// Keeps the last 1024 commands, so that the size of a snapshot is bounded.
-class BenchMachine : public StateMachine
+/// State machine that keeps the last 1024 commands, so that the size of a snapshot is bounded.
+class BenchStateMachine : public StateMachine
 {
 public:
     std::string apply(std::uint64_t index, std::string_view command) override
@@ -84,7 +84,7 @@
         link.from = id;
         link.group = this;
         auto opened = outcomeOf([&] {
-            return startRaftNode(options, std::make_unique<BenchMachine>(), link,
+            return startRaftNode(options, std::make_unique<BenchStateMachine>(), link,
                                  SystemClock::instance());
         });
         if (!opened.ok()) {
@@ -123,7 +123,7 @@
             }
             absl::SleepFor(absl::Milliseconds(1));
         }
-        std::cerr << "no leader\n";
+        std::cerr << "no leader was elected within 30 s\n";
         std::exit(1);
     }
 
@@ -207,7 +207,7 @@
     std::atomic<int> m_openWrites;
     std::atomic<bool> m_stopping = false;
     absl::Notification m_finished;
-    /// Not guarded: all callbacks run on one thread.
+    /// Needs no mutex: all callbacks run on the same thread.
     std::vector<double> m_latencies;
 };
 
--- a/src/replication/persisttracker.h
+++ b/src/replication/persisttracker.h
@@ -6,14 +6,14 @@
 
 namespace rattanrill::replication {
 
-/// Numbers the writes that the core requests and holds back the messages that depend on a write
-/// which is not on disk yet.
+/// Numbers the writes that the core requests, and holds back each message until the writes that it
+/// depends on are on disk.
 class PersistTracker
 {
 public:
     /// Records a change that the next write will contain.
     void markDirty() { m_dirty = true; }
-    /// Like markDirty(), for a change of term, vote or founders.
+    /// Like markDirty(), for a change of the term, the vote or the initial voters.
     void markHardStateDirty();
     bool isDirty() const { return m_dirty; }
     bool isHardStateDirty() const { return m_hardStateDirty; }
@@ -56,10 +56,14 @@
 
     bool m_dirty = false;
     bool m_hardStateDirty = false;
+    /// Sequence number of the last write that was started.
     std::uint64_t m_sequence = 0;
+    /// Write that contains the latest change of the hard state.
     std::uint64_t m_hardStateSequence = 0;
+    /// Last write that is on disk.
     std::uint64_t m_persistedSequence = 0;
     std::uint64_t m_persistedIndex = 0;
+    /// Writes that are not on disk yet.
     std::deque<Write> m_writes;
     std::vector<Held> m_held;
 };
--- a/src/replication/progress.cpp
+++ b/src/replication/progress.cpp
@@ -7,7 +7,7 @@
 void Progress::probeFrom(std::uint64_t index)
 {
     mode = ProgressMode::Probe;
-    next = std::max(index, match + 1);
+    nextIndex = std::max(index, matchIndex + 1);
     probeSent = false;
     inFlight.clear();
     inFlightBytes = 0;
@@ -22,28 +22,28 @@
     lastTransfer = now;
 }
 
-void Progress::sent(std::uint64_t lastIndex, std::uint64_t bytes)
+void Progress::recordSent(std::uint64_t lastIndex, std::uint64_t bytes)
 {
     if (mode == ProgressMode::Probe) {
         probeSent = true;
         return;
     }
-    next = lastIndex + 1;
+    nextIndex = lastIndex + 1;
     inFlight.push_back({lastIndex, bytes});
     inFlightBytes += bytes;
 }
 
-bool Progress::acknowledged(std::uint64_t index)
+bool Progress::recordAcknowledgement(std::uint64_t index)
 {
     probeSent = false;
     while (!inFlight.empty() && inFlight.front().lastIndex <= index) {
         inFlightBytes -= inFlight.front().bytes;
         inFlight.pop_front();
     }
-    next = std::max(next, index + 1);
-    if (index <= match)
+    nextIndex = std::max(nextIndex, index + 1);
+    if (index <= matchIndex)
         return false;
-    match = index;
+    matchIndex = index;
     return true;
 }
 
--- a/src/replication/progress.h
+++ b/src/replication/progress.h
@@ -13,6 +13,7 @@
     Probe,
     /// Appends are sent without waiting for replies, up to a limit in bytes.
     Pipeline,
+    /// A snapshot is being transferred; no entries are sent.
     Snapshot,
 };
 
@@ -27,33 +28,38 @@
     };
 
     Progress(std::uint64_t lastIndex, absl::Time now)
-        : next(lastIndex + 1)
+        : nextIndex(lastIndex + 1)
         , lastContact(now)
     {}
 
     void probeFrom(std::uint64_t index);
     void startSnapshot(std::uint64_t index, absl::Time now);
     /// Records a sent append of \a bytes whose last entry has \a lastIndex.
-    void sent(std::uint64_t lastIndex, std::uint64_t bytes);
-    /// Records that the replica has stored everything up to \a index. Returns whether \a match
+    void recordSent(std::uint64_t lastIndex, std::uint64_t bytes);
+    /// Records that the replica has persisted the log up to \a index. Returns whether \a matchIndex
     /// increased.
-    bool acknowledged(std::uint64_t index);
+    bool recordAcknowledgement(std::uint64_t index);
 
     ProgressMode mode = ProgressMode::Probe;
     /// Index up to which the replica has persisted the leader's log.
-    std::uint64_t match = 0;
-    std::uint64_t next;
-    /// Whether a probe was sent and not answered yet.
+    std::uint64_t matchIndex = 0;
+    /// Index of the next entry to send.
+    std::uint64_t nextIndex;
+    /// Whether a probe was sent to which the replica has not replied yet.
     bool probeSent = false;
+    /// Appends that were sent in pipeline mode and not acknowledged yet.
     std::deque<InFlight> inFlight;
     std::uint64_t inFlightBytes = 0;
+    /// Snapshot that is being transferred, and the offset of the next chunk.
     std::uint64_t snapshotIndex = 0;
     std::uint64_t snapshotOffset = 0;
-    /// When the last append or chunk was sent or answered.
+    /// When the last append or snapshot chunk was sent, or the last reply to an append was
+    /// received.
     absl::Time lastTransfer = absl::InfinitePast();
     absl::Time lastContact;
     /// Highest heartbeat round to which the replica has replied.
     std::uint64_t round = 0;
+    /// Whether the disk of the replica has space for writes.
     bool writable = true;
     /// From the last message of the replica; empty before the first one.
     std::string incarnation;
--- a/src/replication/raftcore.cpp
+++ b/src/replication/raftcore.cpp
@@ -49,7 +49,7 @@
         formGroup();
     becomeFollower(m_hardState.term, "");
     resetElectionDeadline();
-    // The only voter of a group can start its election at once: there is no other leader.
+    // The only voter of a group starts an election at once, because there can be no other leader.
     if (canCampaign() && membership().voters.size() == 1)
         m_electionDeadline = now;
 }
@@ -88,37 +88,37 @@
 {
     switch (type) {
     case MessageType::Introduce:
-        return &RaftCore::onIntroduce;
+        return &RaftCore::handleIntroduce;
     case MessageType::IntroduceReply:
-        return &RaftCore::onIntroduceReply;
+        return &RaftCore::handleIntroduceReply;
     case MessageType::IdentityRefused:
-        return &RaftCore::onIdentityRefused;
+        return &RaftCore::handleIdentityRefused;
     case MessageType::PreVote:
-        return &RaftCore::onPreVote;
+        return &RaftCore::handlePreVote;
     case MessageType::PreVoteReply:
-        return &RaftCore::onPreVoteReply;
+        return &RaftCore::handlePreVoteReply;
     case MessageType::Vote:
-        return &RaftCore::onVote;
+        return &RaftCore::handleVote;
     case MessageType::VoteReply:
-        return &RaftCore::onVoteReply;
+        return &RaftCore::handleVoteReply;
     case MessageType::Append:
-        return &RaftCore::onAppend;
+        return &RaftCore::handleAppend;
     case MessageType::AppendReply:
-        return &RaftCore::onAppendReply;
+        return &RaftCore::handleAppendReply;
     case MessageType::Heartbeat:
-        return &RaftCore::onHeartbeat;
+        return &RaftCore::handleHeartbeat;
     case MessageType::HeartbeatReply:
-        return &RaftCore::onHeartbeatReply;
+        return &RaftCore::handleHeartbeatReply;
     case MessageType::SnapshotChunk:
-        return &RaftCore::onSnapshotChunk;
+        return &RaftCore::handleSnapshotChunk;
     case MessageType::SnapshotReply:
-        return &RaftCore::onSnapshotReply;
+        return &RaftCore::handleSnapshotReply;
     case MessageType::ReadIndex:
-        return &RaftCore::onReadIndex;
+        return &RaftCore::handleReadIndex;
     case MessageType::ReadIndexReply:
-        return &RaftCore::onReadIndexReply;
+        return &RaftCore::handleReadIndexReply;
     case MessageType::TimeoutNow:
-        return &RaftCore::onTimeoutNow;
+        return &RaftCore::handleTimeoutNow;
     }
     return nullptr;
 }
@@ -128,11 +128,11 @@
     if (m_stop)
         return;
     if (message.type == MessageType::IdentityRefused) {
-        onIdentityRefused(message);
+        handleIdentityRefused(message);
         return;
     }
     if (!isExpectedIncarnation(message)) {
-        Message refusal = reply(message, MessageType::IdentityRefused);
+        Message refusal = makeReply(message, MessageType::IdentityRefused);
         refusal.data = message.incarnation;
         send(std::move(refusal));
         return;
@@ -163,7 +163,7 @@
 void RaftCore::persisted(std::uint64_t sequence)
 {
     m_persist.finishWrites(sequence);
-    releaseHeld();
+    releaseHeldMessages();
     if (m_role == Role::Leader)
         advanceCommit();
 }
@@ -185,12 +185,12 @@
     }
 }
 
-RaftOutput RaftCore::output()
+RaftOutput RaftCore::takeOutput()
 {
     RaftOutput output;
     if (m_role == Role::Leader) {
         if (std::exchange(m_isRoundRequested, false)) {
-            ++m_round;
+            ++m_heartbeatRound;
             broadcastHeartbeat();
             confirmReads();
         }
@@ -199,7 +199,7 @@
         forwardReads();
     }
     collectPersist(output);
-    releaseHeld();
+    releaseHeldMessages();
     output.restored = std::exchange(m_unrestoredSnapshot, std::nullopt);
     output.committed = m_log.slice(m_deliveredIndex + 1, m_commitIndex, UINT64_MAX);
     m_deliveredIndex = m_commitIndex;
@@ -225,7 +225,7 @@
     output.persist = std::move(request);
 }
 
-void RaftCore::releaseHeld()
+void RaftCore::releaseHeldMessages()
 {
     for (Message &message : m_persist.takeReleased()) {
         if (message.to == m_options.self)
@@ -244,7 +244,7 @@
     return canCampaign() ? m_electionDeadline : absl::InfiniteFuture();
 }
 
-Message RaftCore::message(const ReplicaId &to, MessageType type) const
+Message RaftCore::makeMessage(const ReplicaId &to, MessageType type) const
 {
     Message message;
     message.type = type;
@@ -255,11 +255,11 @@
     return message;
 }
 
-Message RaftCore::reply(const Message &to, MessageType type) const
+Message RaftCore::makeReply(const Message &to, MessageType type) const
 {
-    Message answer = message(to.from, type);
-    answer.context = to.context;
-    return answer;
+    Message reply = makeMessage(to.from, type);
+    reply.context = to.context;
+    return reply;
 }
 
 void RaftCore::send(Message message)
--- a/src/replication/raftcore.h
+++ b/src/replication/raftcore.h
@@ -11,8 +11,8 @@
 
 namespace rattanrill::replication {
 
-/// Safeguards that a test disables to prove that its checker detects their absence. Production code
-/// disables none.
+/// Safeguards that a test disables to prove that its invariant checks detect their absence.
+/// Production code disables none.
 struct DisabledSafeguards
 {
     bool persistBeforeVote = false;
@@ -30,7 +30,7 @@
     std::string incarnation;
     absl::Duration heartbeatPeriod = absl::Milliseconds(60);
     absl::Duration electionTimeout = absl::Milliseconds(400);
-    /// Replaces the election timeout until the first contact with a leader, unless it is zero.
+    /// Replaces the election timeout until the first message from a leader, unless it is zero.
     absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 256u << 10;
     /// Limit of the unacknowledged append bytes to one replica.
@@ -38,7 +38,8 @@
     /// A leader refuses proposals while more than this many bytes are not committed.
     std::uint64_t maxUncommittedBytes = 64u << 20;
     std::uint64_t snapshotChunkBytes = 512u << 10;
-    /// Number of entries before a snapshot that are kept for replicas that are slightly behind.
+    /// Number of entries before a snapshot that are kept, so that replicas that lag only slightly
+    /// need no snapshot.
     std::uint64_t retainedEntries = 4096;
     /// Seed of the random numbers, such as election timeouts.
     std::uint64_t seed = 0;
@@ -83,11 +84,12 @@
     std::optional<Failure> failure;
 };
 
-/// Actions for the caller. It may send the messages before the write is done: the core holds back
-/// those that depend on a write.
+/// Actions for the caller. The messages may be sent before the write is done, because the core
+/// holds back those that depend on a write.
 struct RaftOutput
 {
-    /// A SnapshotChunk contains no data yet: the caller reads \a length bytes at \a offset into it.
+    /// A SnapshotChunk contains no data: before sending it, the caller sets \a data to at most
+    /// \a length bytes of the snapshot from \a offset on.
     std::vector<Message> messages;
     std::optional<PersistRequest> persist;
     /// Must be restored before \a committed is applied.
@@ -130,7 +132,7 @@
     void setWritable(bool writable) { m_writable = writable; }
 
     /// Returns the actions that have accumulated since the last call.
-    RaftOutput output();
+    RaftOutput takeOutput();
 
     // State
     absl::Time nextDeadline() const;
@@ -157,6 +159,8 @@
     static StepFunction stepFunction(MessageType type);
 
     // Terms and elections
+    /// Compares the term of \a message with that of this replica and becomes a follower when it is
+    /// newer. Returns false when the message must not be processed.
     bool acceptTerm(const Message &message);
     bool isLeaderAlive() const;
     void replyToStaleTerm(const Message &message);
@@ -173,25 +177,27 @@
     bool isSelfVoter(const Membership &membership) const;
     bool isUpToDate(const Message &candidate) const;
     void requestVotes(MessageType type, std::uint64_t term, bool transfer);
-    void onPreVote(const Message &message);
-    void onPreVoteReply(const Message &message);
-    void onVote(const Message &message);
-    void onVoteReply(const Message &message);
-    void onTimeoutNow(const Message &message);
+    void handlePreVote(const Message &message);
+    void handlePreVoteReply(const Message &message);
+    void handleVote(const Message &message);
+    void handleVoteReply(const Message &message);
+    void handleTimeoutNow(const Message &message);
 
     // Identity
     bool isExpectedIncarnation(const Message &message) const;
     void sendIntroductions();
-    void recordFounder(const Message &message);
+    void recordInitialVoter(const Message &message);
     void formGroup();
-    void onIntroduce(const Message &message);
-    void onIntroduceReply(const Message &message);
-    void onIdentityRefused(const Message &message);
+    void handleIntroduce(const Message &message);
+    void handleIntroduceReply(const Message &message);
+    void handleIdentityRefused(const Message &message);
 
     // Replication
     void appendLocalEntry(EntryKind kind, std::string data);
+    /// Includes the entries from \a index on in the next write.
     void markUnsavedFrom(std::uint64_t index);
-    void adoptEntries(const Message &message);
+    /// Appends the entries of \a message that are missing and replaces those with another term.
+    void appendReceivedEntries(const Message &message);
     void setCommit(std::uint64_t index);
     void advanceCommit();
     bool hasCommittedInTerm() const;
@@ -199,19 +205,22 @@
     void sendEntries(const ReplicaId &to, Progress &progress);
     void sendOneAppend(const ReplicaId &to, Progress &progress, bool empty);
     void sendSnapshotChunk(const ReplicaId &to, Progress &progress);
+    /// Repeats a probe or chunk, or sends an empty append, when a reply is overdue.
     void resendStalled(const ReplicaId &to, Progress &progress);
     void broadcastEntries();
     void broadcastHeartbeat();
     void updateProgressSet();
+    /// Records the contact with the sender of \a message and returns its progress; null when this
+    /// replica does not lead or the sender is not a member.
     Progress *progressOf(const Message &message);
     bool hasContactWithQuorum() const;
-    void onAppend(const Message &message);
-    void onAppendReply(const Message &message);
-    void onRefusedAppend(const Message &message, Progress &progress);
-    void onHeartbeat(const Message &message);
-    void onHeartbeatReply(const Message &message);
-    void onSnapshotChunk(const Message &message);
-    void onSnapshotReply(const Message &message);
+    void handleAppend(const Message &message);
+    void handleAppendReply(const Message &message);
+    void handleRefusedAppend(const Message &message, Progress &progress);
+    void handleHeartbeat(const Message &message);
+    void handleHeartbeatReply(const Message &message);
+    void handleSnapshotChunk(const Message &message);
+    void handleSnapshotReply(const Message &message);
     void installSnapshot(const SnapshotMeta &meta);
     void replyToChunk(const Message &message, bool installed);
 
@@ -219,25 +228,28 @@
     void addLeaderRead(ReadTracker::LeaderRead read);
     void confirmReads();
     void finishRead(const ReadTracker::LeaderRead &read);
+    /// Highest heartbeat round to which a quorum has replied.
     std::uint64_t confirmedRound() const;
     void forwardReads();
-    void onReadIndex(const Message &message);
-    void onReadIndexReply(const Message &message);
+    void handleReadIndex(const Message &message);
+    void handleReadIndexReply(const Message &message);
 
     // Members and transfer
+    /// Starts the next step of the membership change when the previous step is committed.
     void advanceChange();
     void advanceAddition();
     void finishChange(std::optional<Failure> failure);
     bool isCaughtUp(const ReplicaId &member) const;
     void appendMembership(const Membership &membership);
+    /// Requests the transfer target to start an election once it has the whole log.
     void advanceTransfer();
 
     // Output
-    Message reply(const Message &to, MessageType type) const;
-    Message message(const ReplicaId &to, MessageType type) const;
+    Message makeReply(const Message &to, MessageType type) const;
+    Message makeMessage(const ReplicaId &to, MessageType type) const;
     void send(Message message);
     void collectPersist(RaftOutput &output);
-    void releaseHeld();
+    void releaseHeldMessages();
     void leaderTick();
     std::size_t countVoters(const std::function<bool(const Progress &)> &predicate) const;
 
@@ -253,6 +265,8 @@
     Role m_role = Role::Follower;
     ReplicaId m_leader;
     std::uint64_t m_commitIndex = 0;
+    /// Last index that the caller has received, in RaftOutput::committed or with
+    /// RaftOutput::restored.
     std::uint64_t m_deliveredIndex = 0;
     /// Index of the first entry that the next write contains; 0 when there is none.
     std::uint64_t m_firstUnsavedIndex = 0;
@@ -265,22 +279,27 @@
     // Leader
     std::map<ReplicaId, Progress> m_progress;
     absl::Time m_nextHeartbeat;
-    std::uint64_t m_round = 0;
+    /// Current heartbeat round. A new one starts when a read needs a confirmation of leadership.
+    std::uint64_t m_heartbeatRound = 0;
     bool m_isRoundRequested = false;
+    /// Index of the first entry of the term of this leader.
     std::uint64_t m_termStartIndex = 0;
     std::uint64_t m_uncommittedBytes = 0;
-    std::optional<MemberChange> m_change;
+    std::optional<MemberChange> m_memberChange;
     ReplicaId m_transferTarget;
     absl::Time m_transferDeadline;
 
-    // Receiving a snapshot
-    SnapshotMeta m_incoming;
-    std::string m_incomingData;
+    // Snapshot that is being received, and received snapshots
+    SnapshotMeta m_incomingSnapshot;
+    std::string m_incomingSnapshotData;
+    /// Received snapshot that the next write will contain.
     std::optional<InstalledSnapshot> m_unsavedSnapshot;
+    /// Received snapshot that the next output will contain.
     std::optional<InstalledSnapshot> m_unrestoredSnapshot;
 
     std::vector<Message> m_messages;
     std::vector<ChangeResult> m_changeResults;
+    /// Why the replica must stop; empty while it may run.
     std::optional<Failure> m_stop;
 };
 
--- a/src/replication/raftcore_election.cpp
+++ b/src/replication/raftcore_election.cpp
@@ -15,8 +15,8 @@
         replyToStaleTerm(message);
         return false;
     }
-    // A replica in contact with a leader ignores vote requests, so that it does not help to depose
-    // that leader.
+    // A replica in contact with a leader ignores vote requests, so that no other replica deposes a
+    // leader that works.
     if (isVote && !message.transfer && isLeaderAlive())
         return false;
     const bool isFutureTerm = message.type == MessageType::PreVote
@@ -41,13 +41,13 @@
     case MessageType::SnapshotChunk:
         // Without a reply a deposed leader would not step down, and a replica that raised its term
         // in a lost election would never rejoin.
-        m_persist.holdUntilTermPersisted(reply(message, MessageType::HeartbeatReply));
+        m_persist.holdUntilTermPersisted(makeReply(message, MessageType::HeartbeatReply));
         break;
     case MessageType::PreVote:
-        m_persist.holdUntilTermPersisted(reply(message, MessageType::PreVoteReply));
+        m_persist.holdUntilTermPersisted(makeReply(message, MessageType::PreVoteReply));
         break;
     case MessageType::Vote:
-        m_persist.holdUntilTermPersisted(reply(message, MessageType::VoteReply));
+        m_persist.holdUntilTermPersisted(makeReply(message, MessageType::VoteReply));
         break;
     default:
         break;
@@ -138,8 +138,8 @@
     m_persist.markHardStateDirty();
     resetElectionDeadline();
     requestVotes(MessageType::Vote, m_hardState.term, transfer);
-    // The candidate's own vote counts once it is on disk, like that of any other replica.
-    Message ownVote = message(m_options.self, MessageType::VoteReply);
+    // The candidate's own vote counts only when it is on disk, like that of any other replica.
+    Message ownVote = makeMessage(m_options.self, MessageType::VoteReply);
     ownVote.success = true;
     m_persist.holdUntilPersisted(std::move(ownVote));
 }
@@ -149,7 +149,7 @@
     for (const auto &[id, incarnation] : membership().voters) {
         if (id == m_options.self)
             continue;
-        Message request = message(id, type);
+        Message request = makeMessage(id, type);
         request.term = term;
         request.index = m_log.lastIndex();
         request.logTerm = m_log.lastTerm();
@@ -165,40 +165,40 @@
     return candidate.index >= m_log.lastIndex();
 }
 
-void RaftCore::onPreVote(const Message &message)
+void RaftCore::handlePreVote(const Message &message)
 {
-    Message answer = reply(message, MessageType::PreVoteReply);
-    answer.success = message.term > m_hardState.term && isUpToDate(message);
-    if (answer.success)
-        answer.term = message.term;
-    send(std::move(answer));
+    Message reply = makeReply(message, MessageType::PreVoteReply);
+    reply.success = message.term > m_hardState.term && isUpToDate(message);
+    if (reply.success)
+        reply.term = message.term;
+    send(std::move(reply));
 }
 
-void RaftCore::onPreVoteReply(const Message &message)
+void RaftCore::handlePreVoteReply(const Message &message)
 {
     const bool isCurrent = message.term == m_hardState.term + 1;
     if (m_role == Role::PreCandidate && message.success && isCurrent)
         countVote(message.from);
 }
 
-void RaftCore::onVote(const Message &message)
+void RaftCore::handleVote(const Message &message)
 {
     const bool isVoteAvailable =
             m_hardState.votedFor.empty() ? m_leader.empty() : m_hardState.votedFor == message.from;
-    Message answer = reply(message, MessageType::VoteReply);
-    answer.success = isVoteAvailable && isUpToDate(message);
-    if (answer.success && m_hardState.votedFor.empty()) {
+    Message reply = makeReply(message, MessageType::VoteReply);
+    reply.success = isVoteAvailable && isUpToDate(message);
+    if (reply.success && m_hardState.votedFor.empty()) {
         m_hardState.votedFor = message.from;
         m_persist.markHardStateDirty();
         resetElectionDeadline();
     }
     if (m_options.disabled.persistBeforeVote)
-        send(std::move(answer));
+        send(std::move(reply));
     else
-        m_persist.holdUntilPersisted(std::move(answer));
+        m_persist.holdUntilPersisted(std::move(reply));
 }
 
-void RaftCore::onVoteReply(const Message &message)
+void RaftCore::handleVoteReply(const Message &message)
 {
     if (m_role == Role::Candidate && message.success)
         countVote(message.from);
@@ -244,7 +244,7 @@
         const bool isAlive = m_now - progress.lastContact < m_options.electionTimeout;
         if (!membership().isVoter(id) || !isAlive)
             continue;
-        if (best == nullptr || progress.match > best->match) {
+        if (best == nullptr || progress.matchIndex > best->matchIndex) {
             best = &progress;
             m_transferTarget = id;
         }
@@ -256,11 +256,11 @@
 void RaftCore::advanceTransfer()
 {
     const auto target = m_progress.find(m_transferTarget);
-    if (target != m_progress.end() && target->second.match == m_log.lastIndex())
-        send(message(m_transferTarget, MessageType::TimeoutNow));
+    if (target != m_progress.end() && target->second.matchIndex == m_log.lastIndex())
+        send(makeMessage(m_transferTarget, MessageType::TimeoutNow));
 }
 
-void RaftCore::onTimeoutNow(const Message &message)
+void RaftCore::handleTimeoutNow(const Message &message)
 {
     if (m_role == Role::Follower && m_leader == message.from && canCampaign())
         campaign(true);
@@ -270,18 +270,18 @@
 {
     if (m_options.disabled.identityCheck)
         return true;
-    const auto &founders = m_hardState.founders;
-    return std::none_of(founders.begin(), founders.end(),
-                        [](const auto &founder) { return founder.second.empty(); });
+    const auto &initialVoters = m_hardState.founders;
+    return std::none_of(initialVoters.begin(), initialVoters.end(),
+                        [](const auto &initialVoter) { return initialVoter.second.empty(); });
 }
 
 void RaftCore::formGroup()
 {
     if (m_log.baseIndex() != 0)
         return;
-    Membership founders;
-    founders.voters = m_hardState.founders;
-    m_log.setBaseMembership(std::move(founders));
+    Membership initialMembership;
+    initialMembership.voters = m_hardState.founders;
+    m_log.setBaseMembership(std::move(initialMembership));
 }
 
 bool RaftCore::isExpectedIncarnation(const Message &message) const
@@ -300,16 +300,16 @@
     m_nextIntroduction = m_now + m_options.heartbeatPeriod;
     for (const auto &[id, incarnation] : m_hardState.founders) {
         if (incarnation.empty())
-            send(message(id, MessageType::Introduce));
+            send(makeMessage(id, MessageType::Introduce));
     }
 }
 
-void RaftCore::recordFounder(const Message &message)
+void RaftCore::recordInitialVoter(const Message &message)
 {
-    const auto founder = m_hardState.founders.find(message.from);
-    if (founder == m_hardState.founders.end() || !founder->second.empty())
+    const auto initialVoter = m_hardState.founders.find(message.from);
+    if (initialVoter == m_hardState.founders.end() || !initialVoter->second.empty())
         return;
-    founder->second = message.incarnation;
+    initialVoter->second = message.incarnation;
     m_persist.markHardStateDirty();
     if (isFormed()) {
         formGroup();
@@ -317,21 +317,21 @@
     }
 }
 
-void RaftCore::onIntroduce(const Message &message)
+void RaftCore::handleIntroduce(const Message &message)
 {
-    recordFounder(message);
-    const auto founder = m_hardState.founders.find(message.from);
+    recordInitialVoter(message);
+    const auto initialVoter = m_hardState.founders.find(message.from);
     // An unknown incarnation receives no reply, so that it never becomes an initial voter.
-    if (founder != m_hardState.founders.end() && founder->second == message.incarnation)
-        m_persist.holdUntilPersisted(reply(message, MessageType::IntroduceReply));
+    if (initialVoter != m_hardState.founders.end() && initialVoter->second == message.incarnation)
+        m_persist.holdUntilPersisted(makeReply(message, MessageType::IntroduceReply));
 }
 
-void RaftCore::onIntroduceReply(const Message &message)
+void RaftCore::handleIntroduceReply(const Message &message)
 {
-    recordFounder(message);
+    recordInitialVoter(message);
 }
 
-void RaftCore::onIdentityRefused(const Message &message)
+void RaftCore::handleIdentityRefused(const Message &message)
 {
     if (message.data != m_options.incarnation || m_options.disabled.identityCheck)
         return;
--- a/src/replication/raftcore_members.cpp
+++ b/src/replication/raftcore_members.cpp
@@ -11,9 +11,9 @@
 
 /// A learner counts as caught up when it lacks at most this many entries of the log; it receives
 /// the remaining ones through the pipeline.
-constexpr std::uint64_t caughtUpEntries = 64;
+constexpr std::uint64_t maxMissingEntries = 64;
 /// A change fails when nothing was received from the learner for this many election timeouts.
-constexpr int learnerElectionTimeouts = 25;
+constexpr int maxSilentElectionTimeouts = 25;
 
 } // namespace
 
@@ -27,7 +27,7 @@
         refuse(ErrorCode::NotLeader, m_leader);
         return;
     }
-    if (m_change) {
+    if (m_memberChange) {
         refuse(ErrorCode::Conflict, "another membership change is in progress");
         return;
     }
@@ -36,7 +36,7 @@
         refuse(ErrorCode::InvalidArgument, "the last voter cannot be removed");
         return;
     }
-    m_change = MemberChange{member, replaced, token, m_now};
+    m_memberChange = MemberChange{member, replaced, token, m_now};
     advanceChange();
 }
 
@@ -53,9 +53,9 @@
         stepDown();
         return;
     }
-    if (!m_change)
+    if (!m_memberChange)
         return;
-    const MemberChange change = *m_change;
+    const MemberChange change = *m_memberChange;
     if (!change.member.empty() && !membership().isVoter(change.member)) {
         advanceAddition();
     } else if (membership().contains(change.replaced)) {
@@ -70,7 +70,7 @@
 
 void RaftCore::advanceAddition()
 {
-    const ReplicaId member = m_change->member;
+    const ReplicaId member = m_memberChange->member;
     Membership next = membership();
     if (next.learners.insert(member).second) {
         appendMembership(next);
@@ -83,8 +83,9 @@
         return;
     }
     const auto progress = m_progress.find(member);
-    const absl::Time lastContact = std::max(m_change->startedAt, progress->second.lastContact);
-    if (m_now - lastContact > m_options.electionTimeout * learnerElectionTimeouts)
+    const absl::Time lastContact =
+            std::max(m_memberChange->startedAt, progress->second.lastContact);
+    if (m_now - lastContact > m_options.electionTimeout * maxSilentElectionTimeouts)
         finishChange(mayHaveRun(ErrorCode::Timeout,
                                 concat("learner \"", member,
                                        "\" does not respond; it remains a "
@@ -97,8 +98,8 @@
     if (found == m_progress.end())
         return false;
     const Progress &progress = found->second;
-    return progress.mode == ProgressMode::Pipeline && progress.match >= m_log.membershipIndex()
-           && progress.match + caughtUpEntries >= m_log.lastIndex();
+    return progress.mode == ProgressMode::Pipeline && progress.matchIndex >= m_log.membershipIndex()
+           && progress.matchIndex + maxMissingEntries >= m_log.lastIndex();
 }
 
 void RaftCore::appendMembership(const Membership &membership)
@@ -109,10 +110,10 @@
 
 void RaftCore::finishChange(std::optional<Failure> failure)
 {
-    if (!m_change)
+    if (!m_memberChange)
         return;
-    m_changeResults.push_back({m_change->token, std::move(failure)});
-    m_change.reset();
+    m_changeResults.push_back({m_memberChange->token, std::move(failure)});
+    m_memberChange.reset();
 }
 
 } // namespace rattanrill::replication
--- a/src/replication/raftcore_replication.cpp
+++ b/src/replication/raftcore_replication.cpp
@@ -9,8 +9,8 @@
 namespace rattanrill::replication {
 namespace {
 
-/// Appends and chunks without a reply are resent after this many heartbeat periods; with fewer they
-/// would also be resent to replicas whose sync is merely slow.
+/// Appends and chunks without a reply are resent after this many heartbeat periods. With fewer
+/// periods, they would also be resent to replicas whose sync is only slow.
 constexpr int resendHeartbeatPeriods = 3;
 
 } // namespace
@@ -72,14 +72,15 @@
                                       ? m_log.lastIndex()
                                       : m_persist.persistedIndex());
         else
-            matches.push_back(progress == m_progress.end() ? 0 : progress->second.match);
+            matches.push_back(progress == m_progress.end() ? 0 : progress->second.matchIndex);
     }
     if (matches.empty())
         return;
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::uint64_t index = matches[membership().quorum() - 1];
-    // An entry of an earlier term can be replaced although a quorum has it; one of the current term
-    // cannot.
+    // An entry of an earlier term can still be overwritten although a quorum has stored it (Raft
+    // paper, section 5.4.2). It is committed together with the first entry of the current term that
+    // a quorum has stored.
     const bool isOwnTerm = m_log.termAt(index) == m_hardState.term;
     if (index <= m_commitIndex || (!isOwnTerm && !m_options.disabled.termCheckOfCommit))
         return;
@@ -131,41 +132,42 @@
 {
     if (progress.mode == ProgressMode::Snapshot)
         return;
-    if (progress.next <= m_log.baseIndex()) {
+    if (progress.nextIndex <= m_log.baseIndex()) {
         progress.startSnapshot(m_snapshot.index, m_now);
         sendSnapshotChunk(to, progress);
         return;
     }
     const std::uint64_t last = m_log.lastIndex();
     if (progress.mode == ProgressMode::Probe) {
-        if (!progress.probeSent && progress.match < last)
+        if (!progress.probeSent && progress.matchIndex < last)
             sendOneAppend(to, progress, false);
         return;
     }
-    while (progress.next <= last && progress.inFlightBytes < m_options.maxInFlightBytes)
+    while (progress.nextIndex <= last && progress.inFlightBytes < m_options.maxInFlightBytes)
         sendOneAppend(to, progress, false);
 }
 
 void RaftCore::sendOneAppend(const ReplicaId &to, Progress &progress, bool empty)
 {
-    Message append = message(to, MessageType::Append);
-    append.index = progress.next - 1;
+    Message append = makeMessage(to, MessageType::Append);
+    append.index = progress.nextIndex - 1;
     append.logTerm = m_log.termAt(append.index);
     append.commit = m_commitIndex;
     progress.lastTransfer = m_now;
     if (!empty) {
-        append.entries = m_log.slice(progress.next, m_log.lastIndex(), m_options.maxBatchBytes);
+        append.entries =
+                m_log.slice(progress.nextIndex, m_log.lastIndex(), m_options.maxBatchBytes);
         std::uint64_t bytes = 0;
         for (const Entry &entry : append.entries)
             bytes += sizeOf(entry);
-        progress.sent(append.index + append.entries.size(), bytes);
+        progress.recordSent(append.index + append.entries.size(), bytes);
     }
     send(std::move(append));
 }
 
 void RaftCore::sendSnapshotChunk(const ReplicaId &to, Progress &progress)
 {
-    Message chunk = message(to, MessageType::SnapshotChunk);
+    Message chunk = makeMessage(to, MessageType::SnapshotChunk);
     chunk.snapshot = m_snapshot;
     chunk.offset = progress.snapshotOffset;
     chunk.length = m_options.snapshotChunkBytes;
@@ -184,7 +186,8 @@
     } else if (progress.mode == ProgressMode::Probe) {
         progress.probeSent = false;
     } else if (!progress.inFlight.empty()) {
-        // An empty append: refused if appends were lost, acknowledged if only the replies were.
+        // An empty append is refused if appends were lost, and acknowledged if only replies were
+        // lost.
         sendOneAppend(to, progress, true);
     }
 }
@@ -193,42 +196,42 @@
 {
     m_nextHeartbeat = m_now + m_options.heartbeatPeriod;
     for (const auto &[id, progress] : m_progress) {
-        Message heartbeat = message(id, MessageType::Heartbeat);
-        heartbeat.commit = std::min(m_commitIndex, progress.match);
+        Message heartbeat = makeMessage(id, MessageType::Heartbeat);
+        heartbeat.commit = std::min(m_commitIndex, progress.matchIndex);
         heartbeat.logTerm = m_log.termAt(heartbeat.commit);
-        heartbeat.context = m_round;
+        heartbeat.context = m_heartbeatRound;
         send(std::move(heartbeat));
     }
 }
 
-void RaftCore::onAppend(const Message &message)
+void RaftCore::handleAppend(const Message &message)
 {
     followLeader(message);
-    Message answer = reply(message, MessageType::AppendReply);
-    answer.success = true;
-    answer.index = m_commitIndex;
+    Message reply = makeReply(message, MessageType::AppendReply);
+    reply.success = true;
+    reply.index = m_commitIndex;
     if (message.index >= m_commitIndex) {
-        answer.success = m_log.matches(message.index, message.logTerm);
-        answer.index = message.index;
+        reply.success = m_log.matches(message.index, message.logTerm);
+        reply.index = message.index;
     }
-    if (!answer.success) {
-        answer.hintIndex = m_log.lastIndexWithTermAtMost(message.index, message.logTerm);
-        answer.hintTerm = m_log.termAt(answer.hintIndex);
-        m_persist.holdUntilTermPersisted(std::move(answer));
+    if (!reply.success) {
+        reply.hintIndex = m_log.lastIndexWithTermAtMost(message.index, message.logTerm);
+        reply.hintTerm = m_log.termAt(reply.hintIndex);
+        m_persist.holdUntilTermPersisted(std::move(reply));
         return;
     }
-    if (message.index + message.entries.size() > answer.index) {
-        adoptEntries(message);
-        answer.index = message.index + message.entries.size();
+    if (message.index + message.entries.size() > reply.index) {
+        appendReceivedEntries(message);
+        reply.index = message.index + message.entries.size();
     }
-    setCommit(std::max(m_commitIndex, std::min(message.commit, answer.index)));
+    setCommit(std::max(m_commitIndex, std::min(message.commit, reply.index)));
     if (m_options.disabled.persistBeforeAcknowledgement)
-        send(std::move(answer));
+        send(std::move(reply));
     else
-        m_persist.holdUntilPersisted(std::move(answer));
+        m_persist.holdUntilPersisted(std::move(reply));
 }
 
-void RaftCore::adoptEntries(const Message &message)
+void RaftCore::appendReceivedEntries(const Message &message)
 {
     for (const Entry &entry : message.entries) {
         if (entry.index <= m_commitIndex || m_log.matches(entry.index, entry.term))
@@ -245,23 +248,23 @@
         m_role = isVoter ? Role::Follower : Role::Learner;
 }
 
-void RaftCore::onAppendReply(const Message &message)
+void RaftCore::handleAppendReply(const Message &message)
 {
     Progress *progress = progressOf(message);
     if (progress == nullptr)
         return;
     if (!message.success) {
-        onRefusedAppend(message, *progress);
+        handleRefusedAppend(message, *progress);
         return;
     }
     if (message.index > m_log.lastIndex())
         return;
     progress->lastTransfer = m_now;
-    const bool hasAdvanced = progress->acknowledged(message.index);
-    const bool isSnapshotDone =
-            progress->mode == ProgressMode::Snapshot && progress->match >= progress->snapshotIndex;
+    const bool hasAdvanced = progress->recordAcknowledgement(message.index);
+    const bool isSnapshotDone = progress->mode == ProgressMode::Snapshot
+                                && progress->matchIndex >= progress->snapshotIndex;
     if (progress->mode == ProgressMode::Probe || isSnapshotDone) {
-        progress->probeFrom(progress->match + 1);
+        progress->probeFrom(progress->matchIndex + 1);
         progress->mode = ProgressMode::Pipeline;
     }
     if (hasAdvanced)
@@ -275,32 +278,33 @@
     advanceChange();
 }
 
-void RaftCore::onRefusedAppend(const Message &message, Progress &progress)
+void RaftCore::handleRefusedAppend(const Message &message, Progress &progress)
 {
     const bool isStale =
-            message.index <= progress.match
-            || (progress.mode == ProgressMode::Probe && message.index != progress.next - 1);
+            message.index <= progress.matchIndex
+            || (progress.mode == ProgressMode::Probe && message.index != progress.nextIndex - 1);
     if (isStale || progress.mode == ProgressMode::Snapshot)
         return;
     const std::uint64_t hint = std::min(message.hintIndex, message.index - 1);
     progress.probeFrom(m_log.lastIndexWithTermAtMost(hint, message.hintTerm) + 1);
-    // The log has no terms before its base.
+    // The terms of entries before the base of the log are not known, so the probe starts after the
+    // hint.
     if (hint < m_log.baseIndex())
-        progress.next = std::max(hint + 1, progress.match + 1);
+        progress.nextIndex = std::max(hint + 1, progress.matchIndex + 1);
     sendEntries(message.from, progress);
 }
 
-void RaftCore::onHeartbeat(const Message &message)
+void RaftCore::handleHeartbeat(const Message &message)
 {
     followLeader(message);
     if (m_log.matches(message.commit, message.logTerm))
         setCommit(std::max(m_commitIndex, message.commit));
-    Message answer = reply(message, MessageType::HeartbeatReply);
-    answer.writable = m_writable;
-    m_persist.holdUntilTermPersisted(std::move(answer));
+    Message reply = makeReply(message, MessageType::HeartbeatReply);
+    reply.writable = m_writable;
+    m_persist.holdUntilTermPersisted(std::move(reply));
 }
 
-void RaftCore::onHeartbeatReply(const Message &message)
+void RaftCore::handleHeartbeatReply(const Message &message)
 {
     Progress *progress = progressOf(message);
     if (progress == nullptr)
@@ -312,22 +316,22 @@
     sendEntries(message.from, *progress);
 }
 
-void RaftCore::onSnapshotChunk(const Message &message)
+void RaftCore::handleSnapshotChunk(const Message &message)
 {
     followLeader(message);
     if (message.snapshot.index <= m_commitIndex) {
         replyToChunk(message, true);
         return;
     }
-    const bool isSame =
-            m_incoming.index == message.snapshot.index && m_incoming.term == message.snapshot.term;
+    const bool isSame = m_incomingSnapshot.index == message.snapshot.index
+                        && m_incomingSnapshot.term == message.snapshot.term;
     if (!isSame) {
-        m_incoming = message.snapshot;
-        m_incomingData.clear();
+        m_incomingSnapshot = message.snapshot;
+        m_incomingSnapshotData.clear();
     }
-    const bool isNext = message.offset == m_incomingData.size();
+    const bool isNext = message.offset == m_incomingSnapshotData.size();
     if (isNext)
-        m_incomingData += message.data;
+        m_incomingSnapshotData += message.data;
     const bool isComplete = isNext && message.last;
     if (isComplete)
         installSnapshot(message.snapshot);
@@ -336,21 +340,22 @@
 
 void RaftCore::replyToChunk(const Message &message, bool installed)
 {
-    Message answer = reply(message, MessageType::SnapshotReply);
-    answer.success = installed;
-    answer.index = installed ? m_commitIndex : message.snapshot.index;
-    answer.offset = m_incomingData.size();
+    Message reply = makeReply(message, MessageType::SnapshotReply);
+    reply.success = installed;
+    reply.index = installed ? m_commitIndex : message.snapshot.index;
+    reply.offset = m_incomingSnapshotData.size();
     if (installed)
-        m_persist.holdUntilPersisted(std::move(answer));
+        m_persist.holdUntilPersisted(std::move(reply));
     else
-        m_persist.holdUntilTermPersisted(std::move(answer));
+        m_persist.holdUntilTermPersisted(std::move(reply));
 }
 
 void RaftCore::installSnapshot(const SnapshotMeta &meta)
 {
-    InstalledSnapshot snapshot{meta, std::make_shared<std::string>(std::move(m_incomingData))};
-    m_incoming = SnapshotMeta();
-    m_incomingData.clear();
+    InstalledSnapshot snapshot{meta,
+                               std::make_shared<std::string>(std::move(m_incomingSnapshotData))};
+    m_incomingSnapshot = SnapshotMeta();
+    m_incomingSnapshotData.clear();
     if (m_log.matches(meta.index, meta.term)) {
         setCommit(meta.index);
         return;
@@ -367,14 +372,14 @@
     m_role = membership().isVoter(m_options.self) ? Role::Follower : Role::Learner;
 }
 
-void RaftCore::onSnapshotReply(const Message &message)
+void RaftCore::handleSnapshotReply(const Message &message)
 {
     Progress *progress = progressOf(message);
     if (progress == nullptr || progress->mode != ProgressMode::Snapshot)
         return;
     if (message.success && message.index <= m_log.lastIndex()) {
-        progress->acknowledged(message.index);
-        progress->probeFrom(progress->match + 1);
+        progress->recordAcknowledgement(message.index);
+        progress->probeFrom(progress->matchIndex + 1);
         sendEntries(message.from, *progress);
         advanceCommit();
         return;
@@ -405,8 +410,8 @@
 
 void RaftCore::addLeaderRead(ReadTracker::LeaderRead read)
 {
-    // Before the first commit in its term a leader cannot tell which entries its predecessor
-    // committed.
+    // Before its first commit in this term, the commit index of a leader may lack entries that its
+    // predecessor committed.
     if (!hasCommittedInTerm()) {
         m_reads.addDeferred(std::move(read));
         return;
@@ -416,7 +421,7 @@
         finishRead(read);
         return;
     }
-    read.round = m_round + 1;
+    read.round = m_heartbeatRound + 1;
     m_isRoundRequested = true;
     m_reads.add(std::move(read));
 }
@@ -427,7 +432,7 @@
     for (const auto &[id, incarnation] : membership().voters) {
         const auto progress = m_progress.find(id);
         if (id == m_options.self)
-            rounds.push_back(m_round);
+            rounds.push_back(m_heartbeatRound);
         else
             rounds.push_back(progress == m_progress.end() ? 0 : progress->second.round);
     }
@@ -449,10 +454,10 @@
         m_reads.finish({read.token, read.index, std::nullopt});
         return;
     }
-    Message answer = message(read.follower, MessageType::ReadIndexReply);
-    answer.context = read.context;
-    answer.index = read.index;
-    send(std::move(answer));
+    Message reply = makeMessage(read.follower, MessageType::ReadIndexReply);
+    reply.context = read.context;
+    reply.index = read.index;
+    send(std::move(reply));
 }
 
 void RaftCore::forwardReads()
@@ -460,18 +465,18 @@
     const std::uint64_t context = m_reads.startBatch(m_now + m_options.electionTimeout);
     if (context == 0)
         return;
-    Message request = message(m_leader, MessageType::ReadIndex);
+    Message request = makeMessage(m_leader, MessageType::ReadIndex);
     request.context = context;
     send(std::move(request));
 }
 
-void RaftCore::onReadIndex(const Message &message)
+void RaftCore::handleReadIndex(const Message &message)
 {
     if (m_role == Role::Leader)
         addLeaderRead({0, message.from, message.context, 0, 0});
 }
 
-void RaftCore::onReadIndexReply(const Message &message)
+void RaftCore::handleReadIndexReply(const Message &message)
 {
     m_reads.finishBatch(message.context, message.index);
 }
--- a/src/replication/raftlog.h
+++ b/src/replication/raftlog.h
@@ -56,7 +56,7 @@
     std::uint64_t m_baseIndex;
     std::uint64_t m_baseTerm;
     std::deque<Entry> m_entries;
-    /// Key: index from which on the membership is in effect. The first one is that of the base.
+    /// Membership by the index from which on it is in effect. The first index is that of the base.
     std::map<std::uint64_t, Membership> m_memberships;
 };
 
--- a/src/replication/raftmessages.h
+++ b/src/replication/raftmessages.h
@@ -30,7 +30,8 @@
 };
 
 /// Members of the group. An incarnation is generated at random when the data folder of a replica is
-/// created. It distinguishes a replica whose disk was lost from the voter that it was before.
+/// created. It distinguishes a replica that was started again on an empty disk from the voter that
+/// it was before.
 struct Membership
 {
     /// Incarnation by replica.
@@ -47,7 +48,7 @@
 {
     std::uint64_t term = 0;
     ReplicaId votedFor;
-    /// Incarnation by initial voter of the group; empty while it is not known.
+    /// Incarnation by initial voter of the group; an incarnation is empty until it is known.
     std::map<ReplicaId, std::string> founders;
 };
 
@@ -59,7 +60,8 @@
 };
 
 enum class MessageType {
-    /// A new founder sends its incarnation; the reply contains that of the receiver.
+    /// An initial voter of a new group sends its incarnation; the reply contains that of the
+    /// receiver.
     Introduce,
     IntroduceReply,
     /// The receiver has another incarnation than the one expected for its id.
--- a/src/replication/readtracker.h
+++ b/src/replication/readtracker.h
@@ -50,8 +50,8 @@
 
     // Follower
     void addForwarded(std::uint64_t token) { m_unsent.push_back(token); }
-    /// Moves the reads since the last call into a batch and returns its context; 0 when there are
-    /// none.
+    /// Moves the reads that were added since the last call into a batch and returns the context of
+    /// the batch; 0 when there are none.
     std::uint64_t startBatch(absl::Time deadline);
     void finishBatch(std::uint64_t context, std::uint64_t index);
 
--- a/src/replication/storagethread.cpp
+++ b/src/replication/storagethread.cpp
@@ -94,7 +94,7 @@
             return false;
         }
         setWritable(false);
-        if (m_queue.waitClosed(fullDiskRetryDelay))
+        if (m_queue.waitUntilClosed(fullDiskRetryDelay))
             return false;
     }
     return false;
--- a/src/replication/taskqueue.h
+++ b/src/replication/taskqueue.h
@@ -38,7 +38,7 @@
     }
 
     /// Waits up to \a wait for close(); returns whether the queue is closed.
-    bool waitClosed(absl::Duration wait)
+    bool waitUntilClosed(absl::Duration wait)
     {
         absl::MutexLock lock(&m_mutex);
         m_mutex.AwaitWithTimeout(absl::Condition(&m_closed), wait);
--- a/tests/replication/filestorage_test.cpp
+++ b/tests/replication/filestorage_test.cpp
@@ -24,9 +24,9 @@
         options.folder = "data";
         options.group = "directory";
         options.self = self;
-        options.founders = {"a", "b", "c"};
+        options.initialVoters = {"a", "b", "c"};
         options.segmentBytes = 300;
-        options.reserveBytes = 1000;
+        options.minFreeBytes = 1000;
         state = StoredState();
         storage.reset();
         auto opened = outcomeOf([&] { return FileStorage::open(options, files, state); });
@@ -41,7 +41,7 @@
         PersistRequest request;
         request.hardState = state.start.hardState;
         request.hardState->term = static_cast<std::uint64_t>(step) + 1;
-        request.entries.push_back({last + 1, request.hardState->term, EntryKind::Command,
+        request.entries.push_back({lastIndex + 1, request.hardState->term, EntryKind::Command,
                                    concat("value", step, std::string(60, 'x'))});
         return request;
     }
@@ -50,9 +50,9 @@
     Outcome<Done> run(int step)
     {
         if (step % 8 == 5)
-            return snapshot(last - 1, false);
+            return snapshot(lastIndex - 1, false);
         if (step % 8 == 7)
-            return snapshot(last + 10, true);
+            return snapshot(lastIndex + 10, true);
         const PersistRequest next = request(step);
         const auto written = outcomeOf([&] { return storage->write({next}); });
         if (written.ok())
@@ -71,16 +71,16 @@
         if (!done.ok())
             return done;
         snapshotIndex = index;
-        last = std::max(last, index);
+        lastIndex = std::max(lastIndex, index);
         return done;
     }
 
     void acknowledge(const PersistRequest &request)
     {
         term = request.hardState->term;
-        last = request.entries.back().index;
-        values[last] = request.entries.back().data;
-        terms[last] = term;
+        lastIndex = request.entries.back().index;
+        values[lastIndex] = request.entries.back().data;
+        terms[lastIndex] = term;
     }
 
     /// Returns the first acknowledged item that is missing from the reopened state; empty when none
@@ -98,8 +98,8 @@
             if (entry.index != ++index || (value != values.end() && entry.data != value->second))
                 return concat("entry ", index);
         }
-        if (index < last)
-            return concat("entry ", last);
+        if (index < lastIndex)
+            return concat("entry ", lastIndex);
         const bool differs = state.snapshotData != concat("state", start.snapshot.index);
         return start.snapshot.index != 0 && differs ? "snapshot data" : "";
     }
@@ -108,7 +108,8 @@
     std::unique_ptr<FileStorage> storage;
     StoredState state;
     std::uint64_t term = 0;
-    std::uint64_t last = 0;
+    /// Index of the last acknowledged entry or snapshot.
+    std::uint64_t lastIndex = 0;
     std::uint64_t snapshotIndex = 0;
     std::map<std::uint64_t, std::string> values;
     std::map<std::uint64_t, std::uint64_t> terms;
@@ -124,7 +125,8 @@
     bool failed = !folder.open().ok();
     for (int step = 0; step < scriptSteps && !failed; ++step) {
         failed = !folder.run(step).ok();
-        // After a failed sync it is unknown what is on disk, so nothing more may be acknowledged.
+        // After a failed operation the content of the disk is unknown, so nothing more may be
+        // acknowledged.
         if (failed)
             BOOST_REQUIRE(!folder.run(step + 1).ok());
     }
@@ -165,8 +167,8 @@
     BOOST_TEST(operation > 60u);
 }
 
-// Guards against acknowledgements after a write, sync, rename or removal has failed: it is unknown
-// then what is on disk.
+// Guards against acknowledgements after a write, sync, rename or removal has failed, because the
+// content of the disk is unknown then.
 BOOST_AUTO_TEST_CASE(failureOfAnyOperationStopsTheStorage)
 {
     std::uint64_t operation = 0;
@@ -194,7 +196,7 @@
             const auto opened = folder.open();
             if (opened.ok()) {
                 BOOST_REQUIRE_EQUAL(path, lastSegment);
-                BOOST_REQUIRE_EQUAL(folder.state.start.entries.size() + 1, folder.last);
+                BOOST_REQUIRE_EQUAL(folder.state.start.entries.size() + 1, folder.lastIndex);
                 ++truncated;
             } else {
                 BOOST_REQUIRE(opened.failure().code == ErrorCode::CorruptData);
@@ -221,7 +223,7 @@
     for (const std::size_t size : {content.size() - 1, content.size() - 40}) {
         folder.files.setContent(path, content.substr(0, size));
         BOOST_REQUIRE(folder.open().ok());
-        BOOST_TEST(folder.state.start.entries.size() + 1 == folder.last);
+        BOOST_TEST(folder.state.start.entries.size() + 1 == folder.lastIndex);
         folder.storage.reset();
     }
 }
@@ -287,7 +289,7 @@
     BOOST_TEST(folder.missingData() == "");
 }
 
-// Guards against a missingData() check that cannot detect a storage which never syncs.
+// Guards against a missingData() that does not detect a storage whose syncs have no effect.
 BOOST_AUTO_TEST_CASE(checkDetectsMissingSyncs)
 {
     Folder folder;
@@ -302,7 +304,7 @@
     BOOST_TEST((!reopened.ok() || folder.missingData() != ""));
 }
 
-// Guards against one sync for each entry, which would limit the write rate to the sync rate of the
+// Guards against one sync for each write, which would limit the write rate to the sync rate of the
 // disk.
 BOOST_AUTO_TEST_CASE(writesOfABatchShareOneSync)
 {
@@ -311,7 +313,7 @@
     std::vector<PersistRequest> batch;
     for (int step = 0; step < 100; ++step) {
         batch.push_back(folder.request(step));
-        ++folder.last;
+        ++folder.lastIndex;
     }
     const std::uint64_t before = folder.files.operations();
     BOOST_REQUIRE(outcomeOf([&] { return folder.storage->write(batch); }).ok());
--- a/tests/replication/groupdriver_test.cpp
+++ b/tests/replication/groupdriver_test.cpp
@@ -127,19 +127,19 @@
     const std::uint64_t term = group.drivers.at(leader)->status().term;
     group.faults[leader].isBlocked = true;
     group.drivers.at(leader)->propose("key=1", [](const Outcome<std::string> &) {});
-    // Several election timeouts.
+    // More than six election timeouts.
     const absl::Time end = absl::Now() + absl::Seconds(2);
     while (absl::Now() < end) {
         BOOST_REQUIRE(group.drivers.at(leader)->status().role == Role::Leader);
         BOOST_REQUIRE_EQUAL(group.drivers.at(leader)->status().term, term);
         absl::SleepFor(absl::Milliseconds(10));
     }
-    // The other two have stored the command.
+    // The two followers have stored the command, so it is committed.
     BOOST_TEST(group.drivers.at(leader)->status().commitIndex >= 2u);
     group.faults[leader].isBlocked = false;
 }
 
-// Guards against a full disk on which writes are still accepted, or which makes reads fail too.
+// Guards against a leader with a full disk that accepts writes or refuses reads.
 BOOST_AUTO_TEST_CASE(fullDiskRefusesWritesAsNotRunAndServesReads)
 {
     FaultyGroup group;
--- a/tests/replication/groupsimulation.cpp
+++ b/tests/replication/groupsimulation.cpp
@@ -31,10 +31,10 @@
     , m_maxSync(absl::Milliseconds(2))
 {
     for (std::size_t i = 0; i < m_options.replicas; ++i)
-        m_founders.insert(concat("n", m_nextNodeNumber++));
-    for (const ReplicaId &id : m_founders)
+        m_initialVoters.insert(concat("n", m_nextNodeNumber++));
+    for (const ReplicaId &id : m_initialVoters)
         addNode(id, true);
-    for (const ReplicaId &id : m_founders) {
+    for (const ReplicaId &id : m_initialVoters) {
         if (m_options.startReplicas)
             start(id);
     }
@@ -42,11 +42,11 @@
 
 GroupSimulation::~GroupSimulation() = default;
 
-GroupSimulation::Node &GroupSimulation::addNode(const ReplicaId &id, bool isFounder)
+GroupSimulation::Node &GroupSimulation::addNode(const ReplicaId &id, bool isInitialVoter)
 {
     Node &node = m_nodes[id];
     node.id = id;
-    node.isFounder = isFounder;
+    node.isInitialVoter = isInitialVoter;
     return node;
 }
 
@@ -58,9 +58,9 @@
     Disk &disk = node.disk;
     if (disk.incarnation.empty()) {
         disk.incarnation = concat(id, "-", m_random() % 1000000);
-        if (node.isFounder) {
-            for (const ReplicaId &founder : m_founders)
-                disk.durable.hardState.founders[founder] = founder == id ? disk.incarnation : "";
+        if (node.isInitialVoter) {
+            for (const ReplicaId &voter : m_initialVoters)
+                disk.durable.hardState.founders[voter] = voter == id ? disk.incarnation : "";
         }
     }
     RaftOptions raft;
@@ -88,8 +88,8 @@
 {
     Disk &disk = m_nodes.at(id).disk;
     disk.incarnation = id;
-    for (const ReplicaId &founder : m_founders)
-        disk.durable.hardState.founders[founder] = founder;
+    for (const ReplicaId &voter : m_initialVoters)
+        disk.durable.hardState.founders[voter] = voter;
     disk.durable.hardState.term = term;
     for (const std::uint64_t entryTerm : terms) {
         const std::uint64_t index = disk.durable.entries.size() + 1;
@@ -102,7 +102,7 @@
     Node &node = m_nodes.at(id);
     if (!node.core)
         return;
-    // Some writes that were not synced may be on disk nevertheless.
+    // After a crash, the disk may contain writes that were not synced.
     std::size_t kept = node.disk.pending.empty() ? 0 : m_random() % (node.disk.pending.size() + 1);
     if (chance(0.7))
         kept = 0;
@@ -131,7 +131,7 @@
 
 void GroupSimulation::schedule(absl::Duration delay, std::function<void()> action)
 {
-    m_events.push({m_now + delay, m_order++, std::move(action)});
+    m_events.push({m_now + delay, m_nextEventOrder++, std::move(action)});
 }
 
 void GroupSimulation::scheduleOn(const ReplicaId &id, absl::Duration delay,
@@ -158,7 +158,7 @@
 
 void GroupSimulation::processOutput(Node &node)
 {
-    RaftOutput output = node.core->output();
+    RaftOutput output = node.core->takeOutput();
     checkLeader(node);
     if (output.persist)
         writeToDisk(node, {std::move(*output.persist), std::nullopt});
@@ -308,7 +308,8 @@
 
 void GroupSimulation::maybeCrashAfterSending(const Message &message)
 {
-    // A granted vote that is not on disk does harm if the voter crashes right after sending it.
+    // A granted vote that is not on disk can only violate an invariant if the voter crashes right
+    // after it has sent the vote.
     const bool isGrantedVote = message.type == MessageType::VoteReply && message.success;
     if (!isGrantedVote || !chance(m_crashAfterVoteRate))
         return;
@@ -472,7 +473,8 @@
 {
     const std::vector<ReplicaId> running = runningNodes();
     if (!running.empty()) {
-        // Any replica whose role is leader, so that deposed leaders receive calls too.
+        // Every replica whose role is leader, so that a leader that was replaced in a later term
+        // receives calls too.
         std::vector<ReplicaId> leaders;
         for (const ReplicaId &id : running) {
             if (core(id)->role() == Role::Leader)
--- a/tests/replication/groupsimulation.h
+++ b/tests/replication/groupsimulation.h
@@ -19,7 +19,7 @@
     /// Duration of the random faults, which end before recovery is checked.
     absl::Duration length = absl::Milliseconds(1500);
     DisabledSafeguards disabled;
-    /// As in RaftOptions.
+    /// See RaftOptions.
     absl::Duration initialElectionTimeout;
     std::uint64_t maxBatchBytes = 512;
     /// When false, the caller must start the replicas with start().
@@ -28,8 +28,7 @@
     bool checkRecovery = true;
 };
 
-/// One group of Raft cores with simulated disks, network and time. All events follow from the seed.
-/// violation() returns the first broken invariant.
+/// One group of Raft cores with simulated disks, network and time. The seed determines all events.
 class GroupSimulation
 {
 public:
@@ -39,9 +38,9 @@
     /// Runs random faults and calls, ends the faults, and checks that the group serves again.
     void run();
 
-    /// The first violation of an invariant; empty when there is none.
+    /// Describes the first violation of an invariant; empty when there is none.
     const std::string &violation() const { return m_violation; }
-    /// Digest of all events, equal for equal seeds.
+    /// Hash of all applied entries and their times, which is equal for equal seeds.
     std::uint64_t digest() const { return m_digest; }
     std::uint64_t acknowledgedWrites() const { return m_acknowledged; }
     std::uint64_t answeredReads() const { return m_answeredReads; }
@@ -49,8 +48,8 @@
 
     // Scripted runs
     void advance(absl::Duration step);
-    void cutLink(const ReplicaId &from, const ReplicaId &to, bool isCut);
-    void isolate(const ReplicaId &id, bool isCut);
+    void setLinkCut(const ReplicaId &from, const ReplicaId &to, bool isCut);
+    void setIsolated(const ReplicaId &id, bool isCut);
     void crash(const ReplicaId &id);
     void start(const ReplicaId &id);
     /// Initializes the disk of a replica that is not started as in a formed group. The log has one
@@ -94,7 +93,7 @@
         std::unique_ptr<RaftCore> core;
         /// Number of starts; events that were scheduled in an earlier epoch are ignored.
         std::uint64_t epoch = 0;
-        bool isFounder = false;
+        bool isInitialVoter = false;
         /// Whether the replica stopped itself or was replaced; it is never started again.
         bool mustNotRestart = false;
         absl::Time frozenUntil = absl::InfinitePast();
@@ -112,7 +111,7 @@
         std::uint64_t order;
         std::function<void()> action;
     };
-    struct Later
+    struct LaterEvent
     {
         bool operator()(const Event &left, const Event &right) const
         {
@@ -180,7 +179,7 @@
     void endFaults();
     void checkRecovery();
 
-    Node &addNode(const ReplicaId &id, bool isFounder);
+    Node &addNode(const ReplicaId &id, bool isInitialVoter);
     std::vector<ReplicaId> runningNodes() const;
     bool isFormedEverywhere() const;
     bool canLoseDisk() const;
@@ -193,10 +192,10 @@
     const SimulationOptions m_options;
     std::mt19937_64 m_random;
     absl::Time m_now = absl::FromUnixSeconds(1000);
-    std::uint64_t m_order = 0;
-    std::priority_queue<Event, std::vector<Event>, Later> m_events;
+    std::uint64_t m_nextEventOrder = 0;
+    std::priority_queue<Event, std::vector<Event>, LaterEvent> m_events;
     std::map<ReplicaId, Node> m_nodes;
-    std::set<ReplicaId> m_founders;
+    std::set<ReplicaId> m_initialVoters;
     std::set<std::pair<ReplicaId, ReplicaId>> m_cutLinks;
     double m_lossRate = 0;
     double m_duplicateRate = 0;
--- a/tests/replication/groupsimulation_faults.cpp
+++ b/tests/replication/groupsimulation_faults.cpp
@@ -54,7 +54,7 @@
     });
 }
 
-void GroupSimulation::cutLink(const ReplicaId &from, const ReplicaId &to, bool isCut)
+void GroupSimulation::setLinkCut(const ReplicaId &from, const ReplicaId &to, bool isCut)
 {
     if (isCut)
         m_cutLinks.insert({from, to});
@@ -62,27 +62,27 @@
         m_cutLinks.erase({from, to});
 }
 
-void GroupSimulation::isolate(const ReplicaId &id, bool isCut)
+void GroupSimulation::setIsolated(const ReplicaId &id, bool isCut)
 {
     for (const auto &[other, node] : m_nodes) {
-        cutLink(id, other, isCut);
-        cutLink(other, id, isCut);
+        setLinkCut(id, other, isCut);
+        setLinkCut(other, id, isCut);
     }
 }
 
 void GroupSimulation::isolateFor(const ReplicaId &id, absl::Duration time)
 {
-    isolate(id, true);
-    schedule(time, [this, id] { isolate(id, false); });
+    setIsolated(id, true);
+    schedule(time, [this, id] { setIsolated(id, false); });
 }
 
 void GroupSimulation::cutOneWay()
 {
     const ReplicaId from = pick(m_nodes).first;
     const ReplicaId to = pick(m_nodes).first;
-    cutLink(from, to, true);
+    setLinkCut(from, to, true);
     schedule(randomDuration(absl::Milliseconds(20), absl::Milliseconds(500)),
-             [this, from, to] { cutLink(from, to, false); });
+             [this, from, to] { setLinkCut(from, to, false); });
 }
 
 void GroupSimulation::isolateRandomNode()
@@ -131,8 +131,8 @@
 {
     if (m_options.disabled.identityCheck)
         return true;
-    for (const ReplicaId &id : m_founders) {
-        for (const auto &[founder, incarnation] : m_nodes.at(id).disk.durable.hardState.founders) {
+    for (const ReplicaId &id : m_initialVoters) {
+        for (const auto &[voter, incarnation] : m_nodes.at(id).disk.durable.hardState.founders) {
             if (incarnation.empty())
                 return false;
         }
@@ -142,8 +142,8 @@
 
 bool GroupSimulation::canLoseDisk() const
 {
-    // A founder that has not exchanged identities with a replica before that replica's disk is lost
-    // must be replaced too. So no disk is lost before the group has formed.
+    // An initial voter that has not exchanged identities with a replica before that replica loses
+    // its disk must be replaced too. So no disk is lost before the group has formed.
     if (!isFormedEverywhere())
         return false;
     // In every membership that may be in effect, a quorum must keep its disks.
@@ -168,11 +168,12 @@
     if (m_nodes.at(victim).mustNotRestart)
         return;
     loseDisk(victim);
-    // The replica is started again with the empty folder, as an operator might do. This must not do
-    // harm.
+    // The replica is started again with the empty folder, as an operator might do. This must not
+    // violate an invariant.
     schedule(randomDuration(absl::Milliseconds(1), absl::Milliseconds(30)),
              [this, victim] { start(victim); });
-    // Temporarily isolates the other replica that may have the last committed entries.
+    // Temporarily isolates the leader, which may be the only other replica with the last committed
+    // entries.
     if (chance(0.5))
         isolateFor(current, randomDuration(absl::Milliseconds(100), absl::Milliseconds(300)));
 }
--- a/tests/replication/groupsimulation_test.cpp
+++ b/tests/replication/groupsimulation_test.cpp
@@ -49,6 +49,8 @@
     return "";
 }
 
+/// Runs the scenario of section 5.4.2 of the Raft paper and returns the first violation; empty when
+/// there is none.
 std::string violationOfEarlierTermCommit(const DisabledSafeguards &disabled)
 {
     SimulationOptions options;
@@ -68,8 +70,8 @@
         simulation.advance(absl::Microseconds(20));
     // The leader receives the acknowledgement of entry 2, but can no longer replicate the entry of
     // its own term.
-    simulation.cutLink("n1", "n3", true);
-    simulation.cutLink("n2", "n3", true);
+    simulation.setLinkCut("n1", "n3", true);
+    simulation.setLinkCut("n2", "n3", true);
     simulation.advance(absl::Milliseconds(20));
     simulation.crash("n1");
     simulation.crash("n2");
@@ -79,6 +81,7 @@
     return simulation.violation();
 }
 
+/// Isolates a follower for one second and returns by how much its return increases the term.
 std::uint64_t termIncreaseAfterReconnect(const DisabledSafeguards &disabled)
 {
     SimulationOptions options;
@@ -88,13 +91,14 @@
     const ReplicaId leader = simulation.leader();
     const std::uint64_t before = simulation.core(leader)->term();
     const ReplicaId other = leader == "n1" ? "n2" : "n1";
-    simulation.isolate(other, true);
+    simulation.setIsolated(other, true);
     simulation.advance(absl::Seconds(1));
-    simulation.isolate(other, false);
+    simulation.setIsolated(other, false);
     simulation.advance(absl::Seconds(1));
     return simulation.core(simulation.leader())->term() - before;
 }
 
+/// Cuts the links to the leader, writes once and returns the number of acknowledged writes.
 std::uint64_t writesAfterLeaderStopsReceiving(const DisabledSafeguards &disabled)
 {
     SimulationOptions options;
@@ -103,7 +107,7 @@
     simulation.advance(absl::Seconds(1));
     const ReplicaId oldLeader = simulation.leader();
     for (const ReplicaId id : {"n1", "n2", "n3"})
-        simulation.cutLink(id, oldLeader, id != oldLeader);
+        simulation.setLinkCut(id, oldLeader, id != oldLeader);
     simulation.advance(absl::Seconds(1));
     const std::uint64_t before = simulation.acknowledgedWrites();
     simulation.write(simulation.leader());
@@ -133,7 +137,7 @@
     }
     BOOST_TEST_MESSAGE(
             concat(count, " seeds, ", writes, " acknowledged writes, ", reads, " reads"));
-    // A group that accepts no calls would not violate any invariant.
+    // A group that accepts no calls violates no invariant, so the number of calls is checked too.
     BOOST_TEST(writes > count * 10);
     BOOST_TEST(reads > count * 10);
 }
--- a/tests/replication/localcluster.h
+++ b/tests/replication/localcluster.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::replication {
 
-/// Returns the outcome of an asynchronous call, or Timeout if its callback does not run within 10
-/// s.
+/// Waits for the outcome of an asynchronous call and returns it; Timeout when the callback does not
+/// run within 10 s.
 Outcome<std::string> await(const std::function<void(RaftNode::Callback)> &call);
 
 /// Replicas in one process. Files, threads and time are real; messages are direct calls.
