--- a/include/rattanrill/directory/controlpollclient.h
+++ b/include/rattanrill/directory/controlpollclient.h
@@ -8,7 +8,7 @@
 
 namespace rattanrill::directory {
 
-/// Sends the polls to the control instances. Programs that use this class must link
+/// Sends directory polls to the control instances. Programs that use this class must link
 /// rattanrill_controlclient.
 class ControlPollClient : public DirectoryPollClient
 {
--- a/include/rattanrill/directory/directorypollclient.h
+++ b/include/rattanrill/directory/directorypollclient.h
@@ -17,7 +17,7 @@
 
     virtual ~DirectoryPollClient() = default;
     /// Sends one long poll. \a callback runs exactly once, on any thread and possibly before poll()
-    /// returns. If there is no answer within \a timeout, it runs with a failure.
+    /// returns. If there is no response within \a timeout, it receives a failure.
     virtual void poll(const wire::PollChangesRequest &request, absl::Duration timeout,
                       Callback callback) = 0;
 };
--- a/include/rattanrill/directory/directorysubscriber.h
+++ b/include/rattanrill/directory/directorysubscriber.h
@@ -18,14 +18,15 @@
 {
     /// Name of the polling instance.
     std::string instance;
-    /// How long the control instance may delay the answer to a poll while nothing changes. The age
-    /// of a view then varies between this value and twice this value, which must stay well below
-    /// the owner lease of 2 s.
+    /// How long the control instance may delay the response to a poll while nothing changes. The
+    /// age of the view then varies between this value and twice this value; the latter must stay
+    /// well below the owner lease of 2 s.
     absl::Duration pollWait = absl::Milliseconds(400);
-    /// A poll that has no answer after this time has failed. The value leaves time for an attempt
-    /// at another control instance within the owner lease.
+    /// A poll fails when there is no response within this time. The value leaves time for an
+    /// attempt at another control instance within the owner lease.
     absl::Duration pollTimeout = absl::Seconds(1);
-    /// Minimum time between the starts of two polls, so that one answer carries a burst of changes.
+    /// Minimum time between the starts of two polls, so that one response contains a burst of
+    /// changes.
     absl::Duration minPollInterval = absl::Milliseconds(20);
     /// Backoff after the first failure. It doubles with each consecutive failure up to maxBackoff
     /// and is multiplied by a random factor from 0.5 to 1.
@@ -52,13 +53,13 @@
     /// not wait for that listener.
     void stop();
 
-    /// Current view; never null. Empty and with revision 0 before the first answer.
+    /// Current view; never null. Empty and with revision 0 before the first response.
     std::shared_ptr<const DirectoryView> view() const;
-    /// Time since the sending of the last poll that was answered successfully. The view contains
-    /// everything that was committed before that time. Infinite before the first answer.
+    /// Time since the last successful poll was sent. The view contains everything that was
+    /// committed before that poll was sent. Infinite before the first successful poll.
     absl::Duration viewAge() const;
     /// Registers \a listener, which is called with each new view, in order of revision, on the
-    /// thread that receives the answer. To be called before start().
+    /// thread that receives the response. Must be called before start().
     void onChange(Listener listener);
 
 private:
--- a/include/rattanrill/directory/directoryview.h
+++ b/include/rattanrill/directory/directoryview.h
@@ -48,8 +48,8 @@
     std::size_t contractCount() const { return m_contracts.size(); }
 
     /// Returns the view after the changes of \a response, or an unchanged copy when the revision of
-    /// \a response is older. Fails with MalformedMessage when a record cannot be decoded: to skip
-    /// that change is unsafe, since it could withdraw a key.
+    /// \a response is older. Fails with MalformedMessage when a record cannot be decoded: skipping
+    /// that change would be unsafe, because it may withdraw a key.
     Result<DirectoryView> withChanges(const wire::PollChangesResponse &response) const;
 
 private:
--- a/include/rattanrill/directory/recordlist.h
+++ b/include/rattanrill/directory/recordlist.h
@@ -29,8 +29,8 @@
     /// Returns the record \a id; null when there is none.
     std::shared_ptr<const Record> find(std::string_view id) const
     {
-        const auto place = lowerBound(*m_rows, id);
-        return place != m_rows->end() && place->id == id ? place->record : nullptr;
+        const auto position = lowerBound(*m_rows, id);
+        return position != m_rows->end() && position->id == id ? position->record : nullptr;
     }
 
     /// All records in order of id.
@@ -48,19 +48,19 @@
         void put(const std::string &id, Record record)
         {
             Row row{id, std::make_shared<const Record>(std::move(record))};
-            const auto place = lowerBound(m_rows, id);
-            if (place != m_rows.end() && place->id == id)
-                *place = std::move(row);
+            const auto position = lowerBound(m_rows, id);
+            if (position != m_rows.end() && position->id == id)
+                *position = std::move(row);
             else
-                m_rows.insert(place, std::move(row));
+                m_rows.insert(position, std::move(row));
         }
 
         /// Removes the record \a id if there is one.
         void remove(std::string_view id)
         {
-            const auto place = lowerBound(m_rows, id);
-            if (place != m_rows.end() && place->id == id)
-                m_rows.erase(place);
+            const auto position = lowerBound(m_rows, id);
+            if (position != m_rows.end() && position->id == id)
+                m_rows.erase(position);
         }
 
         /// Returns the changed list. The editor must not be used afterwards.
--- a/include/rattanrill/directory/recordtable.h
+++ b/include/rattanrill/directory/recordtable.h
@@ -27,7 +27,7 @@
     };
     /// Rows in order of id.
     using Shard = std::vector<Row>;
-    /// A null shard is empty.
+    /// A null pointer stands for an empty shard.
     using Shards = std::array<std::shared_ptr<const Shard>, 256>;
 
 public:
@@ -43,12 +43,12 @@
         void put(const std::string &id, Record record)
         {
             Shard &shard = mutableShard(id);
-            const auto place = lowerBound(shard, id);
+            const auto position = lowerBound(shard, id);
             Row row{id, std::make_shared<const Record>(std::move(record))};
-            if (place != shard.end() && place->id == id)
-                *place = std::move(row);
+            if (position != shard.end() && position->id == id)
+                *position = std::move(row);
             else
-                shard.insert(place, std::move(row));
+                shard.insert(position, std::move(row));
         }
 
         /// Returns the changed table. The editor must not be used afterwards.
@@ -84,8 +84,8 @@
         const auto &shard = (*m_shards)[shardOf(id)];
         if (!shard)
             return nullptr;
-        const auto place = lowerBound(*shard, id);
-        return place != shard->end() && place->id == id ? place->record : nullptr;
+        const auto position = lowerBound(*shard, id);
+        return position != shard->end() && position->id == id ? position->record : nullptr;
     }
 
     /// Number of records.
--- a/src/directory/changehistory.h
+++ b/src/directory/changehistory.h
@@ -26,7 +26,7 @@
     std::vector<wire::RecordChange> after(std::uint64_t revision) const;
 
     const std::deque<wire::RecordChange> &changes() const { return m_changes; }
-    /// Highest revision of which a change was dropped; 0 when there is none.
+    /// Highest revision of which a change was dropped; 0 when no change was dropped.
     std::uint64_t droppedUpTo() const { return m_droppedUpTo; }
     void setDroppedUpTo(std::uint64_t revision) { m_droppedUpTo = revision; }
 
--- a/src/directory/directorystate.cpp
+++ b/src/directory/directorystate.cpp
@@ -103,9 +103,9 @@
 {
     wire::PollChangesResponse history;
     history.changes.assign(m_history.changes().begin(), m_history.changes().end());
-    Json answers = Json::array();
+    Json responses = Json::array();
     for (const ResponseCache::Entry &response : m_cachedResponses.entries())
-        answers.push_back({response.requestId, response.contentHash, response.bytes});
+        responses.push_back({response.requestId, response.contentHash, response.bytes});
     Json incarnations = Json::array();
     for (const IncarnationLog::Entry &entry : m_incarnations.entries())
         incarnations.push_back({entry.instance, entry.incarnation});
@@ -114,7 +114,7 @@
             {"records", wire::encode(allRecords())},
             {"history", wire::encode(history)},
             {"droppedUpTo", m_history.droppedUpTo()},
-            {"answers", std::move(answers)},
+            {"answers", std::move(responses)},
             {"incarnations", std::move(incarnations)},
     };
     std::string payload;
@@ -153,9 +153,10 @@
     for (wire::RecordChange &change : history.changes)
         m_history.append(std::move(change));
     m_history.setDroppedUpTo(parts.at("droppedUpTo").get<std::uint64_t>());
-    for (const Json &answer : parts.at("answers")) {
-        m_cachedResponses.add({answer.at(0).get<std::string>(), answer.at(1).get<std::uint64_t>(),
-                               answer.at(2).get<std::string>()});
+    for (const Json &response : parts.at("answers")) {
+        m_cachedResponses.add({response.at(0).get<std::string>(),
+                               response.at(1).get<std::uint64_t>(),
+                               response.at(2).get<std::string>()});
     }
     for (const Json &entry : parts.at("incarnations"))
         m_incarnations.add(entry.at(0).get<std::string>(), entry.at(1).get<std::string>());
--- a/src/directory/directorystate.h
+++ b/src/directory/directorystate.h
@@ -54,8 +54,8 @@
     void remove(const std::string &id);
 
     std::uint64_t revision() const { return m_revision; }
-    /// Highest time of any accepted write, in milliseconds since 1970. It does not decrease when
-    /// the clocks of the senders differ.
+    /// Latest time of any accepted write, in milliseconds since 1970. It never decreases, although
+    /// the clocks of the senders may differ.
     std::int64_t nowMs() const { return m_nowMs; }
     ResponseCache &cachedResponses() { return m_cachedResponses; }
     IncarnationLog &incarnations() { return m_incarnations; }
--- a/src/directory/directorystatemachine.cpp
+++ b/src/directory/directorystatemachine.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// Number of distinct upstreams that a request must have crashed to be quarantined.
-constexpr std::size_t crashesUntilQuarantine = 2;
+constexpr std::size_t quarantineThreshold = 2;
 /// Maximum number of crashed upstreams in a record. Further ones need not be recorded, because a
-/// quarantined request does not run any more.
+/// quarantined request is not run any more.
 constexpr std::size_t maxCrashedUpstreams = 16;
 
 boost::leaf::error_id conflict(std::string detail)
@@ -349,7 +349,7 @@
     const bool listed = std::find(crashed.begin(), crashed.end(), report.upstream) != crashed.end();
     if (!listed && crashed.size() < maxCrashedUpstreams)
         crashed.push_back(report.upstream);
-    request.held = crashed.size() >= crashesUntilQuarantine;
+    request.held = crashed.size() >= quarantineThreshold;
     return request;
 }
 
--- a/src/directory/directorysubscriber.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -16,8 +16,8 @@
 namespace rattanrill::directory {
 namespace {
 
-/// Limits the doublings of the backoff, so that the shift below does not overflow. The backoff
-/// reaches its maximum long before.
+/// Maximum number of doublings of the backoff, so that the shift in backoff() does not overflow.
+/// The backoff reaches its maximum after fewer doublings.
 constexpr int maxDoublings = 16;
 
 } // namespace
@@ -52,16 +52,16 @@
         pollClient.poll(request, options.pollTimeout,
                         [self, sentAt](const Outcome<wire::PollChangesResponse> &outcome) {
                             if (const std::shared_ptr<Impl> impl = self.lock())
-                                impl->handleAnswer(sentAt, outcome);
+                                impl->handleResponse(sentAt, outcome);
                         });
         absl::MutexLock lock(&mutex);
         --activePollCalls;
         idle.SignalAll();
     }
 
-    void handleAnswer(absl::Time sentAt, const Outcome<wire::PollChangesResponse> &outcome)
+    void handleResponse(absl::Time sentAt, const Outcome<wire::PollChangesResponse> &outcome)
     {
-        if (!beginAnswer())
+        if (!beginResponse())
             return;
         const Outcome<DirectoryView> next = nextView(outcome);
         if (next.ok()) {
@@ -70,11 +70,12 @@
         } else {
             schedule(backoff(next.failure()));
         }
-        endAnswer();
+        endResponse();
     }
 
-    /// Returns false after stop(). Otherwise only this thread changes the view until endAnswer().
-    bool beginAnswer()
+    /// Returns false after stop(). Otherwise, until endResponse(), only this thread changes the
+    /// view.
+    bool beginResponse()
     {
         absl::MutexLock lock(&mutex);
         if (stopped)
@@ -83,14 +84,14 @@
         return true;
     }
 
-    void endAnswer()
+    void endResponse()
     {
         bool pollNow = false;
         {
             absl::MutexLock lock(&mutex);
             handlerThread = std::thread::id();
             idle.SignalAll();
-            pollNow = std::exchange(pollAfterAnswer, false);
+            pollNow = std::exchange(pollAfterResponse, false);
         }
         if (pollNow)
             sendPoll();
@@ -104,7 +105,7 @@
         const std::uint64_t revision = outcome.value().revision;
         if (revision < view->revision()) {
             return notRun(ErrorCode::StaleRevision,
-                          concat("the answer has revision ", revision,
+                          concat("the response has revision ", revision,
                                  ", but the view has revision ", view->revision()));
         }
         return outcomeOf([&] { return view->withChanges(outcome.value()); });
@@ -115,8 +116,8 @@
         std::shared_ptr<const DirectoryView> published;
         {
             absl::MutexLock lock(&mutex);
-            failures = 0;
-            lastAnsweredSentAt = std::max(lastAnsweredSentAt, sentAt);
+            consecutiveFailures = 0;
+            lastSuccessfulPollSentAt = std::max(lastSuccessfulPollSentAt, sentAt);
             if (next.revision() == current->revision())
                 return;
             current = std::make_shared<const DirectoryView>(next);
@@ -129,26 +130,26 @@
     absl::Duration backoff(const Failure &failure)
     {
         absl::MutexLock lock(&mutex);
-        const int doublings = std::min(failures, maxDoublings);
-        ++failures;
+        const int doublings = std::min(consecutiveFailures, maxDoublings);
+        ++consecutiveFailures;
         log(LogLevel::Warning, "directory-poll-failed",
             {{"revision", current->revision()},
              {"code", name(failure.code)},
              {"detail", failure.detail},
-             {"failures", failures}});
+             {"failures", consecutiveFailures}});
         const absl::Duration limit =
                 std::min(options.maxBackoff, options.minBackoff * (1 << doublings));
         return limit * std::uniform_real_distribution<double>(0.5, 1)(random);
     }
 
-    /// Sends the next poll after \a delay, or from endAnswer() when there is no delay.
+    /// Sends the next poll after \a delay, or from endResponse() when the delay is not positive.
     void schedule(absl::Duration delay)
     {
         absl::MutexLock lock(&mutex);
         if (stopped)
             return;
         if (delay <= absl::ZeroDuration()) {
-            pollAfterAnswer = true;
+            pollAfterResponse = true;
             return;
         }
         const std::weak_ptr<Impl> self = weak_from_this();
@@ -186,19 +187,21 @@
     /// Not changed after start().
     std::vector<Listener> listeners;
     mutable absl::Mutex mutex;
+    /// Signalled when a call of pollClient.poll() or handleResponse() ends.
     absl::CondVar idle;
     std::shared_ptr<const DirectoryView>
             current ABSL_GUARDED_BY(mutex) = std::make_shared<const DirectoryView>();
-    /// Time at which the last poll that was answered successfully was sent.
-    absl::Time lastAnsweredSentAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
-    /// Thread that runs handleAnswer(); no thread when there is none.
+    /// Time at which the last successful poll was sent.
+    absl::Time lastSuccessfulPollSentAt ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
+    /// Thread that runs handleResponse(); a default-constructed id when there is none.
     std::thread::id handlerThread ABSL_GUARDED_BY(mutex);
     /// Calls of pollClient.poll() that have not returned.
     int activePollCalls ABSL_GUARDED_BY(mutex) = 0;
     TimerService::TimerId timer ABSL_GUARDED_BY(mutex) = 0;
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
-    int failures ABSL_GUARDED_BY(mutex) = 0;
-    bool pollAfterAnswer ABSL_GUARDED_BY(mutex) = false;
+    int consecutiveFailures ABSL_GUARDED_BY(mutex) = 0;
+    /// Whether endResponse() sends the next poll.
+    bool pollAfterResponse ABSL_GUARDED_BY(mutex) = false;
     bool stopped ABSL_GUARDED_BY(mutex) = false;
 };
 
@@ -230,7 +233,7 @@
 absl::Duration DirectorySubscriber::viewAge() const
 {
     absl::MutexLock lock(&m_impl->mutex);
-    return m_impl->clock.now() - m_impl->lastAnsweredSentAt;
+    return m_impl->clock.now() - m_impl->lastSuccessfulPollSentAt;
 }
 
 void DirectorySubscriber::onChange(Listener listener)
--- a/src/directory/directoryview.cpp
+++ b/src/directory/directoryview.cpp
@@ -212,8 +212,8 @@
     DirectoryView next = response.snapshot ? DirectoryView() : *this;
     Builder builder(next);
     for (const wire::RecordChange &change : response.changes) {
-        // Changes up to the revision of this view are skipped: it may already have newer versions
-        // of their records.
+        // Changes up to the revision of this view are skipped, because it may contain newer
+        // versions of their records.
         if (response.snapshot || change.revision > m_revision)
             BOOST_LEAF_CHECK(builder.apply(change));
     }
--- a/src/directory/recordvalidation.cpp
+++ b/src/directory/recordvalidation.cpp
@@ -16,7 +16,7 @@
 /// Tolerance for the sum of the shares, because operators round the fractions.
 constexpr double shareTolerance = 1e-6;
 
-/// Paths that the entry instance serves itself, so that no route may use them.
+/// Paths that the entry instance serves itself; routes must not use them.
 constexpr std::array<std::string_view, 4> reservedPaths = {"/v1/", "/healthz", "/readyz",
                                                            "/metrics"};
 
@@ -74,7 +74,8 @@
     return {};
 }
 
-/// Whether a route with \a prefix would hide \a reservedPath: one of them begins with the other.
+/// Whether one of \a prefix and \a reservedPath begins with the other. Such a route is refused,
+/// because it could hide the reserved path.
 bool shadows(std::string_view prefix, std::string_view reservedPath)
 {
     const std::string_view base = withoutTrailingSlash(prefix);
--- a/src/directory/recordvalidation.h
+++ b/src/directory/recordvalidation.h
@@ -6,14 +6,14 @@
 #include <cstddef>
 #include <string_view>
 
-/// Checks of the fields of directory records. They fail with InvalidRequest, and the message names
-/// the field.
+/// Checks of the fields of directory records. They fail with InvalidRequest and a message that
+/// contains the name of the field.
 namespace rattanrill::directory {
 
 constexpr std::size_t maxNameBytes = 128;
 constexpr std::size_t maxPathBytes = 1024;
 constexpr std::size_t maxConfigBytes = 256 * 1024;
-/// Longest time for which results or quarantined requests are kept: one year.
+/// Maximum time for which results or quarantined requests are kept: one year, in seconds.
 constexpr std::int64_t maxRetentionSeconds = 366 * 24 * 3600;
 
 /// Checks that \a value has 1 to maxNameBytes bytes and no control characters.
--- a/src/directory/responsecache.h
+++ b/src/directory/responsecache.h
@@ -16,7 +16,7 @@
     struct Entry
     {
         std::string requestId;
-        /// Hash of the write without the fields that differ when it is sent again.
+        /// Hash of the write without the fields that differ when the write is resent.
         std::uint64_t contentHash = 0;
         /// Encoded wire::CommandResult.
         std::string bytes;
--- a/tests/directory/controlpollclient_test.cpp
+++ b/tests/directory/controlpollclient_test.cpp
@@ -25,8 +25,8 @@
     return options;
 }
 
-/// Answers each poll with the next revision.
-void answerPoll(const std::string &body, const peer::ResponseCallback &reply)
+/// Responds to each poll with the next revision.
+void respondToPoll(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto request = outcomeOf([&] { return wire::decode<wire::PollChangesRequest>(body); });
     wire::PollChangesResponse response;
@@ -38,14 +38,14 @@
 
 BOOST_AUTO_TEST_SUITE(ControlPollClientTest)
 
-// Guards against a subscriber that works with fakes only: it polls through the real channel, client
-// and timers, and answers arrive while it stops.
+// Guards against a subscriber that works only with test doubles. It polls through the real channel,
+// client and timers, and is destroyed while responses arrive.
 BOOST_AUTO_TEST_CASE(subscriberReceivesChangesOverTheNetwork)
 {
     peer::Server server(transport());
     server.setHandler(wire::Method::PollChanges,
                       [](const peer::PeerIdentity &, const std::string &body,
-                         const peer::ResponseCallback &reply) { answerPoll(body, reply); });
+                         const peer::ResponseCallback &reply) { respondToPoll(body, reply); });
     BOOST_REQUIRE(outcomeOf([&] { return server.start("127.0.0.1", 0); }).ok());
     ThreadTimerService timers;
     peer::ChannelPool channels(transport());
--- a/tests/directory/directorydriver.cpp
+++ b/tests/directory/directorydriver.cpp
@@ -11,12 +11,12 @@
 template <typename Message>
 Outcome<Message> unpack(const std::string &bytes)
 {
-    const auto answer = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
-    if (!answer.ok())
-        return answer.failure();
-    if (answer.value().failure.failed)
-        return wire::fromMessage(answer.value().failure);
-    return outcomeOf([&] { return wire::decode<Message>(answer.value().body); });
+    const auto result = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
+    if (!result.ok())
+        return result.failure();
+    if (result.value().failure.failed)
+        return wire::fromMessage(result.value().failure);
+    return outcomeOf([&] { return wire::decode<Message>(result.value().body); });
 }
 
 } // namespace
--- a/tests/directory/directorydriver.h
+++ b/tests/directory/directorydriver.h
@@ -27,7 +27,7 @@
     DirectoryView view() const { return updated(DirectoryView()); }
     /// Replaces the state machine by a new one that is restored from its snapshot.
     void restart();
-    /// Returns the code of the failure to restore \a snapshot; Internal when it was restored.
+    /// Restores \a snapshot and returns the code of the failure; Internal when it succeeds.
     ErrorCode restoreFailure(const std::string &snapshot);
     replication::StateMachine &machine() { return *m_machine; }
 
--- a/tests/directory/directorysubscriber_test.cpp
+++ b/tests/directory/directorysubscriber_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Holds polls open until the test answers them.
+/// Keeps polls open until the test responds to them.
 class ManualPollClient : public DirectoryPollClient
 {
 public:
@@ -26,7 +26,7 @@
         open.push_back({request, std::move(callback)});
     }
 
-    void answer(Outcome<wire::PollChangesResponse> outcome)
+    void respond(Outcome<wire::PollChangesResponse> outcome)
     {
         const Poll poll = open.front();
         open.pop_front();
@@ -72,18 +72,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectorySubscriberTest, Fixture)
 
-// Guards against an age that is too low: an answer is only known to contain what was committed
-// before the poll was sent, not what was committed before the answer arrived.
+// Guards against an age that is too low: a response is only known to contain what was committed
+// before the poll was sent, not what was committed before the response arrived.
 BOOST_AUTO_TEST_CASE(ageCountsFromTheTimeThePollWasSent)
 {
     BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
     subscriber.start();
     timers.advance(absl::Milliseconds(700));
     BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
-    polls.answer(contractAt(1, 1));
+    polls.respond(contractAt(1, 1));
     BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(700)));
     timers.advance(absl::Milliseconds(300));
-    polls.answer(unchanged(1));
+    polls.respond(unchanged(1));
     BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(300)));
 }
 
@@ -91,27 +91,27 @@
 BOOST_AUTO_TEST_CASE(failedPollDoesNotResetTheAge)
 {
     subscriber.start();
-    polls.answer(contractAt(1, 1));
+    polls.respond(contractAt(1, 1));
     timers.advance(absl::Milliseconds(100));
-    polls.answer(notRun(ErrorCode::Timeout, ""));
+    polls.respond(notRun(ErrorCode::Timeout, ""));
     BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(100)));
     BOOST_TEST(subscriber.view()->revision() == 1u);
 }
 
 // Guards against an older configuration that replaces a newer one (R13), and against an age that is
-// reset by the answer of a replica that lags behind.
+// reset by the response of a replica that lags behind.
 BOOST_AUTO_TEST_CASE(olderRevisionDoesNotChangeTheViewOrResetTheAge)
 {
     subscriber.start();
-    polls.answer(contractAt(5, 5));
+    polls.respond(contractAt(5, 5));
     timers.advance(absl::Milliseconds(100));
-    polls.answer(contractAt(4, 4));
+    polls.respond(contractAt(4, 4));
     BOOST_TEST(subscriber.view()->contract("w")->ratePerSecond == 5);
     BOOST_TEST((subscriber.viewAge() == absl::Milliseconds(100)));
     timers.advance(absl::Seconds(1));
     wire::PollChangesResponse snapshot = contractAt(3, 3);
     snapshot.snapshot = true;
-    polls.answer(snapshot);
+    polls.respond(snapshot);
     BOOST_TEST(subscriber.view()->revision() == 5u);
     BOOST_TEST((publishedRevisions == std::vector<std::uint64_t>{5}));
 }
@@ -123,24 +123,24 @@
     subscriber.start();
     wire::PollChangesResponse damaged = contractAt(1, 1);
     damaged.changes[0].body = "damaged";
-    polls.answer(damaged);
+    polls.respond(damaged);
     BOOST_TEST(subscriber.view()->revision() == 0u);
     BOOST_TEST((subscriber.viewAge() == absl::InfiniteDuration()));
 }
 
-// Guards against polls that request all changes again, or a change that was already received, and
-// against a new view that changes the one before it.
+// Guards against polls that request changes again that were already received, and against a new
+// view that modifies the previous one.
 BOOST_AUTO_TEST_CASE(pollsResumeFromTheViewsRevision)
 {
     subscriber.start();
     BOOST_TEST(polls.open.front().request.afterRevision == 0u);
-    polls.answer(contractAt(7, 1));
+    polls.respond(contractAt(7, 1));
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.front().request.afterRevision == 7u);
     const std::shared_ptr<const DirectoryView> before = subscriber.view();
     wire::PollChangesResponse removal = unchanged(8);
     removal.changes.push_back({8, wire::RecordKind::Route, "r", true, ""});
-    polls.answer(removal);
+    polls.respond(removal);
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.front().request.afterRevision == 8u);
     BOOST_TEST(before->revision() == 7u);
@@ -153,7 +153,7 @@
 {
     subscriber.start();
     for (int failures = 0; failures < 40; ++failures) {
-        polls.answer(notRun(ErrorCode::ConnectionLost, ""));
+        polls.respond(notRun(ErrorCode::ConnectionLost, ""));
         BOOST_REQUIRE(polls.open.empty());
         timers.advance(absl::Milliseconds(24));
         BOOST_REQUIRE(polls.open.empty());
@@ -166,18 +166,18 @@
 BOOST_AUTO_TEST_CASE(pollsKeepAMinimumInterval)
 {
     subscriber.start();
-    polls.answer(unchanged(0));
+    polls.respond(unchanged(0));
     BOOST_TEST(polls.open.empty());
     timers.advance(absl::Milliseconds(20));
     BOOST_TEST(polls.open.size() == 1u);
 }
 
-// Guards against calls of listeners, and polls, in a program that is shutting down.
+// Guards against listeners that are called, and polls that are sent, while a program shuts down.
 BOOST_AUTO_TEST_CASE(noListenerIsCalledAndNoPollIsSentAfterStop)
 {
     subscriber.start();
     subscriber.stop();
-    polls.answer(contractAt(1, 1));
+    polls.respond(contractAt(1, 1));
     timers.advance(absl::Seconds(5));
     BOOST_TEST(publishedRevisions.empty());
     BOOST_TEST(polls.open.empty());
@@ -207,7 +207,7 @@
     BOOST_TEST(!view.route("/"));
 }
 
-// Guards against an older record that replaces a newer one because an answer repeats a change.
+// Guards against an older record that replaces a newer one because a response repeats a change.
 BOOST_AUTO_TEST_CASE(changesUpToTheViewsRevisionAreSkipped)
 {
     const DirectoryView view =
--- a/tests/directory/model_test.cpp
+++ b/tests/directory/model_test.cpp
@@ -20,7 +20,7 @@
 constexpr int steps = 400;
 
 /// Generates the writes of several operators and processes: concurrent writes from the same base
-/// revision, resends after lost answers, and colliding names.
+/// revision, resends after lost responses, and colliding names.
 class RandomWrites
 {
 public:
@@ -31,7 +31,7 @@
     /// Returns a random number from 0 to \a end - 1.
     std::size_t randomBelow(std::size_t end) { return m_random() % end; }
 
-    /// Returns a new write, or one that was returned before with another time.
+    /// Returns a new write, or resends an earlier one at another time.
     wire::DirectoryCommand next(std::int64_t nowMs, const DirectoryView &view)
     {
         const bool resend = !m_sent.empty() && randomBelow(6) == 0;
@@ -107,36 +107,36 @@
     std::vector<wire::DirectoryCommand> m_sent;
 };
 
-std::string describeAnswer(const Outcome<wire::DirectoryResult> &answer)
+std::string describeResponse(const Outcome<wire::DirectoryResult> &response)
 {
-    return answer.ok() ? wire::toJsonText(answer.value()) : describe(answer.failure());
+    return response.ok() ? wire::toJsonText(response.value()) : describe(response.failure());
 }
 
 /// Conditions that must hold after every sequence of writes.
 class Invariants
 {
 public:
-    using Answer = Outcome<wire::DirectoryResult>;
+    using Response = Outcome<wire::DirectoryResult>;
 
     /// Returns the first violation; empty when there is none.
-    std::string check(const wire::DirectoryCommand &command, const Answer &answer,
+    std::string check(const wire::DirectoryCommand &command, const Response &response,
                       const DirectoryView &view, const wire::PollChangesResponse &records)
     {
-        const auto first = m_answers.find(command.requestId);
-        const bool resend = !command.requestId.empty() && first != m_answers.end();
-        if (resend && first->second != describeAnswer(answer))
-            return "a resend got a different answer";
+        const auto first = m_responses.find(command.requestId);
+        const bool resend = !command.requestId.empty() && first != m_responses.end();
+        if (resend && first->second != describeResponse(response))
+            return "a resend received a different response";
         if (!command.requestId.empty())
-            m_answers.emplace(command.requestId, describeAnswer(answer));
+            m_responses.emplace(command.requestId, describeResponse(response));
         const std::uint64_t step = view.revision() - m_revision;
-        if (step > (answer.ok() && !resend ? 1 : 0))
+        if (step > (response.ok() && !resend ? 1 : 0))
             return "the revision increased without an accepted write, or by more than one";
         m_revision = view.revision();
-        if (!resend && answer.ok() && answer.value().fence > 0) {
-            std::uint64_t &last = m_fencingTokens[answer.value().id];
-            if (answer.value().fence <= last)
+        if (!resend && response.ok() && response.value().fence > 0) {
+            std::uint64_t &last = m_fencingTokens[response.value().id];
+            if (response.value().fence <= last)
                 return "a fencing token did not increase";
-            last = answer.value().fence;
+            last = response.value().fence;
         }
         return checkKeys(records, view);
     }
@@ -168,7 +168,7 @@
     }
 
     std::uint64_t m_revision = 0;
-    std::map<std::string, std::string> m_answers;
+    std::map<std::string, std::string> m_responses;
     std::map<std::string, std::uint64_t> m_fencingTokens;
     std::set<std::string> m_withdrawn;
 };
@@ -213,11 +213,11 @@
         const wire::DirectoryCommand command = writes.next(reference.nowMs, reference.view());
         wire::DirectoryCommand applied = command;
         injectFault(applied);
-        const auto answer = reference.apply(applied);
-        if (describeAnswer(answer) != describeAnswer(restarting.apply(applied)))
-            return "the restored replica gave a different answer";
+        const auto response = reference.apply(applied);
+        if (describeResponse(response) != describeResponse(restarting.apply(applied)))
+            return "the restored replica returned a different response";
         const DirectoryView view = reference.view();
-        const std::string fault = invariants.check(command, answer, view, reference.query(0));
+        const std::string fault = invariants.check(command, response, view, reference.query(0));
         if (!fault.empty())
             return concat("seed ", seed, ", step ", step, ": ", fault);
         DirectoryView &subscriberView = subscriberViews[writes.randomBelow(subscriberViews.size())];
@@ -237,7 +237,7 @@
 
 // Guards against lost updates, resends that are applied twice (F5), withdrawn keys that become
 // valid again (R6), decreasing fencing tokens, state that is missing from a snapshot, and deltas
-// that give another view than a snapshot.
+// that result in another view than a snapshot.
 BOOST_AUTO_TEST_CASE(randomWritesKeepTheInvariants)
 {
     for (unsigned seed = 1; seed <= seeds; ++seed)
--- a/tests/directory/statemachine_test.cpp
+++ b/tests/directory/statemachine_test.cpp
@@ -63,9 +63,9 @@
     BOOST_TEST(driver.view().contract("w")->ratePerSecond == 2);
 }
 
-// Guards against applying a write twice, or answering it differently, when a client resends it
-// after its response was lost and the replica was restored from a snapshot.
-BOOST_AUTO_TEST_CASE(resendGetsTheFirstAnswerAlsoAfterRestore)
+// Guards against a write that is applied twice, or receives another response, when a client resends
+// it after its response was lost and the replica was restored from a snapshot.
+BOOST_AUTO_TEST_CASE(resendReceivesTheFirstResponseAlsoAfterRestore)
 {
     DirectoryDriver driver;
     const auto first = driver.write(wire::PutContract{contractOf("w")}, 0, "r-1");
