--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -12,8 +12,8 @@
 
 /// Delay between two attempts of a call.
 constexpr absl::Duration retryDelay = absl::Milliseconds(40);
-/// Timeout of one attempt. Shorter than the timeout of a call, so that time remains for another
-/// attempt when the leader does not respond.
+/// Timeout of one attempt. It is short, so that time remains for another attempt when the leader
+/// does not respond.
 constexpr absl::Duration attemptTimeout = absl::Milliseconds(700);
 
 template <typename Message>
