--- a/include/rattanrill/jobs/jobclient.h
+++ b/include/rattanrill/jobs/jobclient.h
@@ -16,7 +16,7 @@
 
 /// Sends calls about batch jobs to the leader of the store group, the Raft group that replicates
 /// the jobs. All calls are idempotent, so a failed attempt is repeated, possibly at another store,
-/// until the timeout. A call that receives no response in time fails with Timeout; every failure is
+/// until the timeout. A call fails with Timeout when no attempt succeeds in time; every failure is
 /// MayHaveRun if any attempt may have taken effect. Used on the event loop only.
 class JobClient
 {
@@ -37,8 +37,8 @@
     /// with Conflict when its id belongs to a job of another workspace.
     void submit(const wire::SubmitJobRequest &request, absl::Duration timeout,
                 Callback<Done> callback);
-    /// Reads the results from position request.after on. Waits up to request.waitMs for the first
-    /// of them. Fails with NotFound.
+    /// Reads the results from position request.after on. The store waits up to request.waitMs, but
+    /// at most 2 s, for the first of them. Fails with NotFound.
     void read(const wire::ReadJobRequest &request, absl::Duration timeout,
               Callback<wire::ReadJobResponse> callback);
     /// Returns the body of an item. Fails with NotFound.
@@ -47,7 +47,7 @@
     /// Ends a job: items without a result are not run any more. Fails with NotFound.
     void cancel(const wire::EndJobRequest &request, absl::Duration timeout,
                 Callback<Done> callback);
-    /// Open calls make no further attempt, and later calls fail with Timeout.
+    /// After this, open calls make no further attempt, and new calls fail with Timeout.
     void stop();
 
 private:
--- a/src/jobs/itemrun.h
+++ b/src/jobs/itemrun.h
@@ -22,8 +22,8 @@
     ItemRun(const JobExecutorContext &context, std::shared_ptr<const wire::JobRecord> job,
             const wire::JobItem &item, ResultCallback resultCallback);
 
-    /// Continues after \a progress instead of starting at the first event. Call before
-    /// setDeployment().
+    /// Continues after \a progress instead of starting at the first event. Must be
+    /// called before setDeployment().
     void resume(const wire::ItemProgress &progress);
     /// Returns the output produced since the last call of markStored(); empty when it contains no
     /// complete event.
--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -94,8 +94,9 @@
         const std::string address = nextStore();
         const absl::Duration remaining = call->deadline - clock.now();
         if (stopped || remaining <= absl::ZeroDuration())
-            return reportFailure(
-                    call, notRun(ErrorCode::Timeout, "no store responded before the timeout"));
+            return reportFailure(call, notRun(ErrorCode::Timeout,
+                                              "no attempt succeeded before the timeout or "
+                                              "before the client was stopped"));
         if (address.empty())
             return scheduleRetry(call);
         channels.channel(address)->call(
--- a/src/jobs/jobservice.cpp
+++ b/src/jobs/jobservice.cpp
@@ -12,14 +12,16 @@
 namespace rattanrill::jobs {
 namespace {
 
-/// Maximum time for which a read waits for a result.
+/// Maximum time for which a read waits for a result, whatever the client requests.
 constexpr absl::Duration maxReadWait = absl::Seconds(2);
 /// Finished and cancelled jobs are removed this long after they were accepted.
 constexpr absl::Duration retentionPeriod = absl::Minutes(10);
+/// Interval at which old jobs are removed.
 constexpr absl::Duration cleanupPeriod = absl::Seconds(30);
+/// Delay before a failed read of the open jobs is repeated.
 constexpr absl::Duration listRetryDelay = absl::Milliseconds(100);
-/// Delay before a new leader starts the items of open jobs. Until the connections of the former
-/// leader are closed, its items may still run at upstreams. The delay leaves time for the upstreams
+/// Delay before a new leader starts the items of open jobs. Items that the former leader started
+/// may run at upstreams until its connections are closed. The delay leaves time for the upstreams
 /// to report these items in their responses, so that the same slots are not granted twice.
 constexpr absl::Duration takeOverDelay = absl::Milliseconds(600);
 
@@ -226,7 +228,7 @@
                 });
     }
 
-    void leadershipChanged(bool leads)
+    void handleLeadershipChange(bool isLeader)
     {
         isReady = false;
         hasTakenOver = false;
@@ -235,7 +237,7 @@
         const auto waiting = std::exchange(waitingReads, {});
         for (const WaitingRead &read : waiting)
             read.reply(notLeader());
-        if (leads)
+        if (isLeader)
             listOpenJobs();
     }
 
@@ -358,7 +360,7 @@
 
 void JobService::handleLeadershipChange(bool isLeader)
 {
-    m_impl->leadershipChanged(isLeader);
+    m_impl->handleLeadershipChange(isLeader);
 }
 
 void JobService::stop()
