--- a/src/engine/abortsignal.cpp
+++ b/src/engine/abortsignal.cpp
@@ -4,8 +4,8 @@
 
 void AbortSignal::abort()
 {
-    // The action is called under the lock, so that it can't run after the call has removed it. This
-    // does not block, because the action only shuts down a socket.
+    // The action is called under the lock, so that it can't run after the client call has removed
+    // it. The lock is held only briefly, because the action only shuts down a socket.
     absl::MutexLock lock(&m_mutex);
     m_aborted = true;
     if (m_action)
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -12,9 +12,11 @@
 namespace rattanrill::engine {
 namespace {
 
-/// Bodies of error responses are truncated at about this size.
+/// Approximate size at which bodies of error responses are truncated.
 constexpr std::size_t maxErrorBytes = 64u << 10;
 constexpr int statusOk = 200;
+/// Minimum socket timeout. A shorter one, such as the time until a deadline that is about to pass,
+/// is raised to this value.
 constexpr absl::Duration minTimeout = absl::Milliseconds(1);
 /// A socket timeout that is set to the time until the deadline may expire up to this long before
 /// the deadline.
