--- a/src/service/serviceclient.cpp
+++ b/src/service/serviceclient.cpp
@@ -12,6 +12,8 @@
 
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
+/// Minimum socket timeout. A shorter one, such as the time until a deadline that is about to pass,
+/// is raised to this value.
 constexpr absl::Duration minTimeout = absl::Milliseconds(1);
 /// Maximum socket timeout, so that a request without a deadline can't block its thread forever on a
 /// connection that sends nothing.
