--- a/include/rattanrill/replication/raftnode.h
+++ b/include/rattanrill/replication/raftnode.h
@@ -94,8 +94,8 @@
     /// Linearizable read on the leader. Fails like propose(), but always with NotRun.
     virtual void readOnLeader(std::string query, Callback callback) = 0;
     /// Linearizable read that followers serve as well. After this call, the leader confirms its
-    /// leadership; \a query is evaluated on the local state as soon as that includes every command
-    /// that was committed at that time.
+    /// leadership; \a query is evaluated on the local state as soon as that state includes every
+    /// command that was committed at the time of the confirmation.
     virtual void readOnAnyReplica(std::string query, Callback callback) = 0;
     /// Handles a Raft message from the replica \a from.
     virtual void receive(const ReplicaId &from, std::string message) = 0;
--- a/src/replication/filestorage.h
+++ b/src/replication/filestorage.h
@@ -22,8 +22,8 @@
     std::uint64_t minFreeBytes = 16u << 20;
 };
 
-/// Storage in one folder, which contains the file `identity`, the log segments `log-SEQUENCE` and
-/// at most one `snapshot-INDEX`.
+/// Storage in one folder, which contains the files `identity` and `lock`, the log segments
+/// `log-SEQUENCE` and the latest snapshot, `snapshot-INDEX`, if there is one.
 class FileStorage : public Storage
 {
 public:
--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -127,12 +127,12 @@
 
 void GroupDriver::readOnLeader(std::string query, Callback callback)
 {
-    startRead(&RaftCore::read, std::move(query), std::move(callback));
+    startRead(&RaftCore::readOnLeader, std::move(query), std::move(callback));
 }
 
 void GroupDriver::readOnAnyReplica(std::string query, Callback callback)
 {
-    startRead(&RaftCore::linearizableRead, std::move(query), std::move(callback));
+    startRead(&RaftCore::readOnAnyReplica, std::move(query), std::move(callback));
 }
 
 void GroupDriver::startRead(StartRead start, std::string query, Callback callback)
--- a/src/replication/progress.h
+++ b/src/replication/progress.h
@@ -53,8 +53,8 @@
     /// Snapshot that is being transferred, and the offset of the next chunk.
     std::uint64_t snapshotIndex = 0;
     std::uint64_t snapshotOffset = 0;
-    /// When the last append or snapshot chunk was sent, or the last reply to an append was
-    /// received.
+    /// When the last append or snapshot chunk was sent, or the last acknowledgement of an append
+    /// was received.
     absl::Time lastTransfer = absl::InfinitePast();
     absl::Time lastContact;
     /// Highest heartbeat round to which the replica has replied.
--- a/src/replication/raftcore.h
+++ b/src/replication/raftcore.h
@@ -117,9 +117,9 @@
     /// Fails with NotLeader, NoQuorum, QueueFull or DiskFull, all NotRun.
     Outcome<EntryPosition> propose(std::string command);
     /// Linearizable read on the leader. The result appears in RaftOutput::reads.
-    void read(std::uint64_t token);
-    /// Like read(), on any replica.
-    void linearizableRead(std::uint64_t token);
+    void readOnLeader(std::uint64_t token);
+    /// Linearizable read on any replica. The result appears in RaftOutput::reads.
+    void readOnAnyReplica(std::uint64_t token);
     /// Adds \a member and removes \a replaced; either may be empty. The result appears in
     /// RaftOutput::changes.
     void changeMembers(const ReplicaId &member, const ReplicaId &replaced, std::uint64_t token);
@@ -159,8 +159,9 @@
     static StepFunction stepFunction(MessageType type);
 
     // Terms and elections
-    /// Compares the term of \a message with that of this replica and becomes a follower when it is
-    /// newer. Returns false when the message must not be processed.
+    /// Compares the term of \a message with the term of this replica. Replies to a stale term, and
+    /// adopts a newer one as a follower unless \a message belongs to a pre-vote. Returns false when
+    /// \a message must not be processed.
     bool acceptTerm(const Message &message);
     bool isLeaderAlive() const;
     void replyToStaleTerm(const Message &message);
--- a/src/replication/raftcore_election.cpp
+++ b/src/replication/raftcore_election.cpp
@@ -15,8 +15,8 @@
         replyToStaleTerm(message);
         return false;
     }
-    // A replica in contact with a leader ignores vote requests, so that no other replica deposes a
-    // leader that works.
+    // A replica in contact with a leader ignores vote requests, so that it does not help a
+    // candidate to depose that leader.
     if (isVote && !message.transfer && isLeaderAlive())
         return false;
     const bool isFutureTerm = message.type == MessageType::PreVote
@@ -321,7 +321,8 @@
 {
     recordInitialVoter(message);
     const auto initialVoter = m_hardState.founders.find(message.from);
-    // An unknown incarnation receives no reply, so that it never becomes an initial voter.
+    // A sender with another incarnation than the recorded one receives no reply, so that it never
+    // becomes an initial voter.
     if (initialVoter != m_hardState.founders.end() && initialVoter->second == message.incarnation)
         m_persist.holdUntilPersisted(makeReply(message, MessageType::IntroduceReply));
 }
--- a/src/replication/raftcore_replication.cpp
+++ b/src/replication/raftcore_replication.cpp
@@ -390,7 +390,7 @@
     sendSnapshotChunk(message.from, *progress);
 }
 
-void RaftCore::read(std::uint64_t token)
+void RaftCore::readOnLeader(std::uint64_t token)
 {
     if (m_role == Role::Leader)
         addLeaderRead({token, "", 0, 0, 0});
@@ -398,7 +398,7 @@
         m_reads.finish({token, 0, notRun(ErrorCode::NotLeader, m_leader)});
 }
 
-void RaftCore::linearizableRead(std::uint64_t token)
+void RaftCore::readOnAnyReplica(std::uint64_t token)
 {
     if (m_role == Role::Leader)
         addLeaderRead({token, "", 0, 0, 0});
--- a/src/replication/storagethread.cpp
+++ b/src/replication/storagethread.cpp
@@ -120,7 +120,8 @@
     auto part = outcomeOf([&] {
         return m_storage->readSnapshot(chunk.snapshot.index, chunk.offset, chunk.length);
     });
-    // A newer snapshot has replaced this one; the leader restarts the transfer with it.
+    // If a newer snapshot has replaced this one, the leader restarts the transfer with it. If the
+    // read failed, the leader requests the chunk again when no reply arrives.
     if (!part.ok())
         return;
     chunk.data = std::move(part.value().data);
--- a/tests/replication/groupsimulation.cpp
+++ b/tests/replication/groupsimulation.cpp
@@ -426,9 +426,9 @@
     scheduleOn(id, absl::ZeroDuration(), [minIndex, token, onAnyReplica](Node &node) {
         node.reads[token] = {minIndex, 0};
         if (onAnyReplica)
-            node.core->linearizableRead(token);
+            node.core->readOnAnyReplica(token);
         else
-            node.core->read(token);
+            node.core->readOnLeader(token);
     });
 }
 
@@ -455,7 +455,7 @@
 
 void GroupSimulation::completeRead(const Node &node, const Operation &read)
 {
-    ++m_answeredReads;
+    ++m_completedReads;
     // All replicas apply the same sequence, so a read is linearizable if the state it saw is no
     // older than that of any call which ended before the read began.
     if (node.applied < read.minIndex)
--- a/tests/replication/groupsimulation.h
+++ b/tests/replication/groupsimulation.h
@@ -43,13 +43,13 @@
     /// Hash of all applied entries and their times, which is equal for equal seeds.
     std::uint64_t digest() const { return m_digest; }
     std::uint64_t acknowledgedWrites() const { return m_acknowledged; }
-    std::uint64_t answeredReads() const { return m_answeredReads; }
+    std::uint64_t completedReads() const { return m_completedReads; }
     std::uint64_t faults(const std::string &kind) const;
 
     // Scripted runs
     void advance(absl::Duration step);
     void setLinkCut(const ReplicaId &from, const ReplicaId &to, bool isCut);
-    void setIsolated(const ReplicaId &id, bool isCut);
+    void setIsolated(const ReplicaId &id, bool isIsolated);
     void crash(const ReplicaId &id);
     void start(const ReplicaId &id);
     /// Initializes the disk of a replica that is not started as in a formed group. The log has one
@@ -218,7 +218,7 @@
     /// Highest index that a completed call has seen.
     std::uint64_t m_highestSeenIndex = 0;
     std::uint64_t m_acknowledged = 0;
-    std::uint64_t m_answeredReads = 0;
+    std::uint64_t m_completedReads = 0;
     std::map<std::string, std::uint64_t> m_faults;
     std::uint64_t m_digest = 0;
     std::string m_violation;
--- a/tests/replication/groupsimulation_faults.cpp
+++ b/tests/replication/groupsimulation_faults.cpp
@@ -62,11 +62,11 @@
         m_cutLinks.erase({from, to});
 }
 
-void GroupSimulation::setIsolated(const ReplicaId &id, bool isCut)
+void GroupSimulation::setIsolated(const ReplicaId &id, bool isIsolated)
 {
     for (const auto &[other, node] : m_nodes) {
-        setLinkCut(id, other, isCut);
-        setLinkCut(other, id, isCut);
+        setLinkCut(id, other, isIsolated);
+        setLinkCut(other, id, isIsolated);
     }
 }
 
--- a/tests/replication/groupsimulation_test.cpp
+++ b/tests/replication/groupsimulation_test.cpp
@@ -133,7 +133,7 @@
         simulation.run();
         BOOST_TEST(simulation.violation() == "");
         writes += simulation.acknowledgedWrites();
-        reads += simulation.answeredReads();
+        reads += simulation.completedReads();
     }
     BOOST_TEST_MESSAGE(
             concat(count, " seeds, ", writes, " acknowledged writes, ", reads, " reads"));
