--- a/src/directory/recordvalidation.h
+++ b/src/directory/recordvalidation.h
@@ -11,9 +11,12 @@
 namespace rattanrill::directory {
 
 constexpr std::size_t maxNameBytes = 128;
+/// Maximum length of the path prefix of a route.
 constexpr std::size_t maxPathBytes = 1024;
+/// Maximum length of the value of a configuration record.
 constexpr std::size_t maxConfigBytes = 256 * 1024;
-/// Maximum time for which results or quarantined requests are kept: one year, in seconds.
+/// Maximum time for which results or quarantined requests are kept: one year, which may be a leap
+/// year.
 constexpr std::int64_t maxRetentionSeconds = 366 * 24 * 3600;
 
 /// Checks that \a value has 1 to maxNameBytes bytes and no control characters.
