--- a/src/jobs/jobclient.cpp
+++ b/src/jobs/jobclient.cpp
@@ -12,8 +12,8 @@
 
 /// Delay between two attempts of a call.
 constexpr absl::Duration retryDelay = absl::Milliseconds(40);
-/// Timeout of one attempt. Short, so that time remains for another attempt when the leader has
-/// stopped without a response.
+/// Timeout of one attempt. It is short, so that time remains for another attempt when the leader
+/// does not respond.
 constexpr absl::Duration attemptTimeout = absl::Milliseconds(700);
 
 template <typename Message>
@@ -94,8 +94,9 @@
         const std::string address = nextStore();
         const absl::Duration remaining = call->deadline - clock.now();
         if (stopped || remaining <= absl::ZeroDuration())
-            return reportFailure(
-                    call, notRun(ErrorCode::Timeout, "no store responded before the timeout"));
+            return reportFailure(call, notRun(ErrorCode::Timeout,
+                                              "no attempt succeeded before the timeout or "
+                                              "before the client was stopped"));
         if (address.empty())
             return scheduleRetry(call);
         channels.channel(address)->call(
