--- a/src/control/commandstamp.cpp
+++ b/src/control/commandstamp.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <typename Command>
-Result<std::string> stamped(const std::string &bytes, std::int64_t nowMs)
+Result<std::string> withTime(const std::string &bytes, std::int64_t nowMs)
 {
     BOOST_LEAF_AUTO(command, wire::decode<Command>(bytes));
     command.nowMs = nowMs;
@@ -22,8 +22,8 @@
                                  std::int64_t nowMs)
 {
     if (group == controlclient::directoryGroupName)
-        return stamped<wire::DirectoryCommand>(command, nowMs);
-    return stamped<wire::BatchCommand>(command, nowMs);
+        return withTime<wire::DirectoryCommand>(command, nowMs);
+    return withTime<wire::BatchCommand>(command, nowMs);
 }
 
 } // namespace rattanrill::control
--- a/src/control/commandstamp.h
+++ b/src/control/commandstamp.h
@@ -7,9 +7,9 @@
 
 namespace rattanrill::control {
 
-/// Returns \a command of \a group with its time set to \a nowMs, the wall-clock time of the
-/// proposing instance, so that every replica applies it with the same time. Fails with
-/// MalformedMessage.
+/// Returns the encoded \a command of \a group with its nowMs member set to \a nowMs, the wall-clock
+/// time of the proposing instance in milliseconds since the Unix epoch. Every replica then applies
+/// the command with the same time. Fails with MalformedMessage.
 Result<std::string> stampCommand(const std::string &group, const std::string &command,
                                  std::int64_t nowMs);
 
--- a/src/control/controlnode.cpp
+++ b/src/control/controlnode.cpp
@@ -5,9 +5,9 @@
 namespace rattanrill::control {
 namespace {
 
-/// Longest wait for new leaders during a graceful stop; an election takes some hundred
-/// milliseconds.
-constexpr absl::Duration transferTimeout = absl::Seconds(2);
+/// Maximum time that stop() waits until other instances lead the groups. An election takes a few
+/// hundred milliseconds.
+constexpr absl::Duration leadershipTransferTimeout = absl::Seconds(2);
 
 std::vector<std::string> peerAddresses(const ControlSettings &settings)
 {
@@ -48,8 +48,8 @@
 {
     BOOST_LEAF_CHECK(m_groups.open());
     m_running = true;
-    makeServices();
-    m_peerService->install(m_peerServer);
+    createServices();
+    m_peerService->registerHandlers(m_peerServer);
     BOOST_LEAF_CHECK(m_peerServer.start(m_settings.peer.host, m_settings.peer.port));
     BOOST_LEAF_CHECK(m_operatorServer->start());
     m_pollService->start();
@@ -60,7 +60,7 @@
     return {};
 }
 
-void ControlNode::makeServices()
+void ControlNode::createServices()
 {
     m_pollService = std::make_shared<PollChangesService>(m_groups.directory(), m_timers, m_clock);
     m_pollClient = std::make_unique<LocalPollClient>(m_pollService);
@@ -78,14 +78,14 @@
             std::make_unique<OperatorServer>(m_settings, m_groups, *m_operatorApi, m_metrics);
 }
 
-/// Transfers leadership first, while Raft messages are still exchanged. Stops the peer server only
-/// after the groups have answered or failed their pending requests.
+/// Leadership is transferred first, while Raft messages are still exchanged. The peer server is
+/// stopped only after the groups have completed or failed their pending requests.
 void ControlNode::stop()
 {
     if (!m_running)
         return;
     m_running = false;
-    m_groups.transferLeadership(transferTimeout);
+    m_groups.transferLeadership(leadershipTransferTimeout);
     m_memberWatch->stop();
     m_partitionClock->stop();
     m_monitor.stop();
--- a/src/control/controlnode.h
+++ b/src/control/controlnode.h
@@ -31,7 +31,7 @@
     ControlNode(const ControlNode &) = delete;
     ControlNode &operator=(const ControlNode &) = delete;
 
-    /// Opens the groups and starts the servers. Fails as startRaftNode() or with AddressInUse.
+    /// Opens the groups and starts the servers. Fails like startRaftNode() or with AddressInUse.
     Result<void> start();
     /// Transfers leadership, stops the servers and closes the groups.
     void stop();
@@ -41,7 +41,7 @@
     GroupHost &groups() { return m_groups; }
 
 private:
-    void makeServices();
+    void createServices();
     peer::TransportOptions transport() const;
 
     const ControlSettings m_settings;
@@ -53,7 +53,7 @@
     peer::Server m_peerServer;
     controlclient::ControlClient m_client;
     GroupMonitor m_monitor;
-    // Created by start() after the groups were opened.
+    // Created by start() after it has opened the groups.
     std::shared_ptr<PollChangesService> m_pollService;
     std::unique_ptr<LocalPollClient> m_pollClient;
     std::unique_ptr<directory::DirectorySubscriber> m_view;
--- a/src/control/controlsettings.cpp
+++ b/src/control/controlsettings.cpp
@@ -21,7 +21,7 @@
   "properties": {
     "instance": {
       "type": "string", "minLength": 1, "maxLength": 256,
-      "description": "Name of this instance and id of its replica in every group. After the loss of its data folder, a replica must return under a new name."
+      "description": "Name of this instance and id of its replica in every group. A replica that has lost its data folder must be started again under a new name."
     },
     "failureDomain": {
       "type": "string", "minLength": 1, "description": "Failure domain of this instance."
@@ -132,7 +132,7 @@
     },
     "advanceTimeMs": {
       "type": "integer", "minimum": 50, "maximum": 10000, "default": 500,
-      "description": "Period of time commands in a partition that received commands recently, in milliseconds; leases expire at most this much late."
+      "description": "Period of the commands that advance the time of a partition that received commands recently, in milliseconds; leases expire at most this much late."
     },
     "snapshotAfterBytes": {
       "type": "integer", "minimum": 65536, "maximum": 4294967296, "default": 16777216,
@@ -160,7 +160,7 @@
 }
 
 /// Returns the secret in member \a key or else in the file whose path is member \a fileKey.
-Result<std::string> secretOf(const Json &object, const char *key, const char *fileKey)
+Result<std::string> readSecret(const Json &object, const char *key, const char *fileKey)
 {
     if (object.contains(key))
         return object.at(key).get<std::string>();
@@ -191,31 +191,31 @@
     return {};
 }
 
-absl::Duration milliseconds(const Json &settings, const char *key, absl::Duration fallback)
+absl::Duration durationSetting(const Json &settings, const char *key, absl::Duration fallback)
 {
     return absl::Milliseconds(settings.value(key, absl::ToInt64Milliseconds(fallback)));
 }
 
-Result<void> checkTimings(const Json &settings, const std::string &source)
+Result<void> checkDurations(const Json &settings, const std::string &source)
 {
     const ControlSettings defaults;
-    if (milliseconds(settings, "ownerLeaseMs", defaults.ownerLease)
-        >= milliseconds(settings, "memberTimeoutMs", defaults.memberTimeout))
+    if (durationSetting(settings, "ownerLeaseMs", defaults.ownerLease)
+        >= durationSetting(settings, "memberTimeoutMs", defaults.memberTimeout))
         return fail(settingFailure(source, "memberTimeoutMs", "more than \"ownerLeaseMs\""));
-    if (milliseconds(settings, "electionTimeoutMs", defaults.electionTimeout)
+    if (durationSetting(settings, "electionTimeoutMs", defaults.electionTimeout)
         < minHeartbeatsPerElectionTimeout
-                  * milliseconds(settings, "raftHeartbeatMs", defaults.raftHeartbeat))
+                  * durationSetting(settings, "raftHeartbeatMs", defaults.raftHeartbeatPeriod))
         return fail(settingFailure(source, "electionTimeoutMs",
                                    "at least three times \"raftHeartbeatMs\""));
     return {};
 }
 
-ListenAddress listenAddress(const Json &object)
+ListenAddress parseListenAddress(const Json &object)
 {
     return ListenAddress{object.at("host").get<std::string>(), object.at("port").get<int>()};
 }
 
-std::vector<Replica> replicasOf(const Json &settings)
+std::vector<Replica> parseReplicas(const Json &settings)
 {
     std::vector<Replica> replicas;
     for (const Json &replica : settings.at("replicas"))
@@ -239,30 +239,31 @@
     BOOST_LEAF_CHECK(
             checkSecret(settings.at("operator"), "token", "tokenFile", "operator.", source));
     BOOST_LEAF_CHECK(checkReplicas(settings, source));
-    return checkTimings(settings, source);
+    return checkDurations(settings, source);
 }
 
 Result<void> readControlSettings(const Json &settings, ControlSettings &result)
 {
     const Json &operatorHttp = settings.at("operator");
-    BOOST_LEAF_ASSIGN(result.operatorToken, secretOf(operatorHttp, "token", "tokenFile"));
+    BOOST_LEAF_ASSIGN(result.operatorToken, readSecret(operatorHttp, "token", "tokenFile"));
     BOOST_LEAF_ASSIGN(result.clusterSecret,
-                      secretOf(settings, "clusterSecret", "clusterSecretFile"));
+                      readSecret(settings, "clusterSecret", "clusterSecretFile"));
     result.instance = settings.at("instance");
     result.failureDomain = settings.at("failureDomain");
     result.dataFolder = settings.at("dataFolder");
-    result.peer = listenAddress(settings.at("peer"));
-    result.operatorHttp = listenAddress(operatorHttp);
+    result.peer = parseListenAddress(settings.at("peer"));
+    result.operatorHttp = parseListenAddress(operatorHttp);
     result.maxOperatorConnections =
             operatorHttp.value("maxConnections", result.maxOperatorConnections);
-    result.replicas = replicasOf(settings);
+    result.replicas = parseReplicas(settings);
     result.partitions = settings.at("partitions");
     result.join = settings.value("join", result.join);
-    result.memberTimeout = milliseconds(settings, "memberTimeoutMs", result.memberTimeout);
-    result.ownerLease = milliseconds(settings, "ownerLeaseMs", result.ownerLease);
-    result.raftHeartbeat = milliseconds(settings, "raftHeartbeatMs", result.raftHeartbeat);
-    result.electionTimeout = milliseconds(settings, "electionTimeoutMs", result.electionTimeout);
-    result.advanceTime = milliseconds(settings, "advanceTimeMs", result.advanceTime);
+    result.memberTimeout = durationSetting(settings, "memberTimeoutMs", result.memberTimeout);
+    result.ownerLease = durationSetting(settings, "ownerLeaseMs", result.ownerLease);
+    result.raftHeartbeatPeriod =
+            durationSetting(settings, "raftHeartbeatMs", result.raftHeartbeatPeriod);
+    result.electionTimeout = durationSetting(settings, "electionTimeoutMs", result.electionTimeout);
+    result.advanceTimePeriod = durationSetting(settings, "advanceTimeMs", result.advanceTimePeriod);
     result.snapshotAfterBytes = settings.value("snapshotAfterBytes", result.snapshotAfterBytes);
     return {};
 }
--- a/src/control/controlsettings.h
+++ b/src/control/controlsettings.h
@@ -28,10 +28,11 @@
     int port = 0;
 };
 
-/// Settings of rattanrill-control; secrets have been read from their files.
+/// Settings of rattanrill-control; controlSettingsSchema() describes them. Secrets have been read
+/// from their files.
 struct ControlSettings
 {
-    /// Name of the instance and id of its replica in every group.
+    /// Name of the instance, which is also the id of its replica in every group.
     std::string instance;
     std::string failureDomain;
     std::string dataFolder;
@@ -46,9 +47,9 @@
     std::size_t maxOperatorConnections = 64;
     absl::Duration memberTimeout = absl::Milliseconds(4000);
     absl::Duration ownerLease = absl::Milliseconds(2000);
-    absl::Duration raftHeartbeat = absl::Milliseconds(60);
+    absl::Duration raftHeartbeatPeriod = absl::Milliseconds(60);
     absl::Duration electionTimeout = absl::Milliseconds(400);
-    absl::Duration advanceTime = absl::Milliseconds(500);
+    absl::Duration advanceTimePeriod = absl::Milliseconds(500);
     std::uint64_t snapshotAfterBytes = 16u << 20;
 };
 
@@ -58,8 +59,8 @@
 /// Checks the constraints that the schema cannot express. Fails with InvalidSetting.
 Result<void> checkControlSettings(const Json &settings, const std::string &source);
 
-/// Fills \a result from JSON that passed the checks. Fails with InvalidSetting when a secret file
-/// can't be read.
+/// Fills \a result from settings that have passed the schema and checkControlSettings(). Fails with
+/// InvalidSetting when a secret file cannot be read.
 Result<void> readControlSettings(const Json &settings, ControlSettings &result);
 
 } // namespace rattanrill::control
--- a/src/control/directorywrites.cpp
+++ b/src/control/directorywrites.cpp
@@ -10,8 +10,8 @@
 
 using Operation = wire::DirectoryOperation;
 
-/// Enumerator of \a Enum whose name is member \a key of \a body, or \a fallback without that
-/// member. The enumerators are numbered from 0 to \a last.
+/// Returns the enumerator whose name is member \a key of \a body, or \a fallback if \a body has no
+/// such member. \a last is the last enumerator of \a Enum; its enumerators are numbered from 0.
 template <typename Enum>
 Result<Enum> enumMember(const Json &body, std::string_view key, std::string fallback, Enum last)
 {
--- a/src/control/directorywrites.h
+++ b/src/control/directorywrites.h
@@ -20,7 +20,7 @@
     Result<wire::DirectoryOperation> (*build)(const std::string &id, const Json &body);
 };
 
-/// All directory writes except the creation of a key, whose response has more members.
+/// All directory writes except the creation of a key, whose response also contains the key.
 const std::vector<DirectoryWrite> &directoryWrites();
 
 /// Fails with InvalidRequest when \a body has a member other than request_id, base_revision and the
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -46,7 +46,7 @@
             options.initialVoters.push_back(replica.id);
     }
     options.dataFolder = concat(m_settings.dataFolder, "/", group);
-    options.heartbeatPeriod = m_settings.raftHeartbeat;
+    options.heartbeatPeriod = m_settings.raftHeartbeatPeriod;
     options.electionTimeout = m_settings.electionTimeout;
     options.snapshotAfterBytes = m_settings.snapshotAfterBytes;
     BOOST_LEAF_AUTO(opened, m_startRaftNode(options, std::move(machine), *this, m_clock));
--- a/src/control/grouphost.h
+++ b/src/control/grouphost.h
@@ -26,7 +26,7 @@
     GroupHost(const ControlSettings &settings, peer::ChannelPool &channels, const Clock &clock,
               RaftNodeFactory startRaftNode);
 
-    /// Opens the replicas of the directory and of all partitions. Fails as startRaftNode().
+    /// Opens the replicas of the directory and of all partitions. Fails like startRaftNode().
     Result<void> open();
     /// Returns null when there is no such group.
     replication::RaftNode *find(const std::string &group) const;
@@ -40,8 +40,9 @@
 
     /// Returns null when the settings list no such replica.
     const Replica *replica(const replication::ReplicaId &id) const;
-    /// Replaces the leader's id in the detail of a NotLeader failure by the leader's peer address,
-    /// at which the calling process repeats its request.
+    /// Replaces the leader's replica id in the detail of a NotLeader failure by the leader's peer
+    /// address, to which the caller can send its request. The detail becomes empty when the leader
+    /// is unknown. Other failures are returned unchanged.
     Failure withPeerAddress(Failure failure) const;
 
     /// Transfers leadership of all groups and waits until this instance leads none of them or
@@ -58,7 +59,7 @@
     peer::ChannelPool &m_channels;
     const Clock &m_clock;
     const RaftNodeFactory m_startRaftNode;
-    /// Unchanged after open().
+    /// Not modified after open().
     std::map<std::string, std::unique_ptr<replication::RaftNode>> m_groups;
 };
 
--- a/src/control/groupmonitor.cpp
+++ b/src/control/groupmonitor.cpp
@@ -7,7 +7,7 @@
 
 constexpr absl::Duration checkPeriod = absl::Milliseconds(100);
 
-std::string joined(const std::vector<replication::ReplicaId> &ids)
+std::string joinIds(const std::vector<replication::ReplicaId> &ids)
 {
     std::string text;
     for (const replication::ReplicaId &id : ids)
@@ -51,8 +51,8 @@
     if (current.voters != previous.voters || current.learners != previous.learners)
         log(LogLevel::Info, "replicas-changed",
             {{"group", current.group},
-             {"voters", joined(current.voters)},
-             {"learners", joined(current.learners)}});
+             {"voters", joinIds(current.voters)},
+             {"learners", joinIds(current.learners)}});
 }
 
 } // namespace rattanrill::control
--- a/src/control/groupmonitor.h
+++ b/src/control/groupmonitor.h
@@ -10,8 +10,8 @@
 
 namespace rattanrill::control {
 
-/// Logs membership changes of this instance's groups and counts their leader changes. RaftNode logs
-/// elections and stopped replicas.
+/// Logs membership changes of this instance's groups and counts their leader changes. Elections and
+/// stopped replicas are logged by RaftNode.
 class GroupMonitor
 {
 public:
@@ -22,6 +22,7 @@
 
 private:
     void check();
+    /// Logs and counts what differs between two states of the same group.
     void reportChanges(const replication::RaftNodeStatus &previous,
                        const replication::RaftNodeStatus &current);
 
@@ -29,7 +30,7 @@
     Metrics &m_metrics;
     TimerService &m_timers;
     TimerService::TimerId m_timer = 0;
-    /// Accessed by the timer thread only.
+    /// Status of each group at the previous check. Accessed by the timer thread only.
     std::map<std::string, replication::RaftNodeStatus> m_lastStatus;
 };
 
--- a/src/control/localpollclient.cpp
+++ b/src/control/localpollclient.cpp
@@ -10,7 +10,8 @@
     : m_service(std::move(service))
 {}
 
-/// Ignores the timeout, because the local replica answers or fails every read without one.
+/// The timeout is ignored, because the local service replies to every poll, with a response or a
+/// failure.
 void LocalPollClient::poll(const wire::PollChangesRequest &request, absl::Duration,
                            Callback callback)
 {
--- a/src/control/localpollclient.h
+++ b/src/control/localpollclient.h
@@ -8,7 +8,8 @@
 
 namespace rattanrill::control {
 
-/// Polls this instance's own directory replica, to keep the instance's directory view current.
+/// Polls the directory replica of this instance, so that the instance's directory view stays
+/// current.
 class LocalPollClient : public directory::DirectoryPollClient
 {
 public:
--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -10,21 +10,23 @@
 namespace {
 
 constexpr absl::Duration checkPeriod = absl::Milliseconds(200);
-/// A longer time between two checks means that this process itself was suspended; heartbeats of its
-/// members may then still be unread in its sockets.
-constexpr absl::Duration maxCheckGap = absl::Seconds(1);
-/// Members in an older view may have changed since; nothing is removed on its basis.
+/// If more time passes between two checks, this process was suspended. Heartbeats of the members
+/// may then still be unread in its sockets.
+constexpr absl::Duration suspensionThreshold = absl::Seconds(1);
+/// Maximum age of the directory view on the basis of which members are removed. In an older view, a
+/// member may have been replaced since.
 constexpr absl::Duration maxViewAge = absl::Seconds(2);
-/// Bounds the memory for incarnations that have left: the set is cleared when it reaches this size.
-/// Far more than leave within one member timeout.
+/// Bounds the memory for incarnations that have left: the set is cleared when it reaches this size,
+/// which is far more than the number that leave within one member timeout.
 constexpr std::size_t maxLeftIncarnations = 10000;
 
-std::string heartbeatAnswer(std::uint64_t revision)
+std::string encodeHeartbeatResponse(std::uint64_t revision)
 {
     return wire::encode(wire::HeartbeatResponse{revision});
 }
 
-/// True when the member is no longer in the directory or was replaced by another incarnation.
+/// Returns true when the member is no longer in the directory or was replaced by another
+/// incarnation.
 bool isRemoved(const Outcome<std::string> &outcome)
 {
     return outcome.ok() || outcome.failure().code == ErrorCode::NotFound
@@ -72,11 +74,11 @@
     if (status.role != replication::Role::Leader)
         return reply(m_groups.withPeerAddress(notRun(ErrorCode::NotLeader, status.leader)));
     if (!recordHeartbeat(request, status.term))
-        return reply(notRun(ErrorCode::NotMember, "this incarnation has left"));
+        return reply(notRun(ErrorCode::NotMember, "this incarnation has left the directory"));
     if (request.leaving)
         return leave(request.member, std::move(reply));
     if (isJoined(request.member))
-        return reply(heartbeatAnswer(m_view.view()->revision()));
+        return reply(encodeHeartbeatResponse(m_view.view()->revision()));
     join(request.member, std::move(reply));
 }
 
@@ -85,7 +87,7 @@
 {
     const wire::Member &member = request.member;
     absl::MutexLock lock(&m_mutex);
-    observeTerm(term);
+    resetOnTermChange(term);
     if (request.leaving) {
         if (m_leftIncarnations.size() >= maxLeftIncarnations)
             m_leftIncarnations.clear();
@@ -135,7 +137,7 @@
             {{"member", member.instance},
              {"incarnation", member.incarnation},
              {"revision", revision}});
-        reply(heartbeatAnswer(revision));
+        reply(encodeHeartbeatResponse(revision));
     };
     m_groups.directory().propose(encodeCommand(wire::JoinMember{member}), done);
 }
@@ -147,7 +149,7 @@
             reply = std::move(reply)](const Outcome<std::string> &outcome) {
                if (!isRemoved(outcome))
                    return reply(self->m_groups.withPeerAddress(outcome.failure()));
-               reply(heartbeatAnswer(outcome.ok() ? revisionOf(outcome.value()) : 0));
+               reply(encodeHeartbeatResponse(outcome.ok() ? revisionOf(outcome.value()) : 0));
            });
 }
 
@@ -167,7 +169,7 @@
     m_groups.directory().propose(encodeCommand(operation), finished);
 }
 
-void MemberWatch::observeTerm(std::uint64_t term)
+void MemberWatch::resetOnTermChange(std::uint64_t term)
 {
     if (term == m_term)
         return;
@@ -194,8 +196,8 @@
     const absl::Time now = m_clock.now();
     std::vector<wire::Member> expired;
     absl::MutexLock lock(&m_mutex);
-    observeTerm(term);
-    if (now - m_lastCheck > maxCheckGap)
+    resetOnTermChange(term);
+    if (now - m_lastCheck > suspensionThreshold)
         m_graceStart = now;
     m_lastCheck = now;
     for (const auto &row : view->members()) {
--- a/src/control/memberwatch.h
+++ b/src/control/memberwatch.h
@@ -21,12 +21,13 @@
 namespace rattanrill::control {
 
 /// Maintains the members of the directory from their heartbeats: adds new incarnations and removes
-/// members whose heartbeats have stopped. Active only on the directory leader. Heartbeats are kept
-/// in the leader's memory, so a new leader waits a full member timeout before it removes a member.
+/// members whose heartbeats have stopped. Only the directory leader does this. It keeps the
+/// heartbeats in memory only, so a new leader waits a full member timeout before it removes a
+/// member.
 class MemberWatch : public std::enable_shared_from_this<MemberWatch>
 {
 public:
-    /// \a view is this instance's own copy of the directory.
+    /// \a view is the directory view of this instance.
     MemberWatch(const ControlSettings &settings, const GroupHost &groups,
                 const directory::DirectorySubscriber &view, TimerService &timers,
                 const Clock &clock);
@@ -34,11 +35,11 @@
     void start();
     void stop();
     /// Replies with an encoded wire::HeartbeatResponse. Fails with NotLeader and the leader's peer
-    /// address as detail, with NotMember for an incarnation that has left or was replaced, or as
+    /// address as detail, with NotMember for an incarnation that has left or was replaced, or like
     /// RaftNode::propose().
     void heartbeat(const wire::HeartbeatRequest &request, peer::ResponseCallback reply);
-    /// Members of \a view from which this leader has no heartbeat, or whose last heartbeat reported
-    /// a revision in force below \a revision.
+    /// Returns the members of \a view whose last heartbeat to this leader reported a revision in
+    /// force below \a revision, and those from which it has received no heartbeat.
     std::vector<std::string> membersBehind(std::uint64_t revision,
                                            const directory::DirectoryView &view);
     /// Removes members without a heartbeat within the member timeout. Called by a timer.
@@ -58,7 +59,8 @@
     void leave(const wire::Member &member, peer::ResponseCallback reply);
     void remove(const wire::Member &member, std::string_view reason,
                 std::function<void(const Outcome<std::string> &)> done);
-    void observeTerm(std::uint64_t term) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    /// Discards the heartbeats of an earlier term and restarts all member timeouts.
+    void resetOnTermChange(std::uint64_t term) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     std::vector<wire::Member> expiredMembers(std::uint64_t term);
     std::string encodeCommand(wire::DirectoryOperation operation) const;
 
@@ -71,11 +73,11 @@
 
     absl::Mutex m_mutex;
     std::map<std::string, LastHeartbeat> m_lastHeartbeats ABSL_GUARDED_BY(m_mutex);
-    /// Incarnations that have left; a late heartbeat must not add them again.
+    /// Incarnations that have left. A heartbeat that arrives late must not add them again.
     std::set<std::string> m_leftIncarnations ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_term ABSL_GUARDED_BY(m_mutex) = 0;
-    /// No member timeout starts before this time, whenever the last heartbeat was. Set at a change
-    /// of the term and after this process was suspended.
+    /// Earliest start of a member timeout: an earlier heartbeat counts as received at this time.
+    /// Set when the term changes and after this process was suspended.
     absl::Time m_graceStart ABSL_GUARDED_BY(m_mutex);
     absl::Time m_lastCheck ABSL_GUARDED_BY(m_mutex);
 };
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -14,16 +14,17 @@
 namespace rattanrill::control {
 namespace {
 
-/// Longer than an election takes, but short enough for an operator who waits for the response.
-constexpr absl::Duration groupTimeout = absl::Seconds(5);
+/// Longer than an election, but short enough for an operator who waits for the response.
+constexpr absl::Duration groupCallTimeout = absl::Seconds(5);
 constexpr absl::Duration statusTimeout = absl::Seconds(1);
-/// Longer than the other timeouts, because a membership change waits until the new replica has
-/// caught up.
-constexpr absl::Duration memberChangeTimeout = absl::Seconds(25);
-constexpr std::size_t keyBytes = 24;
-constexpr std::size_t keyIdBytes = 8;
-
-void logRefusedWrite(const OperatorRequest &request, const Failure &failure)
+/// Longer than the other timeouts, because a membership change completes only when the new replica
+/// has caught up.
+constexpr absl::Duration membershipChangeTimeout = absl::Seconds(25);
+/// Numbers of random bytes in an API key and in its id.
+constexpr std::size_t apiKeyBytes = 24;
+constexpr std::size_t apiKeyIdBytes = 8;
+
+void logFailedWrite(const OperatorRequest &request, const Failure &failure)
 {
     if (failure.code == ErrorCode::NotLeader)
         return;
@@ -40,7 +41,7 @@
 {
     Outcome<Json> outcome = outcomeOf(std::forward<Operation>(operation));
     if (!outcome.ok())
-        logRefusedWrite(request, outcome.failure());
+        logFailedWrite(request, outcome.failure());
     return outcome;
 }
 
@@ -74,7 +75,7 @@
     command.operation = std::move(operation);
     PendingOutcome pending;
     m_groups.directory().propose(wire::encode(command), pending.callback());
-    BOOST_LEAF_AUTO(bytes, pending.wait(groupTimeout).result());
+    BOOST_LEAF_AUTO(bytes, pending.wait(groupCallTimeout).result());
     BOOST_LEAF_AUTO(result, wire::decode<wire::DirectoryResult>(bytes));
     log(LogLevel::Info, "directory-written",
         {{"requestId", request.requestId}, {"id", result.id}, {"revision", result.revision}});
@@ -99,18 +100,18 @@
 {
     BOOST_LEAF_CHECK(checkMembers(request.body, {"workspace"}));
     BOOST_LEAF_AUTO(workspace, jsonMember<std::string>(request.body, "workspace"));
-    const std::string text = "rk_" + randomHex(keyBytes);
+    const std::string secret = "rk_" + randomHex(apiKeyBytes);
     wire::ApiKey key;
-    key.keyId = "key_" + randomHex(keyIdBytes);
-    key.hash = sha256Hex(text);
+    key.keyId = "key_" + randomHex(apiKeyIdBytes);
+    key.hash = sha256Hex(secret);
     key.workspace = workspace;
     BOOST_LEAF_AUTO(result, propose(request, wire::AddKey{key}));
-    Json answer = {{"key_id", result.id}, {"revision", result.revision}};
+    Json response = {{"key_id", result.id}, {"revision", result.revision}};
     // A resent request returns the id of the key that the first one created. That key was returned
     // once and is stored only as a hash, so the response to a resend does not contain it.
     if (result.id == key.keyId)
-        answer["key"] = text;
-    return answer;
+        response["key"] = secret;
+    return response;
 }
 
 Outcome<wire::PollChangesResponse> OperatorApi::readDirectory(std::uint64_t afterRevision)
@@ -118,7 +119,7 @@
     PendingOutcome pending;
     m_groups.directory().readOnLeader(wire::encode(wire::DirectoryQuery{afterRevision}),
                                       pending.callback());
-    const auto bytes = pending.wait(groupTimeout);
+    const auto bytes = pending.wait(groupCallTimeout);
     if (!bytes.ok())
         return readFailure(bytes.failure());
     return outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(bytes.value()); });
@@ -157,15 +158,16 @@
     const std::uint64_t revision = std::strtoull(text.c_str(), &end, 10);
     if (text.empty() || *end != '\0' || text.front() == '-')
         return fail(notRun(ErrorCode::InvalidRequest, "\"revision\" must be a number"));
-    // The list of members is linearizable because the group returns the changes since this
-    // instance's view.
+    // The group returns the changes since this instance's view. Applying them makes the list of
+    // members linearizable.
     const auto view = m_view.view();
     const auto response = readDirectory(view->revision());
     if (!response.ok())
         return fail(response.failure());
-    BOOST_LEAF_AUTO(now, view->withChanges(response.value()));
-    const std::vector<std::string> lacking = m_memberWatch.membersBehind(revision, now);
-    return Json{{"in_force", lacking.empty() && now.revision() >= revision}, {"lacking", lacking}};
+    BOOST_LEAF_AUTO(updated, view->withChanges(response.value()));
+    const std::vector<std::string> behind = m_memberWatch.membersBehind(revision, updated);
+    return Json{{"in_force", behind.empty() && updated.revision() >= revision},
+                {"lacking", behind}};
 }
 
 Json OperatorApi::groupJson(const std::string &name) const
@@ -200,13 +202,13 @@
     directory::DirectoryView current = *view;
     Json status = {{"instance", m_settings.instance}, {"groups", std::move(groups)}};
     if (confirmed.ok()) {
-        const auto now = outcomeOf([&]() -> Result<directory::DirectoryView> {
+        const auto updated = outcomeOf([&]() -> Result<directory::DirectoryView> {
             BOOST_LEAF_AUTO(response, wire::decode<wire::PollChangesResponse>(confirmed.value()));
             return view->withChanges(response);
         });
-        if (!now.ok())
-            return now.failure();
-        current = now.value();
+        if (!updated.ok())
+            return updated.failure();
+        current = updated.value();
         status["revision"] = current.revision();
     }
     for (const auto &row : current.members())
@@ -220,9 +222,9 @@
 {
     PendingOutcome pending;
     m_client.read(controlclient::batchGroupName(partition),
-                  wire::encode(wire::BatchQueryMessage{std::move(query)}), groupTimeout,
+                  wire::encode(wire::BatchQueryMessage{std::move(query)}), groupCallTimeout,
                   pending.callback());
-    const auto bytes = pending.wait(groupTimeout * 2);
+    const auto bytes = pending.wait(groupCallTimeout * 2);
     if (!bytes.ok())
         return fail(readFailure(bytes.failure()));
     return wire::decode<wire::BatchQueryResult>(bytes.value());
@@ -246,7 +248,7 @@
     return runAndLogFailure(request, [&] { return tryCancel(request); });
 }
 
-/// Searches all partitions, so that operators need not know which one stores the job.
+/// Searches all partitions, because the request does not name the one that stores the job.
 Result<Json> OperatorApi::tryCancel(const OperatorRequest &request)
 {
     for (int partition = 0; partition < m_settings.partitions; ++partition) {
@@ -261,15 +263,15 @@
         command.operation = wire::CancelJob{request.id, ""};
         PendingOutcome pending;
         m_client.propose(controlclient::batchGroupName(partition), wire::encode(command), true,
-                         groupTimeout, pending.callback());
-        BOOST_LEAF_AUTO(bytes, pending.wait(groupTimeout * 2).result());
+                         groupCallTimeout, pending.callback());
+        BOOST_LEAF_AUTO(bytes, pending.wait(groupCallTimeout * 2).result());
         BOOST_LEAF_AUTO(result, wire::decode<wire::BatchResult>(bytes));
         return jobJson(result.job);
     }
     return fail(notRun(ErrorCode::NotFound, concat("no batch \"", request.id, "\"")));
 }
 
-Result<replication::RaftNode *> OperatorApi::groupOf(const OperatorRequest &request)
+Result<replication::RaftNode *> OperatorApi::findLedGroup(const OperatorRequest &request)
 {
     BOOST_LEAF_AUTO(name, jsonMember<std::string>(request.body, "group"));
     auto *group = m_groups.find(name);
@@ -295,10 +297,10 @@
         return fail(
                 notRun(ErrorCode::InvalidRequest,
                        concat("the settings of this instance list no replica \"", replica, "\"")));
-    BOOST_LEAF_AUTO(group, groupOf(request));
+    BOOST_LEAF_AUTO(group, findLedGroup(request));
     PendingOutcome pending;
     group->addReplica(replica, replaces, pending.callback());
-    BOOST_LEAF_CHECK(pending.wait(memberChangeTimeout).result());
+    BOOST_LEAF_CHECK(pending.wait(membershipChangeTimeout).result());
     return Json{{"voters", group->status().voters}};
 }
 
@@ -310,14 +312,13 @@
 Result<Json> OperatorApi::tryRemoveReplica(const OperatorRequest &request)
 {
     BOOST_LEAF_CHECK(checkMembers(request.body, {"group"}));
-    BOOST_LEAF_AUTO(group, groupOf(request));
+    BOOST_LEAF_AUTO(group, findLedGroup(request));
     PendingOutcome pending;
     group->removeReplica(request.id, pending.callback());
-    BOOST_LEAF_CHECK(pending.wait(memberChangeTimeout).result());
+    BOOST_LEAF_CHECK(pending.wait(membershipChangeTimeout).result());
     return Json{{"voters", group->status().voters}};
 }
 
-/// True when a leader has confirmed this instance's directory view within the last owner lease.
 bool OperatorApi::ready() const
 {
     return m_view.viewAge() < m_settings.ownerLease;
--- a/src/control/operatorapi.h
+++ b/src/control/operatorapi.h
@@ -26,8 +26,9 @@
     std::uint64_t baseRevision = 0;
 };
 
-/// The operations of the operators' interface, without HTTP. A NotLeader failure has the leader's
-/// replica id as detail. Every operation blocks the calling thread until the groups have answered.
+/// Operations of the operators' interface, independent of HTTP. A NotLeader failure has the
+/// leader's replica id as detail. Every operation blocks the calling thread until the groups have
+/// responded or a timeout has passed.
 class OperatorApi
 {
 public:
@@ -38,13 +39,18 @@
     Outcome<Json> write(const DirectoryWrite &write, const OperatorRequest &request);
     Outcome<Json> addKey(const OperatorRequest &request);
     Outcome<Json> list(wire::RecordKind kind);
+    /// Reports whether all members have applied the revision in parameter "revision", and lists the
+    /// members that have not.
     Outcome<Json> inForce(const OperatorRequest &request);
-    /// Works on every instance. "revision" is missing when no leader confirms it.
+    /// Status of this instance and its groups, and the members. Every instance can return it;
+    /// "revision" is omitted when no leader confirms it.
     Outcome<Json> status(const OperatorRequest &request);
     Outcome<Json> batches(const OperatorRequest &request);
     Outcome<Json> cancelBatch(const OperatorRequest &request);
     Outcome<Json> addReplica(const OperatorRequest &request);
     Outcome<Json> removeReplica(const OperatorRequest &request);
+    /// Returns true when a leader has confirmed this instance's directory view within the last
+    /// owner lease.
     bool ready() const;
 
 private:
@@ -56,7 +62,9 @@
     Outcome<wire::PollChangesResponse> readDirectory(std::uint64_t afterRevision);
     Result<wire::BatchQueryResult> readPartition(int partition, wire::BatchQueryOperation query);
     Result<Json> tryCancel(const OperatorRequest &request);
-    Result<replication::RaftNode *> groupOf(const OperatorRequest &request);
+    /// Returns the group that the request names. Fails with NotFound, or with NotLeader if this
+    /// instance does not lead the group.
+    Result<replication::RaftNode *> findLedGroup(const OperatorRequest &request);
     Result<Json> tryAddReplica(const OperatorRequest &request);
     Result<Json> tryRemoveReplica(const OperatorRequest &request);
     Json groupJson(const std::string &name) const;
--- a/src/control/operatorserver.cpp
+++ b/src/control/operatorserver.cpp
@@ -12,7 +12,7 @@
 namespace rattanrill::control {
 namespace {
 
-constexpr std::string_view root = "/operator/v1/";
+constexpr std::string_view apiPrefix = "/operator/v1/";
 constexpr int temporaryRedirect = 307;
 
 struct ListRoute
@@ -28,8 +28,8 @@
         {"held", wire::RecordKind::QuarantinedRequest},
 };
 
-/// Reads the members request_id and base_revision, which every write has, from the body.
-Result<void> readWriteMembers(OperatorRequest &request)
+/// Reads request_id and base_revision, the members that the bodies of all writes have.
+Result<void> readCommonWriteMembers(OperatorRequest &request)
 {
     BOOST_LEAF_ASSIGN(request.requestId, jsonMember<std::string>(request.body, "request_id"));
     if (request.requestId.empty())
@@ -51,7 +51,7 @@
     if (!isWrite)
         return parsed;
     BOOST_LEAF_ASSIGN(parsed.body, parseJson(request.body, "request body"));
-    BOOST_LEAF_CHECK(readWriteMembers(parsed));
+    BOOST_LEAF_CHECK(readCommonWriteMembers(parsed));
     return parsed;
 }
 
@@ -67,7 +67,7 @@
 {
     http::ServerOptions options;
     options.maxConnections = settings.maxOperatorConnections;
-    // Each idle connection occupies a thread until this timeout, and stop() waits for the thread.
+    // An idle connection occupies a thread until this timeout, and stop() waits for that thread.
     options.keepAliveTimeout = absl::Seconds(2);
     http::configureServer(*m_server, options);
     addRoutes();
@@ -121,7 +121,7 @@
     addRoute("POST", "batches/([^/]+)/cancel", true, handlerFor(&OperatorApi::cancelBatch));
     addRoute("POST", "replicas", true, handlerFor(&OperatorApi::addReplica));
     addRoute("DELETE", "replicas/(.+)", true, handlerFor(&OperatorApi::removeReplica));
-    addProbes();
+    addProbeRoutes();
 }
 
 void OperatorServer::addDirectoryRoutes()
@@ -136,7 +136,7 @@
                  [this, kind = route.kind](const OperatorRequest &) { return m_api.list(kind); });
 }
 
-void OperatorServer::addProbes()
+void OperatorServer::addProbeRoutes()
 {
     m_server->Get("/healthz", [](const httplib::Request &, httplib::Response &response) {
         response.set_content(R"({"status":"ok"})", "application/json");
@@ -145,11 +145,13 @@
         if (m_api.ready())
             response.set_content(R"({"status":"ready"})", "application/json");
         else
-            http::sendFailure(response, notRun(ErrorCode::NoQuorum, "no leader confirms the view"),
+            http::sendFailure(response,
+                              notRun(ErrorCode::NoQuorum,
+                                     "no leader has confirmed the directory view recently"),
                               "");
     });
     m_server->Get("/metrics", [this](const httplib::Request &, httplib::Response &response) {
-        response.set_content(exposition(), "text/plain; version=0.0.4");
+        response.set_content(renderMetrics(), "text/plain; version=0.0.4");
     });
     m_server->set_error_handler([](const httplib::Request &, httplib::Response &response) {
         if (!response.body.empty())
@@ -165,17 +167,17 @@
 void OperatorServer::addRoute(const std::string &method, const std::string &path, bool isWrite,
                               Handler handler)
 {
-    using Register =
+    using RegisterFunction =
             httplib::Server &(httplib::Server::*)(const std::string &, httplib::Server::Handler);
-    static const std::map<std::string, Register> registers = {
+    static const std::map<std::string, RegisterFunction> registerFunctions = {
             {"GET", &httplib::Server::Get},
             {"PUT", &httplib::Server::Put},
             {"POST", &httplib::Server::Post},
             {"DELETE", &httplib::Server::Delete},
     };
-    const Register registerHandler = registers.at(method);
+    const RegisterFunction registerHandler = registerFunctions.at(method);
     (m_server.get()->*registerHandler)(
-            concat(root, path),
+            concat(apiPrefix, path),
             [this, isWrite, handler = std::move(handler)](const httplib::Request &request,
                                                           httplib::Response &response) {
                 serve(request, response, isWrite, handler);
@@ -188,13 +190,14 @@
     if (!authorized(request)) {
         log(LogLevel::Warning, "operator-refused",
             {{"peer", request.remote_addr}, {"path", request.path}});
-        return answer(request, response, "",
-                      notRun(ErrorCode::AuthenticationFailed, "the operator token is wrong"));
+        return sendResponse(
+                request, response, "",
+                notRun(ErrorCode::AuthenticationFailed, "the operator token is missing or wrong"));
     }
     const auto parsed = outcomeOf([&] { return parseRequest(request, isWrite); });
     if (!parsed.ok())
-        return answer(request, response, "", parsed.failure());
-    answer(request, response, parsed.value().requestId, handler(parsed.value()));
+        return sendResponse(request, response, "", parsed.failure());
+    sendResponse(request, response, parsed.value().requestId, handler(parsed.value()));
 }
 
 bool OperatorServer::authorized(const httplib::Request &request) const
@@ -203,8 +206,8 @@
                               concat("Bearer ", m_settings.operatorToken));
 }
 
-void OperatorServer::answer(const httplib::Request &request, httplib::Response &response,
-                            const std::string &requestId, const Outcome<Json> &outcome)
+void OperatorServer::sendResponse(const httplib::Request &request, httplib::Response &response,
+                                  const std::string &requestId, const Outcome<Json> &outcome)
 {
     const std::string code = outcome.ok() ? "ok" : std::string(name(outcome.failure().code));
     m_metrics.count("rattanrill_control_operator_requests_total",
@@ -221,7 +224,7 @@
     response.set_header("Location", concat("http://", leader->operatorAddress, request.target));
 }
 
-std::string OperatorServer::exposition()
+std::string OperatorServer::renderMetrics()
 {
     for (const std::string &group : m_groups.names()) {
         const replication::RaftNodeStatus status = m_groups.find(group)->status();
--- a/src/control/operatorserver.h
+++ b/src/control/operatorserver.h
@@ -35,16 +35,17 @@
 
     void addRoutes();
     void addDirectoryRoutes();
-    void addProbes();
+    void addProbeRoutes();
     void addRoute(const std::string &method, const std::string &path, bool isWrite,
                   Handler handler);
     Handler handlerFor(ApiCall function);
     void serve(const httplib::Request &request, httplib::Response &response, bool isWrite,
                const Handler &handler);
     bool authorized(const httplib::Request &request) const;
-    void answer(const httplib::Request &request, httplib::Response &response,
-                const std::string &requestId, const Outcome<Json> &outcome);
-    std::string exposition();
+    void sendResponse(const httplib::Request &request, httplib::Response &response,
+                      const std::string &requestId, const Outcome<Json> &outcome);
+    /// Updates the gauges of the groups and returns all metrics as text.
+    std::string renderMetrics();
 
     const ControlSettings &m_settings;
     const GroupHost &m_groups;
--- a/src/control/partitionclock.cpp
+++ b/src/control/partitionclock.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// A partition counts as active for this time after its last command. The time is longer than
-/// leases and backoff delays, so that none of them is left when the partition becomes idle.
+/// leases and backoff delays, so that all of them have ended when the partition becomes idle.
 constexpr absl::Duration activePeriod = absl::Minutes(2);
-/// Period of time commands in an idle partition. Retention periods last days, so a long period is
-/// enough and keeps the log short.
+/// Period of AdvanceTime commands in an idle partition. Retention periods last days, so a long
+/// period is sufficient and keeps the Raft log short.
 constexpr absl::Duration idlePeriod = absl::Minutes(1);
 
 } // namespace
@@ -26,9 +26,9 @@
 
 void PartitionClock::start()
 {
-    m_timer = m_timers.subscribeEvery(m_settings.advanceTime, [weak = weak_from_this()] {
+    m_timer = m_timers.subscribeEvery(m_settings.advanceTimePeriod, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->tick();
+            self->advanceDuePartitions();
     });
 }
 
@@ -44,16 +44,16 @@
     m_states[group].lastCommand = m_clock.now();
 }
 
-void PartitionClock::tick()
+void PartitionClock::advanceDuePartitions()
 {
     for (int partition = 0; partition < m_settings.partitions; ++partition) {
         const std::string group = controlclient::batchGroupName(partition);
-        if (isDue(group, m_groups.isLeader(group)))
+        if (tryBeginAdvance(group, m_groups.isLeader(group)))
             advance(group);
     }
 }
 
-bool PartitionClock::isDue(const std::string &group, bool isLeader)
+bool PartitionClock::tryBeginAdvance(const std::string &group, bool isLeader)
 {
     const absl::Time now = m_clock.now();
     absl::MutexLock lock(&m_mutex);
--- a/src/control/partitionclock.h
+++ b/src/control/partitionclock.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::control {
 
-/// Proposes time commands to the partitions that this instance leads, so that leases, backoff
-/// delays and retention periods also expire when no other command arrives.
+/// Proposes AdvanceTime commands to the partitions that this instance leads, so that leases,
+/// backoff delays and retention periods also end when no other command arrives.
 class PartitionClock : public std::enable_shared_from_this<PartitionClock>
 {
 public:
@@ -23,7 +23,7 @@
 
     void start();
     void stop();
-    /// Records that a command was proposed to \a group.
+    /// Records that a command was proposed to \a group now, so that the partition counts as active.
     void recordCommand(const std::string &group);
 
 private:
@@ -35,8 +35,9 @@
         bool pending = false;
     };
 
-    void tick();
-    bool isDue(const std::string &group, bool isLeader);
+    void advanceDuePartitions();
+    /// Returns whether an AdvanceTime command is due, and marks it as pending in that case.
+    bool tryBeginAdvance(const std::string &group, bool isLeader);
     void advance(const std::string &group);
 
     const ControlSettings &m_settings;
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -11,12 +11,12 @@
 namespace rattanrill::control {
 namespace {
 
-/// Threads that decode, stamp and encode commands. On the network thread a batch upload of some MiB
-/// would delay the Raft messages.
+/// Number of threads that decode commands, set their time and encode them again. On the network
+/// thread, this would delay Raft messages when a batch upload has several MiB.
 constexpr std::size_t workerThreads = 2;
-constexpr std::size_t workerQueue = 4096;
+constexpr std::size_t maxQueuedProposals = 4096;
 
-Failure noGroup(const std::string &group)
+Failure unknownGroup(const std::string &group)
 {
     return notRun(ErrorCode::NotFound, concat("no group \"", group, "\" on this instance"));
 }
@@ -33,21 +33,21 @@
     , m_partitionClock(std::move(partitions))
     , m_metrics(metrics)
     , m_clock(clock)
-    , m_workers(workerThreads, workerQueue)
+    , m_workers(workerThreads, maxQueuedProposals)
 {}
 
-void PeerService::install(peer::Server &server)
+void PeerService::registerHandlers(peer::Server &server)
 {
     using Body = std::string;
     using From = peer::PeerIdentity;
     server.setHandler(wire::Method::Raft, [this](const From &from, const Body &body,
                                                  const peer::ResponseCallback &reply) {
-        raft(from, body);
+        receiveRaftMessage(from, body);
         reply(std::string());
     });
     server.setHandler(wire::Method::Propose,
                       [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
-                          propose(body, reply);
+                          queueProposal(body, reply);
                       });
     server.setHandler(wire::Method::Read,
                       [this](const From &, const Body &body, const peer::ResponseCallback &reply) {
@@ -68,7 +68,7 @@
     m_workers.stop();
 }
 
-void PeerService::raft(const peer::PeerIdentity &from, const std::string &body)
+void PeerService::receiveRaftMessage(const peer::PeerIdentity &from, const std::string &body)
 {
     auto message = outcomeOf([&] { return wire::decode<wire::RaftEnvelope>(body); });
     if (!message.ok() || m_groups.replica(from.instance) == nullptr) {
@@ -81,17 +81,17 @@
         group->receive(from.instance, std::move(message.value().message));
 }
 
-void PeerService::propose(const std::string &body, const peer::ResponseCallback &reply)
+void PeerService::queueProposal(const std::string &body, const peer::ResponseCallback &reply)
 {
-    if (!m_workers.post([this, body, reply] { proposeNow(body, reply); }))
+    if (!m_workers.post([this, body, reply] { runProposal(body, reply); }))
         reply(notRun(ErrorCode::QueueFull, "the queue of proposals is full"));
 }
 
-void PeerService::proposeNow(const std::string &body, const peer::ResponseCallback &reply)
+void PeerService::runProposal(const std::string &body, const peer::ResponseCallback &reply)
 {
     const auto started = outcomeOf([&] { return startProposal(body, reply); });
     if (!started.ok())
-        answer("propose", started.failure(), reply);
+        sendReply("propose", started.failure(), reply);
 }
 
 Result<void> PeerService::startProposal(const std::string &body,
@@ -100,12 +100,12 @@
     BOOST_LEAF_AUTO(request, wire::decode<wire::ProposeRequest>(body));
     auto *group = m_groups.find(request.group);
     if (group == nullptr)
-        return fail(noGroup(request.group));
+        return fail(unknownGroup(request.group));
     BOOST_LEAF_AUTO(command, stampCommand(request.group, request.command,
                                           absl::ToUnixMillis(m_clock.wallNow())));
     m_partitionClock->recordCommand(request.group);
     group->propose(std::move(command), [this, reply](const Outcome<std::string> &outcome) {
-        answer("propose", outcome, reply);
+        sendReply("propose", outcome, reply);
     });
     return {};
 }
@@ -114,17 +114,18 @@
 {
     auto request = outcomeOf([&] { return wire::decode<wire::ReadRequest>(body); });
     if (!request.ok())
-        return answer("read", request.failure(), reply);
+        return sendReply("read", request.failure(), reply);
     auto *group = m_groups.find(request.value().group);
     if (group == nullptr)
-        return answer("read", noGroup(request.value().group), reply);
-    group->readOnLeader(
-            std::move(request.value().query),
-            [this, reply](const Outcome<std::string> &outcome) { answer("read", outcome, reply); });
+        return sendReply("read", unknownGroup(request.value().group), reply);
+    group->readOnLeader(std::move(request.value().query),
+                        [this, reply](const Outcome<std::string> &outcome) {
+                            sendReply("read", outcome, reply);
+                        });
 }
 
-void PeerService::answer(const char *method, const Outcome<std::string> &outcome,
-                         const peer::ResponseCallback &reply)
+void PeerService::sendReply(const char *method, const Outcome<std::string> &outcome,
+                            const peer::ResponseCallback &reply)
 {
     if (outcome.ok()) {
         m_metrics.count("rattanrill_control_requests_total", {{"method", method}, {"code", "ok"}});
--- a/src/control/peerservice.h
+++ b/src/control/peerservice.h
@@ -14,7 +14,7 @@
 
 namespace rattanrill::control {
 
-/// Handles the calls of other processes: the wire methods Raft, Propose, Read, PollChanges and
+/// Serves the calls of other processes: the wire methods Raft, Propose, Read, PollChanges and
 /// Heartbeat.
 class PeerService
 {
@@ -24,19 +24,20 @@
                 Metrics &metrics, const Clock &clock);
 
     /// Sets the handlers of \a server, which must be stopped before this object is destroyed.
-    void install(peer::Server &server);
+    void registerHandlers(peer::Server &server);
     void stop();
 
 private:
-    void raft(const peer::PeerIdentity &from, const std::string &body);
-    void propose(const std::string &body, const peer::ResponseCallback &reply);
-    void proposeNow(const std::string &body, const peer::ResponseCallback &reply);
+    void receiveRaftMessage(const peer::PeerIdentity &from, const std::string &body);
+    void queueProposal(const std::string &body, const peer::ResponseCallback &reply);
+    void runProposal(const std::string &body, const peer::ResponseCallback &reply);
     Result<void> startProposal(const std::string &body, const peer::ResponseCallback &reply);
     void read(const std::string &body, const peer::ResponseCallback &reply);
     void pollChanges(const std::string &body, const peer::ResponseCallback &reply);
     void heartbeat(const std::string &body, const peer::ResponseCallback &reply);
-    void answer(const char *method, const Outcome<std::string> &outcome,
-                const peer::ResponseCallback &reply);
+    /// Counts and logs the outcome of a call and passes it to \a reply.
+    void sendReply(const char *method, const Outcome<std::string> &outcome,
+                   const peer::ResponseCallback &reply);
 
     const GroupHost &m_groups;
     const std::shared_ptr<PollChangesService> m_pollService;
--- a/src/control/pendingoutcome.cpp
+++ b/src/control/pendingoutcome.cpp
@@ -32,7 +32,7 @@
     absl::MutexLock lock(&m_state->mutex);
     while (!m_state->outcome) {
         if (m_state->arrived.WaitWithTimeout(&m_state->mutex, timeout) && !m_state->outcome)
-            return mayHaveRun(ErrorCode::Timeout, "the group did not answer in time");
+            return mayHaveRun(ErrorCode::Timeout, "the group did not respond in time");
     }
     return *m_state->outcome;
 }
--- a/src/control/pendingoutcome.h
+++ b/src/control/pendingoutcome.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::control {
 
-/// Lets an HTTP thread wait for the outcome of an asynchronous call.
+/// Blocks an HTTP thread until the outcome of an asynchronous call is available.
 class PendingOutcome
 {
 public:
--- a/src/control/pollchangesservice.cpp
+++ b/src/control/pollchangesservice.cpp
@@ -10,11 +10,11 @@
 
 /// Period of the check for polls whose deadline has passed.
 constexpr absl::Duration deadlineCheckPeriod = absl::Milliseconds(20);
-/// Upper bound of the wait that a poll requests.
-constexpr absl::Duration maxWait = absl::Seconds(60);
+/// Maximum time that a poll can wait; a longer requested wait is shortened to it.
+constexpr absl::Duration maxPollWait = absl::Seconds(60);
 
-/// Replaces NotLeader by NoQuorum: every instance can serve a poll, and with the leader's address
-/// all entries would poll the leader.
+/// Replaces NotLeader by NoQuorum: every instance can serve a poll, and a failure that names the
+/// leader would make all entries poll the leader.
 Failure pollFailure(Failure failure)
 {
     if (failure.code == ErrorCode::NotLeader) {
@@ -26,7 +26,7 @@
 }
 
 template <typename Polls>
-void answerAll(const Polls &polls, const Outcome<std::string> &outcome)
+void replyToAll(const Polls &polls, const Outcome<std::string> &outcome)
 {
     for (const auto &poll : polls)
         poll.reply(outcome);
@@ -49,20 +49,20 @@
     });
     m_timer = m_timers.subscribeEvery(deadlineCheckPeriod, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->confirmExpired();
+            self->confirmExpiredPolls();
     });
 }
 
 void PollChangesService::poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply)
 {
     const absl::Duration wait =
-            std::clamp(absl::Milliseconds(request.waitMs), absl::ZeroDuration(), maxWait);
+            std::clamp(absl::Milliseconds(request.waitMs), absl::ZeroDuration(), maxPollWait);
     Polls polls;
     polls.push_back(Poll{std::move(reply), m_clock.now() + wait});
-    confirm(request.afterRevision, polls);
+    confirmPolls(request.afterRevision, polls);
 }
 
-void PollChangesService::confirm(std::uint64_t afterRevision, const Polls &polls)
+void PollChangesService::confirmPolls(std::uint64_t afterRevision, const Polls &polls)
 {
     std::uint64_t appliedBatches = 0;
     bool stopped = false;
@@ -72,29 +72,30 @@
         stopped = m_stopped;
     }
     if (stopped)
-        return answerAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
+        return replyToAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
     const std::string query = wire::encode(wire::DirectoryQuery{afterRevision});
     m_directory.readOnAnyReplica(query, [self = shared_from_this(), afterRevision, appliedBatches,
                                          polls](const Outcome<std::string> &outcome) {
-        self->handleConfirmed(afterRevision, appliedBatches, polls, outcome);
+        self->handleConfirmation(afterRevision, appliedBatches, polls, outcome);
     });
 }
 
-void PollChangesService::handleConfirmed(std::uint64_t afterRevision, std::uint64_t appliedBatches,
-                                         Polls polls, const Outcome<std::string> &outcome)
+void PollChangesService::handleConfirmation(std::uint64_t afterRevision,
+                                            std::uint64_t appliedBatches, Polls polls,
+                                            const Outcome<std::string> &outcome)
 {
     if (!outcome.ok())
-        return answerAll(polls, pollFailure(outcome.failure()));
+        return replyToAll(polls, pollFailure(outcome.failure()));
     const auto response =
             outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(outcome.value()); });
     if (!response.ok())
-        return answerAll(polls, notRun(ErrorCode::Internal, response.failure().detail));
+        return replyToAll(polls, notRun(ErrorCode::Internal, response.failure().detail));
     if (response.value().revision > afterRevision)
-        return answerAll(polls, outcome);
+        return replyToAll(polls, outcome);
     const absl::Time now = m_clock.now();
     const auto waiting = std::partition(polls.begin(), polls.end(),
                                         [now](const Poll &poll) { return poll.deadline <= now; });
-    answerAll(Polls(polls.begin(), waiting), outcome);
+    replyToAll(Polls(polls.begin(), waiting), outcome);
     polls.erase(polls.begin(), waiting);
     if (!polls.empty())
         enqueue(afterRevision, appliedBatches, std::move(polls));
@@ -111,7 +112,7 @@
             return;
         }
     }
-    confirm(afterRevision, polls);
+    confirmPolls(afterRevision, polls);
 }
 
 void PollChangesService::handleApplied()
@@ -123,12 +124,12 @@
         waiting.swap(m_waiting);
     }
     for (const auto &[afterRevision, polls] : waiting)
-        confirm(afterRevision, polls);
+        confirmPolls(afterRevision, polls);
 }
 
-/// Confirms the polls whose deadline has passed once more before they are answered, so that the
-/// answer proves freshness as of now instead of as of the arrival of the poll.
-void PollChangesService::confirmExpired()
+/// Polls whose deadline has passed are confirmed once more before the reply, so that the response
+/// proves freshness at the time of the reply and not only at the arrival of the poll.
+void PollChangesService::confirmExpiredPolls()
 {
     const absl::Time now = m_clock.now();
     std::map<std::uint64_t, Polls> due;
@@ -146,7 +147,7 @@
         }
     }
     for (const auto &[afterRevision, polls] : due)
-        confirm(afterRevision, polls);
+        confirmPolls(afterRevision, polls);
 }
 
 void PollChangesService::stop()
@@ -160,7 +161,7 @@
     if (m_timer != 0)
         m_timers.unsubscribe(m_timer);
     for (const auto &[afterRevision, polls] : waiting)
-        answerAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
+        replyToAll(polls, notRun(ErrorCode::Stopped, "control instance is stopping"));
 }
 
 } // namespace rattanrill::control
--- a/src/control/pollchangesservice.h
+++ b/src/control/pollchangesservice.h
@@ -16,9 +16,9 @@
 
 namespace rattanrill::control {
 
-/// Answers long polls for directory changes. The leader confirms every answer after its poll
-/// arrived, so that a replica without a connection to a quorum cannot prove freshness. Polls from
-/// the same revision share one confirmation.
+/// Serves long polls for directory changes. The leader confirms every response after the poll has
+/// arrived, so a replica that has no connection to a quorum cannot prove freshness. Polls from the
+/// same revision share one confirmation.
 class PollChangesService : public std::enable_shared_from_this<PollChangesService>
 {
 public:
@@ -26,7 +26,7 @@
 
     void start();
     /// Replies with an encoded wire::PollChangesResponse. Fails with NoQuorum when no leader
-    /// confirms the answer, with StaleRevision when the caller's revision is newer than the
+    /// confirms the response, with StaleRevision when the caller's revision is newer than the
     /// directory, or with Stopped. Every failure has the effect state NotRun.
     void poll(const wire::PollChangesRequest &request, peer::ResponseCallback reply);
     /// Fails the waiting polls with Stopped.
@@ -40,12 +40,14 @@
     };
     using Polls = std::vector<Poll>;
 
-    void confirm(std::uint64_t afterRevision, const Polls &polls);
-    void handleConfirmed(std::uint64_t afterRevision, std::uint64_t appliedBatches, Polls polls,
-                         const Outcome<std::string> &outcome);
+    /// Reads the changes after \a afterRevision with a confirmation by the leader, then replies to
+    /// \a polls or enqueues those that can still wait for a change.
+    void confirmPolls(std::uint64_t afterRevision, const Polls &polls);
+    void handleConfirmation(std::uint64_t afterRevision, std::uint64_t appliedBatches, Polls polls,
+                            const Outcome<std::string> &outcome);
     void enqueue(std::uint64_t afterRevision, std::uint64_t appliedBatches, Polls polls);
     void handleApplied();
-    void confirmExpired();
+    void confirmExpiredPolls();
 
     replication::RaftNode &m_directory;
     TimerService &m_timers;
@@ -53,9 +55,10 @@
     TimerService::TimerId m_timer = 0;
 
     absl::Mutex m_mutex;
+    /// Waiting polls by the revision after which they request changes.
     std::map<std::uint64_t, Polls> m_waiting ABSL_GUARDED_BY(m_mutex);
     /// Number of calls of handleApplied(). enqueue() compares it to detect a change that was
-    /// applied after the confirmation.
+    /// applied after the confirmation had started.
     std::uint64_t m_appliedBatches ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_stopped ABSL_GUARDED_BY(m_mutex) = false;
 };
--- a/src/control/recordjson.cpp
+++ b/src/control/recordjson.cpp
@@ -77,7 +77,7 @@
 }
 
 template <typename Record>
-Result<Json> decoded(const std::string &body)
+Result<Json> decodeToJson(const std::string &body)
 {
     BOOST_LEAF_AUTO(record, wire::decode<Record>(body));
     return toJson(record);
@@ -90,10 +90,10 @@
     using Decoder = Result<Json> (*)(const std::string &);
     // Indexed by wire::RecordKind.
     static constexpr std::array<Decoder, 8> decoders = {
-            &decoded<wire::Contract>,     &decoded<wire::ApiKey>,
-            &decoded<wire::Config>,       &decoded<wire::Route>,
-            &decoded<wire::Upstream>,     &decoded<wire::Member>,
-            &decoded<wire::FencingToken>, &decoded<wire::QuarantinedRequest>,
+            &decodeToJson<wire::Contract>,     &decodeToJson<wire::ApiKey>,
+            &decodeToJson<wire::Config>,       &decodeToJson<wire::Route>,
+            &decodeToJson<wire::Upstream>,     &decodeToJson<wire::Member>,
+            &decodeToJson<wire::FencingToken>, &decodeToJson<wire::QuarantinedRequest>,
     };
     return decoders.at(static_cast<std::size_t>(change.kind))(change.body);
 }
--- a/tests/control/controlcluster.cpp
+++ b/tests/control/controlcluster.cpp
@@ -109,9 +109,9 @@
     return options;
 }
 
-ControlCluster::Answer ControlCluster::request(int i, const std::string &method,
-                                               const std::string &path, const Json &body,
-                                               const std::string &token)
+ControlCluster::Response ControlCluster::request(int i, const std::string &method,
+                                                 const std::string &path, const Json &body,
+                                                 const std::string &token)
 {
     const ListenAddress &address = m_settings[static_cast<std::size_t>(i)].operatorHttp;
     httplib::Client client(address.host, address.port);
@@ -125,13 +125,13 @@
     const httplib::Result result = client.send(request);
     if (!result)
         return {};
-    const auto json = outcomeOf([&] { return parseJson(result->body, "answer"); });
-    return Answer{result->status, json.ok() ? json.value() : Json(),
-                  result->get_header_value("Location")};
+    const auto json = outcomeOf([&] { return parseJson(result->body, "response"); });
+    return Response{result->status, json.ok() ? json.value() : Json(),
+                    result->get_header_value("Location")};
 }
 
-ControlCluster::Answer ControlCluster::putContract(double rate, std::uint64_t baseRevision,
-                                                   const std::string &requestId)
+ControlCluster::Response ControlCluster::putContract(double rate, std::uint64_t baseRevision,
+                                                     const std::string &requestId)
 {
     return request(leader(), "PUT", "contracts/w1",
                    Json{{"rate_per_second", rate},
--- a/tests/control/controlcluster.h
+++ b/tests/control/controlcluster.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::control {
 
-/// Control instances in one process, with real Raft groups, data folders and loopback sockets.
+/// Control instances in the test process, with real Raft groups, data folders and loopback sockets.
 class ControlCluster
 {
 public:
@@ -24,17 +24,17 @@
     std::vector<std::string> peerAddresses() const;
     peer::TransportOptions transport(const std::string &secret = clusterSecret) const;
 
-    struct Answer
+    struct Response
     {
         int status = 0;
         Json body;
         std::string location;
     };
 
-    Answer request(int i, const std::string &method, const std::string &path,
-                   const Json &body = Json::object(), const std::string &token = operatorToken);
+    Response request(int i, const std::string &method, const std::string &path,
+                     const Json &body = Json::object(), const std::string &token = operatorToken);
     /// Writes the contract of workspace "w1" with \a rate at the leader.
-    Answer putContract(double rate, std::uint64_t baseRevision, const std::string &requestId);
+    Response putContract(double rate, std::uint64_t baseRevision, const std::string &requestId);
 
     static constexpr const char *clusterSecret = "secret-of-the-cluster";
     static constexpr const char *operatorToken = "token-of-the-operators";
--- a/tests/control/controlnode_test.cpp
+++ b/tests/control/controlnode_test.cpp
@@ -27,14 +27,14 @@
     Outcome<wire::PollChangesResponse> poll(std::uint64_t after, std::int64_t waitMs)
     {
         absl::Notification done;
-        std::optional<Outcome<wire::PollChangesResponse>> answer;
+        std::optional<Outcome<wire::PollChangesResponse>> response;
         control.pollDirectory({"entry-1", after, waitMs}, absl::Seconds(3),
                               [&](const auto &outcome) {
-                                  answer = outcome;
+                                  response = outcome;
                                   done.Notify();
                               });
         done.WaitForNotification();
-        return *answer;
+        return *response;
     }
 
     Outcome<std::string> append(const std::string &group, const std::string &fileId)
@@ -42,14 +42,14 @@
         wire::BatchCommand command;
         command.operation = wire::AppendItems{fileId, "w1", 0, {{"c1", "/v1/completions", "{}"}}};
         absl::Notification done;
-        std::optional<Outcome<std::string>> answer;
+        std::optional<Outcome<std::string>> response;
         control.propose(group, wire::encode(command), true, absl::Seconds(15),
                         [&](const auto &outcome) {
-                            answer = outcome;
+                            response = outcome;
                             done.Notify();
                         });
         done.WaitForNotification();
-        return *answer;
+        return *response;
     }
 
     ThreadTimerService timers;
@@ -57,9 +57,9 @@
     controlclient::ControlClient control;
 };
 
-std::string codeOf(const ControlCluster::Answer &answer)
+std::string codeOf(const ControlCluster::Response &response)
 {
-    return answer.status == 200 ? "ok" : answer.body.at("error").at("code").get<std::string>();
+    return response.status == 200 ? "ok" : response.body.at("error").at("code").get<std::string>();
 }
 
 } // namespace
@@ -67,29 +67,29 @@
 BOOST_AUTO_TEST_SUITE(ControlNodeTest)
 
 // Guards against lost updates: of several concurrent writes with the same base revision more than
-// one is accepted, or a resend gets a different response.
+// one is accepted. Also guards against a resend that gets a different response.
 BOOST_AUTO_TEST_CASE(concurrentWritesFromTheSameRevisionHaveOneWinner)
 {
     ControlCluster cluster(3);
     BOOST_REQUIRE(codeOf(cluster.putContract(1, 0, "first")) == "ok");
-    std::vector<ControlCluster::Answer> answers(8);
+    std::vector<ControlCluster::Response> responses(8);
     std::vector<std::thread> operators;
-    for (std::size_t i = 0; i < answers.size(); ++i)
+    for (std::size_t i = 0; i < responses.size(); ++i)
         operators.emplace_back([&, i] {
-            answers[i] = cluster.putContract(2 + static_cast<double>(i), 1, concat("race-", i));
+            responses[i] = cluster.putContract(2 + static_cast<double>(i), 1, concat("race-", i));
         });
     for (std::thread &thread : operators)
         thread.join();
-    std::size_t winners = 0;
-    for (std::size_t i = 0; i < answers.size(); ++i) {
-        const std::string code = codeOf(answers[i]);
-        winners += code == "ok" ? 1 : 0;
+    std::size_t acceptedWrites = 0;
+    for (std::size_t i = 0; i < responses.size(); ++i) {
+        const std::string code = codeOf(responses[i]);
+        acceptedWrites += code == "ok" ? 1 : 0;
         BOOST_TEST((code == "ok" || code == "conflict"));
         // A resend gets the response to the first request, whether that was accepted or refused.
         const auto again = cluster.putContract(2 + static_cast<double>(i), 1, concat("race-", i));
-        BOOST_TEST(again.body == answers[i].body);
+        BOOST_TEST(again.body == responses[i].body);
     }
-    BOOST_TEST(winners == 1u);
+    BOOST_TEST(acceptedWrites == 1u);
 }
 
 // Guards against applying a write twice when it is resent to a new leader because the old leader
@@ -99,19 +99,19 @@
     ControlCluster cluster(3);
     const auto first = cluster.putContract(1, 0, "write-1");
     BOOST_REQUIRE(codeOf(first) == "ok");
-    const int old = cluster.leader();
-    const auto key = cluster.request(old, "POST", "keys",
+    const int oldLeader = cluster.leader();
+    const auto key = cluster.request(oldLeader, "POST", "keys",
                                      Json{{"workspace", "w1"}, {"request_id", "key-1"}});
     BOOST_REQUIRE(codeOf(key) == "ok");
     BOOST_TEST(key.body.contains("key"));
-    cluster.stop(old);
+    cluster.stop(oldLeader);
     BOOST_TEST(cluster.putContract(1, 0, "write-1").body == first.body);
     const auto again = cluster.request(cluster.leader(), "POST", "keys",
                                        Json{{"workspace", "w1"}, {"request_id", "key-1"}});
     BOOST_TEST(again.body.at("key_id") == key.body.at("key_id"));
     BOOST_TEST(!again.body.contains("key"));
     // The restarted replica still has the accepted writes.
-    cluster.start(old);
+    cluster.start(oldLeader);
     const auto listed = cluster.request(cluster.leader(), "GET", "keys");
     BOOST_TEST(listed.body.at("items").size() == 1u);
 }
@@ -124,7 +124,7 @@
     const int leader = cluster.leader();
     BOOST_REQUIRE(codeOf(cluster.putContract(1, 0, "first")) == "ok");
     const int other = (leader + 1) % 3;
-    ControlCluster::Answer redirect;
+    ControlCluster::Response redirect;
     // A follower cannot redirect before it has received the leader's first heartbeat.
     for (int poll = 0; poll < 500 && redirect.status != 307; ++poll) {
         redirect = cluster.request(other, "GET", "contracts");
@@ -138,12 +138,12 @@
             leader, "PUT", "contracts/w2",
             Json{{"rate_per_second", 1}, {"burst", 1}, {"bursts", 2}, {"request_id", "x"}});
     BOOST_TEST(codeOf(unknown) == "invalid_request");
-    const auto anonymous = cluster.request(leader, "DELETE", "contracts/w1", Json::object());
-    BOOST_TEST(codeOf(anonymous) == "invalid_request");
+    const auto withoutRequestId = cluster.request(leader, "DELETE", "contracts/w1", Json::object());
+    BOOST_TEST(codeOf(withoutRequestId) == "invalid_request");
 }
 
-// R6, R13: guards against a control instance without a quorum that still answers polls; entries
-// would continue to accept a withdrawn key.
+// R6, R13: guards against a control instance that has lost its quorum but still serves polls, so
+// that entries continue to accept a withdrawn key.
 BOOST_AUTO_TEST_CASE(instanceWithoutQuorumAnswersNoPoll)
 {
     ControlCluster cluster(3);
@@ -191,15 +191,15 @@
     cluster.leader();
     peer::ChannelPool channels(cluster.transport("another-secret"));
     absl::Notification done;
-    std::optional<Outcome<std::string>> answer;
+    std::optional<Outcome<std::string>> response;
     channels.channel(cluster.peerAddresses().front())
             ->call(wire::Method::Propose, "", absl::Seconds(5), [&](const auto &outcome) {
-                answer = outcome;
+                response = outcome;
                 done.Notify();
             });
     done.WaitForNotification();
-    BOOST_REQUIRE(!answer->ok());
-    BOOST_TEST(name(answer->failure().code) == name(ErrorCode::AuthenticationFailed));
+    BOOST_REQUIRE(!response->ok());
+    BOOST_TEST(name(response->failure().code) == name(ErrorCode::AuthenticationFailed));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/control/controlsettings_test.cpp
+++ b/tests/control/controlsettings_test.cpp
@@ -24,7 +24,7 @@
                       "failureDomain": "d1"}]})");
 }
 
-std::string refusalOf(const Json &settings)
+std::string failureDetailOf(const Json &settings)
 {
     const auto outcome = outcomeOf([&]() -> Result<void> {
         BOOST_LEAF_AUTO(parsed,
@@ -34,7 +34,7 @@
     return outcome.ok() ? "" : outcome.failure().detail;
 }
 
-bool mentions(const std::string &text, std::string_view part)
+bool contains(const std::string &text, std::string_view part)
 {
     return text.find(part) != std::string::npos;
 }
@@ -47,22 +47,22 @@
 // and against error messages that do not name the setting.
 BOOST_AUTO_TEST_CASE(contradictorySettingsAreRefusedAndNamed)
 {
-    BOOST_TEST(refusalOf(validSettings()) == "");
+    BOOST_TEST(failureDetailOf(validSettings()) == "");
     Json settings = validSettings();
     settings["clusterSecretFile"] = "secret";
-    BOOST_TEST(mentions(refusalOf(settings), "clusterSecret"));
+    BOOST_TEST(contains(failureDetailOf(settings), "clusterSecret"));
     settings = validSettings();
     settings["operator"].erase("token");
-    BOOST_TEST(mentions(refusalOf(settings), "operator.token"));
+    BOOST_TEST(contains(failureDetailOf(settings), "operator.token"));
     settings = validSettings();
     settings["instance"] = "c2";
-    BOOST_TEST(mentions(refusalOf(settings), "c2"));
+    BOOST_TEST(contains(failureDetailOf(settings), "c2"));
     settings = validSettings();
     settings["ownerLeaseMs"] = 4000;
-    BOOST_TEST(mentions(refusalOf(settings), "memberTimeoutMs"));
+    BOOST_TEST(contains(failureDetailOf(settings), "memberTimeoutMs"));
     settings = validSettings();
     settings["electionTimeoutMs"] = 100;
-    BOOST_TEST(mentions(refusalOf(settings), "electionTimeoutMs"));
+    BOOST_TEST(contains(failureDetailOf(settings), "electionTimeoutMs"));
 }
 
 // Guards against starting with an empty secret when the secret file cannot be read.
@@ -75,11 +75,11 @@
     const auto outcome = outcomeOf([&] { return readControlSettings(settings, read); });
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(ErrorCode::InvalidSetting));
-    BOOST_TEST(mentions(outcome.failure().detail, "no-such-file"));
+    BOOST_TEST(contains(outcome.failure().detail, "no-such-file"));
 }
 
-// Guards against accepting the time in a caller's command, with which a caller could expire the
-// leases of other callers.
+// Guards against a caller that sets the time of its command and thereby expires the leases of other
+// callers.
 BOOST_AUTO_TEST_CASE(stampReplacesTheSendersTime)
 {
     wire::BatchCommand command;
--- a/tests/control/directoryfixture.cpp
+++ b/tests/control/directoryfixture.cpp
@@ -71,13 +71,13 @@
 std::shared_ptr<std::optional<Outcome<std::string>>> DirectoryFixture::poll(std::uint64_t after,
                                                                             std::int64_t waitMs)
 {
-    auto answer = std::make_shared<std::optional<Outcome<std::string>>>();
+    auto reply = std::make_shared<std::optional<Outcome<std::string>>>();
     pollService->poll(wire::PollChangesRequest{"entry-1", after, waitMs},
-                      [answer](const Outcome<std::string> &outcome) {
-                          BOOST_REQUIRE(!answer->has_value());
-                          *answer = outcome;
+                      [reply](const Outcome<std::string> &outcome) {
+                          BOOST_REQUIRE(!reply->has_value());
+                          *reply = outcome;
                       });
-    return answer;
+    return reply;
 }
 
 Outcome<std::string> DirectoryFixture::heartbeat(const std::string &instance,
@@ -88,10 +88,10 @@
     request.member = {instance, "d1", "127.0.0.1:3", "127.0.0.1:4", incarnation, 0};
     request.leaving = leaving;
     request.revisionInForce = revision;
-    std::optional<Outcome<std::string>> answer;
-    members->heartbeat(request, [&](const Outcome<std::string> &outcome) { answer = outcome; });
-    BOOST_REQUIRE(answer.has_value());
-    return *answer;
+    std::optional<Outcome<std::string>> reply;
+    members->heartbeat(request, [&](const Outcome<std::string> &outcome) { reply = outcome; });
+    BOOST_REQUIRE(reply.has_value());
+    return *reply;
 }
 
 void DirectoryFixture::advance(absl::Duration time, const std::vector<std::string> &instances)
--- a/tests/control/directoryfixture.h
+++ b/tests/control/directoryfixture.h
@@ -24,13 +24,13 @@
     StubRaftNode &directory() { return static_cast<StubRaftNode &>(groups.directory()); }
     /// Writes a configuration value and returns the resulting directory revision.
     std::uint64_t putConfig(const std::string &name);
-    /// Starts a long poll. The returned answer is empty while the poll waits.
+    /// Starts a long poll. The returned reply is empty while the poll waits.
     std::shared_ptr<std::optional<Outcome<std::string>>> poll(std::uint64_t after,
                                                               std::int64_t waitMs);
     Outcome<std::string> heartbeat(const std::string &instance, const std::string &incarnation,
                                    bool leaving = false, std::uint64_t revision = 0);
-    /// Advances the time in steps of 100 ms and sends a heartbeat of each of \a instances, with
-    /// incarnation "1", in each step.
+    /// Advances the time in steps of 100 ms. Each step starts with a heartbeat of each of
+    /// \a instances, with incarnation "1".
     void advance(absl::Duration time, const std::vector<std::string> &instances = {});
     bool hasMember(const std::string &instance);
 
--- a/tests/control/pollchangesservice_test.cpp
+++ b/tests/control/pollchangesservice_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-std::uint64_t revisionOf(const Outcome<std::string> &answer)
+std::uint64_t revisionOf(const Outcome<std::string> &reply)
 {
-    BOOST_REQUIRE(answer.ok());
+    BOOST_REQUIRE(reply.ok());
     const auto response =
-            outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(answer.value()); });
+            outcomeOf([&] { return wire::decode<wire::PollChangesResponse>(reply.value()); });
     BOOST_REQUIRE(response.ok());
     return response.value().revision;
 }
@@ -22,44 +22,43 @@
 
 BOOST_FIXTURE_TEST_SUITE(PollChangesServiceTest, DirectoryFixture)
 
-// Guards against delaying changes that already exist when the poll arrives.
+// Guards against a poll that waits although the changes exist when it arrives.
 BOOST_AUTO_TEST_CASE(existingChangesAreAnsweredImmediately)
 {
     const std::uint64_t revision = putConfig("a");
-    const auto answer = poll(revision - 1, 1000);
-    BOOST_REQUIRE(answer->has_value());
-    BOOST_TEST(revisionOf(**answer) == revision);
+    const auto reply = poll(revision - 1, 1000);
+    BOOST_REQUIRE(reply->has_value());
+    BOOST_TEST(revisionOf(**reply) == revision);
 }
 
-// Guards against a waiting poll that is answered only at its deadline although a change was
-// applied.
+// Guards against a waiting poll that gets its reply only at its deadline although a change was
+// applied earlier.
 BOOST_AUTO_TEST_CASE(waitingPollIsAnsweredByTheNextChange)
 {
     const std::uint64_t revision = putConfig("a");
-    const auto answer = poll(revision, 1000);
-    BOOST_TEST(!answer->has_value());
+    const auto reply = poll(revision, 1000);
+    BOOST_TEST(!reply->has_value());
     putConfig("b");
-    BOOST_REQUIRE(answer->has_value());
-    BOOST_TEST(revisionOf(**answer) == revision + 1);
+    BOOST_REQUIRE(reply->has_value());
+    BOOST_TEST(revisionOf(**reply) == revision + 1);
 }
 
-// Guards against an answer at the deadline that proves freshness only as of the arrival of the
-// poll.
+// Guards against a reply at the deadline that proves freshness only as of the arrival of the poll.
 BOOST_AUTO_TEST_CASE(pollWithoutChangeIsConfirmedAgainBeforeItsAnswer)
 {
     const std::uint64_t revision = putConfig("a");
-    const auto answer = poll(revision, 400);
+    const auto reply = poll(revision, 400);
     timers.advance(absl::Milliseconds(390));
-    BOOST_TEST(!answer->has_value());
+    BOOST_TEST(!reply->has_value());
     const int before = directory().confirmations;
     timers.advance(absl::Milliseconds(30));
-    BOOST_REQUIRE(answer->has_value());
-    BOOST_TEST(revisionOf(**answer) == revision);
+    BOOST_REQUIRE(reply->has_value());
+    BOOST_TEST(revisionOf(**reply) == revision);
     BOOST_TEST(directory().confirmations == before + 1);
 }
 
-// Guards against a replica without a quorum that still proves freshness: a withdrawn key would stay
-// usable at the entries that poll it.
+// Guards against a replica that has lost its quorum but still proves freshness, so that entries
+// that poll it continue to accept a withdrawn key.
 BOOST_AUTO_TEST_CASE(replicaWithoutQuorumProvesNoFreshness)
 {
     const std::uint64_t revision = putConfig("a");
@@ -81,16 +80,17 @@
 {
     const std::uint64_t revision = putConfig("a");
     StubRaftNode &group = directory();
-    // Calls the listener as if a change were applied between the query and its answer.
+    // Calls the listener as if a change were applied between the query and its response.
     group.beforeResponse = [&] { group.appliedListener(group.currentStatus.appliedIndex); };
-    const auto answer = poll(revision, 400);
-    BOOST_TEST(!answer->has_value());
+    const auto reply = poll(revision, 400);
+    BOOST_TEST(!reply->has_value());
     BOOST_TEST(group.confirmations >= 2);
     putConfig("b");
-    BOOST_TEST(answer->has_value());
+    BOOST_TEST(reply->has_value());
 }
 
-// Guards against one round of quorum messages for each of many polls that wait for the same change.
+// Guards against a separate confirmation, and thus a round of quorum messages, for each of many
+// polls that wait for the same change.
 BOOST_AUTO_TEST_CASE(pollsFromTheSameRevisionShareOneConfirmation)
 {
     const std::uint64_t revision = putConfig("a");
@@ -105,19 +105,19 @@
 BOOST_AUTO_TEST_CASE(pollAheadOfTheDirectoryIsRefused)
 {
     putConfig("a");
-    const auto answer = poll(100, 400);
-    BOOST_REQUIRE(answer->has_value());
-    BOOST_REQUIRE(!(*answer)->ok());
-    BOOST_TEST(name((*answer)->failure().code) == name(ErrorCode::StaleRevision));
+    const auto reply = poll(100, 400);
+    BOOST_REQUIRE(reply->has_value());
+    BOOST_REQUIRE(!(*reply)->ok());
+    BOOST_TEST(name((*reply)->failure().code) == name(ErrorCode::StaleRevision));
 }
 
-// Guards against polls that are never answered because the service stopped.
+// Guards against polls that never get a reply because the service was stopped.
 BOOST_AUTO_TEST_CASE(stopFailsWaitingPolls)
 {
-    const auto answer = poll(putConfig("a"), 400);
+    const auto reply = poll(putConfig("a"), 400);
     pollService->stop();
-    BOOST_REQUIRE(answer->has_value());
-    BOOST_TEST(name((*answer)->failure().code) == name(ErrorCode::Stopped));
+    BOOST_REQUIRE(reply->has_value());
+    BOOST_TEST(name((*reply)->failure().code) == name(ErrorCode::Stopped));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/control/stubraftnode.h
+++ b/tests/control/stubraftnode.h
@@ -10,7 +10,7 @@
 
 namespace rattanrill::control {
 
-/// RaftNode of a group with one replica. Tests set its role, term and quorum; it answers on the
+/// RaftNode of a group with one replica. Tests set its role, term and quorum. Callbacks run on the
 /// caller's thread.
 class StubRaftNode : public replication::RaftNode
 {
@@ -60,11 +60,12 @@
     std::unique_ptr<replication::StateMachine> machine;
     replication::RaftNodeStatus currentStatus;
     bool hasQuorum = true;
+    /// Number of reads that a leader had to confirm.
     int confirmations = 0;
     std::vector<std::string> proposed;
     std::function<void(std::uint64_t)> appliedListener;
-    /// Called once, after a query was received and before it is answered. The answer has the state
-    /// after the call.
+    /// Called once, after a query was received and before the response, which contains the state
+    /// after this call.
     std::function<void()> beforeResponse;
 
 private:
