--- a/include/rattanrill/controlclient/controlclient.h
+++ b/include/rattanrill/controlclient/controlclient.h
@@ -20,7 +20,7 @@
 /// Name of the Raft group of batch partition \a partition, such as "batch-0".
 std::string batchGroupName(int partition);
 
-/// Client of the control instances. It finds the leader of a group by the hints in NotLeader
+/// Client of the control instances. It finds the leader of a group by the addresses in NotLeader
 /// failures, tries the next instance after a connection is lost, and retries until the timeout of
 /// the call expires.
 class ControlClient
@@ -34,14 +34,15 @@
                   TimerService &timers, const Clock &clock);
     ~ControlClient();
 
-    /// Proposes an encoded command to \a group. Set \a idempotent for an idempotent command: it is
-    /// sent again when a response is lost. Otherwise the call fails with MayHaveRun in that case.
+    /// Proposes an encoded command to \a group. When the response to an attempt is lost, a command
+    /// that is \a idempotent is sent again; any other call then fails with the effect state
+    /// MayHaveRun.
     void propose(const std::string &group, std::string command, bool idempotent,
                  absl::Duration timeout, Callback<std::string> callback);
     /// Runs an encoded query on \a group as a linearizable read.
     void read(const std::string &group, std::string query, absl::Duration timeout,
               Callback<std::string> callback);
-    /// Sends one long poll for changes of the directory, which any control instance can serve.
+    /// Sends one long poll for changes of the directory. Any control instance can serve it.
     void pollDirectory(const wire::PollChangesRequest &request, absl::Duration timeout,
                        Callback<wire::PollChangesResponse> callback);
     /// Sends one heartbeat to the directory group.
--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -9,12 +9,12 @@
 namespace rattanrill::controlclient {
 namespace {
 
-/// Delay before the next attempt after all instances were tried. An election takes some hundred
-/// milliseconds, so shorter delays would only increase the load of the instances.
+/// Delay before the next attempt when all instances were tried. An election takes a few hundred
+/// milliseconds, so a shorter delay would only increase the load on the instances.
 constexpr absl::Duration retryDelay = absl::Milliseconds(50);
 
-/// Whether the failure is due to the instance or its current state and not to the request, so that
-/// another attempt can succeed.
+/// Returns whether the failure is caused by the instance or its current state and not by the
+/// request, so that another attempt can succeed.
 bool isTransient(ErrorCode code)
 {
     switch (code) {
@@ -41,8 +41,8 @@
     , m_addresses(std::move(addresses))
     , m_timers(timers)
     , m_clock(clock)
-    // Starts at a random address, so that the instances of a fleet do not all use the same control
-    // instance.
+    // The first address is random, so that the processes of a deployment do not all call the same
+    // control instance.
     , m_nextAddressIndex(stableHash(randomHex(sizeof(std::uint64_t)))
                          % std::max<std::size_t>(1, m_addresses.size()))
 {}
@@ -128,8 +128,8 @@
     return isTransient(failure.code) && m_clock.now() < call.parameters.deadline;
 }
 
-/// Returns the failure for the caller. If the deadline ended the last attempt, this is the failure
-/// of the previous attempt, which describes the cause better than the timeout does.
+/// Returns the failure for the caller. When the deadline ended the last attempt, this is the
+/// failure of the previous attempt, because it describes the cause better than a timeout.
 Failure ControlCalls::finalFailure(const Call &call, const Failure &failure) const
 {
     const bool usePreviousFailure = failure.code == ErrorCode::Timeout && call.attempts > 1;
@@ -139,8 +139,9 @@
     return result;
 }
 
-/// Caches the leader that \a failure names. Without one, removes \a address from the cache if the
-/// failure shows that it does not serve the target now.
+/// Caches the address of the leader that \a failure contains. Without such an address, removes
+/// \a address from the cache if the failure shows that the instance does not serve the target at
+/// present.
 void ControlCalls::updateTargetAddress(const Call &call, const std::string &address,
                                        const Failure &failure)
 {
@@ -158,13 +159,13 @@
 {
     call.lastFailure = failure;
     const bool allInstancesTried = call.attempts % static_cast<int>(m_addresses.size() + 1) == 0;
-    // After the loss of a proposal or of the quorum the group needs time to recover, and calling
-    // another instance does not help.
+    // After a lost proposal or the loss of the quorum, the group needs time to recover, and calling
+    // another instance immediately does not help.
     const bool pause = allInstancesTried || failure.code == ErrorCode::NoQuorum
                        || failure.code == ErrorCode::ProposalLost;
     const absl::Duration delay = pause ? retryDelay : absl::ZeroDuration();
-    // The next attempt is sent from the timer thread, also without a delay, because the reply may
-    // have been delivered from within the call in send().
+    // The next attempt is sent from the timer thread even without a delay, because this function
+    // may run inside the call in send().
     call.timer = m_timers.subscribeOnce(delay, [weak = weak_from_this(), id] {
         if (const auto self = weak.lock())
             self->send(id);
@@ -189,12 +190,12 @@
             return;
         callback = std::move(found->second.callback);
         m_calls.erase(found);
-        m_callbackThreads.push_back(std::this_thread::get_id());
+        m_threadsInCallback.push_back(std::this_thread::get_id());
     }
     callback(outcome);
     absl::MutexLock lock(&m_mutex);
-    m_callbackThreads.erase(std::find(m_callbackThreads.begin(), m_callbackThreads.end(),
-                                      std::this_thread::get_id()));
+    m_threadsInCallback.erase(std::find(m_threadsInCallback.begin(), m_threadsInCallback.end(),
+                                        std::this_thread::get_id()));
     m_callbackEnded.SignalAll();
 }
 
@@ -209,7 +210,8 @@
     for (auto &[id, call] : calls) {
         if (call.timer != 0)
             m_timers.unsubscribe(call.timer);
-        // An attempt in flight may still run; one that waits for its timer has not been sent.
+        // An attempt in flight may still run. A call that waits for its retry timer has no attempt
+        // in flight.
         const bool mayHaveRun = call.mayHaveRun || (call.parameters.hasEffect && call.timer == 0);
         const EffectState run = mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
         call.callback(Failure{ErrorCode::Stopped, run, "control client is stopped"});
@@ -217,7 +219,7 @@
     absl::MutexLock lock(&m_mutex);
     const auto otherCallbacksRun = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
         return std::any_of(
-                m_callbackThreads.begin(), m_callbackThreads.end(),
+                m_threadsInCallback.begin(), m_threadsInCallback.end(),
                 [](std::thread::id thread) { return thread != std::this_thread::get_id(); });
     };
     while (otherCallbacksRun())
--- a/src/controlclient/controlcalls.h
+++ b/src/controlclient/controlcalls.h
@@ -13,21 +13,21 @@
 
 namespace rattanrill::controlclient {
 
-/// Parameters of one call, apart from the address of the instance.
+/// Parameters of one call, except for the address of the instance.
 struct CallParameters
 {
     wire::Method method = wire::Method::Propose;
     std::string body;
-    /// Key under which the address of the instance to call is cached: the name of a group, whose
-    /// calls only its leader serves, or another name for calls that every instance serves.
+    /// Key under which the address of the instance to call is cached: the name of a group if only
+    /// its leader serves the call, or another name if every instance serves it.
     std::string target;
     /// Whether the call may be sent again after an attempt that may have run.
     bool idempotent = true;
-    /// Whether running the call has an effect, so that the caller must learn that an attempt may
-    /// have run. A call without an effect may always be sent again.
+    /// Whether the call changes state. If so, its failure must report that an earlier attempt may
+    /// have run. A call without an effect can always be sent again.
     bool hasEffect = true;
-    /// Timeout of one attempt, so that an instance that does not answer does not use up the whole
-    /// time until the deadline.
+    /// Timeout of one attempt. It prevents an instance that does not respond from using up the
+    /// whole time until the deadline.
     absl::Duration attemptTimeout;
     absl::Time deadline;
 };
@@ -64,7 +64,7 @@
     void send(std::uint64_t id);
     void handleReply(std::uint64_t id, const std::string &address,
                      const Outcome<std::string> &outcome);
-    /// Whether the call is sent again. Records in \a call whether it may have run.
+    /// Returns whether to send the call again. Records in \a call whether an attempt may have run.
     bool shouldRetry(Call &call, const Failure &failure) const;
     Failure finalFailure(const Call &call, const Failure &failure) const;
     void updateTargetAddress(const Call &call, const std::string &address, const Failure &failure)
@@ -84,14 +84,14 @@
     absl::CondVar m_callbackEnded;
     std::map<std::uint64_t, Call> m_calls ABSL_GUARDED_BY(m_mutex);
     std::uint64_t m_nextId ABSL_GUARDED_BY(m_mutex) = 1;
-    /// Address of the last known leader of each target, or of the instance that served it last. An
-    /// empty address is unknown.
+    /// Address of the last known leader of each target, or of the instance that served it last.
+    /// Empty when no address is known.
     std::map<std::string, std::string> m_addressByTarget ABSL_GUARDED_BY(m_mutex);
     /// Index in m_addresses, modulo its size, of the next address for a target without a cached
     /// one.
     std::size_t m_nextAddressIndex ABSL_GUARDED_BY(m_mutex);
     /// Threads that are running a callback from finish().
-    std::vector<std::thread::id> m_callbackThreads ABSL_GUARDED_BY(m_mutex);
+    std::vector<std::thread::id> m_threadsInCallback ABSL_GUARDED_BY(m_mutex);
     bool m_stopped ABSL_GUARDED_BY(m_mutex) = false;
 };
 
--- a/src/controlclient/controlclient.cpp
+++ b/src/controlclient/controlclient.cpp
@@ -10,10 +10,10 @@
 namespace rattanrill::controlclient {
 namespace {
 
-/// Timeout of one attempt: well above the time for a round trip and a synced write, and well below
-/// the timeouts of an entry instance.
+/// Timeout of one attempt. It is well above the time of a round trip with an fsync, and well below
+/// the call timeouts of an entry instance.
 constexpr absl::Duration defaultAttemptTimeout = absl::Seconds(1);
-/// Target of directory polls. Every instance serves them, so the target is not a group.
+/// Target of directory polls. It is not a group name, because every instance serves these polls.
 constexpr const char *pollTarget = "follow";
 
 template <typename Message>
@@ -69,8 +69,8 @@
     parameters.body = wire::encode(wire::ProposeRequest{group, std::move(command)});
     parameters.target = group;
     parameters.idempotent = idempotent;
-    // An attempt that cannot be repeated gets the whole time: a shorter timeout would not lead to
-    // another attempt.
+    // An attempt that must not be repeated gets the whole timeout, because a shorter one would not
+    // lead to another attempt.
     parameters.attemptTimeout = idempotent ? defaultAttemptTimeout : timeout;
     parameters.deadline = m_impl->calls->now() + timeout;
     m_impl->calls->start(std::move(parameters), groupCallback(std::move(callback)));
--- a/tests/controlclient/controlclient_test.cpp
+++ b/tests/controlclient/controlclient_test.cpp
@@ -25,20 +25,20 @@
     return options;
 }
 
-/// Control instance that answers every proposal and read the same way.
+/// Control instance that responds to all proposals and reads in the same way.
 class FakeControl
 {
 public:
-    using Answer = std::function<void(const peer::ResponseCallback &)>;
+    using Responder = std::function<void(const peer::ResponseCallback &)>;
 
-    explicit FakeControl(Answer answer)
-        : m_answer(std::move(answer))
+    explicit FakeControl(Responder respond)
+        : m_respond(std::move(respond))
         , m_server(transport())
     {
         const auto handler = [this](const peer::PeerIdentity &, const std::string &,
                                     const peer::ResponseCallback &reply) {
             ++calls;
-            m_answer(reply);
+            m_respond(reply);
         };
         m_server.setHandler(wire::Method::Propose, handler);
         m_server.setHandler(wire::Method::Read, handler);
@@ -51,22 +51,22 @@
     std::atomic<int> calls{0};
 
 private:
-    const Answer m_answer;
+    const Responder m_respond;
     peer::Server m_server;
 };
 
-void answerDone(const peer::ResponseCallback &reply)
+void replyDone(const peer::ResponseCallback &reply)
 {
     reply(wire::encode(wire::GroupResponse{"done"}));
 }
 
-/// Answers with \a failure.
-FakeControl::Answer failing(const Failure &failure)
+/// Returns a responder that replies with \a failure.
+FakeControl::Responder replyWith(const Failure &failure)
 {
     return [failure](const peer::ResponseCallback &reply) { reply(failure); };
 }
 
-/// Client with the objects that it needs, in order of construction.
+/// Control client with the objects that it uses, in the order of their construction.
 struct Client
 {
     explicit Client(std::vector<std::string> addresses)
@@ -103,12 +103,12 @@
 
 BOOST_AUTO_TEST_SUITE(ControlClientTest)
 
-// Guards against a client that ignores the leader named in a NotLeader failure, or that calls a
-// follower first again on each call.
-BOOST_AUTO_TEST_CASE(notLeaderHintIsFollowedAndRemembered)
+// Guards against a client that ignores the leader's address in a NotLeader failure, or that calls a
+// follower again on every call.
+BOOST_AUTO_TEST_CASE(leaderNamedInNotLeaderFailureIsCalledAndCached)
 {
-    FakeControl leader(answerDone);
-    FakeControl follower(failing(notRun(ErrorCode::NotLeader, leader.address())));
+    FakeControl leader(replyDone);
+    FakeControl follower(replyWith(notRun(ErrorCode::NotLeader, leader.address())));
     Client client({follower.address()});
     BOOST_TEST(client.propose(false).value() == "done");
     BOOST_TEST(client.propose(false).value() == "done");
@@ -121,22 +121,22 @@
 {
     std::string stoppedAddress;
     {
-        FakeControl stopped(answerDone);
+        FakeControl stopped(replyDone);
         stoppedAddress = stopped.address();
     }
-    FakeControl alive(answerDone);
-    Client client({stoppedAddress, alive.address()});
+    FakeControl reachable(replyDone);
+    Client client({stoppedAddress, reachable.address()});
     BOOST_TEST(client.propose(false).ok());
     Client clientOfStoppedInstance({stoppedAddress});
     checkFailure(clientOfStoppedInstance.propose(true, absl::Milliseconds(300)),
                  ErrorCode::ConnectionLost, EffectState::NotRun);
 }
 
-// Guards against running a command twice that must run at most once: after a lost proposal the
-// client does not know whether it ran.
+// Guards against running a command twice that must run at most once: after a lost proposal, the
+// client cannot determine whether it ran.
 BOOST_AUTO_TEST_CASE(lostProposalIsRetriedOnlyIfTheCommandIsIdempotent)
 {
-    FakeControl lossyControl(failing(mayHaveRun(ErrorCode::ProposalLost, "leader changed")));
+    FakeControl lossyControl(replyWith(mayHaveRun(ErrorCode::ProposalLost, "leader changed")));
     Client client({lossyControl.address()});
     checkFailure(client.propose(false), ErrorCode::ProposalLost, EffectState::MayHaveRun);
     BOOST_TEST(lossyControl.calls == 1);
@@ -145,8 +145,8 @@
     BOOST_TEST(lossyControl.calls > 2);
 }
 
-// Guards against a failure that says that the command has not run, although an earlier attempt may
-// have run it: the refusal of the last attempt concerns that attempt only.
+// Guards against a failure with the effect state NotRun although an earlier attempt may have run
+// the command. A refusal has this state when only the last attempt is considered.
 BOOST_AUTO_TEST_CASE(refusalAfterAnAttemptThatMayHaveRunReportsMayHaveRun)
 {
     std::atomic<int> attempts{0};
@@ -160,19 +160,18 @@
     checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::MayHaveRun);
 }
 
-// Guards against retries of a request that was refused for a reason that does not depend on the
-// instance.
+// Guards against retries of a request that every instance refuses for the same reason.
 BOOST_AUTO_TEST_CASE(refusalIsReturnedWithoutAnotherAttempt)
 {
-    FakeControl refusingControl(failing(notRun(ErrorCode::Conflict, "revision 3")));
-    FakeControl other(answerDone);
+    FakeControl refusingControl(replyWith(notRun(ErrorCode::Conflict, "revision 3")));
+    FakeControl other(replyDone);
     Client client({refusingControl.address()});
     checkFailure(client.propose(true), ErrorCode::Conflict, EffectState::NotRun);
     BOOST_TEST(refusingControl.calls == 1);
 }
 
 // Guards against a call that fails because its first attempt waits until the deadline for an
-// instance that never answers.
+// instance that never responds.
 BOOST_AUTO_TEST_CASE(unresponsiveInstanceDoesNotUseUpTheWholeDeadline)
 {
     absl::Mutex mutex;
@@ -181,8 +180,8 @@
         absl::MutexLock lock(&mutex);
         pendingReplies.push_back(reply);
     });
-    FakeControl alive(answerDone);
-    Client client({unresponsive.address(), alive.address()});
+    FakeControl reachable(replyDone);
+    Client client({unresponsive.address(), reachable.address()});
     BOOST_TEST(client.propose(true, absl::Seconds(20)).ok());
 }
 
