--- a/src/batch/batchstate.cpp
+++ b/src/batch/batchstate.cpp
@@ -13,19 +13,19 @@
 constexpr std::string_view formatName = "rattanrill-batch-";
 constexpr std::string_view formatVersion = "1\n";
 constexpr std::size_t headerBytes = formatName.size() + formatVersion.size();
-/// Upper bound for the bytes that an item takes in a snapshot in addition to its texts.
+/// Maximum number of bytes that an item takes in a snapshot in addition to its texts.
 constexpr std::size_t itemOverheadBytes = 24;
 
-boost::leaf::error_id corruptSnapshot(std::string_view reason)
+boost::leaf::error_id failCorrupt(std::string_view reason)
 {
     return fail(notRun(ErrorCode::CorruptData, concat("batch snapshot: ", reason)));
 }
 
 /// Checks format version and checksum and returns the payload of a snapshot.
-Result<std::string_view> payloadOf(std::string_view bytes)
+Result<std::string_view> checkedPayload(std::string_view bytes)
 {
     if (bytes.substr(0, formatName.size()) != formatName)
-        return corruptSnapshot("not a batch snapshot");
+        return failCorrupt("not a batch snapshot");
     bytes.remove_prefix(formatName.size());
     if (bytes.substr(0, formatVersion.size()) != formatVersion) {
         return fail(
@@ -34,11 +34,11 @@
     bytes.remove_prefix(formatVersion.size());
     std::uint64_t checksum = 0;
     if (bytes.size() < sizeof checksum)
-        return corruptSnapshot("truncated");
+        return failCorrupt("truncated");
     std::memcpy(&checksum, bytes.data(), sizeof checksum);
     bytes.remove_prefix(sizeof checksum);
     if (checksum != stableHash(bytes))
-        return corruptSnapshot("wrong checksum");
+        return failCorrupt("wrong checksum");
     return bytes;
 }
 
@@ -48,7 +48,7 @@
 {
     m_nowMs = std::max(m_nowMs, nowMs);
     expireLeases();
-    endDelays();
+    endBackoffs();
     expireJobs();
     expireFiles();
     m_claims.expire(m_nowMs);
@@ -74,11 +74,11 @@
         releaseItem(number, 0);
 }
 
-void BatchState::endDelays()
+void BatchState::endBackoffs()
 {
-    while (!m_delays.empty() && std::get<0>(*m_delays.begin()) <= m_nowMs) {
-        const auto [time, number, index] = *m_delays.begin();
-        m_delays.erase(m_delays.begin());
+    while (!m_backoffs.empty() && std::get<0>(*m_backoffs.begin()) <= m_nowMs) {
+        const auto [time, number, index] = *m_backoffs.begin();
+        m_backoffs.erase(m_backoffs.begin());
         // The job may have been cancelled and removed during the backoff.
         const auto job = m_jobs.find(number);
         if (job == m_jobs.end() || job->second.isExpired())
@@ -263,13 +263,13 @@
     Job &job = jobOf(lease);
     job.releaseItem(lease.index, m_nowMs);
     if (backoffMs > 0)
-        m_delays.emplace(m_nowMs + backoffMs, lease.job, lease.index);
+        m_backoffs.emplace(m_nowMs + backoffMs, lease.job, lease.index);
     else
         job.setReady(lease.index);
     updateQueues(job);
 }
 
-std::size_t BatchState::textBytes() const
+std::size_t BatchState::snapshotBytes() const
 {
     std::size_t bytes = m_claims.textBytes();
     for (const auto &[id, file] : m_files)
@@ -282,8 +282,8 @@
 std::string BatchState::serialize() const
 {
     std::string bytes;
-    // Reserves the whole size, because each reallocation would copy all texts.
-    bytes.reserve(textBytes());
+    // The whole size is reserved first, because each reallocation would copy all texts.
+    bytes.reserve(snapshotBytes());
     bytes.append(formatName);
     bytes.append(formatVersion);
     std::uint64_t checksum = 0;
@@ -307,8 +307,8 @@
         job.write(writer);
     m_due.write(writer);
     m_leases.write(writer);
-    writer.number(m_delays.size());
-    for (const auto &[time, number, index] : m_delays) {
+    writer.number(m_backoffs.size());
+    for (const auto &[time, number, index] : m_backoffs) {
         writer.signedNumber(time);
         writer.number(number);
         writer.number(index);
@@ -318,11 +318,11 @@
 
 Result<void> BatchState::deserialize(std::string_view bytes)
 {
-    BOOST_LEAF_AUTO(payload, payloadOf(bytes));
+    BOOST_LEAF_AUTO(payload, checkedPayload(bytes));
     ByteReader reader(payload);
     read(reader);
     if (!reader.ok() || !reader.atEnd())
-        return corruptSnapshot("inconsistent content");
+        return failCorrupt("inconsistent content");
     return {};
 }
 
@@ -334,7 +334,7 @@
     m_due.read(reader, m_jobs);
     m_leases.read(reader);
     checkLeases(reader);
-    readDelays(reader);
+    readBackoffs(reader);
     m_claims.read(reader);
 }
 
@@ -389,18 +389,18 @@
     }
 }
 
-void BatchState::readDelays(ByteReader &reader)
+void BatchState::readBackoffs(ByteReader &reader)
 {
-    const std::size_t delays = reader.count();
-    for (std::size_t count = 0; count < delays; ++count) {
+    const std::size_t backoffs = reader.count();
+    for (std::size_t count = 0; count < backoffs; ++count) {
         const std::int64_t time = reader.signedNumber();
         const Job::Number number = reader.number();
         const std::uint64_t index = reader.number();
         const auto job = m_jobs.find(number);
-        // The job of an outdated delay may already have been removed.
+        // A backoff can outlast its job, so the job may have been removed.
         if (job != m_jobs.end() && index >= job->second.itemCount())
             return reader.setFailed();
-        m_delays.emplace(time, number, static_cast<std::uint32_t>(index));
+        m_backoffs.emplace(time, number, static_cast<std::uint32_t>(index));
     }
 }
 
--- a/src/batch/batchstate.h
+++ b/src/batch/batchstate.h
@@ -18,8 +18,8 @@
 
 namespace rattanrill::batch {
 
-/// Files, jobs, leases and claims of a partition, and the queues that order them by due and expiry
-/// time. All tables are consistent after each public function.
+/// Files, jobs, leases and claims of a partition, and the queues that order them by due time and
+/// expiry time. All tables are consistent after each public function.
 class BatchState
 {
 public:
@@ -33,7 +33,7 @@
     const ItemFile *file(const std::string &fileId) const;
     ItemFile &addFile(ItemFile file);
     void removeFile(const std::string &fileId);
-    /// Marks the file as used now, which restarts its unusedFileRetentionMs.
+    /// Records the file as used now, so that it is kept for another unusedFileRetentionMs.
     void touchFile(ItemFile &file);
 
     /// Returns null if there is no such job.
@@ -68,11 +68,12 @@
     Result<void> deserialize(std::string_view bytes);
 
 private:
-    /// Time at which the item can be leased again, job number and item index.
-    using Delay = std::tuple<std::int64_t, Job::Number, std::uint32_t>;
+    /// Backoff of a released item: the time at which it can be leased again, job number and item
+    /// index.
+    using Backoff = std::tuple<std::int64_t, Job::Number, std::uint32_t>;
 
     void expireLeases();
-    void endDelays();
+    void endBackoffs();
     void expireJobs();
     void expireFiles();
     void handleExpiredLease(LeaseTable::Number number);
@@ -81,12 +82,13 @@
     void releaseFile(const Job &job);
     void eraseJob(Job::Number number);
 
-    std::size_t textBytes() const;
+    /// Estimated size of a snapshot in bytes.
+    std::size_t snapshotBytes() const;
     void write(ByteWriter &writer) const;
     void read(ByteReader &reader);
     void readFiles(ByteReader &reader);
     void readJobs(ByteReader &reader);
-    void readDelays(ByteReader &reader);
+    void readBackoffs(ByteReader &reader);
     void checkLeases(ByteReader &reader) const;
     void indexJob(Job::Number number, const Job &job);
 
@@ -104,7 +106,7 @@
     DueQueue m_due;
     LeaseTable m_leases;
     /// Released items whose backoff has not ended.
-    std::set<Delay> m_delays;
+    std::set<Backoff> m_backoffs;
     ClaimTable m_claims;
 };
 
--- a/src/batch/batchstatemachine.cpp
+++ b/src/batch/batchstatemachine.cpp
@@ -20,17 +20,18 @@
 constexpr std::int64_t maxLeasedItems = 10000;
 constexpr std::int64_t maxLeaseMs = 3600 * 1000;
 constexpr std::int64_t maxBackoffMs = 3600 * 1000;
-constexpr std::int64_t maxKeepMs = 366LL * 24 * 3600 * 1000;
+constexpr std::int64_t maxRetentionMs = 366LL * 24 * 3600 * 1000;
 /// Latest accepted time in milliseconds since the Unix epoch, after the year 4000. A later time can
-/// only come from corrupt data. The limit also prevents overflow when times are added.
+/// only be the result of corrupt data. The limit also prevents an overflow when durations are
+/// added.
 constexpr std::int64_t maxTimeMs = 1LL << 46;
 constexpr std::uint64_t maxResultLines = 10000;
-/// ListJobs returns the newest jobs up to this number. Some thousand jobs end in a partition each
-/// day.
+/// Maximum number of jobs that ListJobs returns; older ones are left out. A few thousand jobs end
+/// in a partition each day.
 constexpr std::size_t maxListedJobs = 1000;
 constexpr std::int64_t maxHttpStatus = 999;
 
-boost::leaf::error_id failWith(ErrorCode code, std::string detail)
+boost::leaf::error_id failNotRun(ErrorCode code, std::string detail)
 {
     return fail(notRun(code, std::move(detail)));
 }
@@ -45,8 +46,9 @@
 {
     for (const NamedText &text : names) {
         if (text.value.empty() || text.value.size() > maxNameBytes) {
-            return failWith(ErrorCode::InvalidRequest,
-                            concat("\"", text.name, "\" must have 1 to ", maxNameBytes, " bytes"));
+            return failNotRun(
+                    ErrorCode::InvalidRequest,
+                    concat("\"", text.name, "\" must have 1 to ", maxNameBytes, " bytes"));
         }
     }
     return {};
@@ -56,8 +58,8 @@
                            std::int64_t high)
 {
     if (value < low || value > high) {
-        return failWith(ErrorCode::InvalidRequest,
-                        concat("\"", name, "\" must be from ", low, " to ", high));
+        return failNotRun(ErrorCode::InvalidRequest,
+                          concat("\"", name, "\" must be from ", low, " to ", high));
     }
     return {};
 }
@@ -67,7 +69,7 @@
     return errorCodeFromName(reason).value_or(ErrorCode::ItemFailed);
 }
 
-bool belongsTo(const std::string &owner, const std::string &workspace)
+bool isVisibleTo(const std::string &owner, const std::string &workspace)
 {
     return workspace.empty() || owner == workspace;
 }
@@ -88,7 +90,7 @@
     return line;
 }
 
-bool isReadable(ItemState state)
+bool isFinal(ItemState state)
 {
     return state != ItemState::Open && state != ItemState::Leased;
 }
@@ -121,7 +123,7 @@
 {
     BOOST_LEAF_CHECK(validateRange("now_ms", command.nowMs, 0, maxTimeMs));
     m_state->advance(command.nowMs);
-    return std::visit([this](const auto &operation) { return perform(operation); },
+    return std::visit([this](const auto &operation) { return execute(operation); },
                       command.operation);
 }
 
@@ -129,7 +131,7 @@
 {
     return wire::encodeCommandResult(outcomeOf([&]() -> QueryResult {
         BOOST_LEAF_AUTO(message, wire::decode<wire::BatchQueryMessage>(bytes));
-        return std::visit([this](const auto &query) { return answer(query); }, message.query);
+        return std::visit([this](const auto &query) { return evaluate(query); }, message.query);
     }));
 }
 
@@ -146,14 +148,14 @@
     return {};
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AppendItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::AppendItems &operation)
 {
     BOOST_LEAF_CHECK(
             validateNames({{"file_id", operation.fileId}, {"workspace", operation.workspace}}));
     ItemFile *file = m_state->file(operation.fileId);
     if (file != nullptr && file->workspace() != operation.workspace) {
-        return failWith(ErrorCode::Conflict,
-                        concat("file id \"", operation.fileId, "\" is used already"));
+        return failNotRun(ErrorCode::Conflict,
+                          concat("file id \"", operation.fileId, "\" is used already"));
     }
     if (file == nullptr) {
         ItemFile created(operation.fileId, operation.workspace);
@@ -168,11 +170,11 @@
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::SealFile &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::SealFile &operation)
 {
     ItemFile *file = m_state->file(operation.fileId);
     if (file == nullptr || file->workspace() != operation.workspace)
-        return failWith(ErrorCode::NotFound, concat("no file \"", operation.fileId, "\""));
+        return failNotRun(ErrorCode::NotFound, concat("no file \"", operation.fileId, "\""));
     BOOST_LEAF_CHECK(file->seal(operation.itemCount, operation.bytes));
     m_state->touchFile(*file);
     BatchResult result;
@@ -180,13 +182,13 @@
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::DropFile &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::DropFile &operation)
 {
     const ItemFile *file = m_state->file(operation.fileId);
     if (file == nullptr)
         return BatchResult();
     if (file->isSealed()) {
-        return failWith(ErrorCode::Conflict, concat("file \"", operation.fileId, "\" is sealed"));
+        return failNotRun(ErrorCode::Conflict, concat("file \"", operation.fileId, "\" is sealed"));
     }
     m_state->removeFile(operation.fileId);
     return BatchResult();
@@ -196,25 +198,26 @@
 {
     const ItemFile *file = std::as_const(*m_state).file(operation.fileId);
     if (file == nullptr || file->workspace() != operation.workspace)
-        return failWith(ErrorCode::NotFound, concat("no file \"", operation.fileId, "\""));
+        return failNotRun(ErrorCode::NotFound, concat("no file \"", operation.fileId, "\""));
     if (!file->isSealed()) {
-        return failWith(ErrorCode::InvalidRequest,
-                        concat("file \"", operation.fileId, "\" is not sealed"));
+        return failNotRun(ErrorCode::InvalidRequest,
+                          concat("file \"", operation.fileId, "\" is not sealed"));
     }
     return {};
 }
 
-/// Returns the job that was already created with the idempotency key or job id of the operation, or
-/// null if there is none.
+/// Returns the job that was already created with the idempotency key or the job id of the
+/// operation, or null if there is none. Fails with Conflict if that job has another file, workspace
+/// or idempotency key.
 Result<Job *> BatchStateMachine::existingJob(const wire::CreateJob &operation)
 {
     Job *job = nullptr;
     if (!operation.idempotencyKey.empty())
         job = m_state->jobByKey(operation.workspace, operation.idempotencyKey);
     if (job != nullptr && job->fileId() != operation.fileId) {
-        return failWith(ErrorCode::Conflict,
-                        concat("idempotency key \"", operation.idempotencyKey,
-                               "\" already identifies a job of file \"", job->fileId(), "\""));
+        return failNotRun(ErrorCode::Conflict,
+                          concat("idempotency key \"", operation.idempotencyKey,
+                                 "\" already identifies a job of file \"", job->fileId(), "\""));
     }
     if (job != nullptr)
         return job;
@@ -224,23 +227,23 @@
             || (job->workspace() == operation.workspace && job->fileId() == operation.fileId
                 && job->idempotencyKey() == operation.idempotencyKey);
     if (!same) {
-        return failWith(ErrorCode::Conflict,
-                        concat("job id \"", operation.jobId, "\" is used already"));
+        return failNotRun(ErrorCode::Conflict,
+                          concat("job id \"", operation.jobId, "\" is used already"));
     }
     return job;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CreateJob &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::CreateJob &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"job_id", operation.jobId},
                                     {"file_id", operation.fileId},
                                     {"workspace", operation.workspace}}));
     BOOST_LEAF_CHECK(validateRange("due_at_ms", operation.dueAtMs, 0, maxTimeMs));
-    BOOST_LEAF_CHECK(validateRange("retention_ms", operation.retentionMs, 0, maxKeepMs));
+    BOOST_LEAF_CHECK(validateRange("retention_ms", operation.retentionMs, 0, maxRetentionMs));
     const bool fits = operation.metadata.size() <= maxMetadataBytes
                       && operation.idempotencyKey.size() <= maxNameBytes;
     if (!fits)
-        return failWith(ErrorCode::InvalidRequest, "metadata or idempotency key is too long");
+        return failNotRun(ErrorCode::InvalidRequest, "metadata or idempotency key is too long");
     BOOST_LEAF_AUTO(job, existingJob(operation));
     if (job == nullptr) {
         BOOST_LEAF_CHECK(checkFileForJob(operation));
@@ -251,14 +254,14 @@
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CancelJob &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::CancelJob &operation)
 {
     BOOST_LEAF_CHECK(findJob(operation.jobId, operation.workspace));
     Job &job = *m_state->job(operation.jobId);
     const wire::JobState state = job.status().state;
     if (state == wire::JobState::Completed) {
-        return failWith(ErrorCode::JobFinished,
-                        concat("job \"", operation.jobId, "\" is completed"));
+        return failNotRun(ErrorCode::JobFinished,
+                          concat("job \"", operation.jobId, "\" is completed"));
     }
     if (state == wire::JobState::InProgress)
         m_state->cancelJob(job);
@@ -267,7 +270,7 @@
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::LeaseItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::LeaseItems &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"holder", operation.holder}}));
     BOOST_LEAF_CHECK(validateRange("lease_ms", operation.leaseMs, 1, maxLeaseMs));
@@ -297,7 +300,7 @@
     return leased;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::RenewLeases &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::RenewLeases &operation)
 {
     BOOST_LEAF_CHECK(validateRange("lease_ms", operation.leaseMs, 1, maxLeaseMs));
     BatchResult result;
@@ -315,7 +318,7 @@
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::ReleaseItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::ReleaseItems &operation)
 {
     BOOST_LEAF_CHECK(validateRange("backoff_ms", operation.backoffMs, 0, maxBackoffMs));
     BatchResult result;
@@ -343,7 +346,7 @@
         m_state->releaseItem(number, operation.backoffMs);
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::CompleteItems &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::CompleteItems &operation)
 {
     BatchResult response;
     for (const wire::ItemResult &result : operation.results) {
@@ -364,32 +367,32 @@
     m_state->finish(result.item.lease, state, {status, result.body, reasonCode(result.reason)});
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::ClaimRequest &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::ClaimRequest &operation)
 {
     BOOST_LEAF_CHECK(validateNames({{"workspace", operation.workspace},
                                     {"idempotency_key", operation.idempotencyKey},
                                     {"request_hash", operation.requestHash},
                                     {"holder", operation.holder}}));
-    BOOST_LEAF_CHECK(validateRange("keep_ms", operation.keepMs, 1, maxKeepMs));
+    BOOST_LEAF_CHECK(validateRange("keep_ms", operation.keepMs, 1, maxRetentionMs));
     BatchResult result;
     BOOST_LEAF_ASSIGN(result.claim, m_state->claims().claim(operation, m_state->nowMs()));
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::FinishClaim &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::FinishClaim &operation)
 {
     BatchResult result;
     BOOST_LEAF_ASSIGN(result.claim, m_state->claims().finish(operation, m_state->nowMs()));
     return result;
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AbandonClaim &operation)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::AbandonClaim &operation)
 {
     BOOST_LEAF_CHECK(m_state->claims().abandon(operation, m_state->nowMs()));
     return BatchResult();
 }
 
-BatchStateMachine::ApplyResult BatchStateMachine::perform(const wire::AdvanceTime &)
+BatchStateMachine::ApplyResult BatchStateMachine::execute(const wire::AdvanceTime &)
 {
     return BatchResult();
 }
@@ -398,12 +401,12 @@
                                                const std::string &workspace) const
 {
     const Job *job = std::as_const(*m_state).job(jobId);
-    if (job == nullptr || !belongsTo(job->workspace(), workspace))
-        return failWith(ErrorCode::NotFound, concat("no job \"", jobId, "\""));
+    if (job == nullptr || !isVisibleTo(job->workspace(), workspace))
+        return failNotRun(ErrorCode::NotFound, concat("no job \"", jobId, "\""));
     return job;
 }
 
-BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadJob &query) const
+BatchStateMachine::QueryResult BatchStateMachine::evaluate(const wire::ReadJob &query) const
 {
     BatchQueryResult result;
     BOOST_LEAF_AUTO(job, findJob(query.jobId, query.workspace));
@@ -411,22 +414,22 @@
     return result;
 }
 
-BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadFile &query) const
+BatchStateMachine::QueryResult BatchStateMachine::evaluate(const wire::ReadFile &query) const
 {
     const ItemFile *file = std::as_const(*m_state).file(query.fileId);
-    if (file == nullptr || !belongsTo(file->workspace(), query.workspace))
-        return failWith(ErrorCode::NotFound, concat("no file \"", query.fileId, "\""));
+    if (file == nullptr || !isVisibleTo(file->workspace(), query.workspace))
+        return failNotRun(ErrorCode::NotFound, concat("no file \"", query.fileId, "\""));
     BatchQueryResult result;
     result.file = file->status();
     return result;
 }
 
-BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ReadResults &query) const
+BatchStateMachine::QueryResult BatchStateMachine::evaluate(const wire::ReadResults &query) const
 {
     BOOST_LEAF_AUTO(job, findJob(query.jobId, query.workspace));
     if (job->isExpired()) {
-        return failWith(ErrorCode::ResultExpired,
-                        concat("results of job \"", query.jobId, "\" were removed"));
+        return failNotRun(ErrorCode::ResultExpired,
+                          concat("results of job \"", query.jobId, "\" were removed"));
     }
     const ItemFile &file = *std::as_const(*m_state).file(job->fileId());
     const std::uint64_t limit = std::min(query.maxItems, maxResultLines);
@@ -435,7 +438,7 @@
     std::size_t bytes = 0;
     std::uint64_t index = query.firstIndex;
     for (; index < job->itemCount(); ++index) {
-        if (!isReadable(job->item(index).state()))
+        if (!isFinal(job->item(index).state()))
             continue;
         if (result.results.size() >= limit || bytes >= maxResponseBytes)
             break;
@@ -446,13 +449,13 @@
     return result;
 }
 
-BatchStateMachine::QueryResult BatchStateMachine::answer(const wire::ListJobs &query) const
+BatchStateMachine::QueryResult BatchStateMachine::evaluate(const wire::ListJobs &query) const
 {
     BatchQueryResult result;
     const auto &jobs = m_state->jobs();
     for (auto job = jobs.rbegin(); job != jobs.rend() && result.jobs.size() < maxListedJobs;
          ++job) {
-        if (belongsTo(job->second.workspace(), query.workspace))
+        if (isVisibleTo(job->second.workspace(), query.workspace))
             result.jobs.push_back(job->second.status());
     }
     std::reverse(result.jobs.begin(), result.jobs.end());
--- a/src/batch/batchstatemachine.h
+++ b/src/batch/batchstatemachine.h
@@ -26,24 +26,24 @@
     using QueryResult = Result<wire::BatchQueryResult>;
 
     ApplyResult applyCommand(const wire::BatchCommand &command);
-    ApplyResult perform(const wire::AppendItems &operation);
-    ApplyResult perform(const wire::SealFile &operation);
-    ApplyResult perform(const wire::DropFile &operation);
-    ApplyResult perform(const wire::CreateJob &operation);
-    ApplyResult perform(const wire::CancelJob &operation);
-    ApplyResult perform(const wire::LeaseItems &operation);
-    ApplyResult perform(const wire::RenewLeases &operation);
-    ApplyResult perform(const wire::ReleaseItems &operation);
-    ApplyResult perform(const wire::CompleteItems &operation);
-    ApplyResult perform(const wire::ClaimRequest &operation);
-    ApplyResult perform(const wire::FinishClaim &operation);
-    ApplyResult perform(const wire::AbandonClaim &operation);
-    ApplyResult perform(const wire::AdvanceTime &operation);
-
-    QueryResult answer(const wire::ReadJob &query) const;
-    QueryResult answer(const wire::ReadFile &query) const;
-    QueryResult answer(const wire::ReadResults &query) const;
-    QueryResult answer(const wire::ListJobs &query) const;
+    ApplyResult execute(const wire::AppendItems &operation);
+    ApplyResult execute(const wire::SealFile &operation);
+    ApplyResult execute(const wire::DropFile &operation);
+    ApplyResult execute(const wire::CreateJob &operation);
+    ApplyResult execute(const wire::CancelJob &operation);
+    ApplyResult execute(const wire::LeaseItems &operation);
+    ApplyResult execute(const wire::RenewLeases &operation);
+    ApplyResult execute(const wire::ReleaseItems &operation);
+    ApplyResult execute(const wire::CompleteItems &operation);
+    ApplyResult execute(const wire::ClaimRequest &operation);
+    ApplyResult execute(const wire::FinishClaim &operation);
+    ApplyResult execute(const wire::AbandonClaim &operation);
+    ApplyResult execute(const wire::AdvanceTime &operation);
+
+    QueryResult evaluate(const wire::ReadJob &query) const;
+    QueryResult evaluate(const wire::ReadFile &query) const;
+    QueryResult evaluate(const wire::ReadResults &query) const;
+    QueryResult evaluate(const wire::ListJobs &query) const;
 
     /// Returns the job with this id. Fails with NotFound if there is none or if it belongs to
     /// another workspace.
--- a/src/batch/claimtable.cpp
+++ b/src/batch/claimtable.cpp
@@ -28,9 +28,9 @@
     const auto existing = m_claims.find(key);
     if (existing == m_claims.end())
         return start(key, request, nowMs);
-    const bool isFree =
+    const bool canStart =
             existing->second.state == State::Abandoned && existing->second.holder != request.holder;
-    return isFree ? start(key, request, nowMs) : claimExisting(existing->second, request);
+    return canStart ? start(key, request, nowMs) : claimExisting(existing->second, request);
 }
 
 Result<wire::ClaimStatus> ClaimTable::claimExisting(const Claim &claim,
--- a/src/batch/claimtable.h
+++ b/src/batch/claimtable.h
@@ -40,11 +40,12 @@
 
     enum class State {
         Running,
-        /// Running for longer than keepMs; its holder is probably lost.
+        /// Running for longer than keepMs; its holder has probably failed.
         Overdue,
         Finished,
-        /// Free for other holders. Kept for abandonedClaimRetentionMs, because otherwise a delayed
-        /// copy of the holder's ClaimRequest would start a claim that no one ends.
+        /// Other holders can claim the key. The entry is kept for abandonedClaimRetentionMs,
+        /// because otherwise a delayed copy of the holder's ClaimRequest would start a claim that
+        /// nobody ends.
         Abandoned,
     };
 
@@ -72,7 +73,9 @@
     void indexClaim(const Key &key, const Claim &claim);
 
     std::map<Key, Claim> m_claims;
+    /// Claims that are not overdue, ordered by expiry time.
     std::set<std::pair<std::int64_t, Key>> m_expiry;
+    /// Number of running claims without the overdue ones.
     std::size_t m_running = 0;
     std::size_t m_textBytes = 0;
 };
--- a/src/batch/duequeue.h
+++ b/src/batch/duequeue.h
@@ -24,16 +24,17 @@
     void remove(const Job &job);
     /// Returns the job whose item is leased next.
     std::optional<Job::Number> next() const;
-    /// Ends the turn of the workspace of next(). Requires a queued job.
+    /// Moves the workspace of next() to the end of the round-robin order. Requires a queued job.
     void endTurn();
 
     void write(ByteWriter &writer) const;
-    /// \a jobs holds all jobs of the partition.
+    /// \a jobs must contain all jobs of the partition.
     void read(ByteReader &reader, const std::map<Job::Number, Job> &jobs);
 
 private:
     struct Workspace
     {
+        /// Key of the workspace in Group::turns.
         std::uint64_t turn = 0;
         std::set<Job::Number> jobs;
     };
@@ -42,6 +43,7 @@
     struct Group
     {
         std::map<std::string, Workspace> workspaces;
+        /// Names of the workspaces in round-robin order.
         std::map<std::uint64_t, std::string> turns;
         std::uint64_t nextTurn = 0;
     };
--- a/src/batch/itemfile.cpp
+++ b/src/batch/itemfile.cpp
@@ -60,14 +60,14 @@
     }
     const std::size_t storedCount = std::min(items.size(), m_positions.size() - firstIndex);
     for (std::size_t offset = 0; offset < storedCount; ++offset)
-        BOOST_LEAF_CHECK(checkSame(firstIndex + offset, items[offset]));
-    BOOST_LEAF_CHECK(checkNew(items, storedCount));
+        BOOST_LEAF_CHECK(checkMatchesStored(firstIndex + offset, items[offset]));
+    BOOST_LEAF_CHECK(validateNewItems(items, storedCount));
     for (std::size_t offset = storedCount; offset < items.size(); ++offset)
         appendItem(items[offset]);
     return {};
 }
 
-Result<void> ItemFile::checkSame(std::uint64_t index, const wire::ItemSpec &spec) const
+Result<void> ItemFile::checkMatchesStored(std::uint64_t index, const wire::ItemSpec &spec) const
 {
     const Item stored = item(index);
     const bool same =
@@ -77,8 +77,8 @@
     return {};
 }
 
-Result<void> ItemFile::checkNew(const std::vector<wire::ItemSpec> &items,
-                                std::size_t storedCount) const
+Result<void> ItemFile::validateNewItems(const std::vector<wire::ItemSpec> &items,
+                                        std::size_t storedCount) const
 {
     if (storedCount == items.size())
         return {};
@@ -110,10 +110,10 @@
     header.customIdBytes = static_cast<std::uint16_t>(spec.customId.size());
     header.urlIndex = urlIndex(spec.url);
     header.bodyBytes = static_cast<std::uint32_t>(spec.body.size());
-    std::string head(sizeof header, '\0');
-    std::memcpy(head.data(), &header, sizeof header);
-    head += spec.customId;
-    m_positions.push_back(m_texts.append(head, spec.body));
+    std::string headerAndCustomId(sizeof header, '\0');
+    std::memcpy(headerAndCustomId.data(), &header, sizeof header);
+    headerAndCustomId += spec.customId;
+    m_positions.push_back(m_texts.append(headerAndCustomId, spec.body));
     m_customIds.insert(stableHash(spec.customId));
 }
 
@@ -193,10 +193,10 @@
     for (std::size_t index = 0; index < items; ++index) {
         position += reader.number();
         ItemHeader header{};
-        const std::string_view head = m_texts.at(position, sizeof header);
-        if (head.size() != sizeof header)
+        const std::string_view headerBytes = m_texts.at(position, sizeof header);
+        if (headerBytes.size() != sizeof header)
             return reader.setFailed();
-        std::memcpy(&header, head.data(), sizeof header);
+        std::memcpy(&header, headerBytes.data(), sizeof header);
         if (header.urlIndex >= m_urls.size())
             return reader.setFailed();
         m_positions.push_back(position);
--- a/src/batch/itemfile.h
+++ b/src/batch/itemfile.h
@@ -14,8 +14,8 @@
 
 namespace rattanrill::batch {
 
-/// An uploaded file. In addition to its texts, an item takes 8 bytes for its position and 8 bytes
-/// for its header. Each distinct URL is stored once.
+/// An uploaded file. An item takes 8 bytes for its position and 8 bytes for its header in addition
+/// to its texts. Each distinct URL is stored once.
 class ItemFile
 {
 public:
@@ -54,8 +54,11 @@
     std::int64_t lastUsedMs = 0;
 
 private:
-    Result<void> checkSame(std::uint64_t index, const wire::ItemSpec &spec) const;
-    Result<void> checkNew(const std::vector<wire::ItemSpec> &items, std::size_t storedCount) const;
+    /// Fails with Conflict if \a spec differs from the stored item \a index.
+    Result<void> checkMatchesStored(std::uint64_t index, const wire::ItemSpec &spec) const;
+    /// Checks the items of a range that follow its first \a storedCount items.
+    Result<void> validateNewItems(const std::vector<wire::ItemSpec> &items,
+                                  std::size_t storedCount) const;
     void appendItem(const wire::ItemSpec &spec);
     std::uint16_t urlIndex(const std::string &url);
 
@@ -66,7 +69,8 @@
     TextStore m_texts;
     std::vector<TextStore::Position> m_positions;
     std::vector<std::string> m_urls;
-    /// Hashes of the custom ids, kept until the file is sealed. Only looked up, never iterated.
+    /// Hashes of the custom ids, kept until the file is sealed. The set is only used for look-ups,
+    /// because its iteration order differs between processes.
     absl::flat_hash_set<std::uint64_t> m_customIds;
 };
 
--- a/src/batch/job.cpp
+++ b/src/batch/job.cpp
@@ -40,7 +40,7 @@
 bool Job::hasOpenItem() const
 {
     const bool running = m_state == JobState::InProgress;
-    return running && (!m_readyItems.empty() || m_cursor < m_items.size());
+    return running && (!m_readyItems.empty() || m_firstNeverLeased < m_items.size());
 }
 
 std::string_view Job::resultBody(const Item &item) const
@@ -48,10 +48,10 @@
     if (!isFinished(item.state()))
         return {};
     std::uint32_t size = 0;
-    const std::string_view head = m_results.at(item.result, sizeof size);
-    if (head.size() != sizeof size)
+    const std::string_view sizeBytes = m_results.at(item.result, sizeof size);
+    if (sizeBytes.size() != sizeof size)
         return {};
-    std::memcpy(&size, head.data(), sizeof size);
+    std::memcpy(&size, sizeBytes.data(), sizeof size);
     return m_results.at(item.result + sizeof size, size);
 }
 
@@ -74,9 +74,9 @@
 
 std::uint32_t Job::leaseNext()
 {
-    std::uint32_t index = m_cursor;
+    std::uint32_t index = m_firstNeverLeased;
     if (m_readyItems.empty()) {
-        ++m_cursor;
+        ++m_firstNeverLeased;
     } else {
         index = m_readyItems.front();
         m_readyItems.pop_front();
@@ -108,9 +108,9 @@
 {
     Item &item = m_items[index];
     const auto size = static_cast<std::uint32_t>(result.body.size());
-    char head[sizeof size];
-    std::memcpy(head, &size, sizeof size);
-    item.result = m_results.append(std::string_view(head, sizeof head), result.body);
+    char sizeBytes[sizeof size];
+    std::memcpy(sizeBytes, &size, sizeof size);
+    item.result = m_results.append(std::string_view(sizeBytes, sizeof sizeBytes), result.body);
     item.status = static_cast<std::uint16_t>(result.status);
     item.setState(state);
     item.setReason(result.reason);
@@ -136,7 +136,7 @@
     m_expired = true;
     m_items = {};
     m_results = {};
-    m_cursor = 0;
+    m_firstNeverLeased = 0;
 }
 
 void Job::endIfDone(std::int64_t nowMs)
@@ -167,7 +167,7 @@
     writer.number(m_items.size());
     for (const Item &item : m_items)
         writeItem(writer, item);
-    writer.number(m_cursor);
+    writer.number(m_firstNeverLeased);
     writer.number(m_readyItems.size());
     for (const std::uint32_t index : m_readyItems)
         writer.number(index);
@@ -175,8 +175,8 @@
 
 void Job::writeItem(ByteWriter &writer, const Item &item) const
 {
-    // The state byte also encodes whether counts follow, because most items have no failed attempts
-    // or expired leases.
+    // The state also encodes whether counts follow, because most items have no failed attempts or
+    // expired leases.
     const bool hasAttempts = item.failedAttempts > 0 || item.expiredLeases > 0;
     writer.number(static_cast<std::uint64_t>(item.state()) + (hasAttempts ? itemStateCount : 0));
     if (hasAttempts) {
@@ -187,7 +187,8 @@
         writer.number(item.result);
         writer.number(item.status);
     }
-    // Written by name, because the numeric values of the codes may change between versions.
+    // The code is written by name, because the numeric values of the codes may change between
+    // versions.
     if (item.state() == ItemState::Failed)
         writer.text(name(item.reason()));
 }
@@ -228,7 +229,7 @@
         *count = reader.number();
     m_results.read(reader);
     readItems(reader);
-    m_cursor = static_cast<std::uint32_t>(reader.numberBelow(m_items.size() + 1));
+    m_firstNeverLeased = static_cast<std::uint32_t>(reader.numberBelow(m_items.size() + 1));
     readReadyItems(reader);
     if (!m_expired && !isConsistent())
         reader.setFailed();
@@ -238,14 +239,15 @@
 {
     const std::size_t readyItems = reader.count();
     for (std::size_t count = 0; count < readyItems; ++count) {
-        const std::uint64_t index = reader.numberBelow(m_cursor);
+        const std::uint64_t index = reader.numberBelow(m_firstNeverLeased);
         if (!reader.ok() || m_items[index].state() != ItemState::Open)
             return reader.setFailed();
         m_readyItems.push_back(static_cast<std::uint32_t>(index));
     }
 }
 
-/// Whether counts and state match the items and no item from m_cursor on was leased.
+/// Returns whether counts and state match the items, and whether no item from m_firstNeverLeased on
+/// is leased or finished.
 bool Job::isConsistent() const
 {
     std::array<std::uint64_t, itemStateCount> counts{};
@@ -259,7 +261,7 @@
                             && count(ItemState::Cancelled) == m_cancelled;
     const bool unfinished = count(ItemState::Open) + count(ItemState::Leased) > 0;
     const bool restNeverLeased =
-            std::all_of(m_items.begin() + m_cursor, m_items.end(), [](const Item &item) {
+            std::all_of(m_items.begin() + m_firstNeverLeased, m_items.end(), [](const Item &item) {
                 return item.state() == ItemState::Open || item.state() == ItemState::Cancelled;
             });
     return sameCounts && unfinished != isEnded() && restNeverLeased;
--- a/src/batch/job.h
+++ b/src/batch/job.h
@@ -113,8 +113,8 @@
     std::uint64_t m_cancelled = 0;
     std::vector<Item> m_items;
     TextStore m_results;
-    /// Index of the first item that was never leased; all later items were not leased either.
-    std::uint32_t m_cursor = 0;
+    /// Index of the first item that was never leased; no later item was leased either.
+    std::uint32_t m_firstNeverLeased = 0;
     /// Released items that can be leased again.
     std::deque<std::uint32_t> m_readyItems;
 };
--- a/src/batch/main_bench.cpp
+++ b/src/batch/main_bench.cpp
@@ -26,8 +26,8 @@
 constexpr std::int64_t itemsPerLease = 64;
 constexpr std::size_t requestBytes = 600;
 constexpr std::size_t resultBytes = 800;
-constexpr std::size_t workspaces = 6300;
-constexpr int singleChanges = 1000;
+constexpr std::size_t workspaceCount = 6300;
+constexpr int measuredChanges = 1000;
 
 double heapBytes()
 {
@@ -53,8 +53,8 @@
 template <typename Message>
 Message unpack(const std::string &bytes)
 {
-    const auto answer = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
-    const std::string &body = answer.value().body;
+    const auto response = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
+    const std::string &body = response.value().body;
     return outcomeOf([&] { return wire::decode<Message>(body); }).value();
 }
 
@@ -97,11 +97,11 @@
     std::string apply(const wire::BatchOperation &operation, Timing &timing, std::size_t items)
     {
         const std::string command = wire::encode(wire::BatchCommand{m_nowMs, operation});
-        std::string answer;
-        timing.seconds += secondsOf([&] { answer = m_machine->apply(++m_index, command); });
+        std::string response;
+        timing.seconds += secondsOf([&] { response = m_machine->apply(++m_index, command); });
         timing.commands += 1;
         timing.items += static_cast<double>(items);
-        return answer;
+        return response;
     }
 
     static void printTiming(const std::string &name, const Timing &timing)
@@ -140,11 +140,11 @@
         Timing completing;
         const std::string body(resultBytes, 'a');
         while (m_completedItems < items) {
-            const std::string answer =
+            const std::string response =
                     apply(wire::LeaseItems{"entry-1", itemsPerLease, 5000}, leasing, itemsPerLease);
             wire::CompleteItems complete;
             wire::RenewLeases renew{"entry-1", 5000, {}};
-            for (const wire::LeasedItem &leased : unpack<wire::BatchResult>(answer).leased) {
+            for (const wire::LeasedItem &leased : unpack<wire::BatchResult>(response).leased) {
                 complete.results.push_back({leased.item, false, 200, body, ""});
                 renew.items.push_back(leased.item);
             }
@@ -207,21 +207,21 @@
     {
         const double before = heapBytes();
         double seconds = 0;
-        for (std::size_t index = 0; index < workspaces; ++index) {
+        for (std::size_t index = 0; index < workspaceCount; ++index) {
             const std::string workspace = concat("workspace-", index);
-            seconds += apply(wire::PutContract{contractOf(workspace, 1)}, concat("c-", index));
+            seconds += apply(wire::PutContract{makeContract(workspace, 1)}, concat("c-", index));
             seconds += apply(wire::AddKey{{concat("key-", index), sha256Hex(workspace), workspace}},
                              concat("k-", index));
         }
-        print("directory_writes", {{"writes", 2 * workspaces},
-                                   {"us_per_write", seconds / workspaces / 2 * 1e6},
+        print("directory_writes", {{"writes", 2 * workspaceCount},
+                                   {"us_per_write", seconds / workspaceCount / 2 * 1e6},
                                    {"heap_bytes", heapBytes() - before}});
         snapshot();
-        followChanges();
+        measureViewUpdates();
     }
 
 private:
-    static wire::Contract contractOf(const std::string &workspace, double rate)
+    static wire::Contract makeContract(const std::string &workspace, double rate)
     {
         wire::Contract contract;
         contract.workspace = workspace;
@@ -251,28 +251,28 @@
                                      {"restore_ms", restoreSeconds * 1e3}});
     }
 
-    directory::DirectoryView pollChanges(const directory::DirectoryView &view)
+    directory::DirectoryView updatedView(const directory::DirectoryView &view)
     {
         const std::string query = wire::encode(wire::DirectoryQuery{view.revision()});
         const auto response = unpack<wire::PollChangesResponse>(m_machine->query(query));
         return outcomeOf([&] { return view.withChanges(response); }).value();
     }
 
-    void followChanges()
+    void measureViewUpdates()
     {
         const double before = heapBytes();
         directory::DirectoryView view;
-        const double firstSeconds = secondsOf([&] { view = pollChanges(view); });
+        const double firstSeconds = secondsOf([&] { view = updatedView(view); });
         const double bytes = heapBytes() - before;
         double changeSeconds = 0;
-        for (int change = 0; change < singleChanges; ++change) {
+        for (int change = 0; change < measuredChanges; ++change) {
             const std::string id = concat("workspace-", change);
-            apply(wire::PutContract{contractOf(id, 2)}, concat("change-", change));
-            changeSeconds += secondsOf([&] { view = pollChanges(view); });
+            apply(wire::PutContract{makeContract(id, 2)}, concat("change-", change));
+            changeSeconds += secondsOf([&] { view = updatedView(view); });
         }
         print("directory_view", {{"heap_bytes", bytes},
                                  {"first_view_ms", firstSeconds * 1e3},
-                                 {"us_per_change", changeSeconds / singleChanges * 1e6}});
+                                 {"us_per_change", changeSeconds / measuredChanges * 1e6}});
     }
 
     std::unique_ptr<replication::StateMachine> m_machine;
--- a/src/batch/textstore.cpp
+++ b/src/batch/textstore.cpp
@@ -55,7 +55,7 @@
     for (std::size_t index = 0; index < blocks; ++index) {
         const std::string_view text = reader.text();
         std::string &block = m_blocks.emplace_back();
-        // All blocks but the first have at least this capacity, as blockFor() creates them.
+        // Like in blockFor(), all blocks except the first have at least this capacity.
         if (index > 0 && text.size() < blockBytes)
             block.reserve(blockBytes);
         block.append(text);
--- a/src/batch/textstore.h
+++ b/src/batch/textstore.h
@@ -11,8 +11,8 @@
 
 namespace rattanrill::batch {
 
-/// Append-only store of texts in large blocks. This avoids an allocation for each text as well as
-/// the copies and spare capacity of a single growing string.
+/// Append-only store of texts in large blocks. It avoids an allocation for each text, and also the
+/// copies and unused capacity of a single growing string.
 class TextStore
 {
 public:
--- a/tests/batch/batchdriver.cpp
+++ b/tests/batch/batchdriver.cpp
@@ -13,12 +13,12 @@
 template <typename Message>
 Outcome<Message> unpack(const std::string &bytes)
 {
-    const auto answer = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
-    if (!answer.ok())
-        return answer.failure();
-    if (answer.value().failure.failed)
-        return wire::fromMessage(answer.value().failure);
-    return outcomeOf([&] { return wire::decode<Message>(answer.value().body); });
+    const auto response = outcomeOf([&] { return wire::decode<wire::CommandResult>(bytes); });
+    if (!response.ok())
+        return response.failure();
+    if (response.value().failure.failed)
+        return wire::fromMessage(response.value().failure);
+    return outcomeOf([&] { return wire::decode<Message>(response.value().body); });
 }
 
 } // namespace
--- a/tests/batch/batchmodel.cpp
+++ b/tests/batch/batchmodel.cpp
@@ -11,10 +11,10 @@
 using wire::ItemState;
 
 std::string BatchModel::observe(std::int64_t nowMs, const wire::BatchOperation &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     advance(nowMs);
-    return std::visit([&](const auto &specific) { return observe(specific, answer); }, operation);
+    return std::visit([&](const auto &specific) { return observe(specific, response); }, operation);
 }
 
 void BatchModel::advance(std::int64_t nowMs)
@@ -74,16 +74,16 @@
 }
 
 std::string BatchModel::observe(const wire::CreateJob &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     const auto [jobKey, added] =
             m_jobKeys.try_emplace({operation.workspace, operation.idempotencyKey}, operation.jobId);
     const bool sameFile = added || m_jobs.at(jobKey->second).fileId == operation.fileId;
-    if (answer.ok() != sameFile)
+    if (response.ok() != sameFile)
         return "an idempotency key was accepted for a second file, or rejected for its own";
-    if (!answer.ok())
+    if (!response.ok())
         return {};
-    if (answer.value().job.jobId != jobKey->second)
+    if (response.value().job.jobId != jobKey->second)
         return "a resent CreateJob created a second job";
     if (added) {
         m_jobs[operation.jobId] = {operation.workspace, operation.fileId, operation.dueAtMs, false,
@@ -93,9 +93,9 @@
 }
 
 std::string BatchModel::observe(const wire::CancelJob &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
-    if (!answer.ok() || m_jobs.count(operation.jobId) == 0)
+    if (!response.ok() || m_jobs.count(operation.jobId) == 0)
         return {};
     Job &job = m_jobs.at(operation.jobId);
     job.cancelled = true;
@@ -107,9 +107,9 @@
 }
 
 std::string BatchModel::observe(const wire::LeaseItems &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
-    for (const wire::LeasedItem &leased : answer.value().leased) {
+    for (const wire::LeasedItem &leased : response.value().leased) {
         Job &job = m_jobs.at(leased.item.jobId);
         Item &item = job.items.at(leased.item.index);
         if (!isReady(job, item))
@@ -126,13 +126,13 @@
         item.expiresAtMs = m_nowMs + operation.leaseMs;
     }
     const bool limitReached =
-            answer.value().leased.size() == static_cast<std::size_t>(operation.maxItems);
+            response.value().leased.size() == static_cast<std::size_t>(operation.maxItems);
     const bool hasReadyItem = earliestDueAtMs() != std::numeric_limits<std::int64_t>::max();
     return !limitReached && hasReadyItem ? "an open item was not leased" : "";
 }
 
 std::string BatchModel::observe(const wire::RenewLeases &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     std::size_t lost = 0;
     for (const wire::ItemRef &ref : operation.items) {
@@ -145,11 +145,11 @@
         else if (held)
             endLease(m_jobs.at(ref.jobId), *item);
     }
-    return answer.value().lost.size() == lost ? "" : "wrong number of lost leases";
+    return response.value().lost.size() == lost ? "" : "wrong number of lost leases";
 }
 
 std::string BatchModel::observe(const wire::ReleaseItems &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     std::size_t accepted = 0;
     for (const wire::ItemRef &ref : operation.items) {
@@ -167,11 +167,11 @@
             item->reason = operation.reason;
         }
     }
-    return answer.value().accepted == accepted ? "" : "wrong number of released items";
+    return response.value().accepted == accepted ? "" : "wrong number of released items";
 }
 
 std::string BatchModel::observe(const wire::CompleteItems &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     std::size_t accepted = 0;
     for (const wire::ItemResult &result : operation.results) {
@@ -183,52 +183,52 @@
         item->body = result.body;
         item->reason = result.reason;
     }
-    if (answer.value().accepted > accepted)
+    if (response.value().accepted > accepted)
         return "a result without a current lease was accepted";
-    const bool allAccepted = answer.value().accepted == accepted
-                             && answer.value().dropped == operation.results.size() - accepted;
+    const bool allAccepted = response.value().accepted == accepted
+                             && response.value().dropped == operation.results.size() - accepted;
     return allAccepted ? "" : "a result with a current lease was dropped";
 }
 
 std::string BatchModel::observe(const wire::ClaimRequest &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     const auto existing = m_claims.find(operation.idempotencyKey);
     const bool abandoned = existing != m_claims.end() && existing->second.abandoned;
     if (abandoned && existing->second.holder == operation.holder)
-        return answer.ok() ? "a holder won a claim that it had abandoned" : "";
+        return response.ok() ? "a holder won a claim that it had abandoned" : "";
     if (abandoned)
         m_claims.erase(existing);
     const auto [claim, added] =
             m_claims.try_emplace(operation.idempotencyKey, Claim{operation.holder, "", 0, false});
-    const wire::ClaimStatus &status = answer.value().claim;
+    const wire::ClaimStatus &status = response.value().claim;
     const bool running = claim->second.expiresAtMs == 0;
     const bool mayRun = running && claim->second.holder == operation.holder;
     if (status.won != mayRun)
         return "a claim was won by a second holder, or refused to its own holder";
-    const bool sameResponse = running || status.body == claim->second.answer;
+    const bool sameResponse = running || status.body == claim->second.response;
     return sameResponse ? "" : "a finished claim returned a different response";
 }
 
 std::string BatchModel::observe(const wire::FinishClaim &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
     const auto claim = m_claims.find(operation.idempotencyKey);
     const bool isHolder = claim != m_claims.end() && claim->second.holder == operation.holder
                           && !claim->second.abandoned;
-    if (isHolder != answer.ok())
+    if (isHolder != response.ok())
         return "a claim was finished by another holder, or not by its own holder";
     if (isHolder && claim->second.expiresAtMs == 0) {
-        claim->second.answer = operation.body;
+        claim->second.response = operation.body;
         claim->second.expiresAtMs = m_nowMs + 5000;
     }
     return {};
 }
 
 std::string BatchModel::observe(const wire::AbandonClaim &operation,
-                                const Outcome<wire::BatchResult> &answer)
+                                const Outcome<wire::BatchResult> &response)
 {
-    if (answer.ok()) {
+    if (response.ok()) {
         m_claims[operation.idempotencyKey] = {operation.holder, "",
                                               m_nowMs + abandonedClaimRetentionMs, true};
     }
--- a/tests/batch/batchmodel.h
+++ b/tests/batch/batchmodel.h
@@ -11,8 +11,8 @@
 
 namespace rattanrill::batch {
 
-/// Reference model of the responses that a partition may give. It examines all items at each step
-/// and does not use the queues of the state machine.
+/// Reference model of the responses that a partition may return. At each step it examines all
+/// items; it has no queues like the state machine.
 class BatchModel
 {
 public:
@@ -43,7 +43,7 @@
     /// Applies a command to the model and checks the response. Returns a description of the fault,
     /// or an empty text if there is none.
     std::string observe(std::int64_t nowMs, const wire::BatchOperation &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     /// Compares the status of a job with the model. Returns a description of the fault or an empty
     /// text.
     std::string checkStatus(const wire::JobStatus &status) const;
@@ -57,7 +57,7 @@
     struct Claim
     {
         std::string holder;
-        std::string answer;
+        std::string response;
         /// Time at which a finished or abandoned claim is removed; 0 while the claim runs.
         std::int64_t expiresAtMs = 0;
         bool abandoned = false;
@@ -68,22 +68,24 @@
     Item *findLeased(const wire::ItemRef &ref);
     bool isReady(const Job &job, const Item &item) const;
     std::int64_t earliestDueAtMs() const;
-    std::string observe(const wire::CreateJob &operation, const Outcome<wire::BatchResult> &answer);
-    std::string observe(const wire::CancelJob &operation, const Outcome<wire::BatchResult> &answer);
+    std::string observe(const wire::CreateJob &operation,
+                        const Outcome<wire::BatchResult> &response);
+    std::string observe(const wire::CancelJob &operation,
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::LeaseItems &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::RenewLeases &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::ReleaseItems &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::CompleteItems &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::ClaimRequest &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::FinishClaim &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     std::string observe(const wire::AbandonClaim &operation,
-                        const Outcome<wire::BatchResult> &answer);
+                        const Outcome<wire::BatchResult> &response);
     template <typename Operation>
     std::string observe(const Operation &, const Outcome<wire::BatchResult> &)
     {
--- a/tests/batch/model_test.cpp
+++ b/tests/batch/model_test.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr unsigned seeds = 40;
-constexpr int steps = 400;
+constexpr unsigned seedCount = 40;
+constexpr int stepCount = 400;
 
 /// State machine with an injected fault: a function modifies each command before it is applied.
 class FaultyMachine : public replication::StateMachine
@@ -40,13 +40,13 @@
         wire::BatchCommand command =
                 outcomeOf([&] { return wire::decode<wire::BatchCommand>(bytes); }).value();
         m_rewrite(command.operation, m_leases);
-        std::string answer = m_machine->apply(index, wire::encode(command));
-        const Outcome<wire::BatchResult> result = unpackResult(answer);
+        std::string response = m_machine->apply(index, wire::encode(command));
+        const Outcome<wire::BatchResult> result = unpackResult(response);
         if (result.ok()) {
             for (const wire::LeasedItem &leased : result.value().leased)
                 m_leases[{leased.item.jobId, leased.item.index}] = leased.item.lease;
         }
-        return answer;
+        return response;
     }
     std::string query(std::string_view query) const override { return m_machine->query(query); }
     std::string snapshot() const override { return m_machine->snapshot(); }
@@ -97,16 +97,16 @@
     const bool queries = compare == Compare::CommandsAndQueries;
     uploadFiles(driver, model);
     driver.nowMs = 1000000;
-    for (int step = 0; step < steps; ++step) {
+    for (int step = 0; step < stepCount; ++step) {
         driver.nowMs += static_cast<std::int64_t>(commands.randomBelow(200));
         // The clock of a new leader may be behind that of the previous one.
         if (commands.randomBelow(10) == 0)
             driver.nowMs -= static_cast<std::int64_t>(commands.randomBelow(1000));
         const wire::BatchOperation operation = commands.next();
-        const Outcome<wire::BatchResult> answer = driver.apply(operation);
-        if (answer.ok())
-            commands.recordLeases(answer.value());
-        std::string fault = model.observe(driver.nowMs, operation, answer);
+        const Outcome<wire::BatchResult> response = driver.apply(operation);
+        if (response.ok())
+            commands.recordLeases(response.value());
+        std::string fault = model.observe(driver.nowMs, operation, response);
         if (fault.empty() && queries && step % 8 == 0)
             fault = checkJobs(driver, model);
         if (!fault.empty())
@@ -119,7 +119,7 @@
 /// responses to commands, or an empty text.
 std::string firstFault(const FaultyMachine::Rewrite &rewrite)
 {
-    for (unsigned seed = 1; seed <= seeds; ++seed) {
+    for (unsigned seed = 1; seed <= seedCount; ++seed) {
         BatchDriver driver(std::make_unique<FaultyMachine>(rewrite));
         std::string fault = runAgainstModel(driver, seed, Compare::Commands);
         if (!fault.empty())
@@ -132,11 +132,12 @@
 
 BOOST_AUTO_TEST_SUITE(ModelTest)
 
-// Guards against orders of commands, resends, outdated leases and expiries that break exactly-once
-// completion (R1), cancellation (R2), the single run of a claimed request (R10) or the item counts.
+// Guards against sequences of commands, resends, outdated leases and expiries that break
+// exactly-once completion (R1), cancellation (R2), the single run of a claimed request (R10) or the
+// item counts.
 BOOST_AUTO_TEST_CASE(randomCommandsAgreeWithModel)
 {
-    for (unsigned seed = 1; seed <= seeds; ++seed) {
+    for (unsigned seed = 1; seed <= seedCount; ++seed) {
         BatchDriver driver;
         BOOST_TEST(runAgainstModel(driver, seed, Compare::CommandsAndQueries) == "");
     }
@@ -146,20 +147,20 @@
 // at random must return the same bytes as one that is never restored.
 BOOST_AUTO_TEST_CASE(restoredReplicaRespondsIdentically)
 {
-    for (unsigned seed = 1; seed <= seeds; ++seed) {
+    for (unsigned seed = 1; seed <= seedCount; ++seed) {
         RandomCommands commands(seed);
         BatchModel model;
         BatchDriver reference;
         BatchDriver restarting;
         uploadFiles(reference, model);
         uploadFiles(restarting, model);
-        for (int step = 0; step < steps; ++step) {
+        for (int step = 0; step < stepCount; ++step) {
             reference.nowMs += static_cast<std::int64_t>(commands.randomBelow(200));
             restarting.nowMs = reference.nowMs;
             const wire::BatchOperation operation = commands.next();
-            const std::string answer = reference.applyBytes(operation);
-            BOOST_REQUIRE(answer == restarting.applyBytes(operation));
-            const Outcome<wire::BatchResult> result = unpackResult(answer);
+            const std::string response = reference.applyBytes(operation);
+            BOOST_REQUIRE(response == restarting.applyBytes(operation));
+            const Outcome<wire::BatchResult> result = unpackResult(response);
             if (result.ok())
                 commands.recordLeases(result.value());
             if (commands.randomBelow(10) == 0)
--- a/tests/batch/randomcommands.cpp
+++ b/tests/batch/randomcommands.cpp
@@ -15,13 +15,13 @@
     return m_sent.back();
 }
 
-void RandomCommands::recordLeases(const wire::BatchResult &answer)
+void RandomCommands::recordLeases(const wire::BatchResult &response)
 {
-    for (const wire::LeasedItem &leased : answer.leased)
+    for (const wire::LeasedItem &leased : response.leased)
         m_items.push_back(leased.item);
 }
 
-std::vector<wire::ItemRef> RandomCommands::someItems()
+std::vector<wire::ItemRef> RandomCommands::randomItems()
 {
     std::vector<wire::ItemRef> items;
     const std::size_t count = m_items.empty() ? 0 : 1 + randomBelow(4);
@@ -38,8 +38,8 @@
         const std::size_t file = randomBelow(files);
         const std::string jobId = "job-" + std::to_string(m_jobs++);
         const std::int64_t dueAtMs = 100 + 100 * static_cast<std::int64_t>(randomBelow(3));
-        // Keys repeat: some commands use an earlier key with another job id, some with another
-        // file.
+        // The keys repeat, so that some commands use an earlier key with another job id and some
+        // with another file.
         const std::string jobKey = "job-key-" + std::to_string(randomBelow(40));
         return wire::CreateJob{jobId, workspaceOf(file), fileId(file), jobKey, dueAtMs, 1000000000,
                                ""};
@@ -52,13 +52,13 @@
         return wire::LeaseItems{holder(), static_cast<std::int64_t>(1 + randomBelow(6)),
                                 static_cast<std::int64_t>(200 + randomBelow(2000))};
     if (choice < 52)
-        return wire::RenewLeases{holder(), 1000, someItems()};
+        return wire::RenewLeases{holder(), 1000, randomItems()};
     if (choice < 66)
-        return wire::ReleaseItems{someItems(), randomBelow(2) == 0, reason(),
+        return wire::ReleaseItems{randomItems(), randomBelow(2) == 0, reason(),
                                   static_cast<std::int64_t>(randomBelow(3) * 100)};
     if (choice < 85) {
         wire::CompleteItems complete;
-        for (const wire::ItemRef &item : someItems()) {
+        for (const wire::ItemRef &item : randomItems()) {
             const bool failed = randomBelow(6) == 0;
             complete.results.push_back({item, failed, 200,
                                         "body-" + std::to_string(randomBelow(1000)),
--- a/tests/batch/randomcommands.h
+++ b/tests/batch/randomcommands.h
@@ -8,8 +8,8 @@
 
 namespace rattanrill::batch {
 
-/// Generates commands of several clients that lose responses, resend earlier commands and use
-/// outdated leases.
+/// Generates the commands of several clients that lose responses, send earlier commands again and
+/// use outdated leases.
 class RandomCommands
 {
 public:
@@ -19,7 +19,7 @@
 
     wire::BatchOperation next();
     /// Records the leases in a response, so that later commands use them.
-    void recordLeases(const wire::BatchResult &answer);
+    void recordLeases(const wire::BatchResult &response);
     /// Returns a random number from 0 to \a end - 1.
     std::size_t randomBelow(std::size_t end) { return m_random() % end; }
 
@@ -31,7 +31,7 @@
 
 private:
     wire::BatchOperation makeCommand();
-    std::vector<wire::ItemRef> someItems();
+    std::vector<wire::ItemRef> randomItems();
     std::string holder() { return "e-" + std::to_string(randomBelow(3)); }
     std::string key() { return "key-" + std::to_string(randomBelow(4)); }
     std::string reason() { return randomBelow(2) == 0 ? "timeout" : "upstream_failed"; }
