--- a/include/rattanrill/wire/batchmessages.h
+++ b/include/rattanrill/wire/batchmessages.h
@@ -88,13 +88,13 @@
     /// The caller's Idempotency-Key. Within a workspace, the same key identifies the same job.
     std::string idempotencyKey;
     std::int64_t dueAtMs = 0;
-    /// How long the results stay readable after the job has ended.
+    /// Time for which the results can be read after the job has ended.
     std::int64_t retentionMs = 0;
     std::string metadata;
 };
 
-/// Cancels a job. Open items are cancelled at once, leased items when their lease ends without a
-/// result. Fails with NotFound or, if the job is completed, with JobFinished.
+/// Cancels a job. Open items are cancelled at once, and leased items when their lease ends without
+/// a result. Fails with NotFound, or with JobFinished if the job is completed.
 struct CancelJob
 {
     static constexpr std::string_view kind = "cancel_job";
@@ -130,12 +130,12 @@
     std::vector<ItemRef> items;
 };
 
-/// Ends the leases of items that did not finish, for instance after preemption or a failed attempt.
+/// Ends the leases of items that did not finish, for example after preemption or a failed attempt.
 struct ReleaseItems
 {
     static constexpr std::string_view kind = "release_items";
     std::vector<ItemRef> items;
-    /// True if the attempt counts towards the maximum number of failed attempts.
+    /// Whether the attempt counts towards the maximum number of failed attempts.
     bool failedTry = false;
     /// Name of the error code of the failed attempt.
     std::string reason;
@@ -173,7 +173,7 @@
     /// Unique for each attempt to run the request, not only for each instance, so that a resent
     /// claim of the same holder wins again.
     std::string holder;
-    /// How long the claim counts as running, and how long its response is kept after it is
+    /// Time for which the claim counts as running, and for which its response is kept after it is
     /// finished.
     std::int64_t keepMs = 0;
 };
@@ -217,7 +217,7 @@
     BatchOperation operation;
 };
 
-/// An item with what its executor needs to run it.
+/// A leased item with the data that an executor needs to run it.
 struct LeasedItem
 {
     ItemRef item;
@@ -238,7 +238,7 @@
     std::uint64_t open = 0;
 };
 
-/// State of a job as callers and operators read it.
+/// Status of a job, for callers and operators.
 struct JobStatus
 {
     std::string jobId;
@@ -253,7 +253,7 @@
     std::string metadata;
 };
 
-/// State of a batch file as callers read it.
+/// Status of a batch file, for callers.
 struct FileStatus
 {
     std::string fileId;
@@ -266,7 +266,7 @@
 /// State of a claim after a ClaimRequest or FinishClaim.
 struct ClaimStatus
 {
-    /// True if the sender of the command holds the claim and must run the request now.
+    /// Whether the sender of the command holds the claim and must run the request now.
     bool won = false;
     ClaimState state = ClaimState::Running;
     /// HTTP status, content type and body of the response; set if \a state is Finished.
@@ -322,7 +322,7 @@
 struct ListJobs
 {
     static constexpr std::string_view kind = "list_jobs";
-    /// Empty for the jobs of all workspaces, which is for operators only.
+    /// Empty for the jobs of all workspaces; only operators may use this.
     std::string workspace;
 };
 
--- a/include/rattanrill/wire/codec.h
+++ b/include/rattanrill/wire/codec.h
@@ -26,16 +26,17 @@
 template <typename Message>
 Result<Message> fromJsonText(std::string_view text);
 
-/// Encodes the response of a state machine: a CommandResult with the message or the failure.
+/// Encodes the response of a state machine: a CommandResult that contains either the encoded
+/// message or the failure of \a outcome.
 template <typename Message>
 std::string encodeCommandResult(const Outcome<Message> &outcome)
 {
-    CommandResult answer;
+    CommandResult result;
     if (outcome.ok())
-        answer.body = encode(outcome.value());
+        result.body = encode(outcome.value());
     else
-        answer.failure = toMessage(outcome.failure());
-    return encode(answer);
+        result.failure = toMessage(outcome.failure());
+    return encode(result);
 }
 
 } // namespace rattanrill::wire
--- a/include/rattanrill/wire/envelope.h
+++ b/include/rattanrill/wire/envelope.h
@@ -11,11 +11,12 @@
 /// Version of the envelope and of the messages in it.
 constexpr std::uint32_t protocolVersion = 1;
 
-/// Role of an envelope in the exchange between two processes.
+/// Kind of message that an envelope carries.
 enum class EnvelopeKind {
     Hello,
     Request,
     Response,
+    /// Request without a response.
     Push,
 };
 
@@ -43,7 +44,7 @@
 std::string_view name(EnvelopeKind kind);
 std::string_view name(Method method);
 
-/// A \c Failure as it is sent. \a failed is false in a response that carries a value.
+/// Wire format of a \c Failure. \a failed is false in a response without a failure.
 struct FailureMessage
 {
     bool failed = false;
@@ -60,7 +61,7 @@
 {
     std::uint32_t version = protocolVersion;
     EnvelopeKind kind = EnvelopeKind::Request;
-    /// Chosen by the sender of a request and repeated in the response.
+    /// Id that the sender of a request assigns; the response has the same id.
     std::uint64_t id = 0;
     Method method = Method::Hello;
     /// Set if the request failed or the connection was refused.
@@ -97,7 +98,7 @@
     std::string query;
 };
 
-/// Response of Method::Propose and Method::Read: what the state machine returned.
+/// Response of Method::Propose and Method::Read: the encoded result of the state machine.
 struct GroupResponse
 {
     std::string body;
--- a/include/rattanrill/wire/fleetmessages.h
+++ b/include/rattanrill/wire/fleetmessages.h
@@ -11,7 +11,7 @@
 /// in milliseconds.
 namespace rattanrill::wire {
 
-/// What a process of the deployment does.
+/// Role of a process of the deployment.
 enum class MemberRole {
     Entry,
     Control,
@@ -40,13 +40,14 @@
     std::string service;
     std::string address;
     std::string failureDomain;
-    /// Number of requests that it can run at once.
+    /// Number of requests that it can run at the same time.
     std::int64_t slots = 0;
-    /// The upstream accepts no new work.
+    /// Whether the upstream accepts no new requests.
     bool draining = false;
 };
 
-/// Replaces the configuration if \a version is higher than the stored one; otherwise has no effect.
+/// Replaces the configuration if \a version is higher than the stored version; otherwise has no
+/// effect.
 struct PutConfiguration
 {
     static constexpr std::string_view kind = "put_configuration";
@@ -104,37 +105,37 @@
     std::vector<std::string> storeFounders;
 };
 
-/// A member with its status as the leader of the fleet group sees it.
+/// A member and its status as seen by the leader of the fleet group.
 struct FleetMemberStatus
 {
     FleetMember member;
-    /// The leader received a sync request from it within the member timeout.
+    /// Whether the leader has received a sync request from it within the member timeout.
     bool alive = false;
-    /// It leads the store group, as it reports itself.
+    /// Whether it reports that it leads the store group.
     bool leadsStores = false;
-    /// An operator has requested its retirement.
+    /// Whether an operator has requested its retirement.
     bool retiring = false;
-    /// It is a replica of the store group, as the leader of that group reports.
+    /// Whether it is a replica of the store group, as reported by the leader of that group.
     bool holdsCopy = false;
 };
 
-/// Request of Method::SyncFleet: a heartbeat and a long poll in one.
+/// Request of Method::SyncFleet: a heartbeat and a long poll in one message.
 struct FleetSyncRequest
 {
     FleetMember self;
-    /// The sender leads the store group.
+    /// Whether the sender leads the store group.
     bool leadsStores = false;
     /// Term and replica ids of the store group; set only by its leader.
     std::uint64_t storeTerm = 0;
     std::vector<std::string> storeReplicas;
-    /// The sender shuts down.
+    /// Whether the sender is shutting down.
     bool leaving = false;
     /// View and configuration that the sender received last. The leader responds at once if its
     /// view differs or its configuration is newer.
     std::uint64_t viewTerm = 0;
     std::uint64_t viewSequence = 0;
     std::uint64_t configurationVersion = 0;
-    /// How long the leader may wait for a change before it responds.
+    /// Maximum time for which the leader waits for a change before it responds.
     std::int64_t waitMs = 0;
 };
 
@@ -148,22 +149,21 @@
     /// Empty if the sender of the request has this version.
     std::string configuration;
     std::vector<FleetMemberStatus> members;
-    /// The leader has led for longer than the member timeout, so that every live process has sent
-    /// it a sync request.
+    /// Whether the leader has led for longer than the member timeout, so that every live process
+    /// has sent it a sync request.
     bool membersSettled = false;
     /// Replica ids of the first voters of the store group; empty until it is bootstrapped.
     std::vector<std::string> storeFounders;
-    /// False until the platform's list has been read once in this term; until then \a upstreams is
-    /// not valid.
+    /// Whether the platform's list has been read in this term. Otherwise \a upstreams is not valid.
     bool upstreamsKnown = false;
     std::vector<FleetUpstream> upstreams;
 };
 
-/// Request of Method::RequestSlot: requests a slot at an upstream for one request.
+/// Request of Method::RequestSlot, for a slot at an upstream for one request.
 struct SlotRequest
 {
-    /// Polls a request that already waits. The broker treats it as new if it does not hold the
-    /// request.
+    /// Whether this message polls for a request that already waits. A broker that does not have the
+    /// request treats it as a new one.
     bool again = false;
     std::string requestId;
     /// Entry instance that sends the request.
@@ -173,14 +173,14 @@
     std::string workspace;
     /// Lower values are served first; 0 is the highest priority.
     std::int64_t priority = 0;
-    /// The request counts against the workspace's rate; false for a further attempt of the same
-    /// request.
+    /// Whether the request counts against the workspace's rate; false for a further attempt of the
+    /// same request.
     bool chargesRate = true;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    /// Time left until the start of the response misses its latency objective.
+    /// Time left until the response must start to meet its latency objective.
     std::int64_t objectiveMs = 0;
-    /// Time left until the request's deadline, after which a response is of no use.
+    /// Time left until the request's deadline, after which the response is no longer needed.
     std::int64_t deadlineMs = 0;
     /// Ids of upstreams that this request has already been sent to.
     std::vector<std::string> excluded;
@@ -193,8 +193,8 @@
     OverRate,
     /// No slot will be free in time.
     NoSlot,
-    /// The request still waits; the sender polls again. The polls show each side that the other is
-    /// alive.
+    /// The request still waits, and the sender polls again. The polls also let each side detect
+    /// that the other has failed.
     Waiting,
 };
 
--- a/include/rattanrill/wire/jobmessages.h
+++ b/include/rattanrill/wire/jobmessages.h
@@ -9,7 +9,7 @@
 
 /// Records, commands and queries of the store group: batch jobs whose requests are passed to
 /// upstreams unchanged. \c acceptedAtMs and \c beforeMs are wall-clock milliseconds since the Unix
-/// epoch, taken by the proposer; other members that end in Ms are durations in milliseconds.
+/// epoch, set by the proposer; other members that end in Ms are durations in milliseconds.
 namespace rattanrill::wire {
 
 /// One item of a job, as submitted by the caller.
@@ -34,7 +34,7 @@
     std::vector<JobItem> items;
 };
 
-/// How an item ended.
+/// Outcome of an item.
 enum class ItemOutcome {
     Completed,
     DeadLettered,
@@ -50,8 +50,8 @@
     std::string output;
 };
 
-/// Accepts a job. A repeat with the same job id has no further effect; it fails with Conflict if
-/// the job belongs to another workspace.
+/// Accepts a job. A repeated command with the same job id has no further effect; it fails with
+/// Conflict if the job belongs to another workspace.
 struct AcceptJob
 {
     static constexpr std::string_view kind = "accept_job";
@@ -73,10 +73,10 @@
 {
     std::string job;
     std::string item;
-    /// Last event of which the store holds the output; -1 for none. The progress is ignored if the
-    /// store holds another event.
+    /// Latest event whose output is stored; -1 for none. The progress is ignored if the latest
+    /// stored event is a different one.
     std::int64_t after = -1;
-    /// Last event in \a output.
+    /// Latest event whose data is in \a output.
     std::int64_t lastEvent = -1;
     /// Data of the events from \a after (exclusive) to \a lastEvent, in the format of a result.
     std::string output;
@@ -84,14 +84,14 @@
     std::int64_t servedMs = 0;
 };
 
-/// Stores progress, so that another executor can continue after it.
+/// Stores progress, so that another executor can continue from it.
 struct AppendProgress
 {
     static constexpr std::string_view kind = "append_progress";
     std::vector<ItemProgress> items;
 };
 
-/// Ends a job; its unfinished items do not run any more. Fails with NotFound.
+/// Ends a job, so that its unfinished items are no longer run. Fails with NotFound.
 struct EndJob
 {
     static constexpr std::string_view kind = "end_job";
@@ -117,9 +117,10 @@
 /// Response to a JobCommand.
 struct JobCommandResult
 {
-    /// AcceptJob: the job was refused because it exceeds the workspace's limit of waiting tokens.
+    /// AcceptJob: whether the job was refused because it exceeds the workspace's limit of waiting
+    /// tokens.
     bool overLimit = false;
-    /// AcceptJob: the job was accepted now, not by an earlier command.
+    /// AcceptJob: whether this command accepted the job, and not an earlier one.
     bool isNew = false;
     /// AcceptJob: tokens in unfinished items of the workspace on the route after the command.
     std::int64_t waitingTokens = 0;
@@ -139,7 +140,7 @@
     std::string job;
     /// Number of results to skip, in the order of the job's list of results.
     std::int64_t after = 0;
-    /// How long the store may wait for a further result before it responds.
+    /// Maximum time for which the store waits for a further result before it responds.
     std::int64_t waitMs = 0;
 };
 
@@ -169,7 +170,7 @@
     std::string body;
 };
 
-/// Lists the jobs that have items without a result and were not ended.
+/// Lists the jobs that have items without a result and have not been ended.
 struct ListOpenJobs
 {
     static constexpr std::string_view kind = "list_open_jobs";
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -80,8 +80,8 @@
 {
     Failure failure;
     failure.code = errorCodeFromName(message.code).value_or(ErrorCode::Internal);
-    // An unknown name counts as MayHaveRun: a false NotRun would let the caller send the request
-    // a second time.
+    // An unknown name counts as MayHaveRun: with a wrong NotRun, the caller could send a request
+    // again that has run.
     const bool isNotRun = message.run == name(EffectState::NotRun);
     failure.effect = isNotRun ? EffectState::NotRun : EffectState::MayHaveRun;
     failure.detail = message.detail;
--- a/src/wire/fleetmessages.cpp
+++ b/src/wire/fleetmessages.cpp
@@ -13,7 +13,7 @@
         {MemberRole::Store, "store"},
 }};
 
-constexpr std::array<EnumName<SlotOutcome>, 4> placeVerdictNames = {{
+constexpr std::array<EnumName<SlotOutcome>, 4> slotOutcomeNames = {{
         {SlotOutcome::Granted, "granted"},
         {SlotOutcome::OverRate, "over_rate"},
         {SlotOutcome::NoSlot, "no_place"},
@@ -23,7 +23,7 @@
 } // namespace
 
 RATTANRILL_WIRE_ENUM(MemberRole, memberRoleNames)
-RATTANRILL_WIRE_ENUM(SlotOutcome, placeVerdictNames)
+RATTANRILL_WIRE_ENUM(SlotOutcome, slotOutcomeNames)
 RATTANRILL_WIRE_FIELDS(FleetMember, instance, role, failureDomain, peerAddress, replica)
 RATTANRILL_WIRE_FIELDS(FleetUpstream, id, service, address, failureDomain, slots, draining)
 RATTANRILL_WIRE_FIELDS(PutConfiguration, version, document)
--- a/src/wire/messagedefinition.h
+++ b/src/wire/messagedefinition.h
@@ -48,7 +48,7 @@
 }
 
 /// Throws the exception type of the JSON library, which decode() and fromJsonText() convert to a
-/// Failure. 302 is the library's number for a conversion from an unsuitable JSON value.
+/// Failure. 302 is the library's error id for a JSON value of an unsuitable type.
 [[noreturn]] inline void throwConversionError(const std::string &text, const Json &json)
 {
     throw Json::type_error::create(302, text, &json);
@@ -115,10 +115,10 @@
     } \
     void from_json(const Json &json, Type &value) \
     { \
-        const std::optional<Type> known = valueOf(table, json.get<std::string>()); \
-        if (!known) \
+        const std::optional<Type> found = valueOf(table, json.get<std::string>()); \
+        if (!found) \
             throwConversionError("unknown " #Type, json); \
-        value = *known; \
+        value = *found; \
     }
 
 /// Instantiates the templates of codec.h for a message.
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -14,7 +14,7 @@
 
 // Guards against a command that is decoded from the log as another operation than the one that was
 // encoded, for example because two alternatives of the variant have the same kind.
-BOOST_AUTO_TEST_CASE(commandsSurviveARoundTrip)
+BOOST_AUTO_TEST_CASE(decodedCommandEqualsTheEncodedOne)
 {
     DirectoryCommand command;
     command.requestId = "r-1";
@@ -27,7 +27,7 @@
 }
 
 // Guards against binary bodies that are changed because the codec treats them as text.
-BOOST_AUTO_TEST_CASE(bodiesMayHoldAnyBytes)
+BOOST_AUTO_TEST_CASE(bodiesCanContainAnyBytes)
 {
     Envelope envelope;
     envelope.body = std::string("\x00\xff\xc3\x28", 4);
@@ -56,7 +56,7 @@
 
 // Guards against an unknown effect state from a newer peer that is read as NotRun, so that the
 // caller repeats a request that may have run.
-BOOST_AUTO_TEST_CASE(unknownRunStateCountsAsMayHaveRun)
+BOOST_AUTO_TEST_CASE(unknownEffectStateIsReadAsMayHaveRun)
 {
     FailureMessage message{true, "timeout", "perhaps", ""};
     BOOST_TEST((fromMessage(message).effect == EffectState::MayHaveRun));
