--- a/include/rattanrill/peer/channel.h
+++ b/include/rattanrill/peer/channel.h
@@ -31,7 +31,7 @@
     void sendOneWay(wire::Method method, std::string body);
     const std::string &address() const;
     bool connected() const;
-    /// Closes the channel. All open calls fail with Stopped; no reply runs after return.
+    /// Closes the channel. All open calls fail with Stopped, and no reply runs after return.
     void close();
 
 private:
--- a/include/rattanrill/peer/channelpool.h
+++ b/include/rattanrill/peer/channelpool.h
@@ -7,18 +7,19 @@
 
 namespace rattanrill::peer {
 
-/// Holds one Channel per address and creates it on demand.
+/// Holds one Channel for each address and creates it when it is first requested.
 class ChannelPool
 {
 public:
     explicit ChannelPool(TransportOptions options);
     ~ChannelPool();
 
-    /// Channel to \a address ("host:port"). It stays valid while the caller holds the pointer.
+    /// Returns the channel to \a address ("host:port"). After remove() or close(), its calls fail
+    /// with Stopped; the pointer stays valid.
     std::shared_ptr<Channel> channel(const std::string &address);
     /// Closes and removes the channel of a process that has left the deployment.
     void remove(const std::string &address);
-    /// Closes all channels.
+    /// Closes all channels, including those that are requested later.
     void close();
 
 private:
--- a/include/rattanrill/peer/transport.h
+++ b/include/rattanrill/peer/transport.h
@@ -11,7 +11,7 @@
 
 namespace rattanrill::peer {
 
-/// Identity of a process; that of a remote process is authenticated by the hello exchange.
+/// Identity of a process. The identity of a remote process is authenticated by the hello exchange.
 struct PeerIdentity
 {
     std::string instance;
@@ -23,11 +23,12 @@
 struct TransportOptions
 {
     PeerIdentity self;
-    /// Secret that all processes of a deployment share. It is never sent.
+    /// Secret that all processes of a deployment have in common. It is never sent.
     std::string clusterSecret;
-    /// A larger message is rejected with MessageTooLarge.
+    /// Maximum size of a message in bytes. Larger messages are rejected with MessageTooLarge.
     std::size_t maxMessageBytes = 32u << 20;
-    /// A send that would exceed this many queued bytes per connection fails with QueueFull.
+    /// Maximum number of queued bytes per connection. A send that would exceed it fails with
+    /// QueueFull.
     std::size_t maxQueuedBytes = 64u << 20;
     absl::Duration connectTimeout = absl::Seconds(2);
     /// Maximum delay between two attempts to connect.
--- a/src/peer/channelcore.cpp
+++ b/src/peer/channelcore.cpp
@@ -16,12 +16,13 @@
 namespace rattanrill::peer {
 namespace {
 
-constexpr absl::Duration firstBackoff = absl::Milliseconds(20);
-/// The connection counts as lost when nothing was received in more than this many keep-alive
-/// periods.
-constexpr int maxSilentPeriods = 3;
+constexpr absl::Duration initialBackoff = absl::Milliseconds(20);
+/// Number of keep-alive periods without data from the other side after which the connection counts
+/// as lost.
+constexpr int maxPeriodsWithoutData = 3;
 /// Maximum number of pushes that are queued while a connection is being established. When there are
-/// more, the oldest are dropped, because they are out of date by the time the connection is ready.
+/// more, the oldest are dropped, because they are most likely to be out of date when the connection
+/// is ready.
 constexpr std::size_t maxWaitingPushes = 64;
 
 std::chrono::nanoseconds toChrono(absl::Duration duration)
@@ -35,7 +36,7 @@
     : m_options(std::move(options))
     , m_address(std::move(address))
     , m_network(NetworkThread::instance())
-    , m_backoff(firstBackoff)
+    , m_backoff(initialBackoff)
     , m_connectTimer(m_network.service())
     , m_backoffTimer(m_network.service())
     , m_keepAliveTimer(m_network.service())
@@ -58,7 +59,7 @@
                                         m_options.maxMessageBytes)));
     const auto start = [self = shared_from_this(), id = envelope.id, frame = std::move(frame),
                         timeout, reply]() mutable {
-        self->releasePosted(frame.size());
+        self->subtractPostedBytes(frame.size());
         self->startCall(id, std::move(frame), timeout, std::move(reply));
     };
     if (!post(bytes, start))
@@ -77,7 +78,7 @@
     if (bytes > m_options.maxMessageBytes)
         return;
     post(bytes, [self = shared_from_this(), frame = std::move(frame)] {
-        self->releasePosted(frame.size());
+        self->subtractPostedBytes(frame.size());
         self->startPush(frame);
     });
 }
@@ -92,12 +93,12 @@
         m_closing = true;
         if (!m_network.isCurrent())
             m_network.post([self = shared_from_this(), &closed] {
-                self->closeNow();
+                self->closeOnNetworkThread();
                 closed.Notify();
             });
     }
     if (m_network.isCurrent())
-        closeNow();
+        closeOnNetworkThread();
     else
         closed.WaitForNotification();
 }
@@ -129,7 +130,7 @@
     reply(notRun(ErrorCode::Stopped, concat("channel to ", m_address, " is closed")));
 }
 
-void ChannelCore::releasePosted(std::size_t bytes)
+void ChannelCore::subtractPostedBytes(std::size_t bytes)
 {
     absl::MutexLock lock(&m_mutex);
     m_postedBytes -= bytes;
@@ -152,7 +153,7 @@
     call.timer->async_wait([weak = weak_from_this(), id](const boost::system::error_code &error) {
         const auto self = weak.lock();
         if (!error && self)
-            self->expire(id);
+            self->timeOutCall(id);
     });
     if (m_state == State::Ready)
         return sendCall(id);
@@ -170,7 +171,7 @@
     if (m_state != State::Connecting || !fitsInQueue(frame.size()))
         return;
     // Pushes are queued while connecting, because the first message to a process that has just
-    // started is often the one that elects a leader.
+    // started is often part of a leader election.
     m_waitingBytes += frame.size();
     m_waitingPushes.push_back(frame);
     if (m_waitingPushes.size() > maxWaitingPushes) {
@@ -182,8 +183,7 @@
 void ChannelCore::sendCall(std::uint64_t id)
 {
     Call &call = m_calls.at(id);
-    // A failed send may still have passed bytes to the socket, so the call is marked as sent before
-    // the attempt.
+    // A failed send may still have passed bytes to the socket, so the call is marked as sent first.
     call.sent = true;
     const std::string frame = std::exchange(call.frame, std::string());
     if (!sendFrame(frame))
@@ -191,17 +191,18 @@
                 notRun(ErrorCode::ConnectionLost, concat("sending to ", m_address, " failed")));
 }
 
-void ChannelCore::expire(std::uint64_t id)
+void ChannelCore::timeOutCall(std::uint64_t id)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
         return;
     const std::string detail = concat("no response from ", m_address);
     const bool sent = found->second.sent;
-    finish(id, sent ? mayHaveRun(ErrorCode::Timeout, detail) : notRun(ErrorCode::Timeout, detail));
+    finishCall(id,
+               sent ? mayHaveRun(ErrorCode::Timeout, detail) : notRun(ErrorCode::Timeout, detail));
 }
 
-void ChannelCore::finish(std::uint64_t id, const Outcome<std::string> &outcome)
+void ChannelCore::finishCall(std::uint64_t id, const Outcome<std::string> &outcome)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
@@ -242,20 +243,20 @@
     const std::weak_ptr<ChannelCore> weak = weak_from_this();
     m_connection->set_open_handler([weak, epoch](const websocketpp::connection_hdl &) {
         if (const auto self = weak.lock())
-            self->opened(epoch);
+            self->handleOpen(epoch);
     });
     m_connection->set_message_handler([weak, epoch](const websocketpp::connection_hdl &,
                                                     const WebsocketClient::message_ptr &message) {
         if (const auto self = weak.lock())
-            self->received(epoch, message->get_payload());
+            self->handleFrame(epoch, message->get_payload());
     });
     m_connection->set_pong_handler(
             [weak, epoch](const websocketpp::connection_hdl &, const std::string &) {
                 const auto self = weak.lock();
                 if (self && epoch == self->m_epoch)
-                    self->m_silentPeriods = 0;
+                    self->m_periodsWithoutData = 0;
             });
-    const auto lost = [weak, epoch](const websocketpp::connection_hdl &) {
+    const auto handleLoss = [weak, epoch](const websocketpp::connection_hdl &) {
         const auto self = weak.lock();
         if (self && epoch == self->m_epoch && self->m_connection)
             self->failConnection(notRun(ErrorCode::ConnectionLost,
@@ -263,9 +264,9 @@
                                                self->m_connection->get_ec().message(), " ",
                                                self->m_connection->get_remote_close_reason())));
     };
-    m_connection->set_fail_handler(lost);
-    m_connection->set_close_handler(lost);
-    armTimer(m_connectTimer, m_options.connectTimeout, &ChannelCore::connectExpired);
+    m_connection->set_fail_handler(handleLoss);
+    m_connection->set_close_handler(handleLoss);
+    armTimer(m_connectTimer, m_options.connectTimeout, &ChannelCore::handleConnectTimeout);
     m_network.endpoint().connect(m_connection);
 }
 
@@ -279,7 +280,7 @@
     });
 }
 
-void ChannelCore::connectExpired()
+void ChannelCore::handleConnectTimeout()
 {
     if (m_state == State::Connecting)
         failConnection(notRun(ErrorCode::ConnectionLost,
@@ -287,7 +288,7 @@
                                      absl::FormatDuration(m_options.connectTimeout))));
 }
 
-void ChannelCore::opened(std::uint64_t epoch)
+void ChannelCore::handleOpen(std::uint64_t epoch)
 {
     if (epoch != m_epoch || m_state != State::Connecting)
         return;
@@ -296,25 +297,25 @@
     sendFrame(m_hello->opening());
 }
 
-void ChannelCore::received(std::uint64_t epoch, const std::string &frame)
+void ChannelCore::handleFrame(std::uint64_t epoch, const std::string &frame)
 {
     if (epoch != m_epoch || !m_connection)
         return;
-    m_silentPeriods = 0;
+    m_periodsWithoutData = 0;
     auto envelope = outcomeOf([&] { return wire::decode<wire::Envelope>(frame); });
     if (!envelope.ok())
         return failConnection(envelope.failure());
     if (m_state == State::Connecting)
-        return receivedHello(envelope.value());
+        return handleHello(envelope.value());
     if (envelope.value().kind != wire::EnvelopeKind::Response)
         return;
     if (envelope.value().failure.failed)
-        finish(envelope.value().id, wire::fromMessage(envelope.value().failure));
+        finishCall(envelope.value().id, wire::fromMessage(envelope.value().failure));
     else
-        finish(envelope.value().id, std::move(envelope.value().body));
+        finishCall(envelope.value().id, std::move(envelope.value().body));
 }
 
-void ChannelCore::receivedHello(const wire::Envelope &envelope)
+void ChannelCore::handleHello(const wire::Envelope &envelope)
 {
     const auto nextFrame = outcomeOf([&] { return m_hello->receive(envelope); });
     if (!nextFrame.ok()) {
@@ -329,45 +330,46 @@
     if (!nextFrame.value().empty())
         sendFrame(nextFrame.value());
     if (m_hello->done())
-        ready();
+        becomeReady();
 }
 
-void ChannelCore::ready()
+void ChannelCore::becomeReady()
 {
     m_state = State::Ready;
     m_connected = true;
     m_connectTimer.cancel();
-    m_backoff = firstBackoff;
-    m_silentPeriods = 0;
+    m_backoff = initialBackoff;
+    m_periodsWithoutData = 0;
     m_connection->set_max_message_size(m_options.maxMessageBytes);
-    armTimer(m_keepAliveTimer, m_options.keepAlivePeriod, &ChannelCore::keepAlive);
-    std::vector<std::uint64_t> waiting;
+    armTimer(m_keepAliveTimer, m_options.keepAlivePeriod, &ChannelCore::checkKeepAlive);
+    std::vector<std::uint64_t> waitingCalls;
     for (const auto &[id, call] : m_calls)
-        waiting.push_back(id);
+        waitingCalls.push_back(id);
     m_waitingBytes = 0;
     const std::uint64_t epoch = m_epoch;
     for (const std::string &frame : std::exchange(m_waitingPushes, {}))
         sendFrame(frame);
-    for (const std::uint64_t id : waiting) {
+    for (const std::uint64_t id : waitingCalls) {
         if (m_state == State::Ready && m_epoch == epoch && m_calls.count(id) > 0)
             sendCall(id);
     }
 }
 
-void ChannelCore::keepAlive()
+void ChannelCore::checkKeepAlive()
 {
     if (m_state != State::Ready)
         return;
-    if (++m_silentPeriods > maxSilentPeriods)
+    if (++m_periodsWithoutData > maxPeriodsWithoutData)
         return failConnection(
                 notRun(ErrorCode::ConnectionLost,
                        concat(m_address, " has sent nothing for several keep-alive periods")));
     websocketpp::lib::error_code ignored;
     m_connection->ping("", ignored);
-    armTimer(m_keepAliveTimer, m_options.keepAlivePeriod, &ChannelCore::keepAlive);
+    armTimer(m_keepAliveTimer, m_options.keepAlivePeriod, &ChannelCore::checkKeepAlive);
 }
 
-/// Closes with the WebSocket closing handshake, so that the refusal still reaches the other side.
+/// Closes the connection with the WebSocket closing handshake, so that the refusal still reaches
+/// the other side.
 void ChannelCore::closeAfterRefusal()
 {
     const Connection connection = std::exchange(m_connection, nullptr);
@@ -383,10 +385,10 @@
     dropConnection();
     m_state = State::Backoff;
     m_lastFailure = failure;
-    // The delay is random between half the backoff and the whole backoff, so that not all channels
-    // to a restarted process reconnect at the same time.
-    const double spread = static_cast<double>(m_network.random() % 1000) / 1000;
-    armTimer(m_backoffTimer, m_backoff * (0.5 + spread / 2), &ChannelCore::connect);
+    // The delay is a random time between half the backoff and the whole backoff, so that the
+    // channels to a restarted process do not all reconnect at the same time.
+    const double jitter = static_cast<double>(m_network.random() % 1000) / 1000;
+    armTimer(m_backoffTimer, m_backoff * (0.5 + jitter / 2), &ChannelCore::connect);
     m_backoff = std::min(m_backoff * 2, m_options.maxBackoff);
     failCalls(failure);
 }
@@ -422,7 +424,7 @@
     connection->get_raw_socket().close(ignored);
 }
 
-void ChannelCore::closeNow()
+void ChannelCore::closeOnNetworkThread()
 {
     dropConnection();
     m_backoffTimer.cancel();
--- a/src/peer/channelcore.h
+++ b/src/peer/channelcore.h
@@ -17,8 +17,8 @@
 
 namespace rattanrill::peer {
 
-/// Implementation of a Channel. Members that are neither constant, atomic nor guarded by m_mutex
-/// are accessed on the network thread only.
+/// Implementation of a Channel. Members that are neither constant, nor atomic, nor guarded by
+/// m_mutex are accessed on the network thread only.
 class ChannelCore : public std::enable_shared_from_this<ChannelCore>
 {
 public:
@@ -53,29 +53,29 @@
 
     bool post(std::size_t bytes, std::function<void()> task);
     void rejectCall(ResponseCallback reply, Failure failure);
-    void releasePosted(std::size_t bytes);
+    void subtractPostedBytes(std::size_t bytes);
     void startCall(std::uint64_t id, std::string frame, absl::Duration timeout,
                    ResponseCallback reply);
     void startPush(const std::string &frame);
     void sendCall(std::uint64_t id);
-    void expire(std::uint64_t id);
-    void finish(std::uint64_t id, const Outcome<std::string> &outcome);
+    void timeOutCall(std::uint64_t id);
+    void finishCall(std::uint64_t id, const Outcome<std::string> &outcome);
     bool fitsInQueue(std::size_t bytes) const;
     bool sendFrame(const std::string &frame);
 
     void connect();
     void armTimer(Timer &timer, absl::Duration delay, void (ChannelCore::*handler)());
-    void connectExpired();
-    void opened(std::uint64_t epoch);
-    void received(std::uint64_t epoch, const std::string &frame);
-    void receivedHello(const wire::Envelope &envelope);
-    void ready();
-    void keepAlive();
+    void handleConnectTimeout();
+    void handleOpen(std::uint64_t epoch);
+    void handleFrame(std::uint64_t epoch, const std::string &frame);
+    void handleHello(const wire::Envelope &envelope);
+    void becomeReady();
+    void checkKeepAlive();
     void closeAfterRefusal();
     void failConnection(const Failure &failure);
     void failCalls(const Failure &failure);
     void dropConnection();
-    void closeNow();
+    void closeOnNetworkThread();
 
     const TransportOptions m_options;
     const std::string m_address;
@@ -90,16 +90,19 @@
 
     State m_state = State::Idle;
     Connection m_connection;
-    /// Number of the current connection. It is used to ignore late events of an earlier connection.
+    /// Number of the current connection, by which late events of an earlier connection are
+    /// recognized and ignored.
     std::uint64_t m_epoch = 0;
     std::optional<ClientHello> m_hello;
     std::map<std::uint64_t, Call> m_calls;
     /// Total size of the frames of calls and pushes that wait for the connection, in bytes.
     std::size_t m_waitingBytes = 0;
     std::deque<std::string> m_waitingPushes;
+    /// Failure of the last connection or attempt to connect. Calls fail with it during the backoff.
     Failure m_lastFailure;
     absl::Duration m_backoff;
-    int m_silentPeriods = 0;
+    /// Number of keep-alive periods that have started since data or a pong was last received.
+    int m_periodsWithoutData = 0;
     Timer m_connectTimer;
     Timer m_backoffTimer;
     Timer m_keepAliveTimer;
--- a/src/peer/clienthello.cpp
+++ b/src/peer/clienthello.cpp
@@ -19,14 +19,14 @@
 
 Result<std::string> ClientHello::receive(const wire::Envelope &envelope)
 {
-    BOOST_LEAF_AUTO(message, helloOf(envelope));
+    BOOST_LEAF_AUTO(message, decodeHello(envelope));
     if (m_state == State::AwaitingChallenge)
-        return prove(message);
+        return verifyChallenge(message);
     m_state = State::Done;
     return std::string();
 }
 
-Result<std::string> ClientHello::prove(const wire::HelloMessage &challenge)
+Result<std::string> ClientHello::verifyChallenge(const wire::HelloMessage &challenge)
 {
     const std::string expected =
             helloProof(m_clusterSecret, HelloSide::Server, m_ownHello.nonce, challenge);
--- a/src/peer/clienthello.h
+++ b/src/peer/clienthello.h
@@ -6,7 +6,8 @@
 
 namespace rattanrill::peer {
 
-/// Client end of the hello exchange: opening, challenge, proof, acceptance.
+/// Client side of the hello exchange. Its four messages are the opening of the client, the
+/// challenge of the server, the proof of the client, and the acceptance of the server.
 class ClientHello
 {
 public:
@@ -27,7 +28,8 @@
         Done,
     };
 
-    Result<std::string> prove(const wire::HelloMessage &challenge);
+    /// Verifies the proof of the server and returns the frame with the proof of the client.
+    Result<std::string> verifyChallenge(const wire::HelloMessage &challenge);
 
     const std::string m_clusterSecret;
     wire::HelloMessage m_ownHello;
--- a/src/peer/helloproof.cpp
+++ b/src/peer/helloproof.cpp
@@ -25,7 +25,7 @@
                        const std::string &receiverNonce, const wire::HelloMessage &senderHello)
 {
     const std::string_view sideName = side == HelloSide::Client ? "client" : "server";
-    // Each part is hashed separately, so that two different lists of parts never give the same
+    // Each part is hashed separately, so that two different lists of parts never produce the same
     // text.
     const std::string text =
             concat(sideName, sha256Hex(receiverNonce), sha256Hex(senderHello.nonce),
@@ -62,7 +62,7 @@
     return wire::encode(envelope);
 }
 
-Result<wire::HelloMessage> helloOf(const wire::Envelope &envelope)
+Result<wire::HelloMessage> decodeHello(const wire::Envelope &envelope)
 {
     // A refusal by the other side is returned before the version is checked, because its detail
     // names the version that the other side expects.
--- a/src/peer/helloproof.h
+++ b/src/peer/helloproof.h
@@ -6,7 +6,7 @@
 
 namespace rattanrill::peer {
 
-/// Which end of a connection a hello message comes from.
+/// Side of a connection from which a hello message comes.
 enum class HelloSide {
     Client,
     Server,
@@ -18,18 +18,18 @@
 std::string helloProof(const std::string &clusterSecret, HelloSide side,
                        const std::string &receiverNonce, const wire::HelloMessage &senderHello);
 
-/// Hello message with the identity of this process and a fresh nonce, without a proof.
+/// Returns a hello message with the identity of this process and a new nonce, without a proof.
 wire::HelloMessage makeHello(const PeerIdentity &self);
 
 /// Encodes \a message as the frame of a hello envelope.
 std::string helloFrame(const wire::HelloMessage &message);
 
-/// Frame of a hello envelope that refuses the connection with \a failure.
+/// Returns the frame of a hello envelope that refuses the connection with \a failure.
 std::string refusalFrame(const Failure &failure);
 
 /// Decodes the message of a hello envelope. Fails with UnsupportedVersion, with MalformedMessage,
 /// with AuthenticationFailed for an envelope of another kind, or with the failure by which the
 /// other side refused the connection.
-Result<wire::HelloMessage> helloOf(const wire::Envelope &envelope);
+Result<wire::HelloMessage> decodeHello(const wire::Envelope &envelope);
 
 } // namespace rattanrill::peer
--- a/src/peer/networkthread.h
+++ b/src/peer/networkthread.h
@@ -9,9 +9,9 @@
 
 namespace rattanrill::peer {
 
-/// The single thread that runs all channels of a process. In a deployment of the target size an
-/// entry has about 340 channels with few messages each, so one thread per channel would cost more
-/// than it saves.
+/// The single thread that runs all channels of a process. In a deployment of the target size, an
+/// entry has about 340 channels with few messages each, so a thread for each channel would cost
+/// more than it saves.
 class NetworkThread
 {
 public:
--- a/src/peer/serverconnection.cpp
+++ b/src/peer/serverconnection.cpp
@@ -13,8 +13,8 @@
 namespace rattanrill::peer {
 namespace {
 
-/// Clients send a ping every second, so a client from which nothing arrives for this long counts as
-/// lost.
+/// Time without data from a client after which the connection counts as lost. Clients send a ping
+/// every second.
 constexpr absl::Duration idleTimeout = absl::Seconds(10);
 
 /// Sends the response to one request. If the handler discards its reply callback without calling
@@ -94,19 +94,19 @@
     m_socket->set_message_handler([weak](const websocketpp::connection_hdl &,
                                          const WebsocketServer::message_ptr &message) {
         if (const auto self = weak.lock())
-            self->received(message->get_payload());
+            self->handleFrame(message->get_payload());
     });
     m_socket->set_ping_handler([weak](const websocketpp::connection_hdl &, const std::string &) {
         if (const auto self = weak.lock())
-            self->m_received = true;
+            self->m_receivedSinceTimerStart = true;
         return true;
     });
-    const auto ended = [weak](const websocketpp::connection_hdl &) {
+    const auto handleClose = [weak](const websocketpp::connection_hdl &) {
         if (const auto self = weak.lock())
-            self->ended();
+            self->handleClose();
     };
-    m_socket->set_close_handler(ended);
-    m_socket->set_fail_handler(ended);
+    m_socket->set_close_handler(handleClose);
+    m_socket->set_fail_handler(handleClose);
     armTimer(m_server->options().connectTimeout);
 }
 
@@ -116,18 +116,18 @@
     m_socket->terminate(websocketpp::lib::error_code());
 }
 
-void ServerConnection::received(const std::string &frame)
+void ServerConnection::handleFrame(const std::string &frame)
 {
-    m_received = true;
+    m_receivedSinceTimerStart = true;
     auto envelope = outcomeOf([&] { return wire::decode<wire::Envelope>(frame); });
     if (!envelope.ok())
         return refuse(envelope.failure());
     if (!m_hello.done())
-        return receivedHello(envelope.value());
-    serve(std::move(envelope.value()));
+        return handleHello(envelope.value());
+    dispatch(std::move(envelope.value()));
 }
 
-void ServerConnection::receivedHello(const wire::Envelope &envelope)
+void ServerConnection::handleHello(const wire::Envelope &envelope)
 {
     const auto nextFrame = outcomeOf([&] { return m_hello.receive(envelope); });
     if (!nextFrame.ok())
@@ -152,7 +152,7 @@
                     ignored);
 }
 
-void ServerConnection::serve(wire::Envelope envelope)
+void ServerConnection::dispatch(wire::Envelope envelope)
 {
     const bool isRequest = envelope.kind == wire::EnvelopeKind::Request;
     if (!isRequest && envelope.kind != wire::EnvelopeKind::Push)
@@ -180,7 +180,7 @@
 {
     const TransportOptions &options = m_server->options();
     std::string frame = responseFrame(id, method, outcome);
-    // The request has run; only its response cannot be sent.
+    // The request has run and only its response cannot be sent, so the effect state is MayHaveRun.
     if (frame.size() > options.maxMessageBytes)
         frame = failureFrame(
                 id, method,
@@ -203,18 +203,18 @@
 
 void ServerConnection::armTimer(absl::Duration delay)
 {
-    m_received = false;
+    m_receivedSinceTimerStart = false;
     m_timer.expires_after(absl::ToChronoNanoseconds(delay));
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
         if (!error && self)
-            self->expired();
+            self->handleTimer();
     });
 }
 
-void ServerConnection::expired()
+void ServerConnection::handleTimer()
 {
-    if (m_hello.done() && m_received)
+    if (m_hello.done() && m_receivedSinceTimerStart)
         return armTimer(idleTimeout);
     log(LogLevel::Warning, "peer-dropped",
         {{"peer", m_remote},
@@ -226,7 +226,7 @@
     drop();
 }
 
-void ServerConnection::ended()
+void ServerConnection::handleClose()
 {
     m_timer.cancel();
     m_server->removeConnection(this);
--- a/src/peer/serverconnection.h
+++ b/src/peer/serverconnection.h
@@ -20,28 +20,28 @@
     ServerConnection(std::shared_ptr<ServerCore> server, WebsocketServer::connection_ptr socket);
 
     void start();
-    /// Ends the connection without the closing handshake.
+    /// Closes the connection without the closing handshake.
     void drop();
     void sendResponse(std::uint64_t id, wire::Method method, const Outcome<std::string> &outcome);
 
 private:
     using Timer = boost::asio::steady_timer;
 
-    void received(const std::string &frame);
-    void receivedHello(const wire::Envelope &envelope);
+    void handleFrame(const std::string &frame);
+    void handleHello(const wire::Envelope &envelope);
     void refuse(const Failure &failure);
-    void serve(wire::Envelope envelope);
+    void dispatch(wire::Envelope envelope);
     void sendFrame(const std::string &frame);
     void armTimer(absl::Duration delay);
-    void expired();
-    void ended();
+    void handleTimer();
+    void handleClose();
 
     std::shared_ptr<ServerCore> m_server;
     WebsocketServer::connection_ptr m_socket;
     ServerHello m_hello;
     std::string m_remote;
-    /// Set when a frame or a ping arrived since the timer was started.
-    bool m_received = false;
+    /// Whether a frame or a ping has arrived since the timer was started.
+    bool m_receivedSinceTimerStart = false;
     Timer m_timer;
 };
 
--- a/src/peer/serverhello.cpp
+++ b/src/peer/serverhello.cpp
@@ -14,13 +14,13 @@
 
 Result<std::string> ServerHello::receive(const wire::Envelope &envelope)
 {
-    BOOST_LEAF_AUTO(message, helloOf(envelope));
+    BOOST_LEAF_AUTO(message, decodeHello(envelope));
     if (m_state == State::AwaitingOpening)
-        return challenge(message);
-    return accept(message);
+        return makeChallenge(message);
+    return verifyProof(message);
 }
 
-std::string ServerHello::challenge(const wire::HelloMessage &opening)
+std::string ServerHello::makeChallenge(const wire::HelloMessage &opening)
 {
     m_clientNonce = opening.nonce;
     m_peer = PeerIdentity{opening.instance, opening.failureDomain, opening.role};
@@ -29,7 +29,7 @@
     return helloFrame(m_ownHello);
 }
 
-Result<std::string> ServerHello::accept(const wire::HelloMessage &clientHello)
+Result<std::string> ServerHello::verifyProof(const wire::HelloMessage &clientHello)
 {
     const std::string expected =
             helloProof(m_clusterSecret, HelloSide::Client, m_ownHello.nonce, clientHello);
--- a/src/peer/serverhello.h
+++ b/src/peer/serverhello.h
@@ -6,7 +6,7 @@
 
 namespace rattanrill::peer {
 
-/// Server end of the hello exchange (see ClientHello).
+/// Server side of the hello exchange (see ClientHello).
 class ServerHello
 {
 public:
@@ -16,7 +16,7 @@
     /// AuthenticationFailed, UnsupportedVersion or MalformedMessage.
     Result<std::string> receive(const wire::Envelope &envelope);
     bool done() const { return m_state == State::Done; }
-    /// Identity of the other end. It is authenticated only when done() is true.
+    /// Identity of the client. It is authenticated only when done() is true.
     const PeerIdentity &peer() const { return m_peer; }
 
 private:
@@ -26,8 +26,8 @@
         Done,
     };
 
-    std::string challenge(const wire::HelloMessage &opening);
-    Result<std::string> accept(const wire::HelloMessage &clientHello);
+    std::string makeChallenge(const wire::HelloMessage &opening);
+    Result<std::string> verifyProof(const wire::HelloMessage &clientHello);
 
     const std::string m_clusterSecret;
     wire::HelloMessage m_ownHello;
--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -121,8 +121,8 @@
     BOOST_TEST(echo.calls == 0);
 }
 
-// Guards against a request or response above the size limit that is sent, or that fails with the
-// wrong effect state.
+// Guards against a request or response above the size limit that is sent or fails with the wrong
+// effect state.
 BOOST_AUTO_TEST_CASE(oversizeMessagesFailInBothDirections)
 {
     TransportOptions small = optionsOf("server");
@@ -155,8 +155,8 @@
                  EffectState::NotRun);
 }
 
-// Guards against a NotRun failure for a call that was sent: its handler does not reply in time, or
-// discards the reply callback.
+// Guards against a failure with the effect state NotRun for a call that was sent, when its handler
+// does not reply in time or discards the reply callback.
 BOOST_AUTO_TEST_CASE(unansweredCallTimesOutAsMayHaveRun)
 {
     EchoServer echo;
@@ -169,7 +169,7 @@
 }
 
 // Guards against a call with a long timeout that waits for a process that no longer answers pings.
-BOOST_AUTO_TEST_CASE(frozenPeerIsRecognizedByKeepAlive)
+BOOST_AUTO_TEST_CASE(unresponsivePeerIsDetectedByKeepAlive)
 {
     EchoServer echo;
     Channel channel(optionsOf("client"), addressOf(echo.server.port()));
@@ -203,16 +203,17 @@
     BOOST_REQUIRE(callAndWait(channel, "").ok());
     first.reset();
     EchoServer second(optionsOf("server"), port);
-    bool answered = false;
-    for (int attempt = 0; attempt < 500 && !answered; ++attempt) {
-        answered = callAndWait(channel, "").ok();
-        if (!answered)
+    bool succeeded = false;
+    for (int attempt = 0; attempt < 500 && !succeeded; ++attempt) {
+        succeeded = callAndWait(channel, "").ok();
+        if (!succeeded)
             absl::SleepFor(absl::Milliseconds(20));
     }
-    BOOST_TEST(answered);
+    BOOST_TEST(succeeded);
 }
 
-// Guards against a reply that runs after close() and uses objects that its owner has destroyed.
+// Guards against a use after free: a reply that runs after close() accesses objects that its owner
+// has destroyed.
 BOOST_AUTO_TEST_CASE(closeFailsOpenAndLaterCallsWithStopped)
 {
     EchoServer echo;
@@ -250,7 +251,7 @@
     BOOST_TEST(full == 1);
 }
 
-// Guards against an address in use and an invalid host that fail with the same error code.
+// Guards against the same error code for an address in use and for an invalid host.
 BOOST_AUTO_TEST_CASE(usedPortAndInvalidHostFailWithTheirCodes)
 {
     EchoServer echo;
--- a/tests/peer/hello_test.cpp
+++ b/tests/peer/hello_test.cpp
@@ -32,7 +32,7 @@
 BOOST_AUTO_TEST_SUITE(HelloTest)
 
 // Guards against an exchange that does not complete between two processes with the same secret.
-BOOST_AUTO_TEST_CASE(equalSecretsAuthenticateBothEnds)
+BOOST_AUTO_TEST_CASE(equalSecretsAuthenticateBothSides)
 {
     ClientHello client(clientIdentity, "secret");
     ServerHello server(serverIdentity, "secret");
@@ -48,7 +48,7 @@
 
 // Guards against a client that accepts a server without the secret, and against a server that
 // accepts a client without it.
-BOOST_AUTO_TEST_CASE(eachEndRefusesAProofUnderAnotherSecret)
+BOOST_AUTO_TEST_CASE(eachSideRefusesAProofUnderAnotherSecret)
 {
     ClientHello client(clientIdentity, "secret");
     ServerHello wrongServer(serverIdentity, "other");
@@ -74,13 +74,13 @@
     ServerHello server(serverIdentity, "secret");
     wire::HelloMessage attacker = makeHello(serverIdentity);
     const auto challenge = receive(server, helloFrame(attacker));
-    const auto nonce = outcomeOf([&] { return helloOf(envelopeOf(challenge.value())); });
+    const auto nonce = outcomeOf([&] { return decodeHello(envelopeOf(challenge.value())); });
     attacker.proof = helloProof("secret", HelloSide::Server, nonce.value().nonce, attacker);
     BOOST_TEST(!receive(server, helloFrame(attacker)).ok());
 }
 
-// Guards against a server that accepts an unknown protocol version, and against a client that does
-// not see this reason in the refusal.
+// Guards against a server that accepts an unknown protocol version, and against a refusal that does
+// not give the client this reason.
 BOOST_AUTO_TEST_CASE(unknownVersionIsRefusedAsUnsupportedVersion)
 {
     ServerHello server(serverIdentity, "secret");
@@ -95,7 +95,7 @@
 }
 
 // Guards against requests that are served before the caller is authenticated.
-BOOST_AUTO_TEST_CASE(aRequestBeforeTheProofIsRefused)
+BOOST_AUTO_TEST_CASE(requestBeforeTheProofIsRefused)
 {
     ServerHello server(serverIdentity, "secret");
     wire::Envelope request;
