--- a/include/rattanrill/base/clock.h
+++ b/include/rattanrill/base/clock.h
@@ -13,7 +13,7 @@
 public:
     virtual ~Clock() = default;
 
-    /// Monotonic time since an arbitrary start; never decreases. Use it for leases, timeouts and
+    /// Monotonic time since an arbitrary start; it never decreases. Use it for leases, timeouts and
     /// rates.
     virtual absl::Time now() const = 0;
     /// Wall-clock time. Use it for log lines, due times and retention.
--- a/include/rattanrill/base/errorcode.h
+++ b/include/rattanrill/base/errorcode.h
@@ -5,7 +5,8 @@
 
 namespace rattanrill {
 
-/// Reasons why an operation can fail. Their names are part of the caller and operator interfaces.
+/// Reasons why an operation can fail. The names of the codes are part of the interfaces for callers
+/// and operators.
 enum class ErrorCode {
     // Requests
     InvalidRequest,
--- a/include/rattanrill/base/failure.h
+++ b/include/rattanrill/base/failure.h
@@ -6,8 +6,10 @@
 
 namespace rattanrill {
 
-/// Typed failure of an operation. \a detail is for people: it describes the operation, the wrong
-/// value and where the value came from. Code decides by \a code and \a effect only.
+/// Typed failure of an operation. \a detail is a text for operators that describes the operation,
+/// the wrong value and where the value came from. Code evaluates only \a code and \a effect, except
+/// that the detail of NotLeader is the address or replica id of the leader, or empty if it is
+/// unknown.
 struct Failure
 {
     ErrorCode code = ErrorCode::Internal;
--- a/include/rattanrill/base/hash.h
+++ b/include/rattanrill/base/hash.h
@@ -7,8 +7,8 @@
 
 namespace rattanrill {
 
-/// 64-bit XXH3 hash, which is the same in every process and version. Use it for everything on which
-/// several processes must agree; std::hash and absl::Hash can differ between processes.
+/// 64-bit XXH3 hash, which is the same in every process and version. Use it when several processes
+/// must compute the same value; std::hash and absl::Hash can differ between processes.
 std::uint64_t stableHash(std::string_view data, std::uint64_t seed = 0);
 
 /// Index in \a members of the owner of \a key by rendezvous hashing. When a member joins or leaves,
--- a/include/rattanrill/base/logger.h
+++ b/include/rattanrill/base/logger.h
@@ -17,7 +17,7 @@
 
 std::string_view name(LogLevel level);
 
-/// Destination of the log of a process, and the fields that every line carries.
+/// Destination of the log of a process, and the fields that are added to every line.
 struct LogSettings
 {
     LogLevel level = LogLevel::Info;
@@ -29,8 +29,8 @@
     std::string program;
 };
 
-/// One field of a log line. The key is a fixed name that all log lines share, such as requestId,
-/// workspace, revision, upstream, code or detail.
+/// One field of a log line. The key is one of a fixed set of names that all log lines have in
+/// common, such as requestId, workspace, revision, upstream, code or detail.
 struct LogField
 {
     LogField(std::string_view key, std::string_view value)
--- a/include/rattanrill/base/timerservice.h
+++ b/include/rattanrill/base/timerservice.h
@@ -41,7 +41,7 @@
     TimerId subscribeOnce(absl::Duration delay, Callback callback) override;
     TimerId subscribeEvery(absl::Duration period, Callback callback) override;
     void unsubscribe(TimerId timer) override;
-    /// Ends the thread. Timers no longer fire, including those that are added later.
+    /// Ends the thread. No timer fires after that, including timers that are added later.
     void stop();
 
 private:
--- a/include/rattanrill/base/workerpool.h
+++ b/include/rattanrill/base/workerpool.h
@@ -6,7 +6,8 @@
 
 namespace rattanrill {
 
-/// Fixed number of threads that run tasks from a bounded queue, in the order of posting.
+/// Runs tasks from a bounded queue on a fixed number of threads, in the order in which they were
+/// posted.
 class WorkerPool
 {
 public:
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -74,8 +74,7 @@
 {
     std::string buffer(bytes, '\0');
     auto *data = reinterpret_cast<unsigned char *>(buffer.data());
-    // Without random numbers, keys and nonces would be predictable, so the process must not
-    // continue.
+    // Without random bytes, keys and nonces would be predictable, so the process must not continue.
     if (RAND_bytes(data, static_cast<int>(bytes)) != 1)
         std::abort();
     return toHex(data, bytes);
--- a/src/base/logger.cpp
+++ b/src/base/logger.cpp
@@ -25,8 +25,8 @@
 
 /// Maximum number of lines queued for the writing thread.
 constexpr int maxQueuedLines = 2048;
-/// Limits on the lines below Warning that a process writes: the sustained rate, and the number of
-/// lines in a burst.
+/// Limits on the lines below Warning that a process writes: the sustained rate per second, and the
+/// number of lines in a burst.
 constexpr double maxLinesPerSecond = 300;
 constexpr double maxBurstLines = 1200;
 
--- a/src/base/timerservice.cpp
+++ b/src/base/timerservice.cpp
@@ -61,8 +61,8 @@
         Entry entry = first->second;
         entries.erase(first);
         if (entry.period > absl::ZeroDuration()) {
-            // A timer that is late skips the missed periods instead of firing once for each of
-            // them.
+            // A periodic timer that is late skips the missed periods instead of firing once for
+            // each of them.
             const absl::Time next = std::max(due + entry.period, clock.now());
             entries.emplace(next, entry);
         }
--- a/tests/base/hash_test.cpp
+++ b/tests/base/hash_test.cpp
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(HashTest)
 
-// Guards against a change of the hash function or its seed: processes of two versions would choose
-// different owners for the same key.
+// Guards against a change of the hash function or its seed, with which processes of two versions
+// would choose different owners for the same key.
 BOOST_AUTO_TEST_CASE(stableHashHasFixedValues)
 {
     BOOST_TEST(stableHash("") == 0x2d06800538d394c2ULL);
@@ -15,9 +15,9 @@
                == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-// Guards against a rendezvous hash that reassigns keys of the remaining members when one member
-// leaves.
-BOOST_AUTO_TEST_CASE(rendezvousMovesOnlyKeysOfTheLostMember)
+// Guards against rendezvous hashing that also changes the owner of keys of the remaining members
+// when one member leaves.
+BOOST_AUTO_TEST_CASE(onlyKeysOfTheRemovedMemberChangeTheirOwner)
 {
     const std::vector<std::string> before = {"a", "b", "c", "d"};
     const std::vector<std::string> after = {"a", "b", "d"};
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -8,7 +8,7 @@
 
 // Guards against exposition text that a scraper rejects because a label is not escaped, and against
 // buckets that omit the values below the first or above the last bound.
-BOOST_AUTO_TEST_CASE(expositionIsCumulative)
+BOOST_AUTO_TEST_CASE(bucketsAreCumulativeAndLabelsAreEscaped)
 {
     Metrics metrics;
     metrics.count("requests_total", {{"workspace", "a\"b"}}, 2);
@@ -22,8 +22,8 @@
     BOOST_TEST(text.find("ttft_seconds_bucket{le=\"+Inf\"} 3\n") != std::string::npos);
 }
 
-// Guards against large bucket counts that are written with six digits only: burn rates are
-// differences of such counts and would be wrong.
+// Guards against large bucket counts that are written with only six digits, as other numbers are:
+// burn rates are differences of such counts and would be wrong.
 BOOST_AUTO_TEST_CASE(largeCountsKeepAllDigits)
 {
     Metrics metrics;
--- a/tests/base/timerservice_test.cpp
+++ b/tests/base/timerservice_test.cpp
@@ -9,7 +9,7 @@
 BOOST_AUTO_TEST_SUITE(TimerServiceTest)
 
 // Guards against timers that fire out of order or drift when a test advances over several periods.
-BOOST_AUTO_TEST_CASE(manualServiceFiresInOrderOfTime)
+BOOST_AUTO_TEST_CASE(manualTimersFireInOrderOfTime)
 {
     ManualClock clock;
     ManualTimerService timers(clock);
