--- a/include/rattanrill/settings/settingsfile.h
+++ b/include/rattanrill/settings/settingsfile.h
@@ -17,7 +17,7 @@
 Result<Json> parseSettings(std::string_view text, const std::string &source,
                            std::string_view schemaText);
 
-/// Returns the failure for a value that the schema allows but that conflicts with another value.
+/// Returns the failure for a value that the schema allows but that conflicts with other settings.
 /// \a allowed describes the allowed values.
 Failure settingFailure(const std::string &source, std::string_view keyPath,
                        std::string_view allowed);
--- a/src/settings/settingsfile.cpp
+++ b/src/settings/settingsfile.cpp
@@ -24,33 +24,34 @@
 };
 
 /// Removes the brackets from an element of a valijson error context.
-std::string unbracketed(const std::string &step)
+std::string unbracketed(const std::string &pathElement)
 {
-    if (step.size() >= 2 && step.front() == '[' && step.back() == ']')
-        return step.substr(1, step.size() - 2);
-    return step;
+    if (pathElement.size() >= 2 && pathElement.front() == '[' && pathElement.back() == ']')
+        return pathElement.substr(1, pathElement.size() - 2);
+    return pathElement;
 }
 
-const Json *child(const Json &parent, const std::string &step)
+const Json *child(const Json &parent, const std::string &pathElement)
 {
     if (parent.is_object()) {
-        const auto member = parent.find(step);
+        const auto member = parent.find(pathElement);
         return member == parent.end() ? nullptr : &*member;
     }
     if (parent.is_array()) {
-        const std::size_t index = std::strtoul(step.c_str(), nullptr, 10);
+        const std::size_t index = std::strtoul(pathElement.c_str(), nullptr, 10);
         return index < parent.size() ? &parent[index] : nullptr;
     }
     return nullptr;
 }
 
-/// Schema of the member or array element \a step, which is found under "properties" or "items".
-const Json *childSchema(const Json *schema, const std::string &step)
+/// Returns the schema of the object member or array element \a pathElement, which \a schema
+/// contains under "properties" or "items", or null if there is none.
+const Json *childSchema(const Json *schema, const std::string &pathElement)
 {
     if (schema == nullptr)
         return nullptr;
     if (schema->contains("properties"))
-        return child(schema->at("properties"), step);
+        return child(schema->at("properties"), pathElement);
     if (schema->contains("items"))
         return &schema->at("items");
     return nullptr;
@@ -70,19 +71,20 @@
 {
     if (schema == nullptr)
         return "a known key";
-    Json shown = *schema;
-    shown.erase("description");
-    shown.erase("default");
-    if (shown.contains("properties")) {
-        const std::string required =
-                shown.contains("required") ? "; required: " + dumpJson(shown.at("required")) : "";
-        return allowedKeys(shown) + required;
+    Json constraints = *schema;
+    constraints.erase("description");
+    constraints.erase("default");
+    if (constraints.contains("properties")) {
+        const std::string required = constraints.contains("required")
+                                             ? "; required: " + dumpJson(constraints.at("required"))
+                                             : "";
+        return allowedKeys(constraints) + required;
     }
-    return dumpJson(shown);
+    return dumpJson(constraints);
 }
 
-/// Describes an error of valijson. Its context lists the path to the value as "<root>", "[key]" and
-/// "[index]". The last error is the most specific one.
+/// Converts an error of valijson to a failure. The context of the error lists the path to the value
+/// as "<root>", "[key]" and "[index]". The error is the first one that valijson reports.
 Failure describeError(const std::vector<std::string> &context, const Json &settings,
                       const Json &schemaJson, const std::string &source,
                       const std::string &description)
@@ -90,14 +92,14 @@
     const Json *value = &settings;
     const Json *schema = &schemaJson;
     std::string path;
-    for (const std::string &bracketed : context) {
-        if (bracketed == "<root>")
+    for (const std::string &contextElement : context) {
+        if (contextElement == "<root>")
             continue;
-        const std::string step = unbracketed(bracketed);
-        path += (path.empty() ? "" : ".") + step;
-        schema = childSchema(schema, step);
+        const std::string pathElement = unbracketed(contextElement);
+        path += (path.empty() ? "" : ".") + pathElement;
+        schema = childSchema(schema, pathElement);
         if (value != nullptr)
-            value = child(*value, step);
+            value = child(*value, pathElement);
     }
     const bool isLeaf = value != nullptr && !value->is_object();
     const std::string valueText = isLeaf ? concat(" is ", dumpJson(*value)) : std::string();
