--- a/src/control/controlsettings.cpp
+++ b/src/control/controlsettings.cpp
@@ -141,6 +141,7 @@
   }
 })";
 
+/// Minimum ratio of the election timeout to the Raft heartbeat period.
 constexpr int minHeartbeatsPerElectionTimeout = 3;
 
 Result<std::string> readSecretFile(const std::string &file)
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -13,6 +13,7 @@
 namespace rattanrill::control {
 namespace {
 
+/// Period at which transferLeadership() checks whether this instance still leads a group.
 constexpr absl::Duration transferPollPeriod = absl::Milliseconds(10);
 
 } // namespace
--- a/src/control/groupmonitor.cpp
+++ b/src/control/groupmonitor.cpp
@@ -5,6 +5,7 @@
 namespace rattanrill::control {
 namespace {
 
+/// Period at which the status of the groups is compared with the previous status.
 constexpr absl::Duration checkPeriod = absl::Milliseconds(100);
 
 std::string joinIds(const std::vector<replication::ReplicaId> &ids)
--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -9,6 +9,7 @@
 namespace rattanrill::control {
 namespace {
 
+/// Period of the check for members whose heartbeats have stopped.
 constexpr absl::Duration checkPeriod = absl::Milliseconds(200);
 /// If more time passes between two checks, this process was suspended. Heartbeats of the members
 /// may then still be unread in its sockets.
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -16,6 +16,7 @@
 
 /// Longer than an election, but short enough for an operator who waits for the response.
 constexpr absl::Duration groupCallTimeout = absl::Seconds(5);
+/// Maximum time that status() waits for a leader to confirm the directory view.
 constexpr absl::Duration statusTimeout = absl::Seconds(1);
 /// Longer than the other timeouts, because a membership change completes only when the new replica
 /// has caught up.
--- a/src/control/partitionclock.cpp
+++ b/src/control/partitionclock.cpp
@@ -7,8 +7,9 @@
 namespace rattanrill::control {
 namespace {
 
-/// A partition counts as active for this time after its last command. The time is longer than
-/// leases and backoff delays, so that all of them have ended when the partition becomes idle.
+/// A partition counts as active for this time after its last command. The time should be longer
+/// than leases and backoff delays, so that all of them have ended when the partition becomes idle.
+/// A longer lease or delay may end up to idlePeriod late.
 constexpr absl::Duration activePeriod = absl::Minutes(2);
 /// Period of AdvanceTime commands in an idle partition. Retention periods last days, so a long
 /// period is sufficient and keeps the Raft log short.
--- a/src/control/peerservice.cpp
+++ b/src/control/peerservice.cpp
@@ -14,6 +14,8 @@
 /// Number of threads that decode commands, set their time and encode them again. On the network
 /// thread, this would delay Raft messages when a batch upload has several MiB.
 constexpr std::size_t workerThreads = 2;
+/// Maximum number of proposals that wait for a worker thread. Further proposals fail with
+/// QueueFull.
 constexpr std::size_t maxQueuedProposals = 4096;
 
 Failure unknownGroup(const std::string &group)
--- a/tests/control/controlcluster.cpp
+++ b/tests/control/controlcluster.cpp
@@ -125,7 +125,7 @@
     const httplib::Result result = client.send(request);
     if (!result)
         return {};
-    const auto json = outcomeOf([&] { return parseJson(result->body, "response"); });
+    const auto json = outcomeOf([&] { return parseJson(result->body, "answer"); });
     return Response{result->status, json.ok() ? json.value() : Json(),
                     result->get_header_value("Location")};
 }
--- a/tests/control/controlnode_test.cpp
+++ b/tests/control/controlnode_test.cpp
@@ -66,8 +66,8 @@
 
 BOOST_AUTO_TEST_SUITE(ControlNodeTest)
 
-// Guards against lost updates: of several concurrent writes with the same base revision more than
-// one is accepted. Also guards against a resend that gets a different response.
+// Guards against lost updates, which occur when more than one of several concurrent writes with the
+// same base revision is accepted, and against a resend that gets a different response.
 BOOST_AUTO_TEST_CASE(concurrentWritesFromTheSameRevisionHaveOneWinner)
 {
     ControlCluster cluster(3);
