--- a/src/controlclient/controlcalls.cpp
+++ b/src/controlclient/controlcalls.cpp
@@ -9,8 +9,9 @@
 namespace rattanrill::controlclient {
 namespace {
 
-/// Delay before the next attempt when all instances were tried. An election takes a few hundred
-/// milliseconds, so a shorter delay would only increase the load on the instances.
+/// Delay before the next attempt when all instances were tried, or after a lost proposal or the
+/// loss of the quorum. An election takes a few hundred milliseconds, so a shorter delay would only
+/// increase the load on the instances.
 constexpr absl::Duration retryDelay = absl::Milliseconds(50);
 
 /// Returns whether the failure is caused by the instance or its current state and not by the
@@ -213,8 +214,8 @@
         // An attempt in flight may still run. A call that waits for its retry timer has no attempt
         // in flight.
         const bool mayHaveRun = call.mayHaveRun || (call.parameters.hasEffect && call.timer == 0);
-        const EffectState run = mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
-        call.callback(Failure{ErrorCode::Stopped, run, "control client is stopped"});
+        const EffectState effect = mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
+        call.callback(Failure{ErrorCode::Stopped, effect, "control client is stopped"});
     }
     absl::MutexLock lock(&m_mutex);
     const auto otherCallbacksRun = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
--- a/src/controlclient/controlcalls.h
+++ b/src/controlclient/controlcalls.h
@@ -87,8 +87,8 @@
     /// Address of the last known leader of each target, or of the instance that served it last.
     /// Empty when no address is known.
     std::map<std::string, std::string> m_addressByTarget ABSL_GUARDED_BY(m_mutex);
-    /// Index in m_addresses, modulo its size, of the next address for a target without a cached
-    /// one.
+    /// Index in m_addresses, modulo its size, of the next address for a target that has no
+    /// cached address.
     std::size_t m_nextAddressIndex ABSL_GUARDED_BY(m_mutex);
     /// Threads that are running a callback from finish().
     std::vector<std::thread::id> m_threadsInCallback ABSL_GUARDED_BY(m_mutex);
