--- a/src/batch/batchstatemachine.cpp
+++ b/src/batch/batchstatemachine.cpp
@@ -15,6 +15,8 @@
 using wire::BatchResult;
 using wire::ItemState;
 
+/// Limits on the members of commands; commands that exceed them fail with InvalidRequest.
+/// maxLeasedItems applies to each LeaseItems command.
 constexpr std::size_t maxNameBytes = 512;
 constexpr std::size_t maxMetadataBytes = 64 * 1024;
 constexpr std::int64_t maxLeasedItems = 10000;
@@ -25,10 +27,12 @@
 /// only be the result of corrupt data. The limit also prevents an overflow when durations are
 /// added.
 constexpr std::int64_t maxTimeMs = 1LL << 46;
+/// Maximum number of results that ReadResults returns in one response.
 constexpr std::uint64_t maxResultLines = 10000;
 /// Maximum number of jobs that ListJobs returns; older ones are left out. A few thousand jobs end
 /// in a partition each day.
 constexpr std::size_t maxListedJobs = 1000;
+/// A higher HTTP status in a result is stored as this value.
 constexpr std::int64_t maxHttpStatus = 999;
 
 boost::leaf::error_id failNotRun(ErrorCode code, std::string detail)
--- a/src/batch/itemfile.cpp
+++ b/src/batch/itemfile.cpp
@@ -10,6 +10,7 @@
 namespace rattanrill::batch {
 namespace {
 
+/// Limits on an uploaded file and its items; an upload that exceeds them fails with InvalidItem.
 constexpr std::size_t maxCustomIdBytes = 512;
 constexpr std::size_t maxUrlBytes = 1024;
 constexpr std::size_t maxUrls = 64;
--- a/src/batch/textstore.cpp
+++ b/src/batch/textstore.cpp
@@ -3,6 +3,7 @@
 namespace rattanrill::batch {
 namespace {
 
+/// Capacity of a block in bytes. A text that is longer gets a block of its own size.
 constexpr std::size_t blockBytes = 256 * 1024;
 /// Number of low bits of a position that hold the offset in the block. The higher bits hold the
 /// index of the block.
--- a/tests/batch/batchmodel.h
+++ b/tests/batch/batchmodel.h
@@ -12,7 +12,7 @@
 namespace rattanrill::batch {
 
 /// Reference model of the responses that a partition may return. At each step it examines all
-/// items; it has no queues like the state machine.
+/// items; unlike the state machine, it has no queues.
 class BatchModel
 {
 public:
--- a/tests/batch/statemachine_test.cpp
+++ b/tests/batch/statemachine_test.cpp
@@ -133,7 +133,7 @@
     BOOST_TEST(driver.results("j").at(0).reason == "upstream_failed");
 }
 
-// Guards against an item that is leased forever because it stops every entry that runs it.
+// Guards against an item that is leased forever because it crashes every entry that runs it.
 BOOST_AUTO_TEST_CASE(itemFailsAfterMaxExpiredLeases)
 {
     BatchDriver driver;
@@ -282,7 +282,7 @@
     BOOST_TEST(!driver.apply(late).value().claim.won);
 }
 
-// Guards against claims of lost holders that exhaust the limit of running claims.
+// Guards against exhausting the limit of running claims by claims whose holders have failed.
 BOOST_AUTO_TEST_CASE(overdueClaimsDoNotCountAgainstTheLimit)
 {
     ClaimTable claims;
