--- a/include/rattanrill/wire/batchmessages.h
+++ b/include/rattanrill/wire/batchmessages.h
@@ -117,7 +117,7 @@
 {
     std::string jobId;
     std::uint64_t index = 0;
-    /// Fencing number of the lease. A command with the number of an earlier lease has no effect.
+    /// Fencing token of the lease. A command with the token of an earlier lease has no effect.
     std::uint64_t lease = 0;
 };
 
--- a/include/rattanrill/wire/directorymessages.h
+++ b/include/rattanrill/wire/directorymessages.h
@@ -105,7 +105,7 @@
     std::int64_t port = 0;
     std::string failureDomain;
     UpstreamState state = UpstreamState::Active;
-    /// Whether the upstream rejects commands with a fencing number lower than the highest one that
+    /// Whether the upstream rejects commands with a fencing token lower than the highest one that
     /// it has received.
     bool checksFence = false;
     std::uint64_t revision = 0;
@@ -123,7 +123,7 @@
     std::uint64_t revision = 0;
 };
 
-/// Highest fencing number issued for commands to an upstream.
+/// Highest fencing token issued for commands to an upstream.
 struct FencingToken
 {
     std::string upstream;
@@ -222,7 +222,7 @@
     std::string incarnation;
 };
 
-/// Issues the next fencing number for commands to an upstream. Fails with NotFound.
+/// Issues the next fencing token for commands to an upstream. Fails with NotFound.
 struct IssueFencingToken
 {
     static constexpr std::string_view kind = "issue_fence";
@@ -270,7 +270,7 @@
 {
     /// Revision of the directory after the command.
     std::uint64_t revision = 0;
-    /// Fencing number that IssueFencingToken issued.
+    /// Fencing token that IssueFencingToken issued.
     std::uint64_t fence = 0;
     /// ReportCrash: whether the request is quarantined and no longer run.
     bool held = false;
--- a/include/rattanrill/wire/envelope.h
+++ b/include/rattanrill/wire/envelope.h
@@ -71,9 +71,9 @@
 };
 
 /// Message by which the two ends of a connection authenticate each other before any other message.
-/// \a proof is the HMAC-SHA256 under the cluster secret of the sender's side (client or server),
-/// the receiver's nonce, and the sender's nonce, instance name, failure domain and role. It is
-/// empty in the client's opening message.
+/// \a proof is an HMAC-SHA256, keyed with the cluster secret, over the sender's side (client or
+/// server), the receiver's nonce, and the sender's nonce, instance name, failure domain and role.
+/// It is empty in the client's opening message.
 struct HelloMessage
 {
     std::uint32_t version = protocolVersion;
--- a/include/rattanrill/wire/fleetmessages.h
+++ b/include/rattanrill/wire/fleetmessages.h
@@ -178,7 +178,7 @@
     bool chargesRate = true;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    /// Time left until the response must start to meet its latency objective.
+    /// Time within which the response must start to meet its latency objective.
     std::int64_t objectiveMs = 0;
     /// Time left until the request's deadline, after which the response is no longer needed.
     std::int64_t deadlineMs = 0;
