--- a/src/peer/channelcore.cpp
+++ b/src/peer/channelcore.cpp
@@ -16,9 +16,11 @@
 namespace rattanrill::peer {
 namespace {
 
+/// Delay before the first attempt to reconnect. The delay doubles after each failed attempt, up to
+/// TransportOptions::maxBackoff, and is reset when a connection is ready.
 constexpr absl::Duration initialBackoff = absl::Milliseconds(20);
-/// Number of keep-alive periods without data from the other side after which the connection counts
-/// as lost.
+/// The connection counts as lost after more than this number of keep-alive periods without data
+/// from the other side.
 constexpr int maxPeriodsWithoutData = 3;
 /// Maximum number of pushes that are queued while a connection is being established. When there are
 /// more, the oldest are dropped, because they are most likely to be out of date when the connection
--- a/src/peer/helloproof.cpp
+++ b/src/peer/helloproof.cpp
@@ -7,6 +7,7 @@
 namespace rattanrill::peer {
 namespace {
 
+/// Number of random bytes in a nonce.
 constexpr std::size_t nonceBytes = 32;
 
 Result<void> checkVersion(std::uint32_t version)
--- a/src/peer/helloproof.h
+++ b/src/peer/helloproof.h
@@ -12,9 +12,9 @@
     Server,
 };
 
-/// HMAC-SHA256 under the cluster secret of the sender's side, the receiver's nonce, and the
-/// sender's nonce and identity. The side is included so that a proof cannot be reflected to the
-/// process that computed it.
+/// Returns the HMAC-SHA256, keyed with the cluster secret, over the sender's side, the receiver's
+/// nonce, and the sender's nonce and identity. The side is included so that a proof cannot be
+/// reflected to the process that computed it.
 std::string helloProof(const std::string &clusterSecret, HelloSide side,
                        const std::string &receiverNonce, const wire::HelloMessage &senderHello);
 
--- a/src/peer/serverconnection.cpp
+++ b/src/peer/serverconnection.cpp
@@ -13,8 +13,8 @@
 namespace rattanrill::peer {
 namespace {
 
-/// Time without data from a client after which the connection counts as lost. Clients send a ping
-/// every second.
+/// Interval between checks of a connection. It counts as lost when nothing was received during a
+/// whole interval; clients send a ping every second.
 constexpr absl::Duration idleTimeout = absl::Seconds(10);
 
 /// Sends the response to one request. If the handler discards its reply callback without calling
