--- a/src/settings/settingsfile.cpp
+++ b/src/settings/settingsfile.cpp
@@ -84,7 +84,8 @@
 }
 
 /// Converts an error of valijson to a failure. The context of the error lists the path to the value
-/// as "<root>", "[key]" and "[index]". The error is the first one that valijson reports.
+/// as "<root>", "[key]" and "[index]". The caller passes the first error, because valijson reports
+/// the errors of a nested value before those of the values that contain it.
 Failure describeError(const std::vector<std::string> &context, const Json &settings,
                       const Json &schemaJson, const std::string &source,
                       const std::string &description)
