--- a/tests/peer/channel_test.cpp
+++ b/tests/peer/channel_test.cpp
@@ -85,11 +85,11 @@
     Server server;
 };
 
-void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, EffectState run)
+void checkFailure(const Outcome<std::string> &outcome, ErrorCode code, EffectState effect)
 {
     BOOST_REQUIRE(!outcome.ok());
     BOOST_TEST(name(outcome.failure().code) == name(code), describe(outcome.failure()));
-    BOOST_TEST(name(outcome.failure().effect) == name(run), describe(outcome.failure()));
+    BOOST_TEST(name(outcome.failure().effect) == name(effect), describe(outcome.failure()));
 }
 
 } // namespace
