--- a/src/batch/textstore.cpp
+++ b/src/batch/textstore.cpp
@@ -3,6 +3,7 @@
 namespace rattanrill::batch {
 namespace {
 
+/// Capacity of a block in bytes. A text that is longer gets a block of its own size.
 constexpr std::size_t blockBytes = 256 * 1024;
 /// Number of low bits of a position that hold the offset in the block. The higher bits hold the
 /// index of the block.
@@ -55,7 +56,7 @@
     for (std::size_t index = 0; index < blocks; ++index) {
         const std::string_view text = reader.text();
         std::string &block = m_blocks.emplace_back();
-        // All blocks but the first have at least this capacity, as blockFor() creates them.
+        // Like in blockFor(), all blocks except the first have at least this capacity.
         if (index > 0 && text.size() < blockBytes)
             block.reserve(blockBytes);
         block.append(text);
--- a/src/control/grouphost.cpp
+++ b/src/control/grouphost.cpp
@@ -13,6 +13,7 @@
 namespace rattanrill::control {
 namespace {
 
+/// Period at which transferLeadership() checks whether this instance still leads a group.
 constexpr absl::Duration transferPollPeriod = absl::Milliseconds(10);
 
 } // namespace
@@ -46,7 +47,7 @@
             options.initialVoters.push_back(replica.id);
     }
     options.dataFolder = concat(m_settings.dataFolder, "/", group);
-    options.heartbeatPeriod = m_settings.raftHeartbeat;
+    options.heartbeatPeriod = m_settings.raftHeartbeatPeriod;
     options.electionTimeout = m_settings.electionTimeout;
     options.snapshotAfterBytes = m_settings.snapshotAfterBytes;
     BOOST_LEAF_AUTO(opened, m_startRaftNode(options, std::move(machine), *this, m_clock));
