--- a/src/ctl/commandspec.h
+++ b/src/ctl/commandspec.h
@@ -49,7 +49,7 @@
 /// derived from it.
 struct CommandSpec
 {
-    /// Words on the command line, separated by a space.
+    /// Words that select the command, separated by spaces, such as "key add".
     std::string words;
     std::string summary;
     std::string description;
@@ -63,8 +63,8 @@
     std::string path;
     /// Part of the path after the id.
     std::string pathSuffix;
-    /// Member that holds the id in a listed record; empty when the base revision of a write is not
-    /// looked up.
+    /// Member that holds the id in a listed record, used to look up the base revision of a write.
+    /// Empty when the base revision is not looked up.
     std::string idKey;
     /// Members of a listed record that are shown as columns.
     std::vector<std::string> columns;
--- a/src/ctl/commandtable.cpp
+++ b/src/ctl/commandtable.cpp
@@ -86,10 +86,9 @@
     CommandSpec spec = writeCommand("key add", "POST", "keys", "");
     spec.summary = "Add a caller's key to a workspace";
     spec.description =
-            "Generates a new key and shows it once; only its hash is stored. When the answer is "
-            "lost and "
-            "the request is repeated, the key cannot be shown again: the command then fails and "
-            "reports the key id, so that the key can be withdrawn.";
+            "Generates a new key and shows it once; only its hash is stored. If the "
+            "response is lost and the request is resent, the key cannot be shown again: the "
+            "command then fails and reports the key id, so that the key can be withdrawn.";
     spec.positionals = {{"WORKSPACE", "workspace", ValueKind::Text, "name of the workspace"}};
     spec.errors = "`not_found` when the workspace has no contract; `conflict` when the contract is "
                   "withdrawn.";
@@ -213,9 +212,8 @@
     CommandSpec spec;
     spec.words = "status";
     spec.summary = "Show groups, leaders, members and the revision";
-    spec.description = "Shows the state of the groups on the instance that answers. The revision "
-                       "is shown only when "
-                       "a leader confirms it.";
+    spec.description = "Shows the state of the groups on the instance that responds. The "
+                       "revision is shown only when a leader confirms it.";
     spec.errors = "None, unless no control instance can be reached.";
     spec.example = "rattanrillctl --json status";
     spec.method = "GET";
@@ -314,7 +312,7 @@
             upstreamPut(),
             removeCommand(
                     "upstream", "upstreams", "Remove an upstream",
-                    "Entry instances send it no more requests. First set its state to leaving "
+                    "Entry instances no longer send requests to it. First set its state to leaving "
                     "(`upstream put --state leaving`), so that its running requests can finish."),
             listCommand("member", "members", "List members",
                         "Shows the entry instances that the directory has acknowledged.",
@@ -322,8 +320,8 @@
                          "incarnation", "revision"}),
             listCommand("held", "held", "List held requests",
                         "Shows the fingerprints of requests that crashed upstreams; those that "
-                        "crashed two "
-                        "upstreams are held: they are refused everywhere.",
+                        "crashed two upstreams are held, which means that all entry instances "
+                        "reject them.",
                         {"fingerprint", "held", "crashed_upstreams", "expires_at_ms", "revision"}),
             heldRelease(),
             statusCommand(),
@@ -353,7 +351,7 @@
              "", false},
             {"--token-file", "FILE", ValueKind::Text, "", "file with the operator token", "",
              false},
-            {"--json", "", ValueKind::Flag, "", "print answers and errors as JSON", "off", false},
+            {"--json", "", ValueKind::Flag, "", "print responses and errors as JSON", "off", false},
             {"--base-revision", "N", ValueKind::Integer, "",
              "revision of the record that a write is based on; 0 for a new record",
              "the current revision, read first", false},
--- a/src/ctl/help.cpp
+++ b/src/ctl/help.cpp
@@ -87,7 +87,7 @@
     text += "\nOptions of every command:\n";
     for (const OptionSpec &option : commonOptions())
         text += optionLine(option);
-    text += "\nExit codes: 0 done, 1 refused, 2 unusable arguments, 3 no control instance "
+    text += "\nExit codes: 0 success, 1 failure, 2 invalid arguments, 3 no control instance "
             "reached\n";
     return text;
 }
@@ -117,7 +117,7 @@
                   "## Arguments, units and defaults\n\n",
                   hasArguments ? argumentTable(command) : std::string("None.\n"), "\n",
                   "## Errors\n\n", command.errors,
-                  " Exit codes: 0 done, 1 refused, 2 unusable arguments, 3 no control instance "
+                  " Exit codes: 0 success, 1 failure, 2 invalid arguments, 3 no control instance "
                   "reached.\n\n",
                   "## Example\n\n```\n", command.example, "\n```\n");
 }
--- a/src/ctl/invocation.cpp
+++ b/src/ctl/invocation.cpp
@@ -72,8 +72,8 @@
     return found == options.end() ? nullptr : &*found;
 }
 
-/// Finds the option \a name among the common options and those of all commands. The tokenizer must
-/// know whether an option has a value before it has found the command.
+/// Finds the option \a name among the common options and those of all commands. tokenize() uses it
+/// to determine whether an option has a value, before the command is known.
 const OptionSpec *findOptionOfAnyCommand(const std::string &name)
 {
     if (const OptionSpec *common = findOption(commonOptions(), name))
--- a/src/ctl/operatorclient.cpp
+++ b/src/ctl/operatorclient.cpp
@@ -14,13 +14,14 @@
 namespace rattanrill::ctl {
 namespace {
 
-/// Time limit for a request while servers answer with transient failures. It is longer than an
-/// election plus the time for which an instance waits for its group.
-constexpr absl::Duration totalTimeout = absl::Seconds(20);
+/// Time limit of a request while servers respond with transient failures. Longer than an election
+/// plus the time for which an instance waits for its group.
+constexpr absl::Duration transientFailureTimeout = absl::Seconds(20);
+/// Time limit of a request while no server responds.
 constexpr absl::Duration unreachableTimeout = absl::Seconds(5);
 constexpr absl::Duration retryInterval = absl::Milliseconds(100);
 constexpr time_t connectTimeoutSeconds = 1;
-/// A membership change waits until the new replica has caught up.
+/// Long enough for a membership change, whose response is sent after the new replica has caught up.
 constexpr time_t readTimeoutSeconds = 30;
 constexpr int maxRedirects = 3;
 constexpr int temporaryRedirect = 307;
@@ -48,7 +49,7 @@
 }
 
 /// Extracts "host:port" from "http://host:port/path".
-std::string serverOf(const std::string &location)
+std::string hostAndPortOf(const std::string &location)
 {
     const std::size_t begin = location.find("//");
     if (begin == std::string::npos)
@@ -71,7 +72,7 @@
     failure.effect = error.value("run", "") == name(EffectState::NotRun) ? EffectState::NotRun
                                                                          : EffectState::MayHaveRun;
     failure.detail = error.value("message", "");
-    // The message already begins with the code's name, and describe() would add it again.
+    // Removes the name of the code, with which the message begins: describe() adds it again.
     const std::string prefix = concat(name(failure.code), ": ");
     if (failure.detail.rfind(prefix, 0) == 0)
         failure.detail = failure.detail.substr(prefix.size());
@@ -102,44 +103,45 @@
     m_anyAttemptMayHaveRun = false;
     while (true) {
         for (const std::string &server : m_servers) {
-            const Answer answer = sendFollowingRedirects(server, method, path, text);
-            if (answer.status == 0)
+            const HttpResponse response = sendFollowingRedirects(server, method, path, text);
+            if (response.status == 0)
                 continue;
-            if (answer.status == 200)
-                return parseJson(answer.body, "answer");
-            failure = failureOf(answer.status, answer.body);
+            if (response.status == 200)
+                return parseJson(response.body, "answer");
+            failure = failureOf(response.status, response.body);
             if (!isTransient(failure))
                 return fail(failure);
             m_anyAttemptMayHaveRun =
                     m_anyAttemptMayHaveRun || failure.effect == EffectState::MayHaveRun;
         }
         const bool reached = failure.code != ErrorCode::ConnectionLost;
-        if (absl::Now() - start > (reached ? totalTimeout : unreachableTimeout))
+        if (absl::Now() - start > (reached ? transientFailureTimeout : unreachableTimeout))
             return fail(m_anyAttemptMayHaveRun ? mayHaveRun(failure.code, failure.detail)
                                                : failure);
         absl::SleepFor(retryInterval);
     }
 }
 
-OperatorClient::Answer OperatorClient::sendFollowingRedirects(std::string server,
-                                                              const std::string &method,
-                                                              const std::string &path,
-                                                              const std::string &body)
+OperatorClient::HttpResponse OperatorClient::sendFollowingRedirects(std::string server,
+                                                                    const std::string &method,
+                                                                    const std::string &path,
+                                                                    const std::string &body)
 {
     for (int redirects = 0; redirects <= maxRedirects; ++redirects) {
-        Answer answer = sendOnce(server, method, path, body);
-        if (answer.status == 0)
-            m_anyAttemptMayHaveRun = m_anyAttemptMayHaveRun || answer.body == "sent";
-        if (answer.status != temporaryRedirect)
-            return answer;
-        server = serverOf(answer.location);
+        HttpResponse response = sendOnce(server, method, path, body);
+        if (response.status == 0)
+            m_anyAttemptMayHaveRun = m_anyAttemptMayHaveRun || response.body == "sent";
+        if (response.status != temporaryRedirect)
+            return response;
+        server = hostAndPortOf(response.location);
     }
-    return Answer{};
+    return HttpResponse{};
 }
 
-OperatorClient::Answer OperatorClient::sendOnce(const std::string &server,
-                                                const std::string &method, const std::string &path,
-                                                const std::string &body) const
+OperatorClient::HttpResponse OperatorClient::sendOnce(const std::string &server,
+                                                      const std::string &method,
+                                                      const std::string &path,
+                                                      const std::string &body) const
 {
     const HostPort address = hostPort(server);
     httplib::Client client(address.host, address.port);
@@ -154,18 +156,18 @@
         request.body = body;
     }
     const httplib::Result result = client.send(request);
-    Answer answer;
+    HttpResponse response;
     if (!result) {
         // Any error after the connection was established may mean that the request was sent.
         const bool sent = result.error() != httplib::Error::Connection
                           && result.error() != httplib::Error::ConnectionTimeout;
-        answer.body = sent ? "sent" : "";
-        return answer;
+        response.body = sent ? "sent" : "";
+        return response;
     }
-    answer.status = result->status;
-    answer.body = result->body;
-    answer.location = result->get_header_value("Location");
-    return answer;
+    response.status = result->status;
+    response.body = result->body;
+    response.location = result->get_header_value("Location");
+    return response;
 }
 
 } // namespace rattanrill::ctl
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -97,11 +97,11 @@
 
 int Session::list(const Invocation &invocation)
 {
-    const auto answer =
+    const auto response =
             outcomeOf([&] { return m_client->send("GET", requestPath(invocation), Json()); });
-    if (!answer.ok() || invocation.has("--json"))
-        return printOutcome(invocation, answer);
-    m_out << tableText(invocation.command->columns, answer.value().value("items", Json::array()));
+    if (!response.ok() || invocation.has("--json"))
+        return printOutcome(invocation, response);
+    m_out << tableText(invocation.command->columns, response.value().value("items", Json::array()));
     return exitOk;
 }
 
@@ -128,8 +128,8 @@
     const CommandSpec &command = *invocation.command;
     if (command.idKey.empty())
         return Json(0);
-    BOOST_LEAF_AUTO(answer, m_client->send("GET", command.path, Json()));
-    for (const Json &item : answer.value("items", Json::array())) {
+    BOOST_LEAF_AUTO(response, m_client->send("GET", command.path, Json()));
+    for (const Json &item : response.value("items", Json::array())) {
         if (item.value(command.idKey, "") == invocation.id)
             return item.at("revision");
     }
@@ -138,15 +138,16 @@
 
 int Session::addKey(const Invocation &invocation)
 {
-    const auto answer = outcomeOf([&] { return sendWrite(invocation); });
-    const bool hasKey = answer.ok() && answer.value().contains("key");
-    if (!answer.ok() || hasKey)
-        return printOutcome(invocation, answer);
+    const auto response = outcomeOf([&] { return sendWrite(invocation); });
+    const bool hasKey = response.ok() && response.value().contains("key");
+    if (!response.ok() || hasKey)
+        return printOutcome(invocation, response);
     return reportFailure(
-            mayHaveRun(ErrorCode::DuplicateRequest,
-                       concat("key id \"", answer.value().value("key_id", ""),
-                              "\" was added by an earlier request whose answer showed the key; if "
-                              "that answer was lost, withdraw this key and add another")),
+            mayHaveRun(
+                    ErrorCode::DuplicateRequest,
+                    concat("key id \"", response.value().value("key_id", ""),
+                           "\" was added by an earlier request whose response contained the key; "
+                           "if that response was lost, withdraw this key and add another")),
             invocation.has("--json"));
 }
 
@@ -156,14 +157,14 @@
     const std::string seconds = invocation.value("--timeout", defaultWaitSeconds);
     const absl::Time deadline = absl::Now() + absl::Seconds(std::strtod(seconds.c_str(), nullptr));
     while (true) {
-        const auto answer = outcomeOf([&] { return m_client->send("GET", path, Json()); });
-        if (!answer.ok() || answer.value().value("in_force", false))
-            return printOutcome(invocation, answer);
+        const auto response = outcomeOf([&] { return m_client->send("GET", path, Json()); });
+        if (!response.ok() || response.value().value("in_force", false))
+            return printOutcome(invocation, response);
         if (absl::Now() >= deadline)
             return reportFailure(
                     notRun(ErrorCode::Timeout, concat("revision ", invocation.value("--revision"),
-                                                      " is not in force; lacking: ",
-                                                      dumpJson(answer.value().at("lacking")))),
+                                                      " is not in force on: ",
+                                                      dumpJson(response.value().at("lacking")))),
                     invocation.has("--json"));
         absl::SleepFor(inForcePollInterval);
     }
@@ -171,11 +172,11 @@
 
 int Session::status(const Invocation &invocation)
 {
-    const auto answer =
+    const auto response =
             outcomeOf([&] { return m_client->send("GET", requestPath(invocation), Json()); });
-    if (!answer.ok() || invocation.has("--json"))
-        return printOutcome(invocation, answer);
-    const Json &status = answer.value();
+    if (!response.ok() || invocation.has("--json"))
+        return printOutcome(invocation, response);
+    const Json &status = response.value();
     const bool confirmed = status.contains("revision");
     m_out << "revision: " << (confirmed ? dumpJson(status.at("revision")) : "not confirmed")
           << "\n\n"
--- a/tests/ctl/ctl_test.cpp
+++ b/tests/ctl/ctl_test.cpp
@@ -79,15 +79,15 @@
     return text.find(part) != std::string::npos;
 }
 
-const std::vector<std::string> putContract = {"contract", "put",     "w1", "--rate",
-                                              "1",        "--burst", "2"};
+const std::vector<std::string> putContractCommand = {"contract", "put",     "w1", "--rate",
+                                                     "1",        "--burst", "2"};
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(CtlTest)
 
 // Guards against a request that is sent for an invalid command line.
-BOOST_AUTO_TEST_CASE(unusableArgumentsExitWith2AndSendNothing)
+BOOST_AUTO_TEST_CASE(invalidArgumentsExitWith2AndSendNoRequest)
 {
     ScriptedServer server({Step{}});
     for (const std::vector<std::string> &command : std::vector<std::vector<std::string>>{
@@ -132,14 +132,14 @@
     BOOST_TEST(sent.body.at("request_id").get<std::string>().size() == 32u);
 }
 
-// Guards against a write that takes effect twice: its answer is lost, and the repeated request has
+// Guards against a write that takes effect twice: its response is lost, and the resent request has
 // another request id or body.
-BOOST_AUTO_TEST_CASE(lostAnswerIsRepeatedWithTheSameRequestId)
+BOOST_AUTO_TEST_CASE(requestIsResentWithSameIdWhenResponseIsLost)
 {
     ScriptedServer server({Step{0, "", ""},
                            Step{503, errorBody("proposal_lost", "may_have_run"), ""},
                            Step{200, R"({"revision":8})", ""}});
-    std::vector<std::string> command = putContract;
+    std::vector<std::string> command = putContractCommand;
     command.insert(command.end(), {"--base-revision", "3"});
     const RunResult result = runWithServers({server.address()}, command);
     BOOST_TEST(result.code == exitOk, result.err);
@@ -148,11 +148,11 @@
         BOOST_TEST(sent.body == server.requests().front().body);
 }
 
-// Guards against retrying a write that the server refused for good.
-BOOST_AUTO_TEST_CASE(refusedWriteExitsWith1AndIsNotRepeated)
+// Guards against resending a write that the server rejected with a permanent error.
+BOOST_AUTO_TEST_CASE(rejectedWriteExitsWith1AndIsNotResent)
 {
     ScriptedServer server({Step{409, errorBody("conflict", "not_run"), ""}});
-    std::vector<std::string> command = putContract;
+    std::vector<std::string> command = putContractCommand;
     command.insert(command.end(), {"--base-revision", "3", "--request-id", "mine"});
     const RunResult result = runWithServers({server.address()}, command);
     BOOST_TEST(result.code == exitFailure);
@@ -175,7 +175,8 @@
     BOOST_TEST(leader.requests().front().authorization == "Bearer operator-token");
 }
 
-// Guards against an exit code that does not distinguish an unreachable deployment from a refusal.
+// Guards against an exit code that does not distinguish an unreachable deployment from a rejected
+// request.
 BOOST_AUTO_TEST_CASE(unreachableServersExitWith3)
 {
     const RunResult result = runWithServers({unusedAddress()}, {"status"});
@@ -183,9 +184,9 @@
     BOOST_TEST(contains(result.err, "connection_lost"));
 }
 
-// Guards against reporting success for a key that nobody can use: the answer that held the key was
-// lost, and the answer to the repeated request has only the key id.
-BOOST_AUTO_TEST_CASE(keyAddFailsWhenAnswerHasNoKey)
+// Guards against reporting success for a key that nobody can use: the response with the key was
+// lost, and the response to the resent request has only the key id.
+BOOST_AUTO_TEST_CASE(keyAddFailsWhenResponseHasNoKey)
 {
     ScriptedServer server({Step{200, R"({"key_id":"key_1","revision":8})", ""}});
     const RunResult result = runWithServers({server.address()}, {"key", "add", "w1"});
--- a/tests/ctl/scriptedserver.cpp
+++ b/tests/ctl/scriptedserver.cpp
@@ -53,7 +53,7 @@
 
 ScriptedServer::~ScriptedServer()
 {
-    // A connection without a request unblocks accept(), so that the thread sees m_stopping.
+    // A connection without a request unblocks accept(), so that the thread checks m_stopping.
     m_stopping = true;
     boost::system::error_code ignored;
     Socket socket(m_context);
--- a/tests/ctl/scriptedserver.h
+++ b/tests/ctl/scriptedserver.h
@@ -15,7 +15,8 @@
 /// How a scripted server responds to one request.
 struct Step
 {
-    /// HTTP status; 0 reads the request and closes the connection, so that the answer is lost.
+    /// HTTP status; with 0, the server reads the request and closes the connection without a
+    /// response.
     int status = 200;
     std::string body = "{}";
     std::string location;
