--- a/src/report/burn.cpp
+++ b/src/report/burn.cpp
@@ -22,7 +22,7 @@
 
 /// Workspace and model.
 using Group = std::vector<std::string>;
-using Shares = std::map<Group, Share>;
+using EventCountsByGroup = std::map<Group, EventCounts>;
 
 /// Cumulative observation counts of a histogram by upper bound of the bucket.
 using Buckets = std::map<double, double>;
@@ -52,59 +52,62 @@
     return countBelow;
 }
 
-Shares latencyShares(const FleetHistory &history, const std::string &metric, double threshold,
-                     std::size_t from, std::size_t to)
+EventCountsByGroup latencyEvents(const FleetHistory &history, const std::string &metric,
+                                 double threshold, std::size_t from, std::size_t to)
 {
     std::map<Group, Buckets> buckets;
     for (const auto &[labels, count] :
          history.increase(metric + "_bucket", {}, {"workspace", "model", "le"}, from, to))
         buckets[{labels[0], labels[1]}][parseBound(labels[2])] += count;
-    Shares shares;
+    EventCountsByGroup eventsByGroup;
     for (const auto &[group, groupBuckets] : buckets) {
         const double total = groupBuckets.rbegin()->second;
-        shares[group] = {total, total - observationsUpTo(groupBuckets, threshold)};
+        eventsByGroup[group] = {total, total - observationsUpTo(groupBuckets, threshold)};
     }
-    return shares;
+    return eventsByGroup;
 }
 
-void addCounts(Shares &shares, const FleetHistory &history, const std::string &metric,
-               const Labels &match, double Share::*field, std::size_t from, std::size_t to)
+void addCounts(EventCountsByGroup &eventsByGroup, const FleetHistory &history,
+               const std::string &metric, const Labels &match, double EventCounts::*field,
+               std::size_t from, std::size_t to)
 {
     for (const auto &[labels, count] : history.increase(metric, match, {"workspace"}, from, to))
-        shares[{labels[0], std::string()}].*field += count;
+        eventsByGroup[{labels[0], std::string()}].*field += count;
 }
 
-Shares refusalShares(const FleetHistory &history, std::size_t from, std::size_t to)
+EventCountsByGroup refusalEvents(const FleetHistory &history, std::size_t from, std::size_t to)
 {
-    Shares shares;
-    addCounts(shares, history, "rattanrill_requests_total", {}, &Share::total, from, to);
-    addCounts(shares, history, "rattanrill_refused_total", {{"inside_rate", "true"}}, &Share::bad,
-              from, to);
-    return shares;
+    EventCountsByGroup eventsByGroup;
+    addCounts(eventsByGroup, history, "rattanrill_requests_total", {}, &EventCounts::total, from,
+              to);
+    addCounts(eventsByGroup, history, "rattanrill_refused_total", {{"inside_rate", "true"}},
+              &EventCounts::bad, from, to);
+    return eventsByGroup;
 }
 
-Shares batchShares(const FleetHistory &history, std::size_t from, std::size_t to)
+EventCountsByGroup batchEvents(const FleetHistory &history, std::size_t from, std::size_t to)
 {
-    Shares shares;
+    EventCountsByGroup eventsByGroup;
     for (const char *state : {"completed", "failed"})
-        addCounts(shares, history, "rattanrill_batch_items_total", {{"state", state}},
-                  &Share::total, from, to);
-    addCounts(shares, history, "rattanrill_batch_past_due_total", {}, &Share::bad, from, to);
-    return shares;
+        addCounts(eventsByGroup, history, "rattanrill_batch_items_total", {{"state", state}},
+                  &EventCounts::total, from, to);
+    addCounts(eventsByGroup, history, "rattanrill_batch_past_due_total", {}, &EventCounts::bad,
+              from, to);
+    return eventsByGroup;
 }
 
-Shares sharesOf(const FleetHistory &history, const Objectives &objectives, Objective objective,
-                std::size_t from, std::size_t to)
+EventCountsByGroup eventsOf(const FleetHistory &history, const Objectives &objectives,
+                            Objective objective, std::size_t from, std::size_t to)
 {
     switch (objective) {
     case Objective::TimeToFirstToken:
-        return latencyShares(history, "rattanrill_ttft_seconds", objectives.ttftSeconds, from, to);
+        return latencyEvents(history, "rattanrill_ttft_seconds", objectives.ttftSeconds, from, to);
     case Objective::TimeBetweenTokens:
-        return latencyShares(history, "rattanrill_tbt_seconds", objectives.tbtSeconds, from, to);
+        return latencyEvents(history, "rattanrill_tbt_seconds", objectives.tbtSeconds, from, to);
     case Objective::ServedInsideRate:
-        return refusalShares(history, from, to);
+        return refusalEvents(history, from, to);
     case Objective::BatchOnTime:
-        return batchShares(history, from, to);
+        return batchEvents(history, from, to);
     }
     return {};
 }
@@ -124,9 +127,9 @@
     return 1;
 }
 
-double burnRate(const Share &share, const Objectives &objectives, Objective objective)
+double burnRate(const EventCounts &events, const Objectives &objectives, Objective objective)
 {
-    return share.badShare() / (1 - targetOf(objectives, objective));
+    return events.badFraction() / (1 - targetOf(objectives, objective));
 }
 
 std::set<absl::Duration> windowsOf(const Objectives &objectives)
@@ -159,12 +162,12 @@
 
 using Rows = std::map<std::pair<Objective, Group>, BurnRow>;
 
-Share sumOf(const Shares &shares)
+EventCounts sumOf(const EventCountsByGroup &eventsByGroup)
 {
-    Share sum;
-    for (const auto &[group, share] : shares) {
-        sum.total += share.total;
-        sum.bad += share.bad;
+    EventCounts sum;
+    for (const auto &[group, events] : eventsByGroup) {
+        sum.total += events.total;
+        sum.bad += events.bad;
     }
     return sum;
 }
@@ -172,22 +175,22 @@
 void addWindow(const FleetHistory &history, const Objectives &objectives, Objective objective,
                absl::Duration window, Rows &rows, BurnRow &fleetRow)
 {
-    const std::size_t from = history.startOf(window);
-    const std::size_t to = history.last();
+    const std::size_t from = history.windowStart(window);
+    const std::size_t to = history.lastIndex();
     WindowBurn burn;
     burn.window = window;
     burn.span = history.times()[to] - history.times()[from];
-    Shares shares = sharesOf(history, objectives, objective, from, to);
-    burn.share = sumOf(shares);
-    burn.burnRate = burnRate(burn.share, objectives, objective);
+    EventCountsByGroup eventsByGroup = eventsOf(history, objectives, objective, from, to);
+    burn.events = sumOf(eventsByGroup);
+    burn.burnRate = burnRate(burn.events, objectives, objective);
     fleetRow.windows.push_back(burn);
-    for (const auto &[group, share] : shares) {
+    for (const auto &[group, events] : eventsByGroup) {
         BurnRow &row = rows[{objective, group}];
         row.objective = objective;
         row.workspace = group[0];
         row.model = group[1];
-        burn.share = share;
-        burn.burnRate = burnRate(share, objectives, objective);
+        burn.events = events;
+        burn.burnRate = burnRate(events, objectives, objective);
         row.windows.push_back(burn);
     }
 }
@@ -197,8 +200,8 @@
 {
     std::vector<BurnPoint> points;
     for (std::size_t i = 1; i < history.times().size(); ++i) {
-        const Share share = sumOf(sharesOf(history, objectives, objective, i - 1, i));
-        points.push_back({history.times()[i], burnRate(share, objectives, objective)});
+        const EventCounts events = sumOf(eventsOf(history, objectives, objective, i - 1, i));
+        points.push_back({history.times()[i], burnRate(events, objectives, objective)});
     }
     return points;
 }
@@ -209,7 +212,7 @@
     std::map<std::string, double> worstByWorkspace;
     for (const BurnRow &row : rows) {
         double &worst = worstByWorkspace[row.workspace];
-        worst = std::max(worst, worstBurn(row));
+        worst = std::max(worst, maxBurnRate(row));
     }
     std::stable_sort(rows.begin(), rows.end(), [&](const BurnRow &left, const BurnRow &right) {
         const double leftWorst = worstByWorkspace[left.workspace];
@@ -218,7 +221,7 @@
             return leftWorst > rightWorst;
         if (left.workspace != right.workspace)
             return left.workspace < right.workspace;
-        return worstBurn(left) > worstBurn(right);
+        return maxBurnRate(left) > maxBurnRate(right);
     });
 }
 
@@ -236,7 +239,7 @@
 
 Traffic trafficOf(const FleetHistory &history)
 {
-    const std::size_t to = history.last();
+    const std::size_t to = history.lastIndex();
     const double seconds = absl::ToDoubleSeconds(history.times()[to] - history.times()[0]);
     // When the snapshots span no time, the values are totals instead of rates.
     const double divisor = seconds > 0 ? seconds : 1;
@@ -261,13 +264,13 @@
     return nameOf(objectiveNames, objective);
 }
 
-double Share::badShare() const
+double EventCounts::badFraction() const
 {
     const double eventCount = std::max(total, bad);
     return eventCount > 0 ? std::max(bad, 0.0) / eventCount : 0;
 }
 
-double worstBurn(const BurnRow &row)
+double maxBurnRate(const BurnRow &row)
 {
     double worst = 0;
     for (const WindowBurn &burn : row.windows)
--- a/src/report/burn.h
+++ b/src/report/burn.h
@@ -22,15 +22,15 @@
 
 std::string_view name(Objective objective);
 
-/// Events of one objective in one window.
-struct Share
+/// Number of events of one objective in one window.
+struct EventCounts
 {
     double total = 0;
     double bad = 0;
 
-    /// Share of bad events, from 0 to 1; 0 without events. The bad counter can exceed the total
-    /// when the total was scraped a moment earlier; the share is then limited to 1.
-    double badShare() const;
+    /// Fraction of bad events, from 0 to 1; 0 without events. The bad counter can exceed the total
+    /// when the total was scraped a moment earlier; the fraction is then 1.
+    double badFraction() const;
 };
 
 struct WindowBurn
@@ -39,7 +39,7 @@
     /// Time between the snapshots that were compared. It is shorter than the window when the oldest
     /// snapshot is younger than the window, and longer when snapshots are sparse.
     absl::Duration span;
-    Share share;
+    EventCounts events;
     /// Rate at which the error budget is consumed; 1 consumes it exactly within its period.
     double burnRate = 0;
 };
@@ -56,13 +56,14 @@
     bool alert = false;
 };
 
-/// What the fleet served between the first and the last snapshot.
+/// Traffic of the fleet between the first and the last snapshot. The rates are totals when all
+/// snapshots have the same time.
 struct Traffic
 {
     double requestsPerSecond = 0;
     std::map<std::string, double> tokensPerSecondByClass;
     std::map<std::string, double> batchItemsByState;
-    /// The keys are upstream name and error code, separated by a space.
+    /// Number of failures by upstream name and error code, separated by a space.
     std::map<std::string, double> upstreamFailures;
     double leasesExpired = 0;
 };
@@ -92,6 +93,6 @@
 BurnReport makeBurnReport(const FleetHistory &history, const Objectives &objectives);
 
 /// Largest burn rate of the row over its windows.
-double worstBurn(const BurnRow &row);
+double maxBurnRate(const BurnRow &row);
 
 } // namespace rattanrill::report
--- a/src/report/fleethistory.cpp
+++ b/src/report/fleethistory.cpp
@@ -36,8 +36,8 @@
         for (const auto &[instance, samples] : snapshots[i].instances)
             add(i, instance, samples);
     }
-    // A single snapshot has no earlier one to compare with: report its counters since process
-    // start.
+    // A single snapshot has no earlier one to compare with, so its counters since the process start
+    // are reported.
     if (m_times.size() != 1)
         return;
     m_times.push_back(m_times.front());
@@ -62,10 +62,10 @@
     }
 }
 
-std::size_t FleetHistory::startOf(absl::Duration window) const
+std::size_t FleetHistory::windowStart(absl::Duration window) const
 {
     std::size_t start = 0;
-    for (std::size_t i = 0; i < last(); ++i) {
+    for (std::size_t i = 0; i < lastIndex(); ++i) {
         if (m_times[i] <= m_times.back() - window)
             start = i;
     }
--- a/src/report/fleethistory.h
+++ b/src/report/fleethistory.h
@@ -19,9 +19,9 @@
 };
 
 /// Counters of the fleet over time: the sum over all instances, corrected for restarts. A counter
-/// whose value decreased was reset, so its whole value is an increase. An instance that appears
-/// later is assumed to have started at 0. The counts of an instance that disappears stay in the
-/// sum.
+/// whose value decreased was reset, so its whole value is an increase. The counters of an instance
+/// that appears later are assumed to start at 0. The counts of an instance that disappears stay in
+/// the sum.
 class FleetHistory
 {
 public:
@@ -29,10 +29,10 @@
     explicit FleetHistory(const std::vector<Snapshot> &snapshots);
 
     const std::vector<absl::Time> &times() const { return m_times; }
-    std::size_t last() const { return m_times.size() - 1; }
+    std::size_t lastIndex() const { return m_times.size() - 1; }
     /// Index of the newest snapshot that is at least \a window older than the last one, or of the
     /// oldest snapshot when none is.
-    std::size_t startOf(absl::Duration window) const;
+    std::size_t windowStart(absl::Duration window) const;
 
     /// Increase between the snapshots \a from and \a to of the series \a name whose labels include
     /// \a match, summed for each combination of values of the labels \a by.
--- a/src/report/htmlreport.cpp
+++ b/src/report/htmlreport.cpp
@@ -54,8 +54,8 @@
             + cell(std::string(name(row.objective)));
     for (const WindowBurn &window : row.windows)
         text += numberCell(window.burnRate);
-    const Share &share = row.windows.back().share;
-    text += cell(concat(share.bad, " bad of ", share.total));
+    const EventCounts &events = row.windows.back().events;
+    text += cell(concat(events.bad, " bad of ", events.total));
     return text + cell(row.alert ? "alert" : "") + "</tr>\n";
 }
 
@@ -76,7 +76,7 @@
         if (bars.size() == maxBars)
             break;
         const std::string model = row.model.empty() ? "" : " " + row.model;
-        bars.push_back({concat(row.workspace, model, " ", name(row.objective)), worstBurn(row),
+        bars.push_back({concat(row.workspace, model, " ", name(row.objective)), maxBurnRate(row),
                         row.alert});
     }
     return barPlot(bars, 1);
@@ -140,7 +140,7 @@
                   "<title>Service-level burn</title>\n", style, "</head><body>\n",
                   "<h1>Service-level burn</h1>\n<p>", timeText(burn.from), " to ",
                   timeText(burn.to),
-                  ". Burn rate 1 uses the error budget up exactly in its period. ",
+                  ". A burn rate of 1 consumes the error budget exactly within its period. ",
                   "Worst-served workspace: ", escapeHtml(burn.worstWorkspace), ".</p>\n",
                   "<h2>Worst burn by workspace</h2>\n", burnBars(burn),
                   "<h2>Burn by workspace, model and objective</h2>\n", burnTable(burn),
--- a/src/report/jsonreport.cpp
+++ b/src/report/jsonreport.cpp
@@ -14,8 +14,8 @@
     for (const WindowBurn &burn : row.windows)
         windows.push_back({{"window_s", absl::ToDoubleSeconds(burn.window)},
                            {"span_s", absl::ToDoubleSeconds(burn.span)},
-                           {"total", burn.share.total},
-                           {"bad", burn.share.bad},
+                           {"total", burn.events.total},
+                           {"bad", burn.events.bad},
                            {"burn_rate", burn.burnRate}});
     return {{"objective", name(row.objective)},
             {"workspace", row.workspace},
--- a/src/report/main.cpp
+++ b/src/report/main.cpp
@@ -33,13 +33,13 @@
     add("snapshot", po::value<Strings>(), "TIME=FILE or TIME=URL, repeatable");
     add("snapshots", po::value<std::string>(), "folder of saved pages, SECONDS/INSTANCE.prom");
     add("url", po::value<Strings>(), "metrics page to read now, repeatable");
-    add("samples", po::value<int>()->default_value(2), "readings of each --url");
+    add("samples", po::value<int>()->default_value(2), "number of times that each --url is read");
     add("interval", po::value<double>()->default_value(10), "seconds between readings");
-    add("save", po::value<std::string>(), "folder to which pages read from --url are added");
+    add("save", po::value<std::string>(), "folder in which pages read from --url are saved");
     add("log", po::value<Strings>(), "JSON log file, repeatable");
     add("json", "print JSON instead of text");
     add("html", po::value<std::string>(), "also write an HTML page to this file");
-    add("fail-on-alert", "exit with code 1 when an objective burns too fast");
+    add("fail-on-alert", "exit with code 1 when an objective has an alert");
     add("schema", "print the JSON schema of the objectives and exit");
     add("help", "print this help and exit");
     return options;
@@ -71,12 +71,12 @@
     return objectivesOf(json);
 }
 
-/// Reads all URLs once. An instance that does not answer is reported on standard error and left
+/// Reads all URLs once. An instance that does not respond is reported on standard error and left
 /// out, because the report is needed most while some instances are down.
-std::vector<Page> scrapeAll(const Strings &urls)
+std::vector<MetricsPage> scrapeAll(const Strings &urls)
 {
     const absl::Time now = SystemClock::instance().wallNow();
-    std::vector<Page> pages;
+    std::vector<MetricsPage> pages;
     for (const std::string &url : urls) {
         const auto page = outcomeOf([&] { return scrape(url, now); });
         if (page.ok())
@@ -87,10 +87,10 @@
     return pages;
 }
 
-std::vector<Page> scrapeRepeatedly(const po::variables_map &values)
+std::vector<MetricsPage> scrapeRepeatedly(const po::variables_map &values)
 {
     const Strings urls = stringsOf(values, "url");
-    std::vector<Page> pages;
+    std::vector<MetricsPage> pages;
     if (urls.empty())
         return pages;
     // Only its timed wait is used, to sleep for the interval.
@@ -99,15 +99,15 @@
         if (i > 0)
             neverNotified.WaitForNotificationWithTimeout(
                     absl::Seconds(values["interval"].as<double>()));
-        const std::vector<Page> reading = scrapeAll(urls);
+        const std::vector<MetricsPage> reading = scrapeAll(urls);
         pages.insert(pages.end(), reading.begin(), reading.end());
     }
     return pages;
 }
 
-Result<std::vector<Page>> collectPages(const po::variables_map &values)
+Result<std::vector<MetricsPage>> collectPages(const po::variables_map &values)
 {
-    std::vector<Page> pages;
+    std::vector<MetricsPage> pages;
     if (values.count("snapshots") > 0) {
         BOOST_LEAF_ASSIGN(pages, readSnapshotFolder(values["snapshots"].as<std::string>()));
     }
@@ -115,7 +115,7 @@
         BOOST_LEAF_AUTO(page, readSnapshotOption(option));
         pages.push_back(std::move(page));
     }
-    const std::vector<Page> scraped = scrapeRepeatedly(values);
+    const std::vector<MetricsPage> scraped = scrapeRepeatedly(values);
     if (values.count("save") > 0)
         BOOST_LEAF_CHECK(savePages(scraped, values["save"].as<std::string>()));
     pages.insert(pages.end(), scraped.begin(), scraped.end());
--- a/src/report/objectives.cpp
+++ b/src/report/objectives.cpp
@@ -25,8 +25,8 @@
   }
 })json";
 
-/// The alert rates correspond to consuming this much of a 30-day error budget in the long window:
-/// 2% in 1 h, 5% in 6 h, 10% in 3 days.
+/// Each alert rate consumes a fixed part of a 30-day error budget in its long window: 2% in 1 h, 5%
+/// in 6 h and 10% in 3 days.
 std::vector<WindowPair> defaultWindows()
 {
     return {{absl::Minutes(5), absl::Hours(1), 14.4},
--- a/src/report/objectives.h
+++ b/src/report/objectives.h
@@ -21,8 +21,10 @@
 /// Service-level objectives. A target is a share of good events.
 struct Objectives
 {
+    /// A time to first token above this is a bad event.
     double ttftSeconds = 0.41;
     double ttftTarget = 0.95;
+    /// A time between tokens above this is a bad event.
     double tbtSeconds = 0.067;
     double tbtTarget = 0.95;
     /// Share of requests that are good; a request is bad when it is refused although it is within
--- a/src/report/repairlog.cpp
+++ b/src/report/repairlog.cpp
@@ -8,14 +8,14 @@
 namespace rattanrill::report {
 namespace {
 
-constexpr std::size_t maxEvents = 200;
+constexpr std::size_t maxRetainedEvents = 200;
 
 constexpr std::array<EnumName<Repair>, 7> repairNames = {{
         {Repair::Election, "elections"},
         {Repair::ReplicasChanged, "replicas_changed"},
         {Repair::MemberReplaced, "members_replaced"},
         {Repair::LeaseExpired, "leases_expired"},
-        {Repair::RequestQuarantined, "requests_held"},
+        {Repair::RequestHeld, "requests_held"},
         {Repair::UpstreamCrashed, "upstreams_crashed"},
         {Repair::ReplicaStopped, "replicas_stopped"},
 }};
@@ -44,7 +44,7 @@
             {"member-removed", Repair::MemberReplaced, {"member", "incarnation"}, "", ""},
             {"lease-expired", Repair::LeaseExpired, {}, "", "items"},
             {"batch-items-lost", Repair::LeaseExpired, {}, "", "items"},
-            {"request-held", Repair::RequestQuarantined, {"fingerprint"}, "", ""},
+            {"request-held", Repair::RequestHeld, {"fingerprint"}, "", ""},
             {"upstream-crashed", Repair::UpstreamCrashed, {}, "", ""},
             {"replica-stopped", Repair::ReplicaStopped, {"instance", "group"}, "", ""},
     };
@@ -142,7 +142,7 @@
     m_counts[rule->repair] += countOf(*rule, line);
     const absl::Time at = timeOf(line);
     m_events.emplace(at, RepairEvent{at, rule->repair, textOf(line, "instance"), detailOf(line)});
-    if (m_events.size() > maxEvents)
+    if (m_events.size() > maxRetainedEvents)
         m_events.erase(m_events.begin());
 }
 
--- a/src/report/repairlog.h
+++ b/src/report/repairlog.h
@@ -17,7 +17,7 @@
     ReplicasChanged,
     MemberReplaced,
     LeaseExpired,
-    RequestQuarantined,
+    RequestHeld,
     UpstreamCrashed,
     ReplicaStopped,
 };
--- a/src/report/snapshotsource.cpp
+++ b/src/report/snapshotsource.cpp
@@ -51,7 +51,7 @@
     return instance;
 }
 
-Result<void> readFolderPages(const fs::path &folder, absl::Time at, std::vector<Page> &pages)
+Result<void> readFolderPages(const fs::path &folder, absl::Time at, std::vector<MetricsPage> &pages)
 {
     std::error_code error;
     for (const fs::directory_entry &entry : fs::directory_iterator(folder, error)) {
@@ -79,7 +79,7 @@
     return text.str();
 }
 
-Result<Page> readSnapshotOption(const std::string &option)
+Result<MetricsPage> readSnapshotOption(const std::string &option)
 {
     const std::size_t separator = option.find('=');
     if (separator == std::string::npos)
@@ -90,12 +90,12 @@
     if (isUrl(source))
         return scrape(source, at);
     BOOST_LEAF_AUTO(text, readFile(source));
-    return Page{at, fs::path(source).stem().string(), text};
+    return MetricsPage{at, fs::path(source).stem().string(), text};
 }
 
-Result<std::vector<Page>> readSnapshotFolder(const std::string &folder)
+Result<std::vector<MetricsPage>> readSnapshotFolder(const std::string &folder)
 {
-    std::vector<Page> pages;
+    std::vector<MetricsPage> pages;
     std::error_code error;
     for (const fs::directory_entry &entry : fs::directory_iterator(folder, error)) {
         if (!entry.is_directory())
@@ -109,7 +109,7 @@
     return pages;
 }
 
-Result<Page> scrape(const std::string &url, absl::Time now)
+Result<MetricsPage> scrape(const std::string &url, absl::Time now)
 {
     const std::size_t pathStart = url.find('/', urlPrefix.size());
     const std::string base = url.substr(0, pathStart);
@@ -123,12 +123,12 @@
                            concat("cannot read ", url, ": ",
                                   result ? std::to_string(result->status)
                                          : httplib::to_string(result.error()))));
-    return Page{now, base.substr(std::min(urlPrefix.size(), base.size())), result->body};
+    return MetricsPage{now, base.substr(std::min(urlPrefix.size(), base.size())), result->body};
 }
 
-Result<void> savePages(const std::vector<Page> &pages, const std::string &folder)
+Result<void> savePages(const std::vector<MetricsPage> &pages, const std::string &folder)
 {
-    for (const Page &page : pages) {
+    for (const MetricsPage &page : pages) {
         const fs::path target = fs::path(folder) / std::to_string(absl::ToUnixSeconds(page.at));
         std::error_code error;
         fs::create_directories(target, error);
@@ -143,12 +143,12 @@
     return {};
 }
 
-Result<std::vector<Snapshot>> snapshotsOf(const std::vector<Page> &pages)
+Result<std::vector<Snapshot>> snapshotsOf(const std::vector<MetricsPage> &pages)
 {
     if (pages.empty())
         return fail(notRun(ErrorCode::InvalidArgument, "no metrics page is given"));
     std::map<absl::Time, Snapshot> byTime;
-    for (const Page &page : pages) {
+    for (const MetricsPage &page : pages) {
         BOOST_LEAF_AUTO(samples, parseExposition(page.text, page.instance));
         Snapshot &snapshot = byTime[page.at];
         snapshot.at = page.at;
--- a/src/report/snapshotsource.h
+++ b/src/report/snapshotsource.h
@@ -12,7 +12,7 @@
 namespace rattanrill::report {
 
 /// Metrics page of one instance, as read at one time.
-struct Page
+struct MetricsPage
 {
     absl::Time at;
     std::string instance;
@@ -25,20 +25,20 @@
 /// Reads the page given as "TIME=FILE" or "TIME=URL", with TIME in RFC 3339 or seconds since 1970.
 /// The instance is the file name without suffix, or host and port of the URL. Fails with
 /// InvalidArgument, IoError or ConnectionLost.
-Result<Page> readSnapshotOption(const std::string &option);
+Result<MetricsPage> readSnapshotOption(const std::string &option);
 
 /// Reads the pages of a folder in the layout of savePages(): FOLDER/SECONDS/INSTANCE.prom.
-Result<std::vector<Page>> readSnapshotFolder(const std::string &folder);
+Result<std::vector<MetricsPage>> readSnapshotFolder(const std::string &folder);
 
-/// Reads the metrics page at \a url and dates it \a now. A URL without a path gets the path
+/// Reads the metrics page at \a url and sets its time to \a now. A URL without a path gets the path
 /// /metrics.
-Result<Page> scrape(const std::string &url, absl::Time now);
+Result<MetricsPage> scrape(const std::string &url, absl::Time now);
 
 /// Writes each page to FOLDER/SECONDS/INSTANCE.prom. Fails with IoError.
-Result<void> savePages(const std::vector<Page> &pages, const std::string &folder);
+Result<void> savePages(const std::vector<MetricsPage> &pages, const std::string &folder);
 
 /// Parses the pages and orders them by time. Fails with MalformedMessage, or InvalidArgument when
 /// there is no page.
-Result<std::vector<Snapshot>> snapshotsOf(const std::vector<Page> &pages);
+Result<std::vector<Snapshot>> snapshotsOf(const std::vector<MetricsPage> &pages);
 
 } // namespace rattanrill::report
--- a/src/report/svgplot.cpp
+++ b/src/report/svgplot.cpp
@@ -27,10 +27,10 @@
                   escapeHtml(text), "</text>\n");
 }
 
-std::string line(double x1, double y1, double x2, double y2, std::string_view style)
+std::string line(double x1, double y1, double x2, double y2, std::string_view cssClass)
 {
     return concat("<line x1=\"", x1, "\" y1=\"", y1, "\" x2=\"", x2, "\" y2=\"", y2, "\" class=\"",
-                  style, "\"/>\n");
+                  cssClass, "\"/>\n");
 }
 
 /// Maps a range of values to a range of pixels.
--- a/src/report/textreport.cpp
+++ b/src/report/textreport.cpp
@@ -9,7 +9,7 @@
 // Column widths in characters.
 constexpr std::size_t wideColumn = 22;
 constexpr std::size_t narrowColumn = 12;
-constexpr std::size_t maxEvents = 20;
+constexpr std::size_t maxPrintedEvents = 20;
 
 std::string padded(std::string text, std::size_t width)
 {
@@ -39,8 +39,8 @@
                        + padded(row.model.empty() ? "-" : row.model, wideColumn)
                        + padded(std::string(name(row.objective)), wideColumn);
     for (const WindowBurn &burn : row.windows)
-        line += padded(burn.share.total > 0 || burn.share.bad > 0 ? formatNumber(burn.burnRate)
-                                                                  : "-",
+        line += padded(burn.events.total > 0 || burn.events.bad > 0 ? formatNumber(burn.burnRate)
+                                                                    : "-",
                        narrowColumn);
     return line + (row.alert ? "ALERT\n" : "\n");
 }
@@ -80,7 +80,8 @@
     for (const auto &[repair, count] : log.counts())
         text += concat("  ", name(repair), ": ", count, "\n");
     const std::vector<RepairEvent> events = log.events();
-    const std::size_t first = events.size() > maxEvents ? events.size() - maxEvents : 0;
+    const std::size_t first =
+            events.size() > maxPrintedEvents ? events.size() - maxPrintedEvents : 0;
     for (std::size_t i = first; i < events.size(); ++i)
         text += concat("  ", timeText(events[i].at), " ", events[i].instance, " ", events[i].detail,
                        "\n");
@@ -92,10 +93,11 @@
 std::string textReport(const Report &report)
 {
     const BurnReport &burn = report.burn;
-    std::string text = concat("Service-level burn, ", timeText(burn.from), " to ",
-                              timeText(burn.to), "\n", coverageNote(burn),
-                              "Burn rate 1 uses the error budget up exactly in its period.\n\n",
-                              headerLine(burn.fleet));
+    std::string text =
+            concat("Service-level burn, ", timeText(burn.from), " to ", timeText(burn.to), "\n",
+                   coverageNote(burn),
+                   "A burn rate of 1 consumes the error budget exactly within its period.\n\n",
+                   headerLine(burn.fleet));
     for (const BurnRow &row : burn.rows)
         text += rowLine(row);
     for (const BurnRow &row : burn.fleet)
--- a/tests/report/burn_test.cpp
+++ b/tests/report/burn_test.cpp
@@ -89,8 +89,8 @@
     BOOST_TEST(samples[1].name == "b");
 }
 
-// Guards against malformed metrics that are skipped silently, or reported without source and line.
-BOOST_AUTO_TEST_CASE(malformedLineIsNamed)
+// Guards against malformed metrics that are silently skipped, or reported without source and line.
+BOOST_AUTO_TEST_CASE(malformedLineIsReportedWithSourceAndLine)
 {
     for (const char *text : {"a 1\nb{x=1} 2\n", "a 1\nb{x=\"1\" 2\n", "a 1\nb two\n"}) {
         const auto samples = outcomeOf([&] { return parseExposition(text, "entry-1"); });
@@ -125,9 +125,9 @@
 {
     const FleetHistory history({snapshot(absl::ZeroDuration(), {}), snapshot(absl::Minutes(50), {}),
                                 snapshot(absl::Minutes(58), {}), snapshot(absl::Hours(1), {})});
-    BOOST_TEST(history.startOf(absl::Minutes(5)) == 1u);
-    BOOST_TEST(history.startOf(absl::Hours(1)) == 0u);
-    BOOST_TEST(history.startOf(absl::Hours(6)) == 0u);
+    BOOST_TEST(history.windowStart(absl::Minutes(5)) == 1u);
+    BOOST_TEST(history.windowStart(absl::Hours(1)) == 0u);
+    BOOST_TEST(history.windowStart(absl::Hours(6)) == 0u);
 }
 
 // Guards against an empty report when there is only one snapshot, and thus nothing to compare with.
@@ -135,7 +135,7 @@
 {
     const FleetHistory history(
             {snapshot(absl::ZeroDuration(), {{"e1", counter("a", 3)}, {"e2", counter("a", 4)}})});
-    BOOST_TEST(requests(history, 0, history.last()) == 7);
+    BOOST_TEST(requests(history, 0, history.lastIndex()) == 7);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -144,22 +144,22 @@
 
 // Guards against a burn rate in the wrong unit: with an error budget of 5%, 20% bad events are a
 // burn rate of 4.
-BOOST_AUTO_TEST_CASE(burnRateIsTheBadShareOverTheBudget)
+BOOST_AUTO_TEST_CASE(burnRateIsBadFractionDividedByBudget)
 {
     const FleetHistory history({snapshot(absl::ZeroDuration(), {{"e1", ""}}),
                                 snapshot(absl::Hours(1), {{"e1", latencies({{"a", 20}})}})});
     const BurnReport report = makeBurnReport(history, oneWindow());
     const BurnRow &row = rowOf(report.rows, Objective::TimeToFirstToken, "a");
     BOOST_TEST(row.model == "m");
-    BOOST_TEST(row.windows.back().share.total == 100);
-    BOOST_TEST(row.windows.back().share.bad == 20, tt::tolerance(1e-9));
+    BOOST_TEST(row.windows.back().events.total == 100);
+    BOOST_TEST(row.windows.back().events.bad == 20, tt::tolerance(1e-9));
     BOOST_TEST(row.windows.back().burnRate == 4, tt::tolerance(1e-9));
     BOOST_TEST(row.alert);
 }
 
 // Guards against an alert for a burn that has ended: the long window still exceeds the alert rate,
 // but the short one does not.
-BOOST_AUTO_TEST_CASE(pastBurnWithoutPresentBurnIsNoAlert)
+BOOST_AUTO_TEST_CASE(noAlertAfterBurnHasEnded)
 {
     const std::string page = latencies({{"a", 20}});
     const FleetHistory history({snapshot(absl::ZeroDuration(), {{"e1", ""}}),
@@ -172,7 +172,7 @@
     BOOST_TEST(!row.alert);
 }
 
-// Guards against a report that hides the worst-served workspace below others.
+// Guards against a report that does not list the worst-served workspace first.
 BOOST_AUTO_TEST_CASE(worstServedWorkspaceComesFirst)
 {
     const std::string page = latencies({{"a", 1}, {"b", 30}, {"c", 5}});
@@ -184,12 +184,12 @@
     BOOST_TEST(report.rows[0].workspace == "b");
     BOOST_TEST(report.rows[1].workspace == "c");
     BOOST_TEST(report.rows[2].workspace == "a");
-    BOOST_TEST(report.rows[0].windows.back().share.total == 200);
+    BOOST_TEST(report.rows[0].windows.back().events.total == 200);
 }
 
 // Guards against wrong totals: refusals above the contract's rate are not bad events, and batch
 // items that have not ended are no events.
-BOOST_AUTO_TEST_CASE(refusalsAndBatchCountTheirOwnTotals)
+BOOST_AUTO_TEST_CASE(refusalAndBatchObjectivesUseTheirOwnTotals)
 {
     const std::string page =
             counter("a", 1000)
--- a/tests/report/reportformats_test.cpp
+++ b/tests/report/reportformats_test.cpp
@@ -23,7 +23,7 @@
 not json
 )";
 
-std::vector<Page> pages()
+std::vector<MetricsPage> pages()
 {
     return {{absl::FromUnixSeconds(100), "e1", ""},
             {absl::FromUnixSeconds(400), "e1",
@@ -73,7 +73,7 @@
     BOOST_TEST(json.at("repairs").at("counts").at("elections") == 2);
 }
 
-// Guards against a text report that does not show an alert, or does not say that the snapshots
+// Guards against a text report that does not show an alert, or does not state that the snapshots
 // cover less time than the longest window.
 BOOST_AUTO_TEST_CASE(textNamesWorkspaceAlertAndShortCoverage)
 {
@@ -124,7 +124,7 @@
 }
 
 // Guards against a report made from missing or undated snapshots.
-BOOST_AUTO_TEST_CASE(unusableSnapshotOptionsAreRefused)
+BOOST_AUTO_TEST_CASE(invalidSnapshotOptionsAreRejected)
 {
     for (const char *option : {"no-separator", "yesterday=x.prom", "100=/does/not/exist.prom"})
         BOOST_TEST(!outcomeOf([&] { return readSnapshotOption(option); }).ok());
