--- a/include/rattanrill/fakes/answer.h
+++ b/include/rattanrill/fakes/answer.h
@@ -22,7 +22,8 @@
 /// Number of characters that hashText() returns.
 constexpr std::size_t hashTextDigits = 16;
 
-/// Hash of \a data as 16 lower-case hexadecimal digits; the same in every process.
+/// Hash of \a data as 16 lower-case hexadecimal digits. The same input yields the same hash in
+/// every process.
 std::string hashText(std::string_view data, std::uint64_t seed = 0);
 
 /// Text of token \a index (from 0) of the fake engine's answer to \a prompt.
--- a/include/rattanrill/fakes/balancer.h
+++ b/include/rattanrill/fakes/balancer.h
@@ -42,8 +42,8 @@
 };
 
 /// Simulates the platform's load balancer. Distributes new TCP connections round-robin over the
-/// instances that are live in the delayed instance list and pass the health check. Connections that
-/// are already open stay open when their instance is leaving.
+/// instances that are live in the delayed instance list and healthy. Open connections stay open
+/// when their instance is leaving.
 class Balancer
 {
 public:
--- a/include/rattanrill/fakes/engineeventqueue.h
+++ b/include/rattanrill/fakes/engineeventqueue.h
@@ -13,8 +13,8 @@
 
 namespace rattanrill::fakes {
 
-/// An engine event with the request that it belongs to. When a fault has crossed two answers, this
-/// is not the request of the connection that receives the event.
+/// An engine event with the request that it belongs to. When a fault has swapped two responses,
+/// this is not the request of the connection that receives the event.
 struct DeliveredEvent
 {
     EngineEvent event;
@@ -28,8 +28,8 @@
     /// Adds \a event, which pop() returns no earlier than \a readyAt. Successive calls must not
     /// pass a decreasing \a readyAt.
     void push(absl::Time readyAt, DeliveredEvent event);
-    /// Removes and returns the next event that is ready, waiting for at most \a timeout; nothing
-    /// when the time runs out.
+    /// Removes and returns the next event that is ready, waiting for at most \a timeout; returns
+    /// nullopt on timeout.
     std::optional<DeliveredEvent> pop(const Clock &clock, absl::Duration timeout);
 
 private:
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -52,7 +52,7 @@
     EngineLimits limits;
     /// Probability, from 0 to 1, that a cache event is lost.
     double cacheEventLoss = 0.05;
-    /// Whether the engine refuses orders with an outdated fencing token.
+    /// Whether the engine rejects commands with an outdated fencing token.
     bool checksFence = true;
     std::uint64_t seed = 1;
 };
@@ -63,7 +63,7 @@
     std::string requestId;
     std::string model;
     std::string prompt;
-    /// Number of tokens of the whole answer, including the first resumeAfter tokens.
+    /// Number of tokens of the complete response, including the first resumeAfter tokens.
     std::int64_t maxTokens = 16;
     /// Number of tokens that earlier attempts delivered; generation continues after them.
     std::int64_t resumeAfter = 0;
@@ -91,7 +91,7 @@
     Kind kind = Kind::Token;
     std::string requestId;
     /// In Token events the index of the token, from 0; in Started and Finished events the number of
-    /// tokens of the whole answer so far.
+    /// tokens generated so far, including those of earlier attempts.
     std::int64_t index = 0;
     /// Set in Finished events only.
     FinishReason reason = FinishReason::Length;
@@ -101,13 +101,13 @@
 struct KvExport
 {
     std::string handle;
-    /// Number of tokens of the answer so far.
+    /// Number of tokens generated so far, including those of earlier attempts.
     std::int64_t tokens = 0;
 };
 
-/// Simulates a model engine with continuous batching. The simulation reads no clock: callers pass
-/// the current time. Requests join the batch between two steps, in order of arrival, while the
-/// batch and the KV memory have room.
+/// Simulates a model engine with continuous batching. The model does not read a clock: callers pass
+/// the current time. Requests join the batch between two steps, in order of arrival, as long as the
+/// batch size and the KV memory permit.
 class EngineModel
 {
 public:
@@ -117,8 +117,8 @@
     /// full), DuplicateRequest (the request id is in use) or InvalidRequest (the request needs more
     /// KV memory than the engine has).
     Result<void> submit(absl::Time now, EngineRequest request);
-    /// Ends a waiting or running request; returns the number of tokens of its answer so far, or
-    /// nothing for an unknown id.
+    /// Cancels a waiting or running request; returns the number of tokens generated so far,
+    /// including those of earlier attempts, or nullopt for an unknown id.
     std::optional<std::int64_t> cancel(absl::Time now, const std::string &requestId);
     /// As cancel(), but also returns a handle with which any engine can resume the request without
     /// prefill.
@@ -131,9 +131,9 @@
 
     LoadSample load(absl::Time now) const { return m_history.report(now); }
     CacheEventPage cacheEvents(absl::Time now, std::int64_t after) const;
-    EngineCommandResult execute(absl::Time now, const EngineCommand &order)
+    EngineCommandResult execute(absl::Time now, const EngineCommand &command)
     {
-        return m_loadedModels.apply(now, order);
+        return m_loadedModels.apply(now, command);
     }
     const EngineModelSettings &settings() const { return m_settings; }
 
@@ -141,10 +141,10 @@
 
     /// Multiplies the duration of later steps by \a factor.
     void setSlowFactor(double factor) { m_slowFactor = factor; }
-    /// No step ends before \a time.
+    /// Prevents steps from ending before \a time.
     void freezeUntil(absl::Time time);
     /// Makes crashed() return true once a request starts whose prompt contains \a text. An empty
-    /// \a text turns the fault off.
+    /// \a text disables the fault.
     void setCrashOn(std::string text) { m_crashOn = std::move(text); }
     bool crashed() const { return m_crashed; }
 
--- a/include/rattanrill/fakes/enginerunner.h
+++ b/include/rattanrill/fakes/enginerunner.h
@@ -35,13 +35,13 @@
     std::optional<std::int64_t> cancel(const std::string &requestId);
     /// As EngineModel::exportKv().
     std::optional<KvExport> exportKv(const std::string &requestId);
-    /// Load as the delayed report shows it.
+    /// Load according to the delayed load report.
     LoadSample load() const;
     CacheEventPage cacheEvents(std::int64_t after) const;
-    EngineCommandResult execute(const EngineCommand &order);
+    EngineCommandResult execute(const EngineCommand &command);
     /// Needs no lock: the settings never change after construction.
     const EngineModelSettings &settings() const { return m_settings; }
-    /// Applies the current faults to the model. To be called after each change of the faults.
+    /// Applies the current faults to the model. Must be called after each change of the faults.
     void applyFaults();
 
 private:
--- a/include/rattanrill/fakes/faults.h
+++ b/include/rattanrill/fakes/faults.h
@@ -18,14 +18,14 @@
     /// The process crashes when it starts work on a request whose prompt (engine) or body (service)
     /// contains this text.
     std::string crashOn;
-    /// Factor on the duration of the work.
+    /// Factor by which the duration of the work is multiplied.
     double slowFactor = 1;
-    /// Delay of an engine's events or a service's answer after the work for them is done.
+    /// Delay of an engine's events or a service's response after the work for them is done.
     absl::Duration responseDelay;
-    /// Number of pairs of running requests whose answers are still to be swapped.
+    /// Number of pairs of running requests whose responses are still to be swapped.
     std::int64_t swapAnswers = 0;
     /// An engine closes a stream after this many tokens; a service closes the connection halfway
-    /// through its answer when this is not zero.
+    /// through its response when this is not zero.
     std::int64_t cutAfterTokens = 0;
     /// Whether requests fail with UpstreamBusy.
     bool rejectRequests = false;
@@ -35,7 +35,7 @@
 class Faults
 {
 public:
-    /// Sets the faults that \a body has as members; a null member turns its fault off. The duration
+    /// Sets the faults that \a body has as members; a null member disables its fault. The duration
     /// "freeze_ms" starts at \a now. Fails with InvalidRequest on an unknown member or a wrong
     /// type; then no fault changes.
     Result<void> set(const Json &body, absl::Time now);
@@ -53,7 +53,8 @@
     absl::Time m_frozenUntil ABSL_GUARDED_BY(m_mutex) = absl::InfinitePast();
 };
 
-/// Ends the process like a crash: immediately, without clean-up and without answering requests.
+/// Terminates the process like a crash: immediately, without clean-up and without responding to
+/// requests.
 [[noreturn]] void crashProcess();
 
 } // namespace rattanrill::fakes
--- a/include/rattanrill/fakes/loadedmodels.h
+++ b/include/rattanrill/fakes/loadedmodels.h
@@ -19,21 +19,21 @@
     SetRole,
 };
 
-/// An order to an engine to load something or to change its role.
+/// A command to an engine to load a model, adapter or version, or to change its role.
 struct EngineCommand
 {
     EngineCommandKind kind = EngineCommandKind::LoadModel;
     /// Name of the model, adapter, version or role.
     std::string name;
-    /// Fencing token with which the order was sent.
+    /// Fencing token with which the command was sent.
     std::int64_t fence = 0;
 };
 
-/// Answer of an engine to an order.
+/// Response of an engine to a command.
 struct EngineCommandResult
 {
     bool accepted = false;
-    /// Highest fencing token of all orders accepted so far.
+    /// Highest fencing token of all commands accepted so far.
     std::int64_t fence = 0;
 };
 
@@ -41,19 +41,20 @@
 /// Inverse of name(). Fails with InvalidRequest for an unknown name.
 Result<EngineCommandKind> engineCommandKindFromName(std::string_view name);
 
-/// The models, adapters and versions that an engine was ordered to load, and its role. An engine
-/// that checks fencing tokens refuses an order with an outdated one; an engine that does not check
-/// them executes it.
+/// The models, adapters and versions that an engine has loaded or is loading, and its role. An
+/// engine that checks fencing tokens rejects a command with an outdated one; an engine that does
+/// not check them executes it.
 class LoadedModels
 {
 public:
-    /// \a models are loaded from the start; a model that is ordered later takes \a loadTime.
+    /// \a models are loaded from the start; a model loaded by a command becomes available after
+    /// \a loadTime.
     LoadedModels(std::vector<std::string> models, bool checksFence, absl::Duration loadTime);
 
-    EngineCommandResult apply(absl::Time now, const EngineCommand &order);
+    EngineCommandResult apply(absl::Time now, const EngineCommand &command);
     /// Whether \a model is loaded at \a now.
     bool isLoaded(absl::Time now, std::string_view model) const;
-    /// Role of the last accepted SetRole order; empty before the first.
+    /// Role of the last accepted SetRole command; empty before the first.
     const std::string &role() const { return m_role; }
 
 private:
--- a/include/rattanrill/fakes/requestlog.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -24,7 +24,7 @@
     /// Whether work on the request has started.
     bool started = false;
     bool finished = false;
-    /// Number of tokens of the whole answer, once finished.
+    /// Number of tokens of the complete response, once finished.
     std::int64_t tokens = 0;
 };
 
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -28,7 +28,7 @@
     std::int64_t maxWaiting = 64;
 };
 
-/// Answer of the fake service to one request.
+/// Response of the fake service to one request.
 struct ServiceResponse
 {
     std::string path;
@@ -46,10 +46,10 @@
                  const Clock &clock = SystemClock::instance());
 
     /// Waits for a slot, calls \a started, occupies the slot for the service time and returns the
-    /// answer, which belongs to another request if a fault crossed the two. Fails as NotRun with
+    /// response, which belongs to another request if a fault swapped the two. Fails as NotRun with
     /// UpstreamBusy when too many requests are waiting.
-    Result<ServiceResponse> serve(ServiceResponse answer, const std::function<void()> &started);
-    /// Load as the delayed report shows it.
+    Result<ServiceResponse> serve(ServiceResponse response, const std::function<void()> &started);
+    /// Load according to the delayed load report.
     LoadSample load() const;
     const ServiceSettings &settings() const { return m_settings; }
 
@@ -68,7 +68,7 @@
     /// Number of tickets that have received a slot. Tickets are numbered from 0 and served in
     /// order, so this is also the next ticket to be served.
     std::int64_t m_servedTickets ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Answers of the requests that occupy a slot, by ticket.
+    /// Responses to the requests that occupy a slot, by ticket.
     std::map<std::int64_t, ServiceResponse *> m_running ABSL_GUARDED_BY(m_mutex);
     LoadHistory m_history ABSL_GUARDED_BY(m_mutex);
 };
--- a/include/rattanrill/fakes/tcprelay.h
+++ b/include/rattanrill/fakes/tcprelay.h
@@ -17,7 +17,7 @@
     int port = 0;
 };
 
-/// Counters of a TcpRelay since its start, except for "open".
+/// Counters of a TcpRelay since its start, except "open", which is the current number.
 struct RelayCounters
 {
     /// Connections for which a target was chosen.
@@ -35,7 +35,7 @@
 class TcpRelay
 {
 public:
-    /// Returns the target of a new connection; when it returns nothing, the connection is refused.
+    /// Returns the target of a new connection; when it returns nullopt, the connection is refused.
     /// Called on the relay's thread; must not block.
     using TargetSelector = std::function<std::optional<RelayAddress>()>;
 
--- a/include/rattanrill/fakes/weightstore.h
+++ b/include/rattanrill/fakes/weightstore.h
@@ -27,8 +27,8 @@
 
     /// Size of \a name in bytes. Fails with NotFound.
     Result<std::int64_t> size(const std::string &name) const;
-    /// Takes \a bytes from the bucket. Fails with RateLimited while the bucket holds fewer. A read
-    /// that is larger than the burst needs only a full bucket and leaves its level negative.
+    /// Takes \a bytes from the bucket. Fails with RateLimited while the bucket contains fewer. A
+    /// read that is larger than the burst requires only a full bucket and makes its level negative.
     Result<void> consume(absl::Time now, std::int64_t bytes);
     /// Time until consume() of \a bytes succeeds; zero when it succeeds now.
     absl::Duration timeUntilAvailable(absl::Time now, std::int64_t bytes) const;
--- a/src/fakes/answerwriter.cpp
+++ b/src/fakes/answerwriter.cpp
@@ -29,12 +29,12 @@
     return concat("data: ", dumpJson(json), "\n\n");
 }
 
-std::string_view chunkObject(const AnswerFormat &format)
+std::string_view chunkObject(const ResponseFormat &format)
 {
     return format.chat ? "chat.completion.chunk" : "text_completion";
 }
 
-Json chunkChoice(const AnswerFormat &format, const std::string &text, const Json &finishReason)
+Json chunkChoice(const ResponseFormat &format, const std::string &text, const Json &finishReason)
 {
     Json choice = {{"index", 0}, {"finish_reason", finishReason}};
     if (format.chat)
@@ -44,7 +44,7 @@
     return choice;
 }
 
-Json wholeChoice(const AnswerFormat &format, const std::string &text, FinishReason reason)
+Json completeChoice(const ResponseFormat &format, const std::string &text, FinishReason reason)
 {
     Json choice = {{"index", 0}, {"finish_reason", name(reason)}};
     if (format.chat)
@@ -56,7 +56,7 @@
 
 } // namespace
 
-AnswerWriter::AnswerWriter(AnswerFormat format)
+AnswerWriter::AnswerWriter(ResponseFormat format)
     : m_format(format)
 {}
 
@@ -72,7 +72,7 @@
         return {};
     }
     m_finished = true;
-    return m_format.stream ? lastEvent(delivered) : wholeAnswer(delivered);
+    return m_format.stream ? finalEvents(delivered) : completeResponse(delivered);
 }
 
 std::string AnswerWriter::tokenEvent(const DeliveredEvent &delivered) const
@@ -84,7 +84,7 @@
     return serverSentEvent(json);
 }
 
-std::string AnswerWriter::lastEvent(const DeliveredEvent &delivered) const
+std::string AnswerWriter::finalEvents(const DeliveredEvent &delivered) const
 {
     Json json = envelope(delivered, chunkObject(m_format));
     json["index"] = delivered.event.index;
@@ -93,10 +93,10 @@
     return serverSentEvent(json) + "data: [DONE]\n\n";
 }
 
-std::string AnswerWriter::wholeAnswer(const DeliveredEvent &delivered) const
+std::string AnswerWriter::completeResponse(const DeliveredEvent &delivered) const
 {
     Json json = envelope(delivered, m_format.chat ? "chat.completion" : "text_completion");
-    json["choices"] = Json::array({wholeChoice(m_format, m_text, delivered.event.reason)});
+    json["choices"] = Json::array({completeChoice(m_format, m_text, delivered.event.reason)});
     json["usage"] = usageOf(delivered);
     return dumpJson(json);
 }
--- a/src/fakes/answerwriter.h
+++ b/src/fakes/answerwriter.h
@@ -8,19 +8,19 @@
 namespace rattanrill::fakes {
 
 /// Response format that the client requested.
-struct AnswerFormat
+struct ResponseFormat
 {
     bool chat = false;
     bool stream = false;
 };
 
-/// Converts engine events to the body of a complete answer or of a stream of server-sent events.
+/// Converts engine events to the body of a complete response or to a stream of server-sent events.
 class AnswerWriter
 {
 public:
-    explicit AnswerWriter(AnswerFormat format);
+    explicit AnswerWriter(ResponseFormat format);
 
-    /// Bytes to send for \a delivered; empty when there are none yet.
+    /// Returns the bytes to send for \a delivered; empty when there are none yet.
     std::string write(const DeliveredEvent &delivered);
     bool finished() const { return m_finished; }
     /// Number of Token events passed to write() so far.
@@ -28,10 +28,10 @@
 
 private:
     std::string tokenEvent(const DeliveredEvent &delivered) const;
-    std::string lastEvent(const DeliveredEvent &delivered) const;
-    std::string wholeAnswer(const DeliveredEvent &delivered) const;
+    std::string finalEvents(const DeliveredEvent &delivered) const;
+    std::string completeResponse(const DeliveredEvent &delivered) const;
 
-    AnswerFormat m_format;
+    ResponseFormat m_format;
     std::string m_text;
     std::int64_t m_tokens = 0;
     bool m_finished = false;
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -19,14 +19,15 @@
 
 constexpr std::string_view handlePrefix = "kv:";
 
-/// The handle identifies its content, so that an engine in another process can check and import it.
+/// Returns a handle that contains the hash of the prompt and the number of tokens, so that an
+/// engine in another process can validate and import it.
 std::string kvHandle(std::string_view prompt, std::int64_t tokens)
 {
     return concat(handlePrefix, hashText(prompt), ":", tokens);
 }
 
-/// Number of answer tokens that \a request can import; nothing when its handle is empty or belongs
-/// to another prompt.
+/// Number of response tokens that \a request can import; nullopt when its handle is empty or
+/// belongs to another prompt.
 std::optional<std::int64_t> importableTokens(const EngineRequest &request)
 {
     const std::string expected = concat(handlePrefix, hashText(request.prompt), ":");
@@ -233,8 +234,8 @@
            + timings.stepPerContextToken * context;
 }
 
-/// KV memory that the running requests have reserved. Memory for the whole answer is reserved on
-/// admission, so that no running request has to be preempted.
+/// KV memory that the running requests have reserved. Memory for the complete response is reserved
+/// on admission, so that no running request has to be preempted.
 std::int64_t EngineModel::reservedTokens() const
 {
     std::int64_t tokens = 0;
--- a/src/fakes/enginerunner.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -69,10 +69,10 @@
     return m_model.cacheEvents(m_clock.now(), after);
 }
 
-EngineCommandResult EngineRunner::execute(const EngineCommand &order)
+EngineCommandResult EngineRunner::execute(const EngineCommand &command)
 {
     absl::MutexLock lock(&m_mutex);
-    return m_model.execute(m_clock.now(), order);
+    return m_model.execute(m_clock.now(), command);
 }
 
 void EngineRunner::applyFaults()
--- a/src/fakes/engineserver.cpp
+++ b/src/fakes/engineserver.cpp
@@ -49,15 +49,15 @@
             {"tokens", event.change.tokens}};
 }
 
-Result<EngineCommand> orderOf(const std::string &text)
+Result<EngineCommand> commandOf(const std::string &text)
 {
     BOOST_LEAF_AUTO(body, parseJson(text, "body"));
-    EngineCommand order;
+    EngineCommand command;
     BOOST_LEAF_AUTO(kind, jsonMember<std::string>(body, "kind"));
-    BOOST_LEAF_ASSIGN(order.kind, engineCommandKindFromName(kind));
-    BOOST_LEAF_ASSIGN(order.name, jsonMember<std::string>(body, "name"));
-    BOOST_LEAF_ASSIGN(order.fence, jsonMember<std::int64_t>(body, "fence"));
-    return order;
+    BOOST_LEAF_ASSIGN(command.kind, engineCommandKindFromName(kind));
+    BOOST_LEAF_ASSIGN(command.name, jsonMember<std::string>(body, "name"));
+    BOOST_LEAF_ASSIGN(command.fence, jsonMember<std::int64_t>(body, "fence"));
+    return command;
 }
 
 } // namespace
@@ -70,9 +70,9 @@
     , m_records(records)
     , m_clock(clock)
 {
-    addAnswerRoutes();
+    addCompletionRoutes();
     addEngineRoutes();
-    addControlRoutes();
+    addManagementRoutes();
 }
 
 httplib::Server::Handler EngineServer::waitingWhileFrozen(Handler handler)
@@ -83,7 +83,7 @@
     };
 }
 
-void EngineServer::addAnswerRoutes()
+void EngineServer::addCompletionRoutes()
 {
     m_server.Post("/v1/completions", waitingWhileFrozen(&EngineServer::completions));
     m_server.Post("/v1/chat/completions", waitingWhileFrozen(&EngineServer::chatCompletions));
@@ -95,11 +95,11 @@
 {
     m_server.Get("/engine/load", waitingWhileFrozen(&EngineServer::load));
     m_server.Get("/engine/cache_events", waitingWhileFrozen(&EngineServer::cacheEvents));
-    m_server.Post("/engine/orders", waitingWhileFrozen(&EngineServer::orders));
+    m_server.Post("/engine/orders", waitingWhileFrozen(&EngineServer::handleCommand));
     m_server.Get("/healthz", waitingWhileFrozen(&EngineServer::health));
 }
 
-void EngineServer::addControlRoutes()
+void EngineServer::addManagementRoutes()
 {
     // These handlers do not wait for the end of a freeze: tests read the records and set faults
     // while the fake is frozen.
@@ -113,23 +113,24 @@
 
 void EngineServer::completions(const httplib::Request &request, httplib::Response &response)
 {
-    answer(request, response, false);
+    handleCompletion(request, response, false);
 }
 
 void EngineServer::chatCompletions(const httplib::Request &request, httplib::Response &response)
 {
-    answer(request, response, true);
+    handleCompletion(request, response, true);
 }
 
-void EngineServer::answer(const httplib::Request &request, httplib::Response &response, bool chat)
+void EngineServer::handleCompletion(const httplib::Request &request, httplib::Response &response,
+                                    bool chat)
 {
-    const auto started = outcomeOf([&] { return startAnswer(request, response, chat); });
+    const auto started = outcomeOf([&] { return startCompletion(request, response, chat); });
     if (!started.ok())
         http::sendFailure(response, started.failure(), requestIdOf(request));
 }
 
-Result<void> EngineServer::startAnswer(const httplib::Request &request, httplib::Response &response,
-                                       bool chat)
+Result<void> EngineServer::startCompletion(const httplib::Request &request,
+                                           httplib::Response &response, bool chat)
 {
     const std::int64_t seq = m_records.add(recordOf(request, requestIdOf(request)));
     if (m_faults.state().rejectRequests)
@@ -139,14 +140,14 @@
     BOOST_LEAF_AUTO(stream, jsonMemberOr(body, "stream", false));
     const std::string id = engineRequest.requestId;
     BOOST_LEAF_AUTO(events, m_runner.submit(std::move(engineRequest), seq));
-    auto writer = std::make_shared<AnswerWriter>(AnswerFormat{chat, stream});
+    auto writer = std::make_shared<AnswerWriter>(ResponseFormat{chat, stream});
     response.set_chunked_content_provider(
             stream ? "text/event-stream" : "application/json",
             [this, events = events, writer](std::size_t, httplib::DataSink &sink) {
                 return sendNextEvent(*events, *writer, sink);
             },
-            // Cancels the request of a client that disconnected. After a normal end the id is
-            // no longer known, and the call has no effect.
+            // Cancels the request when the client has disconnected. After a normal end the id is
+            // unknown, and the call has no effect.
             [this, id](bool) { m_runner.cancel(id); });
     return {};
 }
@@ -212,25 +213,25 @@
     sendJson(response, {{"events", events}, {"next", page.next}});
 }
 
-void EngineServer::orders(const httplib::Request &request, httplib::Response &response)
+void EngineServer::handleCommand(const httplib::Request &request, httplib::Response &response)
 {
     const std::int64_t seq = m_records.add(recordOf(request, requestIdOf(request)));
-    const auto body = outcomeOf([&] { return applyOrder(request, seq, response.status); });
+    const auto body = outcomeOf([&] { return executeCommand(request, seq, response.status); });
     if (body.ok())
         sendJson(response, body.value());
     else
         http::sendFailure(response, body.failure(), requestIdOf(request));
 }
 
-Result<Json> EngineServer::applyOrder(const httplib::Request &request, std::int64_t seq,
-                                      int &status)
+Result<Json> EngineServer::executeCommand(const httplib::Request &request, std::int64_t seq,
+                                          int &status)
 {
-    BOOST_LEAF_AUTO(order, orderOf(request.body));
-    const EngineCommandResult answer = m_runner.execute(order);
-    status = answer.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
-    if (answer.accepted)
+    BOOST_LEAF_AUTO(command, commandOf(request.body));
+    const EngineCommandResult result = m_runner.execute(command);
+    status = result.accepted ? 200 : httpStatus(ErrorCode::StaleFencingToken);
+    if (result.accepted)
         m_records.markStarted(seq);
-    return Json{{"accepted", answer.accepted}, {"fence", answer.fence}};
+    return Json{{"accepted", result.accepted}, {"fence", result.fence}};
 }
 
 void EngineServer::health(const httplib::Request & /*request*/, httplib::Response &response)
--- a/src/fakes/engineserver.h
+++ b/src/fakes/engineserver.h
@@ -18,9 +18,9 @@
 
     /// Wraps \a handler so that it runs only after a freeze has ended.
     httplib::Server::Handler waitingWhileFrozen(Handler handler);
-    void addAnswerRoutes();
+    void addCompletionRoutes();
     void addEngineRoutes();
-    void addControlRoutes();
+    void addManagementRoutes();
 
     void completions(const httplib::Request &request, httplib::Response &response);
     void chatCompletions(const httplib::Request &request, httplib::Response &response);
@@ -28,14 +28,14 @@
     void exportKv(const httplib::Request &request, httplib::Response &response);
     void load(const httplib::Request &request, httplib::Response &response);
     void cacheEvents(const httplib::Request &request, httplib::Response &response);
-    void orders(const httplib::Request &request, httplib::Response &response);
+    void handleCommand(const httplib::Request &request, httplib::Response &response);
     void health(const httplib::Request &request, httplib::Response &response);
     void setFaults(const httplib::Request &request, httplib::Response &response);
 
-    void answer(const httplib::Request &request, httplib::Response &response, bool chat);
-    Result<void> startAnswer(const httplib::Request &request, httplib::Response &response,
-                             bool chat);
-    Result<Json> applyOrder(const httplib::Request &request, std::int64_t seq, int &status);
+    void handleCompletion(const httplib::Request &request, httplib::Response &response, bool chat);
+    Result<void> startCompletion(const httplib::Request &request, httplib::Response &response,
+                                 bool chat);
+    Result<Json> executeCommand(const httplib::Request &request, std::int64_t seq, int &status);
     /// Waits for the next event for a limited time and sends it. Returns false when the connection
     /// is to be closed.
     bool sendNextEvent(EngineEventQueue &queue, AnswerWriter &writer, httplib::DataSink &sink);
--- a/src/fakes/fakehttpserver.h
+++ b/src/fakes/fakehttpserver.h
@@ -23,8 +23,9 @@
 RequestLogSettings recordSettings(const Json &settings);
 
 /// HTTP server of the fakes. Listens on any free port when the configured port is 0, prints the
-/// address to standard output, and replaces httplib's listen backlog of 5 by a larger one. With 5,
-/// SYNs are lost in a burst of connections, and the clients wait 1 s for the retransmission.
+/// address to standard output, and replaces httplib's listen backlog of 5 by a larger one. With a
+/// backlog of 5, SYNs are lost in a burst of connections, and the clients wait 1 s for the
+/// retransmission.
 class FakeHttpServer : public httplib::Server
 {
 public:
@@ -33,8 +34,8 @@
     /// Binds the socket and returns the port. Fails with AddressInUse.
     Result<int> bind();
     /// Binds, prints \a startLine with "listening":"host:port" added, and serves until \a signal is
-    /// received. Then ends the process without waiting for open connections, because httplib would
-    /// wait for idle ones up to the keep-alive timeout. Returns only when it cannot listen.
+    /// received. Then terminates the process without waiting for open connections, because httplib
+    /// would wait for idle ones up to the keep-alive timeout. Returns only when listening fails.
     int serveUntil(ShutdownSignal &signal, Json startLine = Json::object());
 
 private:
@@ -43,7 +44,7 @@
 
 /// Converts \a request, including its headers, to a record.
 RequestRecord recordOf(const httplib::Request &request, std::string requestId);
-/// Answers "GET /records?after=N".
+/// Responds to "GET /records?after=N".
 void sendRecords(const RequestLog &records, const httplib::Request &request,
                  httplib::Response &response);
 void sendJson(httplib::Response &response, const Json &body);
--- a/src/fakes/faults.cpp
+++ b/src/fakes/faults.cpp
@@ -97,7 +97,7 @@
 void Faults::waitWhileFrozen(absl::Time now) const
 {
     const absl::Duration left = frozenUntil() - now;
-    // A frozen process sends no answers, so the fault blocks the calling thread on purpose.
+    // Blocks the calling thread intentionally, because a frozen process does not respond.
     if (left > absl::ZeroDuration())
         absl::SleepFor(left);
 }
--- a/src/fakes/loadedmodels.cpp
+++ b/src/fakes/loadedmodels.cpp
@@ -8,7 +8,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-constexpr std::array<EnumName<EngineCommandKind>, 4> orderKindNames = {{
+constexpr std::array<EnumName<EngineCommandKind>, 4> engineCommandKindNames = {{
         {EngineCommandKind::LoadModel, "load_model"},
         {EngineCommandKind::LoadAdapter, "load_adapter"},
         {EngineCommandKind::LoadVersion, "load_version"},
@@ -19,14 +19,14 @@
 
 std::string_view name(EngineCommandKind kind)
 {
-    return nameOf(orderKindNames, kind);
+    return nameOf(engineCommandKindNames, kind);
 }
 
 Result<EngineCommandKind> engineCommandKindFromName(std::string_view name)
 {
-    if (const auto kind = valueOf(orderKindNames, name))
+    if (const auto kind = valueOf(engineCommandKindNames, name))
         return *kind;
-    return fail(notRun(ErrorCode::InvalidRequest, concat("unknown order kind \"", name, "\"")));
+    return fail(notRun(ErrorCode::InvalidRequest, concat("unknown command kind \"", name, "\"")));
 }
 
 LoadedModels::LoadedModels(std::vector<std::string> models, bool checksFence,
@@ -38,15 +38,15 @@
         m_readyAt[std::move(model)] = absl::InfinitePast();
 }
 
-EngineCommandResult LoadedModels::apply(absl::Time now, const EngineCommand &order)
+EngineCommandResult LoadedModels::apply(absl::Time now, const EngineCommand &command)
 {
-    if (m_checksFence && order.fence < m_fence)
+    if (m_checksFence && command.fence < m_fence)
         return {false, m_fence};
-    m_fence = std::max(m_fence, order.fence);
-    if (order.kind == EngineCommandKind::SetRole)
-        m_role = order.name;
+    m_fence = std::max(m_fence, command.fence);
+    if (command.kind == EngineCommandKind::SetRole)
+        m_role = command.name;
     else
-        m_readyAt.emplace(order.name, now + m_loadTime);
+        m_readyAt.emplace(command.name, now + m_loadTime);
     return {true, m_fence};
 }
 
--- a/src/fakes/loadhistory.cpp
+++ b/src/fakes/loadhistory.cpp
@@ -9,7 +9,7 @@
 void LoadHistory::record(absl::Time now, LoadSample load)
 {
     m_samples.push_back({now, load});
-    // The newest sample that is at least one lag old stays: it is the current report.
+    // Keeps the newest sample that is at least one lag old, because it is the current report.
     while (m_samples.size() > 1 && m_samples[1].at <= now - m_lag)
         m_samples.pop_front();
 }
--- a/src/fakes/platformserver.h
+++ b/src/fakes/platformserver.h
@@ -11,14 +11,14 @@
 
 namespace rattanrill::fakes {
 
-/// HTTP interface of the fake platform: list of instances and weight store.
+/// HTTP interface of the fake platform: instance list, load balancer and weight store.
 class PlatformServer
 {
 public:
     PlatformServer(FakeHttpServer &server, absl::Duration listLag, WeightStoreSettings weights,
                    const Clock &clock = SystemClock::instance());
 
-    /// Instances as the delayed list shows them.
+    /// Instances according to the delayed list.
     std::vector<Instance> listed() const;
     /// Adds an instance that is listed from the start, without the lag.
     Result<Instance> addInitial(const std::string &name, const Json &body);
--- a/src/fakes/relayconnection.cpp
+++ b/src/fakes/relayconnection.cpp
@@ -155,7 +155,7 @@
 
 void RelayConnection::deliver(Direction &direction)
 {
-    if (direction.writing || direction.waiting || direction.queue.empty()
+    if (direction.writing || direction.timerPending || direction.queue.empty()
         || direction.faults.mode != LinkMode::Pass)
         return;
     const Chunk &chunk = direction.queue.front();
@@ -171,10 +171,10 @@
 
 void RelayConnection::waitUntil(Direction &direction, std::chrono::steady_clock::time_point time)
 {
-    direction.waiting = true;
+    direction.timerPending = true;
     direction.timer.expires_at(time);
     direction.timer.async_wait([self = shared_from_this(), &direction](const error_code &error) {
-        direction.waiting = false;
+        direction.timerPending = false;
         if (!error)
             self->deliver(direction);
     });
--- a/src/fakes/relayconnection.h
+++ b/src/fakes/relayconnection.h
@@ -35,7 +35,7 @@
     RelayConnection(boost::asio::io_context &context, Socket client, Endpoint target,
                     Callbacks callbacks);
 
-    /// Connects to the target and relays bytes, as far as \a faults permit.
+    /// Connects to the target and relays bytes, subject to \a faults.
     void start(const LinkFaults &faults);
     /// Changes the faults. When both directions are in mode Pass again, a connection that lost data
     /// is reset; otherwise each direction in mode Pass continues.
@@ -69,7 +69,7 @@
         std::size_t queuedBytes = 0;
         bool reading = false;
         bool writing = false;
-        bool waiting = false;
+        bool timerPending = false;
         bool sourceEnded = false;
         bool ended = false;
         /// Whether bytes or the connection attempt were dropped.
--- a/src/fakes/requestlog.cpp
+++ b/src/fakes/requestlog.cpp
@@ -92,7 +92,7 @@
         return;
     const std::string line = dumpJson(toJson(record)) + "\n";
     std::fwrite(line.data(), 1, line.size(), m_file);
-    // Flushes because a fault may crash the process right after this call.
+    // Flushed because a fault may crash the process right after this call.
     std::fflush(m_file);
 }
 
--- a/src/fakes/servicemodel.cpp
+++ b/src/fakes/servicemodel.cpp
@@ -11,13 +11,13 @@
     , m_history(m_settings.loadReportLag)
 {}
 
-Result<ServiceResponse> ServiceModel::serve(ServiceResponse answer,
+Result<ServiceResponse> ServiceModel::serve(ServiceResponse response,
                                             const std::function<void()> &started)
 {
     absl::MutexLock lock(&m_mutex);
     const std::int64_t ticket = m_nextTicket;
     BOOST_LEAF_CHECK(acquireSlot(ticket));
-    m_running[ticket] = &answer;
+    m_running[ticket] = &response;
     recordLoad();
     started();
     swapAnswers();
@@ -25,7 +25,7 @@
     m_running.erase(ticket);
     recordLoad();
     m_changed.SignalAll();
-    return answer;
+    return response;
 }
 
 LoadSample ServiceModel::load() const
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -15,11 +15,11 @@
     , m_records(records)
     , m_clock(clock)
 {
-    addControlRoutes();
+    addManagementRoutes();
     addServiceRoutes();
 }
 
-void ServiceServer::addControlRoutes()
+void ServiceServer::addManagementRoutes()
 {
     m_server.Get("/records", [this](const httplib::Request &request, httplib::Response &response) {
         sendRecords(m_records, request, response);
@@ -73,12 +73,13 @@
 void ServiceServer::serve(const httplib::Request &request, httplib::Response &response)
 {
     m_faults.waitWhileFrozen(m_clock.now());
-    const auto answer = outcomeOf([&] { return runRequest(request); });
+    const auto serviceResponse = outcomeOf([&] { return runRequest(request); });
     m_faults.waitWhileFrozen(m_clock.now());
-    if (answer.ok())
-        sendAnswer(response, answer.value());
+    if (serviceResponse.ok())
+        sendServiceResponse(response, serviceResponse.value());
     else
-        http::sendFailure(response, answer.failure(), request.get_header_value("X-Request-Id"));
+        http::sendFailure(response, serviceResponse.failure(),
+                          request.get_header_value("X-Request-Id"));
 }
 
 Result<ServiceResponse> ServiceServer::runRequest(const httplib::Request &request)
@@ -90,23 +91,24 @@
         return fail(notRun(ErrorCode::UpstreamBusy, "request refused by an injected fault"));
     const bool crashes =
             !faults.crashOn.empty() && request.body.find(faults.crashOn) != std::string::npos;
-    BOOST_LEAF_AUTO(answer, m_model.serve({request.path, id, hashText(request.body)}, [&] {
+    BOOST_LEAF_AUTO(serviceResponse, m_model.serve({request.path, id, hashText(request.body)}, [&] {
         m_records.markStarted(seq);
         if (crashes)
             crashProcess();
     }));
     m_records.markFinished(seq, 0);
-    // The fault delays only the answer: the request has already released its slot.
+    // Delays only the response: the request has already released its slot.
     absl::SleepFor(faults.responseDelay);
-    return answer;
+    return serviceResponse;
 }
 
-void ServiceServer::sendAnswer(httplib::Response &response, const ServiceResponse &answer)
+void ServiceServer::sendServiceResponse(httplib::Response &response,
+                                        const ServiceResponse &serviceResponse)
 {
     const Json body = {{"service", m_model.settings().service},
-                       {"path", answer.path},
-                       {"request_id", answer.requestId},
-                       {"echo", answer.echo}};
+                       {"path", serviceResponse.path},
+                       {"request_id", serviceResponse.requestId},
+                       {"echo", serviceResponse.echo}};
     if (m_faults.state().cutAfterTokens == 0) {
         sendJson(response, body);
         return;
--- a/src/fakes/serviceserver.h
+++ b/src/fakes/serviceserver.h
@@ -13,13 +13,13 @@
                   const Clock &clock = SystemClock::instance());
 
 private:
-    void addControlRoutes();
+    void addManagementRoutes();
     void addServiceRoutes();
     void load(httplib::Response &response);
     void setFaults(const httplib::Request &request, httplib::Response &response);
     void serve(const httplib::Request &request, httplib::Response &response);
     Result<ServiceResponse> runRequest(const httplib::Request &request);
-    void sendAnswer(httplib::Response &response, const ServiceResponse &answer);
+    void sendServiceResponse(httplib::Response &response, const ServiceResponse &serviceResponse);
 
     FakeHttpServer &m_server;
     ServiceModel &m_model;
--- a/src/fakes/tcprelay.cpp
+++ b/src/fakes/tcprelay.cpp
@@ -114,7 +114,8 @@
 
 void TcpRelay::State::removeConnection(std::int64_t id)
 {
-    // Posted, because this may be called from apply() while setFaults() iterates over the map.
+    // Erased in a posted handler, because apply() may call this while setFaults() iterates over the
+    // map.
     boost::asio::post(context, [this, id] { connections.erase(id); });
     absl::MutexLock lock(&mutex);
     --counters.open;
--- a/tests/fakes/answer_test.cpp
+++ b/tests/fakes/answer_test.cpp
@@ -36,7 +36,7 @@
     BOOST_TEST(expectedText("hello", 1, 3) == " w74b07ed3 w5a9d05d4");
 }
 
-// Guards against a check that accepts an answer which is truncated, too long, shifted or of another
+// Guards against a check that accepts an answer that is truncated, too long, shifted or for another
 // prompt.
 BOOST_AUTO_TEST_CASE(truncatedAndMismatchedAnswersAreDetected)
 {
@@ -48,7 +48,8 @@
     BOOST_TEST((checkAnswer("p", expectedText("p", 1, 4), 4) == AnswerVerdict::Mismatch));
 }
 
-// Guards against a prompt that lacks messages, and against a body without a prompt being accepted.
+// Guards against a chat prompt that omits messages, and against a body without a prompt that is
+// accepted.
 BOOST_AUTO_TEST_CASE(chatPromptJoinsContents)
 {
     const Json body = {{"messages", {{{"content", "a"}}, {{"content", "b"}}}}};
@@ -76,7 +77,7 @@
 
 // Guards against a limit that refuses a file larger than the burst forever, or does not charge its
 // whole size.
-BOOST_AUTO_TEST_CASE(weightStoreRefusesBeyondItsRate)
+BOOST_AUTO_TEST_CASE(weightStoreRejectsReadsBeyondItsRate)
 {
     WeightStore store({{{"w", 250}}, 100, 200}, start);
     const auto accepts = [&](absl::Duration after) {
--- a/tests/fakes/balancer_test.cpp
+++ b/tests/fakes/balancer_test.cpp
@@ -14,11 +14,11 @@
 const std::string loopback = "127.0.0.1";
 constexpr absl::Duration healthPeriod = absl::Seconds(1);
 
-/// Server of an instance. Answers the health check, and "/name" with the name of the instance.
-class Entry
+/// HTTP server of an instance. Serves the health check, and the name of the instance at "/name".
+class InstanceServer
 {
 public:
-    explicit Entry(const std::string &name)
+    explicit InstanceServer(const std::string &name)
     {
         m_server.Get("/readyz", [this](const httplib::Request &, httplib::Response &response) {
             response.status = m_ready ? 200 : 503;
@@ -35,7 +35,7 @@
             std::this_thread::yield();
     }
 
-    ~Entry()
+    ~InstanceServer()
     {
         m_server.stop();
         m_thread.join();
@@ -100,28 +100,28 @@
         return false;
     }
 
-    /// Number of answers by instance, over four new connections.
-    std::map<std::string, int> answers() const
+    /// Number of responses by instance, over four new connections.
+    std::map<std::string, int> responseCounts() const
     {
-        std::map<std::string, int> answers;
+        std::map<std::string, int> responseCounts;
         for (int i = 0; i < 4; ++i) {
             const auto result = httplib::Client(loopback, port).Get("/name");
-            ++answers[result ? result->body : "(refused)"];
+            ++responseCounts[result ? result->body : "(refused)"];
         }
-        return answers;
+        return responseCounts;
     }
 
     ManualClock clock;
     ManualTimerService timers;
-    Entry first;
-    Entry second;
+    InstanceServer first;
+    InstanceServer second;
     absl::Mutex mutex;
     std::vector<Instance> listed;
     Balancer balancer;
     int port;
 };
 
-using Answers = std::map<std::string, int>;
+using CountsByInstance = std::map<std::string, int>;
 
 } // namespace
 
@@ -131,12 +131,12 @@
 // health check fails.
 BOOST_AUTO_TEST_CASE(connectionsSpreadOverHealthyInstances)
 {
-    BOOST_TEST((answers() == Answers{{"(refused)", 4}}));
+    BOOST_TEST((responseCounts() == CountsByInstance{{"(refused)", 4}}));
     BOOST_TEST_REQUIRE(checkUntilHealthy(2));
-    BOOST_TEST((answers() == Answers{{"first", 2}, {"second", 2}}));
+    BOOST_TEST((responseCounts() == CountsByInstance{{"first", 2}, {"second", 2}}));
     second.setReady(false);
     BOOST_TEST_REQUIRE(checkUntilHealthy(1));
-    BOOST_TEST((answers() == Answers{{"first", 4}}));
+    BOOST_TEST((responseCounts() == CountsByInstance{{"first", 4}}));
 }
 
 // Guards against a drain that closes connections which are in use (R12) or assigns new ones to the
@@ -153,7 +153,7 @@
     BOOST_TEST(persistent.Get("/name")->body == "second");
     setState(0, InstanceState::Live);
     setState(1, InstanceState::Leaving);
-    BOOST_TEST((answers() == Answers{{"first", 4}}));
+    BOOST_TEST((responseCounts() == CountsByInstance{{"first", 4}}));
     BOOST_TEST(persistent.Get("/name")->body == "second");
 }
 
--- a/tests/fakes/enginemodel_test.cpp
+++ b/tests/fakes/enginemodel_test.cpp
@@ -125,7 +125,7 @@
     BOOST_TEST((refusal(model, start, request("d", 101)) == ErrorCode::InvalidRequest));
 }
 
-// Guards against a refusal that does not tell the caller that a retry is safe.
+// Guards against a refusal without NotRun, which states that a retry is safe.
 BOOST_AUTO_TEST_CASE(fullQueueRefusesAsNotRun)
 {
     EngineModelSettings small = settings();
@@ -230,7 +230,7 @@
     BOOST_TEST(visibleSeqs(5).size() < 7u);
 }
 
-// Guards against a load report that shows the current load instead of the one before the lag.
+// Guards against a load report that shows the current load instead of the load one lag earlier.
 BOOST_AUTO_TEST_CASE(loadReportIsDelayedByTheLag)
 {
     EngineModel model(settings());
@@ -256,7 +256,7 @@
 }
 
 // Guards against a model that serves requests while it is still loading.
-BOOST_AUTO_TEST_CASE(orderedModelServesAfterItsLoadTime)
+BOOST_AUTO_TEST_CASE(modelLoadedByCommandServesAfterLoadTime)
 {
     EngineModel model(settings());
     model.execute(start, {EngineCommandKind::LoadModel, "n", 1});
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -76,8 +76,8 @@
         return false;
     }
 
-    /// Returns the bytes of a streamed answer up to its end or the end of the connection. Calls
-    /// \a onData for each piece.
+    /// Returns the bytes of a streamed response up to its end or the end of the connection. Calls
+    /// \a onData for each chunk.
     std::string stream(const Json &body, const std::function<void()> &onData)
     {
         std::string received;
@@ -121,15 +121,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineServerTest, Fixture)
 
-// Guards against an answer that a checker cannot assign to its request or compare with its prompt.
-BOOST_AUTO_TEST_CASE(wholeAnswerHasTheRequestIdAndTheExpectedText)
+// Guards against a response without the request id and the text with which a checker compares it.
+BOOST_AUTO_TEST_CASE(completionHasRequestIdAndExpectedText)
 {
     const auto result = post("/v1/completions", body("r1", "p", 3, false));
     BOOST_TEST_REQUIRE(result->status == 200);
-    const Json answer = Json::parse(result->body);
-    BOOST_TEST(answer.at("request_id") == "r1");
-    BOOST_TEST(answer.at("choices")[0].at("text") == expectedText("p", 0, 3));
-    BOOST_TEST(answer.at("usage").at("completion_tokens") == 3);
+    const Json response = Json::parse(result->body);
+    BOOST_TEST(response.at("request_id") == "r1");
+    BOOST_TEST(response.at("choices")[0].at("text") == expectedText("p", 0, 3));
+    BOOST_TEST(response.at("usage").at("completion_tokens") == 3);
 }
 
 // Guards against events that deviate from the format which the engine client parses.
@@ -155,8 +155,8 @@
     BOOST_TEST(lines[3] == "[DONE]");
 }
 
-// Guards against a record from which a test cannot tell what was sent and whether it ran.
-BOOST_AUTO_TEST_CASE(recordHasHeadersAndWhetherTheRequestRan)
+// Guards against a record that lacks the headers of a request or whether the request was executed.
+BOOST_AUTO_TEST_CASE(recordHasHeadersAndExecutionState)
 {
     const httplib::Headers headers = {{"Authorization", "Bearer secret"}};
     client.Post("/v1/completions", headers, body("r3", "p", 1, false).dump(), json);
@@ -187,17 +187,17 @@
 // Guards against a cancel that leaves the stream open or ends it without its last events.
 BOOST_AUTO_TEST_CASE(cancelEndsTheStream)
 {
-    Json answer;
+    Json response;
     const std::string received = stream(body("r7", "p", 100000, true), [&] {
-        if (answer.is_null())
-            answer = Json::parse(post("/engine/cancel", {{"request_id", "r7"}})->body);
+        if (response.is_null())
+            response = Json::parse(post("/engine/cancel", {{"request_id", "r7"}})->body);
     });
-    BOOST_TEST(answer.at("cancelled") == true);
+    BOOST_TEST(response.at("cancelled") == true);
     const std::vector<std::string> lines = events(received);
     BOOST_TEST(lines.back() == "[DONE]");
     const Json last = Json::parse(lines[lines.size() - 2]);
     BOOST_TEST(last.at("choices")[0].at("finish_reason") == "cancelled");
-    BOOST_TEST(last.at("index") == answer.at("tokens"));
+    BOOST_TEST(last.at("index") == response.at("tokens"));
 }
 
 // Guards against a cut stream that looks complete to its client.
@@ -208,9 +208,9 @@
     BOOST_TEST(events(received).size() == 2u);
 }
 
-// Guards against a fault without effect: each caller must receive the answer to the other's
+// Guards against a fault without effect: each caller must receive the response to the other
 // request.
-BOOST_AUTO_TEST_CASE(crossedAnswersAreSwapped)
+BOOST_AUTO_TEST_CASE(crossAnswersFaultSwapsResponses)
 {
     // The engine is slow until both requests run, so that neither ends before the other starts.
     post("/faults", {{"cross_answers", 1}, {"slow_factor", 50}});
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -22,12 +22,12 @@
     return settings;
 }
 
-/// Request id of the answer to request \a id, or the name of the error code.
-std::string answeredId(ServiceModel &model, const std::string &id,
-                       const std::function<void()> &started)
+/// Request id of the response to request \a id, or the name of the error code.
+std::string responseRequestId(ServiceModel &model, const std::string &id,
+                              const std::function<void()> &started)
 {
-    const auto answer = outcomeOf([&] { return model.serve({"/", id, ""}, started); });
-    return answer.ok() ? answer.value().requestId : std::string(name(answer.failure().code));
+    const auto response = outcomeOf([&] { return model.serve({"/", id, ""}, started); });
+    return response.ok() ? response.value().requestId : std::string(name(response.failure().code));
 }
 
 } // namespace
@@ -40,12 +40,12 @@
     Faults faults;
     ServiceModel model(settings(1, 0), faults);
     bool started = false;
-    const auto answer = outcomeOf([&] {
+    const auto response = outcomeOf([&] {
         return model.serve({"/", "a", ""}, [&] { started = true; });
     });
-    BOOST_TEST_REQUIRE(!answer.ok());
-    BOOST_TEST((answer.failure().code == ErrorCode::UpstreamBusy));
-    BOOST_TEST((answer.failure().effect == EffectState::NotRun));
+    BOOST_TEST_REQUIRE(!response.ok());
+    BOOST_TEST((response.failure().code == ErrorCode::UpstreamBusy));
+    BOOST_TEST((response.failure().effect == EffectState::NotRun));
     BOOST_TEST(!started);
 }
 
@@ -58,7 +58,7 @@
     std::vector<std::thread> callers;
     for (int i = 0; i < 20; ++i)
         callers.emplace_back([&, id = std::to_string(i)] {
-            if (answeredId(model, id, [] {}) == id)
+            if (responseRequestId(model, id, [] {}) == id)
                 ++served;
         });
     for (std::thread &caller : callers)
@@ -66,11 +66,10 @@
     BOOST_TEST(served == 20);
 }
 
-// Guards against a record that is still buffered when the process crashes and is lost as evidence
-// of what ran.
+// Guards against a record that is lost because it is still buffered when the process crashes.
 BOOST_AUTO_TEST_CASE(recordIsWrittenToTheFileAtEachStep)
 {
-    const std::string file = "recordbook_test.jsonl";
+    const std::string file = "requestlog_test.jsonl";
     std::remove(file.c_str());
     RequestLog records(RequestLogSettings{2, file});
     RequestRecord record;
--- a/tests/fakes/tcprelay_test.cpp
+++ b/tests/fakes/tcprelay_test.cpp
@@ -17,10 +17,9 @@
 using boost::asio::ip::tcp;
 
 const std::string loopback = "127.0.0.1";
-/// Timeout for bytes that must arrive; long, because it is reached only when a test fails.
+/// Timeout for bytes that must arrive. Long, because it expires only when a test fails.
 constexpr int arrivalTimeoutMs = 10000;
-/// Wait time for bytes that must not arrive: a relay that lets them through does so within
-/// microseconds.
+/// Wait time for bytes that must not arrive: a faulty relay would deliver them within microseconds.
 constexpr int absenceTimeoutMs = 100;
 
 bool isReadable(tcp::socket &socket, int timeoutMs)
@@ -108,22 +107,22 @@
 BOOST_FIXTURE_TEST_SUITE(TcpRelayTest, Fixture)
 
 // Guards against a relay that loses bytes, or that closes both directions when one ends.
-BOOST_AUTO_TEST_CASE(passesBytesAndEndsBothWays)
+BOOST_AUTO_TEST_CASE(bytesAndHalfCloseAreRelayedInBothDirections)
 {
     connect();
     send(client, "ask");
     BOOST_TEST(receive(server) == "ask");
     client.shutdown(tcp::socket::shutdown_send);
     BOOST_TEST(receive(server) == "(end)");
-    // A half-closed connection still carries the answer.
+    // A half-closed connection still relays the response.
     send(server, "answer");
     server.close();
     BOOST_TEST(receive(client) == "answer");
     BOOST_TEST(receive(client) == "(end)");
 }
 
-// Guards against a held direction that lets bytes through or loses them, and against a hold that
-// also affects the other direction.
+// Guards against a held direction that delivers or loses bytes, and against a hold that also
+// affects the other direction.
 BOOST_AUTO_TEST_CASE(heldBytesArriveAfterHealWhileTheOtherDirectionPasses)
 {
     connect();
