--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -98,7 +98,7 @@
 
 
 class Process:
-    """One started binary with its settings file and logs."""
+    """A process of the deployment, with its settings file and logs."""
 
     def __init__(self, name, binary, settings, folder, build):
         self.name = name
@@ -265,9 +265,9 @@
                      f"status 200 of {url}/readyz")
 
     def wait_rate_owners(self):
-        """Waits until every workspace is granted requests. The instance that becomes owner of a
-        workspace's rate starts after a delay and with an empty bucket, so that it cannot grant the
-        requests again that a previous owner granted; until then requests get status 429."""
+        """Waits until requests of every workspace are admitted. The new owner of a workspace's rate
+        starts after a delay and with an empty token bucket, so that it does not grant again what a
+        previous owner granted; until then, requests are refused with status 429."""
         for workspace, *_ in self.shape["workspaces"]:
             wait_for(lambda workspace=workspace: self.complete(1, workspace, "ready", 1)[0] == 200,
                      f"rate grants for {workspace}", period=0.5)
--- a/tools/measure-control.py
+++ b/tools/measure-control.py
@@ -3,7 +3,7 @@
 Prints one JSON line for each number of entry instances: processor time in percent of a core and
 resident memory in MB of entry and control instances, and bytes per second that control instances
 write to files, from /proc. The figures are measured in wall-clock time; they are meant for
-docs/CAPACITY.md and decide no test.
+docs/CAPACITY.md, and no test depends on them.
 
 Usage: tools/measure-control.py [--sizes 3,6,12,24] [--seconds 10]
 """
