--- a/cmake/RattanrillTargets.cmake
+++ b/cmake/RattanrillTargets.cmake
@@ -18,8 +18,8 @@
   target_link_options(rattanrill_options INTERFACE -fuse-ld=lld)
 endif()
 
-# rattanrill_library(NAME [DEPENDS target...]): adds a static library of the *.cpp files in the calling
-# folder, except main*.cpp.
+# rattanrill_library(NAME [DEPENDS target...]): adds a static library of the *.cpp files in the
+# calling directory, except main*.cpp.
 function(rattanrill_library name)
   cmake_parse_arguments(arg "" "" "DEPENDS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cpp")
@@ -29,8 +29,8 @@
   target_include_directories(rattanrill_${name} PRIVATE "${CMAKE_CURRENT_SOURCE_DIR}")
 endfunction()
 
-# rattanrill_program(NAME SOURCE [DEPENDS target...]): adds an executable in the folder bin of the build
-# tree. Benchmarks are left out of builds with RATTANRILL_DEPLOY_ONLY.
+# rattanrill_program(NAME SOURCE [DEPENDS target...]): adds an executable in the directory bin of
+# the build tree. Benchmarks are left out of builds with RATTANRILL_DEPLOY_ONLY.
 function(rattanrill_program name source)
   if(RATTANRILL_DEPLOY_ONLY AND name MATCHES "-bench-")
     return()
@@ -41,12 +41,12 @@
   set_target_properties(${name} PROPERTIES RUNTIME_OUTPUT_DIRECTORY "${CMAKE_BINARY_DIR}/bin")
 endfunction()
 
-# rattanrill_test(LIBRARY [DEPENDS target...] [APART Suite/case...]): adds the only test program of a
-# library, from the *.cpp files in the calling folder. The tests may include the library's private
-# headers. Each case listed under APART becomes a separate CTest test, LIBRARY-case, so that
+# rattanrill_test(LIBRARY [DEPENDS target...] [SEPARATE Suite/case...]): adds the test program of a
+# library from the *.cpp files in the calling directory. The tests may include the library's private
+# headers. Each case listed under SEPARATE becomes a CTest test of its own, LIBRARY-case, so that
 # KNOWN-RED.txt can name it without the other cases.
 function(rattanrill_test library)
-  cmake_parse_arguments(arg "" "" "DEPENDS;APART" ${ARGN})
+  cmake_parse_arguments(arg "" "" "DEPENDS;SEPARATE" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS "${CMAKE_CURRENT_SOURCE_DIR}/*.cpp")
   add_executable(${library}_test ${sources})
   target_link_libraries(${library}_test PRIVATE
@@ -57,7 +57,7 @@
   set_source_files_properties(main.cpp PROPERTIES
     COMPILE_DEFINITIONS "BOOST_TEST_MODULE=${library}")
   set(filter "")
-  foreach(case IN LISTS arg_APART)
+  foreach(case IN LISTS arg_SEPARATE)
     list(APPEND filter "--run_test=!${case}")
     string(REGEX REPLACE ".*/" "" name "${case}")
     add_test(NAME ${library}-${name}
