--- a/src/report/burn.cpp
+++ b/src/report/burn.cpp
@@ -20,9 +20,9 @@
         {Objective::BatchOnTime, "batch_on_time"},
 }};
 
-/// Workspace and model.
-using Group = std::vector<std::string>;
-using EventCountsByGroup = std::map<Group, EventCounts>;
+/// Values of the labels by which series are grouped; for objectives, workspace and model.
+using LabelValues = std::vector<std::string>;
+using EventCountsByGroup = std::map<LabelValues, EventCounts>;
 
 /// Cumulative observation counts of a histogram by upper bound of the bucket.
 using Buckets = std::map<double, double>;
@@ -55,7 +55,7 @@
 EventCountsByGroup latencyEvents(const FleetHistory &history, const std::string &metric,
                                  double threshold, std::size_t from, std::size_t to)
 {
-    std::map<Group, Buckets> buckets;
+    std::map<LabelValues, Buckets> buckets;
     for (const auto &[labels, count] :
          history.increase(metric + "_bucket", {}, {"workspace", "model", "le"}, from, to))
         buckets[{labels[0], labels[1]}][parseBound(labels[2])] += count;
@@ -160,7 +160,7 @@
                        });
 }
 
-using Rows = std::map<std::pair<Objective, Group>, BurnRow>;
+using Rows = std::map<std::pair<Objective, LabelValues>, BurnRow>;
 
 EventCounts sumOf(const EventCountsByGroup &eventsByGroup)
 {
@@ -225,7 +225,7 @@
     });
 }
 
-std::map<std::string, double> joinedKeys(const std::map<Group, double> &groups)
+std::map<std::string, double> joinedKeys(const std::map<LabelValues, double> &groups)
 {
     std::map<std::string, double> joined;
     for (const auto &[labels, value] : groups) {
--- a/src/report/fleethistory.cpp
+++ b/src/report/fleethistory.cpp
@@ -6,7 +6,7 @@
 namespace rattanrill::report {
 namespace {
 
-bool includes(const Labels &labels, const Labels &match)
+bool matches(const Labels &labels, const Labels &match)
 {
     return std::all_of(match.begin(), match.end(), [&](const auto &required) {
         const auto label = labels.find(required.first);
@@ -14,7 +14,7 @@
     });
 }
 
-std::vector<std::string> groupOf(const Labels &labels, const std::vector<std::string> &by)
+std::vector<std::string> labelValues(const Labels &labels, const std::vector<std::string> &by)
 {
     std::vector<std::string> group;
     group.reserve(by.size());
@@ -51,7 +51,7 @@
                        const std::vector<Sample> &samples)
 {
     for (const Sample &sample : samples) {
-        const Key key = {sample.name, sample.labels};
+        const SeriesKey key = {sample.name, sample.labels};
         std::vector<double> &totals = m_totals[key];
         totals.resize(index + 1, totals.empty() ? 0.0 : totals.back());
         const auto [lastValue, isNew] = m_lastValues.try_emplace({instance, key}, 0.0);
@@ -80,8 +80,8 @@
     for (auto series = m_totals.lower_bound({name, {}});
          series != m_totals.end() && series->first.first == name; ++series) {
         const auto &[key, totals] = *series;
-        if (includes(key.second, match))
-            sums[groupOf(key.second, by)] += totals[to] - totals[from];
+        if (matches(key.second, match))
+            sums[labelValues(key.second, by)] += totals[to] - totals[from];
     }
     return sums;
 }
--- a/src/report/fleethistory.h
+++ b/src/report/fleethistory.h
@@ -45,15 +45,15 @@
                     std::size_t to) const;
 
 private:
-    using Key = std::pair<std::string, Labels>;
+    using SeriesKey = std::pair<std::string, Labels>;
 
     void add(std::size_t index, const std::string &instance, const std::vector<Sample> &samples);
 
     std::vector<absl::Time> m_times;
     /// Total of each series at each snapshot, relative to the first one.
-    std::map<Key, std::vector<double>> m_totals;
+    std::map<SeriesKey, std::vector<double>> m_totals;
     /// Last value of each series by instance.
-    std::map<std::pair<std::string, Key>, double> m_lastValues;
+    std::map<std::pair<std::string, SeriesKey>, double> m_lastValues;
 };
 
 } // namespace rattanrill::report
--- a/src/report/main.cpp
+++ b/src/report/main.cpp
@@ -163,7 +163,7 @@
     return exitCode;
 }
 
-bool printInformation(const po::variables_map &values, const po::options_description &options)
+bool printHelpOrSchema(const po::variables_map &values, const po::options_description &options)
 {
     if (values.count("help") > 0) {
         std::cout << programName
@@ -204,7 +204,7 @@
     const auto values = outcomeOf([&] { return parseArguments(options, argc, argv); });
     if (!values.ok())
         return reportFailure(values.failure(), exitUsage);
-    if (printInformation(values.value(), options))
+    if (printHelpOrSchema(values.value(), options))
         return exitOk;
     const auto report = outcomeOf([&] { return makeReport(values.value()); });
     if (!report.ok())
