--- a/src/load/batchrunner.cpp
+++ b/src/load/batchrunner.cpp
@@ -133,7 +133,7 @@
     Failure last = notRun(ErrorCode::Internal, "not sent");
     for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         const auto response = outcomeOf([&] {
-            return m_client.sendBatchRequest(m_target++ % m_plan.targets.size(), method, path,
+            return m_client.sendBatchRequest(m_nextTarget++ % m_plan.targets.size(), method, path,
                                              m_key, body, contentType, idempotencyKey);
         });
         if (response.ok() && response.value().status == 200)
--- a/src/load/batchrunner.h
+++ b/src/load/batchrunner.h
@@ -47,7 +47,7 @@
     WaitFunction m_wait;
     const Clock &m_clock;
     std::string m_key;
-    std::size_t m_target = 0;
+    std::size_t m_nextTarget = 0;
 };
 
 } // namespace rattanrill::load
--- a/src/load/loadsummary.cpp
+++ b/src/load/loadsummary.cpp
@@ -42,7 +42,7 @@
 void LoadSummary::add(const RequestOutcome &outcome)
 {
     absl::MutexLock lock(&m_mutex);
-    add(outcome, m_all);
+    add(outcome, m_overall);
     add(outcome, m_workspaces[outcome.workspace]);
     if (!countsAsWrong(outcome))
         return;
@@ -58,28 +58,28 @@
     m_wrongCount += wrongItems(outcome);
 }
 
-void LoadSummary::add(const RequestOutcome &outcome, Group &group)
+void LoadSummary::add(const RequestOutcome &outcome, Statistics &statistics)
 {
-    ++group.countsByType[std::string(name(outcome.type))];
+    ++statistics.countsByType[std::string(name(outcome.type))];
     if (outcome.type == OutcomeType::Refused)
-        ++group.refusals[outcome.code]
-                        [outcome.effectState.empty() ? "unknown" : outcome.effectState];
+        ++statistics.refusals[outcome.code]
+                             [outcome.effectState.empty() ? "unknown" : outcome.effectState];
     if (outcome.type == OutcomeType::Unsent)
         return;
-    group.tokens += outcome.tokens;
-    group.resends += outcome.sends - 1;
-    group.startLagMs.push_back(milliseconds(outcome.startLag));
+    statistics.tokens += outcome.tokens;
+    statistics.resends += outcome.sends - 1;
+    statistics.startLagMs.push_back(milliseconds(outcome.startLag));
     if (outcome.timeToFirstToken)
-        group.timeToFirstTokenMs.push_back(milliseconds(*outcome.timeToFirstToken));
+        statistics.timeToFirstTokenMs.push_back(milliseconds(*outcome.timeToFirstToken));
     for (const absl::Duration gap : outcome.timeBetweenTokens)
-        group.timeBetweenTokensMs.push_back(milliseconds(gap));
+        statistics.timeBetweenTokensMs.push_back(milliseconds(gap));
     if (outcome.type != OutcomeType::Completed)
         return;
     const double latencyMs = milliseconds(outcome.end - outcome.begin);
     if (outcome.kind == RequestKind::NonStreamed)
-        group.nonStreamedMs.push_back(latencyMs);
+        statistics.nonStreamedMs.push_back(latencyMs);
     if (outcome.kind == RequestKind::Service)
-        group.serviceMs.push_back(latencyMs);
+        statistics.serviceMs.push_back(latencyMs);
 }
 
 bool LoadSummary::countsAsWrong(const RequestOutcome &outcome) const
@@ -96,7 +96,7 @@
 Json LoadSummary::json() const
 {
     absl::MutexLock lock(&m_mutex);
-    Json json = groupJson(m_all);
+    Json json = statisticsJson(m_overall);
     json["workspaces"] = workspacesJson();
     json["batches"] = batchesJson();
     json["wrong"] = m_wrongCount;
@@ -104,29 +104,29 @@
     return json;
 }
 
-Json LoadSummary::groupJson(const Group &group)
+Json LoadSummary::statisticsJson(const Statistics &statistics)
 {
     Json refusals = Json::array();
-    for (const auto &[code, states] : group.refusals) {
+    for (const auto &[code, states] : statistics.refusals) {
         for (const auto &[state, count] : states)
             refusals.push_back({{"code", code}, {"run", state}, {"count", count}});
     }
-    return {{"outcomes", group.countsByType},
+    return {{"outcomes", statistics.countsByType},
             {"refusals", refusals},
-            {"tokens", group.tokens},
-            {"resends", group.resends},
-            {"ttft_ms", quantiles(group.timeToFirstTokenMs)},
-            {"tbt_ms", quantiles(group.timeBetweenTokensMs)},
-            {"whole_ms", quantiles(group.nonStreamedMs)},
-            {"service_ms", quantiles(group.serviceMs)},
-            {"start_lag_ms", quantiles(group.startLagMs)}};
+            {"tokens", statistics.tokens},
+            {"resends", statistics.resends},
+            {"ttft_ms", quantiles(statistics.timeToFirstTokenMs)},
+            {"tbt_ms", quantiles(statistics.timeBetweenTokensMs)},
+            {"whole_ms", quantiles(statistics.nonStreamedMs)},
+            {"service_ms", quantiles(statistics.serviceMs)},
+            {"start_lag_ms", quantiles(statistics.startLagMs)}};
 }
 
 Json LoadSummary::workspacesJson() const
 {
     Json json = Json::object();
-    for (const auto &[name, group] : m_workspaces)
-        json[name] = groupJson(group);
+    for (const auto &[name, statistics] : m_workspaces)
+        json[name] = statisticsJson(statistics);
     return json;
 }
 
--- a/src/load/loadsummary.h
+++ b/src/load/loadsummary.h
@@ -28,7 +28,7 @@
     Json json() const;
 
 private:
-    struct Group
+    struct Statistics
     {
         std::map<std::string, std::int64_t> countsByType;
         std::map<std::string, std::map<std::string, std::int64_t>> refusals;
@@ -41,16 +41,16 @@
         std::vector<double> serviceMs;
     };
 
-    static void add(const RequestOutcome &outcome, Group &group);
-    static Json groupJson(const Group &group);
+    static void add(const RequestOutcome &outcome, Statistics &statistics);
+    static Json statisticsJson(const Statistics &statistics);
     Json workspacesJson() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     Json batchesJson() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     bool countsAsWrong(const RequestOutcome &outcome) const;
 
     const bool m_cutIsWrong;
     mutable absl::Mutex m_mutex;
-    Group m_all ABSL_GUARDED_BY(m_mutex);
-    std::map<std::string, Group> m_workspaces ABSL_GUARDED_BY(m_mutex);
+    Statistics m_overall ABSL_GUARDED_BY(m_mutex);
+    std::map<std::string, Statistics> m_workspaces ABSL_GUARDED_BY(m_mutex);
     std::vector<BatchOutcome> m_batches ABSL_GUARDED_BY(m_mutex);
     std::int64_t m_wrongCount ABSL_GUARDED_BY(m_mutex) = 0;
     /// History lines of the first wrong responses.
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -161,7 +161,7 @@
     return summary.wrongCount() == 0 ? exitOk : exitFailure;
 }
 
-bool printInformation(const po::variables_map &values, const po::options_description &options)
+bool printHelpOrSchema(const po::variables_map &values, const po::options_description &options)
 {
     if (values.count("help") > 0) {
         std::cout << programName
@@ -186,7 +186,7 @@
     const auto values = outcomeOf([&] { return parseArguments(options, argc, argv); });
     if (!values.ok())
         return reportFailure(values.failure(), exitUsage);
-    if (printInformation(values.value(), options))
+    if (printHelpOrSchema(values.value(), options))
         return exitOk;
     const auto plan = outcomeOf([&] { return loadPlan(values.value()); });
     if (!plan.ok())
--- a/src/load/streamreader.cpp
+++ b/src/load/streamreader.cpp
@@ -29,15 +29,15 @@
 
 int StreamReader::feed(std::string_view bytes)
 {
-    m_pending += bytes;
+    m_incompleteLine += bytes;
     int tokens = 0;
     std::size_t start = 0;
-    for (std::size_t end = m_pending.find('\n'); end != std::string::npos;
-         end = m_pending.find('\n', start)) {
-        tokens += readLine(std::string_view(m_pending).substr(start, end - start));
+    for (std::size_t end = m_incompleteLine.find('\n'); end != std::string::npos;
+         end = m_incompleteLine.find('\n', start)) {
+        tokens += readLine(std::string_view(m_incompleteLine).substr(start, end - start));
         start = end + 1;
     }
-    m_pending.erase(0, start);
+    m_incompleteLine.erase(0, start);
     return tokens;
 }
 
--- a/src/load/streamreader.h
+++ b/src/load/streamreader.h
@@ -31,7 +31,7 @@
     int readEvent(const Json &event);
     void recordFormatError(std::string message);
 
-    std::string m_pending;
+    std::string m_incompleteLine;
     std::string m_text;
     std::int64_t m_tokens = 0;
     std::string m_finishReason;
--- a/tests/load/loadrunner_test.cpp
+++ b/tests/load/loadrunner_test.cpp
@@ -49,7 +49,7 @@
         runner.applyFaults();
     }
 
-    Json runLoad(std::int64_t &wrong)
+    Json runLoad(std::int64_t &wrongCount)
     {
         LoadPlan plan;
         plan.targets = {concat("http://", loopback, ":", port)};
@@ -64,7 +64,7 @@
         const std::vector<Json> prompts = {{{"prompt", "p"}, {"max_tokens", 20}}};
         const auto schedule = outcomeOf([&] { return makeSchedule(plan, prompts); }).value();
         LoadRunner(plan, summary, history).run(schedule);
-        wrong = summary.wrongCount();
+        wrongCount = summary.wrongCount();
         return summary.json();
     }
 
@@ -84,9 +84,9 @@
 // Guards against planned requests that are dropped, sent twice or missing from the summary.
 BOOST_AUTO_TEST_CASE(everyPlannedRequestIsSentAndCounted)
 {
-    std::int64_t wrong = -1;
-    const Json summary = runLoad(wrong);
-    BOOST_TEST(wrong == 0);
+    std::int64_t wrongCount = -1;
+    const Json summary = runLoad(wrongCount);
+    BOOST_TEST(wrongCount == 0);
     const Json expected = {{"completed", 20}};
     BOOST_TEST(summary.at("outcomes") == expected);
     BOOST_TEST(summary.at("tokens") == 400);
@@ -97,11 +97,11 @@
 BOOST_AUTO_TEST_CASE(refusalsAreCountedByCodeAndRunState)
 {
     setFault({{"refuse", true}});
-    std::int64_t wrong = -1;
-    const Json summary = runLoad(wrong);
+    std::int64_t wrongCount = -1;
+    const Json summary = runLoad(wrongCount);
     const Json expected = {{{"code", "upstream_busy"}, {"run", "not_run"}, {"count", 20}}};
     BOOST_TEST(summary.at("refusals") == expected);
-    BOOST_TEST(wrong == 0);
+    BOOST_TEST(wrongCount == 0);
 }
 
 // Guards against a check that accepts every response: the fake engine swaps the responses to two
@@ -110,9 +110,9 @@
 {
     // The engine is slowed down so that responses overlap in time.
     setFault({{"cross_answers", 1}, {"slow_factor", 10}});
-    std::int64_t wrong = 0;
-    const Json summary = runLoad(wrong);
-    BOOST_TEST(wrong == 2);
+    std::int64_t wrongCount = 0;
+    const Json summary = runLoad(wrongCount);
+    BOOST_TEST(wrongCount == 2);
     BOOST_TEST(summary.at("outcomes").at("foreign") == 2);
 }
 
