--- a/include/rattanrill/fakes/cacheeventfeed.h
+++ b/include/rattanrill/fakes/cacheeventfeed.h
@@ -41,7 +41,7 @@
     CacheEventPage poll(absl::Time now, std::int64_t after) const;
 
 private:
-    struct Pending
+    struct Entry
     {
         absl::Time visibleAt;
         bool lost;
@@ -52,7 +52,7 @@
     double m_lossProbability;
     std::mt19937_64 m_random;
     std::int64_t m_lastSeq = 0;
-    std::deque<Pending> m_pending;
+    std::deque<Entry> m_entries;
 };
 
 } // namespace rattanrill::fakes
--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -160,14 +160,15 @@
 
     static std::int64_t requiredKvTokens(const EngineRequest &request);
     Result<void> checkRequest(absl::Time now, const EngineRequest &request) const;
-    bool isKnown(const std::string &requestId) const;
-    std::optional<Sequence> remove(const std::string &requestId);
-    std::optional<Sequence> end(absl::Time now, const std::string &requestId);
+    bool hasSequence(const std::string &requestId) const;
+    std::optional<Sequence> removeSequence(const std::string &requestId);
+    std::optional<Sequence> cancelSequence(absl::Time now, const std::string &requestId);
     /// Admits waiting requests and starts a step, unless the batch is still empty then.
     void beginStep(absl::Time at);
     void endStep();
+    /// Moves waiting requests to the batch; returns the duration of their prefill and KV import.
     absl::Duration admit(absl::Time at);
-    absl::Duration start(absl::Time at, Sequence &sequence);
+    absl::Duration startSequence(absl::Time at, Sequence &sequence);
     absl::Duration decodeTime() const;
     std::int64_t reservedTokens() const;
     void recordLoad(absl::Time now);
--- a/include/rattanrill/fakes/prefixcache.h
+++ b/include/rattanrill/fakes/prefixcache.h
@@ -43,7 +43,9 @@
     {
         std::string key;
         std::string prefixHash;
-        std::int64_t endTokens;
+        /// Length of the prefix.
+        std::int64_t prefixTokens;
+        /// Tokens beyond the next shorter prefix.
         std::int64_t occupiedTokens;
     };
     using Entries = std::list<Entry>;
--- a/include/rattanrill/fakes/requestlog.h
+++ b/include/rattanrill/fakes/requestlog.h
@@ -60,7 +60,7 @@
 
 private:
     RequestRecord *find(std::int64_t seq) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
-    void append(const RequestRecord &record) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void appendToFile(const RequestRecord &record) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const std::size_t m_limit;
     mutable absl::Mutex m_mutex;
--- a/include/rattanrill/fakes/servicemodel.h
+++ b/include/rattanrill/fakes/servicemodel.h
@@ -65,9 +65,9 @@
     mutable absl::Mutex m_mutex;
     absl::CondVar m_changed;
     std::int64_t m_nextTicket ABSL_GUARDED_BY(m_mutex) = 0;
-    /// Number of tickets that have received a slot. Tickets are numbered from 0 and served in
-    /// order, so this is also the next ticket to be served.
-    std::int64_t m_servedTickets ABSL_GUARDED_BY(m_mutex) = 0;
+    /// Number of tickets that have received a slot. Tickets are numbered from 0 and admitted in
+    /// order, so this is also the next ticket to be admitted.
+    std::int64_t m_admittedTickets ABSL_GUARDED_BY(m_mutex) = 0;
     /// Responses to the requests that occupy a slot, by ticket.
     std::map<std::int64_t, ServiceResponse *> m_running ABSL_GUARDED_BY(m_mutex);
     LoadHistory m_history ABSL_GUARDED_BY(m_mutex);
--- a/include/rattanrill/fakes/weightstore.h
+++ b/include/rattanrill/fakes/weightstore.h
@@ -35,11 +35,11 @@
 
 private:
     double level(absl::Time now) const;
-    double needed(std::int64_t bytes) const;
+    double requiredLevel(std::int64_t bytes) const;
 
     WeightStoreSettings m_settings;
     double m_level;
-    absl::Time m_levelAt;
+    absl::Time m_levelTime;
 };
 
 } // namespace rattanrill::fakes
--- a/src/fakes/answer.cpp
+++ b/src/fakes/answer.cpp
@@ -9,7 +9,7 @@
 namespace rattanrill::fakes {
 namespace {
 
-constexpr std::size_t tokenDigits = 8;
+constexpr std::size_t tokenHashDigits = 8;
 
 constexpr std::array<EnumName<AnswerVerdict>, 3> verdictNames = {{
         {AnswerVerdict::Correct, "correct"},
@@ -46,7 +46,7 @@
 
 std::string expectedToken(std::string_view prompt, std::int64_t index)
 {
-    return " w" + hashText(prompt, static_cast<std::uint64_t>(index)).substr(0, tokenDigits);
+    return " w" + hashText(prompt, static_cast<std::uint64_t>(index)).substr(0, tokenHashDigits);
 }
 
 std::string expectedText(std::string_view prompt, std::int64_t first, std::int64_t end)
--- a/src/fakes/cacheeventfeed.cpp
+++ b/src/fakes/cacheeventfeed.cpp
@@ -28,24 +28,24 @@
 {
     for (PrefixChange &change : changes) {
         const bool lost = uniformRandom(m_random) < m_lossProbability;
-        m_pending.push_back({now + m_delay, lost, {++m_lastSeq, std::move(change)}});
+        m_entries.push_back({now + m_delay, lost, {++m_lastSeq, std::move(change)}});
     }
-    while (m_pending.size() > maxRetainedEvents)
-        m_pending.pop_front();
+    while (m_entries.size() > maxRetainedEvents)
+        m_entries.pop_front();
 }
 
 CacheEventPage CacheEventFeed::poll(absl::Time now, std::int64_t after) const
 {
     CacheEventPage page;
     page.next = std::min(after, m_lastSeq);
-    for (const Pending &pending : m_pending) {
-        if (pending.visibleAt > now)
+    for (const Entry &entry : m_entries) {
+        if (entry.visibleAt > now)
             break;
-        if (pending.event.seq <= after)
+        if (entry.event.seq <= after)
             continue;
-        page.next = pending.event.seq;
-        if (!pending.lost)
-            page.events.push_back(pending.event);
+        page.next = entry.event.seq;
+        if (!entry.lost)
+            page.events.push_back(entry.event);
     }
     return page;
 }
--- a/src/fakes/enginemodel.cpp
+++ b/src/fakes/enginemodel.cpp
@@ -68,7 +68,7 @@
 
 std::optional<std::int64_t> EngineModel::cancel(absl::Time now, const std::string &requestId)
 {
-    const std::optional<Sequence> sequence = end(now, requestId);
+    const std::optional<Sequence> sequence = cancelSequence(now, requestId);
     if (!sequence)
         return std::nullopt;
     return sequence->next;
@@ -76,7 +76,7 @@
 
 std::optional<KvExport> EngineModel::exportKv(absl::Time now, const std::string &requestId)
 {
-    const std::optional<Sequence> sequence = end(now, requestId);
+    const std::optional<Sequence> sequence = cancelSequence(now, requestId);
     if (!sequence)
         return std::nullopt;
     return KvExport{kvHandle(sequence->request.prompt, sequence->next), sequence->next};
@@ -115,7 +115,7 @@
     if (!m_loadedModels.isLoaded(now, request.model))
         return fail(notRun(ErrorCode::UnknownModel,
                            concat("model \"", request.model, "\" is not loaded")));
-    if (isKnown(request.requestId))
+    if (hasSequence(request.requestId))
         return fail(notRun(ErrorCode::DuplicateRequest,
                            concat("request id \"", request.requestId, "\" is in use")));
     if (requiredKvTokens(request) > m_settings.limits.kvCapacityTokens)
@@ -128,7 +128,7 @@
     return {};
 }
 
-bool EngineModel::isKnown(const std::string &requestId) const
+bool EngineModel::hasSequence(const std::string &requestId) const
 {
     const auto matches = [&](const Sequence &sequence) {
         return sequence.request.requestId == requestId;
@@ -137,7 +137,7 @@
            || std::any_of(m_running.begin(), m_running.end(), matches);
 }
 
-std::optional<EngineModel::Sequence> EngineModel::remove(const std::string &requestId)
+std::optional<EngineModel::Sequence> EngineModel::removeSequence(const std::string &requestId)
 {
     const auto removeFrom = [&](auto &sequences) -> std::optional<Sequence> {
         for (auto sequence = sequences.begin(); sequence != sequences.end(); ++sequence) {
@@ -153,9 +153,10 @@
     return found ? std::move(found) : removeFrom(m_waiting);
 }
 
-std::optional<EngineModel::Sequence> EngineModel::end(absl::Time now, const std::string &requestId)
+std::optional<EngineModel::Sequence> EngineModel::cancelSequence(absl::Time now,
+                                                                 const std::string &requestId)
 {
-    std::optional<Sequence> sequence = remove(requestId);
+    std::optional<Sequence> sequence = removeSequence(requestId);
     if (!sequence)
         return std::nullopt;
     m_events.push_back(
@@ -202,12 +203,12 @@
             break;
         m_running.push_back(std::move(m_waiting.front()));
         m_waiting.pop_front();
-        prefill += start(at, m_running.back());
+        prefill += startSequence(at, m_running.back());
     }
     return prefill;
 }
 
-absl::Duration EngineModel::start(absl::Time at, Sequence &sequence)
+absl::Duration EngineModel::startSequence(absl::Time at, Sequence &sequence)
 {
     const EngineRequest &request = sequence.request;
     const EngineTimings &timings = m_settings.timings;
--- a/src/fakes/main_platform.cpp
+++ b/src/fakes/main_platform.cpp
@@ -81,7 +81,7 @@
 {
     for (Json instance : settings.value("instances", Json::array())) {
         const std::string name = instance.at("name");
-        BOOST_LEAF_CHECK(platform.addInitial(name, instance));
+        BOOST_LEAF_CHECK(platform.addInitialInstance(name, instance));
     }
     return {};
 }
@@ -106,7 +106,8 @@
     if (!settings.contains("balancer"))
         return server.serveUntil(signal);
     Balancer balancer(
-            balancerSettings(settings.at("balancer")), [&] { return platform.listed(); }, timers);
+            balancerSettings(settings.at("balancer")), [&] { return platform.visibleInstances(); },
+            timers);
     platform.addBalancerRoute(balancer);
     const auto port = outcomeOf([&] { return balancer.start(); });
     if (!port.ok())
--- a/src/fakes/platformserver.cpp
+++ b/src/fakes/platformserver.cpp
@@ -39,13 +39,13 @@
     });
 }
 
-std::vector<Instance> PlatformServer::listed() const
+std::vector<Instance> PlatformServer::visibleInstances() const
 {
     absl::MutexLock lock(&m_mutex);
     return m_instances.visibleInstances(m_clock.now());
 }
 
-Result<Instance> PlatformServer::addInitial(const std::string &name, const Json &body)
+Result<Instance> PlatformServer::addInitialInstance(const std::string &name, const Json &body)
 {
     absl::MutexLock lock(&m_mutex);
     return m_instances.set(absl::InfinitePast(), name, body);
@@ -79,7 +79,7 @@
 void PlatformServer::sendInstances(httplib::Response &response) const
 {
     Json list = Json::array();
-    for (const Instance &instance : listed())
+    for (const Instance &instance : visibleInstances())
         list.push_back(fakes::toJson(instance));
     absl::MutexLock lock(&m_mutex);
     sendJson(response,
--- a/src/fakes/platformserver.h
+++ b/src/fakes/platformserver.h
@@ -19,9 +19,9 @@
                    const Clock &clock = SystemClock::instance());
 
     /// Instances according to the delayed list.
-    std::vector<Instance> listed() const;
+    std::vector<Instance> visibleInstances() const;
     /// Adds an instance that is listed from the start, without the lag.
-    Result<Instance> addInitial(const std::string &name, const Json &body);
+    Result<Instance> addInitialInstance(const std::string &name, const Json &body);
     /// Adds "GET /balancer".
     void addBalancerRoute(const Balancer &balancer);
 
--- a/src/fakes/prefixcache.cpp
+++ b/src/fakes/prefixcache.cpp
@@ -65,7 +65,7 @@
         m_entries.splice(m_entries.begin(), m_entries, known->second);
         return;
     }
-    changes.push_back({PrefixChange::Kind::Stored, entry.prefixHash, entry.endTokens});
+    changes.push_back({PrefixChange::Kind::Stored, entry.prefixHash, entry.prefixTokens});
     m_occupiedTokens += entry.occupiedTokens;
     m_entries.push_front(std::move(entry));
     m_byKey[m_entries.front().key] = m_entries.begin();
@@ -75,7 +75,7 @@
 {
     while (m_occupiedTokens > m_capacityTokens) {
         const Entry &oldest = m_entries.back();
-        changes.push_back({PrefixChange::Kind::Evicted, oldest.prefixHash, oldest.endTokens});
+        changes.push_back({PrefixChange::Kind::Evicted, oldest.prefixHash, oldest.prefixTokens});
         m_occupiedTokens -= oldest.occupiedTokens;
         m_byKey.erase(oldest.key);
         m_entries.pop_back();
--- a/src/fakes/relayconnection.cpp
+++ b/src/fakes/relayconnection.cpp
@@ -104,7 +104,7 @@
 void RelayConnection::setFaults(Direction &direction, const DirectionFaults &faults)
 {
     direction.faults = faults;
-    if (faults.mode != LinkMode::Drop || direction.queue.empty() || direction.writing)
+    if (faults.mode != LinkMode::Drop || direction.queue.empty() || direction.writePending)
         return;
     direction.lostData = true;
     m_callbacks.bytesLost(direction.queuedBytes);
@@ -121,14 +121,14 @@
 
 void RelayConnection::read(Direction &direction)
 {
-    if (direction.reading || direction.sourceEnded || direction.faults.mode == LinkMode::Hold
+    if (direction.readPending || direction.sourceClosed || direction.faults.mode == LinkMode::Hold
         || direction.queuedBytes >= maxQueuedBytes)
         return;
-    direction.reading = true;
+    direction.readPending = true;
     direction.from.async_read_some(
             boost::asio::buffer(direction.buffer),
             [self = shared_from_this(), &direction](const error_code &error, std::size_t size) {
-                direction.reading = false;
+                direction.readPending = false;
                 self->handleRead(direction, std::string(direction.buffer.data(), size),
                                  endOf(error));
             });
@@ -138,7 +138,7 @@
 {
     if (m_isClosed)
         return;
-    direction.sourceEnded = direction.sourceEnded || end != End::None;
+    direction.sourceClosed = direction.sourceClosed || end != End::None;
     if (direction.faults.mode == LinkMode::Drop) {
         direction.lostData = true;
         m_callbacks.bytesLost(bytes.size());
@@ -155,7 +155,7 @@
 
 void RelayConnection::deliver(Direction &direction)
 {
-    if (direction.writing || direction.timerPending || direction.queue.empty()
+    if (direction.writePending || direction.timerPending || direction.queue.empty()
         || direction.faults.mode != LinkMode::Pass)
         return;
     const Chunk &chunk = direction.queue.front();
@@ -182,7 +182,7 @@
 
 void RelayConnection::write(Direction &direction)
 {
-    direction.writing = true;
+    direction.writePending = true;
     boost::asio::async_write(
             direction.to, boost::asio::buffer(direction.queue.front().bytes),
             [self = shared_from_this(), &direction](const error_code &error, std::size_t) {
@@ -192,7 +192,7 @@
 
 void RelayConnection::finishWrite(Direction &direction, bool failed)
 {
-    direction.writing = false;
+    direction.writePending = false;
     if (m_isClosed)
         return;
     direction.queuedBytes -= direction.queue.front().bytes.size();
@@ -211,7 +211,7 @@
 void RelayConnection::end(Direction &direction)
 {
     direction.ended = true;
-    direction.sourceEnded = true;
+    direction.sourceClosed = true;
     direction.queue.clear();
     direction.queuedBytes = 0;
     error_code ignored;
--- a/src/fakes/relayconnection.h
+++ b/src/fakes/relayconnection.h
@@ -67,10 +67,11 @@
         DirectionFaults faults;
         std::deque<Chunk> queue;
         std::size_t queuedBytes = 0;
-        bool reading = false;
-        bool writing = false;
+        bool readPending = false;
+        bool writePending = false;
         bool timerPending = false;
-        bool sourceEnded = false;
+        bool sourceClosed = false;
+        /// Whether sending to the receiver has been shut down.
         bool ended = false;
         /// Whether bytes or the connection attempt were dropped.
         bool lostData = false;
--- a/src/fakes/requestlog.cpp
+++ b/src/fakes/requestlog.cpp
@@ -37,7 +37,7 @@
     m_records.push_back(std::move(record));
     if (m_records.size() > m_limit)
         m_records.pop_front();
-    append(m_records.back());
+    appendToFile(m_records.back());
     return m_lastSeq;
 }
 
@@ -48,7 +48,7 @@
     if (record == nullptr)
         return;
     record->started = true;
-    append(*record);
+    appendToFile(*record);
 }
 
 void RequestLog::markFinished(std::int64_t seq, std::int64_t tokens)
@@ -59,7 +59,7 @@
         return;
     record->finished = true;
     record->tokens = tokens;
-    append(*record);
+    appendToFile(*record);
 }
 
 std::vector<RequestRecord> RequestLog::recordsAfter(std::int64_t after) const
@@ -86,7 +86,7 @@
     return &m_records[static_cast<std::size_t>(seq - m_records.front().seq)];
 }
 
-void RequestLog::append(const RequestRecord &record)
+void RequestLog::appendToFile(const RequestRecord &record)
 {
     if (m_file == nullptr)
         return;
--- a/src/fakes/servicemodel.cpp
+++ b/src/fakes/servicemodel.cpp
@@ -36,14 +36,14 @@
 
 Result<void> ServiceModel::acquireSlot(std::int64_t ticket)
 {
-    if (m_nextTicket - m_servedTickets >= m_settings.maxWaiting)
+    if (m_nextTicket - m_admittedTickets >= m_settings.maxWaiting)
         return fail(notRun(ErrorCode::UpstreamBusy, "queue is full"));
     ++m_nextTicket;
     recordLoad();
-    while (m_servedTickets != ticket
+    while (m_admittedTickets != ticket
            || static_cast<std::int64_t>(m_running.size()) >= m_settings.capacity)
         m_changed.Wait(&m_mutex);
-    ++m_servedTickets;
+    ++m_admittedTickets;
     m_changed.SignalAll();
     return {};
 }
@@ -66,7 +66,7 @@
 void ServiceModel::recordLoad()
 {
     m_history.record(m_clock.now(), {static_cast<std::int64_t>(m_running.size()),
-                                     m_nextTicket - m_servedTickets, 0});
+                                     m_nextTicket - m_admittedTickets, 0});
 }
 
 } // namespace rattanrill::fakes
--- a/src/fakes/weightstore.cpp
+++ b/src/fakes/weightstore.cpp
@@ -10,7 +10,7 @@
 WeightStore::WeightStore(WeightStoreSettings settings, absl::Time now)
     : m_settings(std::move(settings))
     , m_level(m_settings.burstBytes)
-    , m_levelAt(now)
+    , m_levelTime(now)
 {}
 
 Result<std::int64_t> WeightStore::size(const std::string &name) const
@@ -27,23 +27,23 @@
         return fail(notRun(ErrorCode::RateLimited,
                            "the read rate limit of the weight store is exhausted"));
     m_level = level(now) - static_cast<double>(bytes);
-    m_levelAt = now;
+    m_levelTime = now;
     return {};
 }
 
 absl::Duration WeightStore::timeUntilAvailable(absl::Time now, std::int64_t bytes) const
 {
-    const double deficit = needed(bytes) - level(now);
+    const double deficit = requiredLevel(bytes) - level(now);
     return absl::Seconds(std::max(deficit, 0.0) / m_settings.bytesPerSecond);
 }
 
 double WeightStore::level(absl::Time now) const
 {
-    const double refill = absl::ToDoubleSeconds(now - m_levelAt) * m_settings.bytesPerSecond;
+    const double refill = absl::ToDoubleSeconds(now - m_levelTime) * m_settings.bytesPerSecond;
     return std::min(m_settings.burstBytes, m_level + refill);
 }
 
-double WeightStore::needed(std::int64_t bytes) const
+double WeightStore::requiredLevel(std::int64_t bytes) const
 {
     return std::min(static_cast<double>(bytes), m_settings.burstBytes);
 }
