--- a/include/rattanrill/fakes/enginemodel.h
+++ b/include/rattanrill/fakes/enginemodel.h
@@ -18,8 +18,8 @@
 
 /// Delays of the simulated engine. A step takes stepBase + stepPerSequence x sequences in the batch
 /// + stepPerContextToken x context tokens of the batch + prefillPerToken x uncached context tokens
-/// of the requests that joined in this step. A request that resumes from a KV export costs
-/// kvImportPerToken for each imported token instead of prefillPerToken.
+/// (at least 1 for each request) of the requests that joined in this step. A request that resumes
+/// from a KV export costs kvImportPerToken for each imported token instead of prefillPerToken.
 struct EngineTimings
 {
     absl::Duration stepBase = absl::Milliseconds(12);
--- a/src/fakes/cacheeventfeed.cpp
+++ b/src/fakes/cacheeventfeed.cpp
@@ -6,6 +6,7 @@
 namespace rattanrill::fakes {
 namespace {
 
+/// Maximum number of events in the feed, including lost ones and those that are not yet visible.
 constexpr std::size_t maxRetainedEvents = 4096;
 
 /// Uniformly distributed number in [0, 1), from the upper 53 bits of the generator's output. Does
--- a/tests/fakes/enginemodel_test.cpp
+++ b/tests/fakes/enginemodel_test.cpp
@@ -125,7 +125,8 @@
     BOOST_TEST((refusal(model, start, request("d", 101)) == ErrorCode::InvalidRequest));
 }
 
-// Guards against a refusal without NotRun, which states that a retry is safe.
+// Guards against a refusal that is not marked as NotRun: the caller could not tell that a retry is
+// safe.
 BOOST_AUTO_TEST_CASE(fullQueueRefusesAsNotRun)
 {
     EngineModelSettings small = settings();
--- a/tests/fakes/engineserver_test.cpp
+++ b/tests/fakes/engineserver_test.cpp
@@ -121,7 +121,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineServerTest, Fixture)
 
-// Guards against a response without the request id and the text with which a checker compares it.
+// Guards against a response that a checker cannot match to its request or compare with the text
+// expected for its prompt.
 BOOST_AUTO_TEST_CASE(completionHasRequestIdAndExpectedText)
 {
     const auto result = post("/v1/completions", body("r1", "p", 3, false));
@@ -155,7 +156,8 @@
     BOOST_TEST(lines[3] == "[DONE]");
 }
 
-// Guards against a record that lacks the headers of a request or whether the request was executed.
+// Guards against a record from which a test cannot determine the headers of a request or whether it
+// was executed.
 BOOST_AUTO_TEST_CASE(recordHasHeadersAndExecutionState)
 {
     const httplib::Headers headers = {{"Authorization", "Bearer secret"}};
--- a/tests/fakes/servicemodel_test.cpp
+++ b/tests/fakes/servicemodel_test.cpp
@@ -66,7 +66,8 @@
     BOOST_TEST(served == 20);
 }
 
-// Guards against a record that is lost because it is still buffered when the process crashes.
+// Guards against a record that is lost because it is still buffered when the process crashes: tests
+// use the records as evidence of which requests were executed.
 BOOST_AUTO_TEST_CASE(recordIsWrittenToTheFileAtEachStep)
 {
     const std::string file = "requestlog_test.jsonl";
