--- a/src/load/answerclassifier.cpp
+++ b/src/load/answerclassifier.cpp
@@ -9,6 +9,7 @@
 using fakes::AnswerVerdict;
 
 constexpr std::string_view untypedCode = "untyped";
+/// Maximum length of the part of an unexpected body that is quoted.
 constexpr std::size_t excerptBytes = 120;
 
 OutcomeType outcomeTypeOf(AnswerVerdict verdict)
--- a/src/load/batchrunner.cpp
+++ b/src/load/batchrunner.cpp
@@ -9,8 +9,10 @@
 namespace rattanrill::load {
 namespace {
 
+/// Maximum number of times that one request is sent.
 constexpr int maxAttempts = 5;
 constexpr absl::Duration retryDelay = absl::Milliseconds(300);
+/// Interval between two reads of the state of a job.
 constexpr absl::Duration pollPeriod = absl::Milliseconds(250);
 constexpr std::string_view terminalStates[] = {"completed", "cancelled", "failed", "expired"};
 
--- a/src/load/loadsummary.cpp
+++ b/src/load/loadsummary.cpp
@@ -7,6 +7,7 @@
 namespace rattanrill::load {
 namespace {
 
+/// Maximum number of wrong responses that the summary lists.
 constexpr std::size_t maxWrongExamples = 20;
 
 double nearestRank(const std::vector<double> &sorted, double quantile)
