--- a/src/ctl/operatorclient.cpp
+++ b/src/ctl/operatorclient.cpp
@@ -19,10 +19,12 @@
 constexpr absl::Duration transientFailureTimeout = absl::Seconds(20);
 /// Time limit of a request while no server responds.
 constexpr absl::Duration unreachableTimeout = absl::Seconds(5);
+/// Pause after all servers were tried without success.
 constexpr absl::Duration retryInterval = absl::Milliseconds(100);
 constexpr time_t connectTimeoutSeconds = 1;
 /// Long enough for a membership change, whose response is sent after the new replica has caught up.
 constexpr time_t readTimeoutSeconds = 30;
+/// Maximum number of consecutive redirects that are followed from one server.
 constexpr int maxRedirects = 3;
 constexpr int temporaryRedirect = 307;
 constexpr std::string_view pathPrefix = "/operator/v1/";
--- a/tests/ctl/scriptedserver.h
+++ b/tests/ctl/scriptedserver.h
@@ -15,14 +15,14 @@
 /// How a scripted server responds to one request.
 struct Step
 {
-    /// HTTP status; with 0, the server reads the request and closes the connection without a
-    /// response.
+    /// HTTP status. With 0, the server reads the request and closes the connection without a
+    /// response, which simulates a lost response.
     int status = 200;
     std::string body = "{}";
     std::string location;
 };
 
-/// Fake of the operators' interface. It responds to each request with the next step of a list and
+/// Fake of the operator interface. Responds to each request with the next step of a list and
 /// repeats the last step.
 class ScriptedServer
 {
