--- a/src/report/repairlog.cpp
+++ b/src/report/repairlog.cpp
@@ -30,7 +30,8 @@
     std::vector<std::string> identityFields;
     /// Lines in which this field is empty or missing are ignored. When empty, no line is ignored.
     std::string requiredField;
-    /// Field that holds the number of events that the line reports. When empty, it is one.
+    /// Field that holds the number of events that the line reports. When empty, each line
+    /// reports one event.
     std::string countField;
 };
 
