--- a/include/rattanrill/fakes/linkfaults.h
+++ b/include/rattanrill/fakes/linkfaults.h
@@ -27,7 +27,7 @@
 struct DirectionFaults
 {
     LinkMode mode = LinkMode::Pass;
-    /// Added latency of each piece of data.
+    /// Latency added to the delivery of each chunk that the relay reads.
     absl::Duration delay;
 };
 
--- a/src/fakes/tcprelay.cpp
+++ b/src/fakes/tcprelay.cpp
@@ -114,8 +114,8 @@
 
 void TcpRelay::State::removeConnection(std::int64_t id)
 {
-    // Erased in a posted handler, because apply() may call this while setFaults() iterates over the
-    // map.
+    // Erased in a posted handler, because RelayConnection::apply() may call this function while
+    // TcpRelay::setFaults() iterates over the map.
     boost::asio::post(context, [this, id] { connections.erase(id); });
     absl::MutexLock lock(&mutex);
     --counters.open;
