--- a/src/report/main.cpp
+++ b/src/report/main.cpp
@@ -93,7 +93,7 @@
     std::vector<MetricsPage> pages;
     if (urls.empty())
         return pages;
-    // Only its timed wait is used, to sleep for the interval.
+    // Used for its timed wait only, to sleep between two readings.
     absl::Notification neverNotified;
     for (int i = 0; i < values["samples"].as<int>(); ++i) {
         if (i > 0)
