--- a/src/fakes/relayconnection.h
+++ b/src/fakes/relayconnection.h
@@ -35,7 +35,7 @@
     RelayConnection(boost::asio::io_context &context, Socket client, Endpoint target,
                     Callbacks callbacks);
 
-    /// Connects to the target and relays bytes, as far as \a faults permit.
+    /// Connects to the target and relays bytes, subject to \a faults.
     void start(const LinkFaults &faults);
     /// Changes the faults. When both directions are in mode Pass again, a connection that lost data
     /// is reset; otherwise each direction in mode Pass continues.
@@ -67,10 +67,11 @@
         DirectionFaults faults;
         std::deque<Chunk> queue;
         std::size_t queuedBytes = 0;
-        bool reading = false;
-        bool writing = false;
-        bool waiting = false;
-        bool sourceEnded = false;
+        bool readPending = false;
+        bool writePending = false;
+        bool timerPending = false;
+        bool sourceClosed = false;
+        /// Whether sending to the receiver has been shut down.
         bool ended = false;
         /// Whether bytes or the connection attempt were dropped.
         bool lostData = false;
