--- a/src/policy/schedulerstate.cpp
+++ b/src/policy/schedulerstate.cpp
@@ -219,7 +219,8 @@
     --runningCount[index(taskRecord.task.kind)];
     FairQueue &queue = taskRecord.isOnline() ? pool(taskRecord.task.model).online
                                              : pool(taskRecord.task.model).batch;
-    // The start charged the workspace for maxTokens. The tokens not generated are refunded.
+    // start() charged the workspace for the prefill and for all output tokens up to maxTokens. The
+    // output tokens that were not generated are refunded.
     const auto unused =
             static_cast<double>(std::max<std::int64_t>(taskRecord.remainingTokens(), 0));
     queue.charge(taskRecord.task.workspace, -std::min(taskRecord.chargedTokens, unused));
@@ -227,6 +228,7 @@
     EngineRecord *engineRecord = engine(taskRecord.engine);
     if (engineRecord == nullptr)
         return;
+    // Without a first token, the prompt still counts towards the prefill of the engine.
     if (taskRecord.prefillTokens > 0)
         engineRecord->state.firstToken(taskRecord.task.kind, taskRecord.prefillTokens);
     taskRecord.prefillTokens = 0;
@@ -317,6 +319,8 @@
     if (failure.kind != AttemptFailure::Kind::Refused)
         taskRecord.mayHaveRun = true;
     endAttempt(now, taskRecord);
+    // Set before reject() is called: the task is in no queue, and in this phase dequeue() does not
+    // look for it there.
     taskRecord.phase = TaskRecord::Phase::BackingOff;
     taskRecord.retryAt = now;
     taskRecord.excluded.push_back(taskRecord.engine);
--- a/src/policy/schedulerstate_decisions.cpp
+++ b/src/policy/schedulerstate_decisions.cpp
@@ -332,8 +332,11 @@
     taskRecord.progressAt = now;
     taskRecord.crashRecorded = false;
     const bool importsKv = !taskRecord.kvHandle.empty();
+    // At least 1, also when no prefill is needed, because 0 means that the first token has arrived.
     taskRecord.prefillTokens =
             importsKv ? 1 : std::max<std::int64_t>(taskRecord.contextTokens(), 1);
+    // The context grows by one token at a time, so half of the remaining tokens is the mean growth
+    // of a task that generates all of them.
     taskRecord.kvTokens = taskRecord.contextTokens() + taskRecord.remainingTokens() / 2;
     taskRecord.chargedTokens =
             static_cast<double>(taskRecord.prefillTokens + taskRecord.remainingTokens());
@@ -359,6 +362,7 @@
     const EffectState effect =
             taskRecord.mayHaveRun ? EffectState::MayHaveRun : EffectState::NotRun;
     const bool overloaded = code == ErrorCode::Overloaded;
+    // A task that waited for a retry reports the failure of its earlier attempts, not the overload.
     if (overloaded && taskRecord.failures > 0)
         code = ErrorCode::UpstreamFailed;
     const absl::Duration retryAfter = overloaded ? overloadRetryAfter : absl::ZeroDuration();
--- a/src/policy/slotscheduler.cpp
+++ b/src/policy/slotscheduler.cpp
@@ -10,7 +10,7 @@
 namespace rattanrill::policy {
 namespace {
 
-/// Weight of a new sample in the mean time for which a slot is held.
+/// Weight of a new sample in the moving averages of the time for which a slot is held.
 constexpr double sampleWeight = 0.05;
 /// Number of slots granted to other batch tasks after which a late task gets one, so that late
 /// tasks do not starve.
@@ -173,6 +173,7 @@
 void SlotScheduler::removeItem(Item &item)
 {
     m_itemsByNumber.erase(item.number);
+    // A copy of the id, because the item that is erased owns it.
     m_items.erase(std::string(item.task.id));
 }
 
@@ -183,6 +184,7 @@
     upstream.batch.erase(&item);
     upstream.probes -= std::exchange(item.isProbe, false) ? 1 : 0;
     item.upstream = nullptr;
+    // As in removeItem(), the upstream that is erased owns its id.
     if (upstream.removed && upstream.occupiedSlots() == 0)
         m_upstreams.erase(std::string(upstream.info.id));
 }
@@ -251,6 +253,7 @@
 std::int64_t SlotScheduler::foreignRequests(absl::Time now, const Upstream &upstream) const
 {
     const auto &reports = upstream.reports;
+    // Within the grace period, the first report since the takeover counts alone.
     const bool isFirst =
             reports[0].at < m_takeoverAt && now - m_takeoverAt < m_settings.takeoverGracePeriod;
     if (isFirst && reports[1].at >= m_takeoverAt)
@@ -435,7 +438,7 @@
 }
 
 /// Number of slots that are withheld until their upstreams have reported their load. Most of them
-/// are usually free.
+/// are usually free, so rejectUnservable() expects them to serve that many waiting tasks at once.
 std::int64_t SlotScheduler::withheldSlots(absl::Time now, const Service &service) const
 {
     std::int64_t slots = 0;
