--- a/src/serving/proxiedrequest.cpp
+++ b/src/serving/proxiedrequest.cpp
@@ -225,6 +225,8 @@
 {
     if (m_ended)
         return;
+    // The upstream responds after all. If a slot at another one is still granted,
+    // slotResponseReceived() releases it.
     m_isUnresponsive = false;
     if (m_isStream)
         return forwardEvents(bytes);
--- a/src/serving/slotbroker.cpp
+++ b/src/serving/slotbroker.cpp
@@ -194,7 +194,7 @@
     callback(response);
 }
 
-/// Removes a request. If a response is pending, the requester receives the outcome NoSlot.
+/// Removes a request. A requester that still waits for the outcome receives NoSlot.
 void SlotBroker::removeRequest(const std::string &id)
 {
     const auto found = m_online.find(id);
@@ -345,6 +345,7 @@
 {
     wire::SlotResponse response;
     response.verdict = wire::SlotOutcome::OverRate;
+    // Retry-After is at most 60 s: with a low rate, the wait for a token can be much longer.
     response.retryAfterMs = absl::ToInt64Milliseconds(std::min(wait, absl::Seconds(60)));
     respond(id, response);
 }
@@ -377,7 +378,8 @@
         removeRequest(id);
         m_scheduler.cancel(id);
     }
-    // Also makes upstreams available again whose ejection has ended.
+    // nextDecision() does not take into account when ejections and the grace period of a takeover
+    // end, so decide() is also called periodically.
     decide();
 }
 
