--- a/src/jobs/itemrun.cpp
+++ b/src/jobs/itemrun.cpp
@@ -200,7 +200,7 @@
     for (const serving::StreamEvent &event : events) {
         const serving::SequenceCheck check = m_position.advance(event);
         if (check == serving::SequenceCheck::Gap)
-            return failAttempt("an event is missing", ReleaseReason::Failed);
+            return failAttempt("an event is missing from the stream", ReleaseReason::Failed);
         if (check == serving::SequenceCheck::Repeated)
             continue;
         if (m_hasOutput)
@@ -238,10 +238,12 @@
         ++m_serverErrors;
     if (m_serverErrors >= route()->maxAttempts) {
         releaseSlot(ReleaseReason::Completed);
-        return finish(wire::ItemOutcome::DeadLettered,
-                      "the attempts that failed with status 500 reached the maximum of the route");
+        return finish(
+                wire::ItemOutcome::DeadLettered,
+                "the number of attempts that failed with status 500 reached the route's maximum");
     }
-    failAttempt(concat("status ", m_head.status), ReleaseReason::Completed);
+    failAttempt(concat("the upstream responded with status ", m_head.status),
+                ReleaseReason::Completed);
 }
 
 void ItemRun::handleSuccess()
@@ -264,6 +266,7 @@
          {"lastEvent", m_position.lastId().value_or(-1)},
          {"serverErrors", m_serverErrors},
          {"run", m_attempts}});
+    // After 5 doublings the delay exceeds maxBackoff. The limit keeps the shift within int.
     const int doublings = std::min(m_consecutiveFailures++, 5);
     const absl::Duration delay = std::min(minBackoff * (1 << doublings), maxBackoff);
     m_state = State::BackingOff;
--- a/src/jobs/jobexecutor.cpp
+++ b/src/jobs/jobexecutor.cpp
@@ -186,8 +186,8 @@
     /// read before a cancellation still contains the job.
     std::set<std::string> cancelledJobs;
     std::function<void(const std::string &)> resultStoredListener;
-    /// Incremented when this replica loses leadership; callbacks that were registered before are
-    /// then ignored.
+    /// Incremented by stopAll(), which runs whenever this replica gains or loses leadership;
+    /// callbacks that were registered before are then ignored.
     std::uint64_t leadershipGeneration = 0;
     TimerService::TimerId progressTimer = 0;
     bool isStoringProgress = false;
