--- a/src/fleet/groupreplica.cpp
+++ b/src/fleet/groupreplica.cpp
@@ -117,6 +117,8 @@
              {"term", status.term},
              {"commitIndex", status.commitIndex},
              {"leader", status.leader}});
+        // A leader whose term has changed lost and regained leadership between two checks, so the
+        // listener is called for both.
         if (wasLeader && leadershipListener)
             leadershipListener(false);
         if (leadsNow && leadershipListener)
