--- a/src/gateway/controlprocess.cpp
+++ b/src/gateway/controlprocess.cpp
@@ -181,8 +181,8 @@
         });
     }
 
-    /// Fails while the list of members is incomplete: a store that is missing from it may still
-    /// exist.
+    /// Fails while the list of members is incomplete, because a store that is missing from it may
+    /// still exist, and for a store that is not retiring.
     void perform(const ExchangePtr &exchange, const fleet::ReadRetirementCall &call)
     {
         const fleet::FleetState &state = m_core->fleetClient().state();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -66,6 +66,7 @@
 void Gateway::hold(const std::shared_ptr<net::Exchange> &exchange, serving::CallerRequest caller)
 {
     const auto early = m_early.insert(m_early.end(), {exchange, std::move(caller), 0});
+    // At most half of the caller's timeout, so that time is left to serve the request.
     const absl::Duration wait = std::min(configurationTimeout, early->caller.timeout / 2);
     early->timer = m_context.loop.timers().subscribeOnce(wait, [this, early] {
         const EarlyRequest expired = std::move(*early);
@@ -89,16 +90,16 @@
     const serving::Route *route =
             isJobCall ? nullptr : m_deployment->route(caller.host, request.path());
     if (!isJobCall && route == nullptr)
-        return refuse(
-                exchange, caller.id,
-                notRun(ErrorCode::UnknownRoute, concat("no route for host \"", caller.host, "\"")),
-                absl::ZeroDuration());
+        return refuse(exchange, caller.id,
+                      notRun(ErrorCode::UnknownRoute,
+                             concat("the path matches no route for host \"", caller.host, "\"")),
+                      absl::ZeroDuration());
     const serving::Workspace *workspace = m_deployment->workspaceOfKey(caller.apiKey);
     const bool needsKey = m_deployment->hasWorkspaces() && (isJobCall || !route->allowsAnonymous);
     if (needsKey && workspace == nullptr)
         return refuse(exchange, caller.id,
                       notRun(caller.apiKey.empty() ? ErrorCode::MissingKey : ErrorCode::InvalidKey,
-                             "the request has no API key of a workspace"),
+                             "the API key is missing or belongs to no workspace"),
                       absl::ZeroDuration());
     if (isJobCall || route->kind == serving::RouteKind::Batch) {
         static const serving::Workspace anonymous;
