--- a/src/net/serverconnection.cpp
+++ b/src/net/serverconnection.cpp
@@ -133,6 +133,7 @@
         head.headers.add("Connection", "close");
     }
     std::string text = serialize(head);
+    // Removes the empty line that ends the header section, so that one more header can follow.
     text.resize(text.size() - 2);
     text += framing;
     text += "\r\n\r\n";
@@ -251,6 +252,8 @@
 {
     m_timer.expires_after(absl::ToChronoNanoseconds(delay));
     m_timer.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
+        // When the timer is set again after it has expired, the handler of the earlier wait may
+        // already be queued and is called without an error.
         if (!error && self->m_timer.expiry() <= std::chrono::steady_clock::now())
             self->handleTimeout();
     });
--- a/src/net/upstreamconnection.cpp
+++ b/src/net/upstreamconnection.cpp
@@ -79,6 +79,7 @@
     if (parsed.ok() && !error)
         m_socket.open(endpoint.protocol(), error);
     if (!parsed.ok() || error) {
+        // Deferred, because the caller does not have the id of the call yet.
         boost::asio::post(m_socket.get_executor(),
                           [self = shared_from_this()] { self->fail(CallStatus::NotConnected); });
         return;
