--- a/src/entry/batchhandler.cpp
+++ b/src/entry/batchhandler.cpp
@@ -68,6 +68,7 @@
     // A claim that is still running may belong to an entry that crashed. The job carries the same
     // idempotency key in the partition of the file, so that creating it again returns the same job.
     Outcome<std::string> batch = createJob(caller, request, key.idempotencyKey);
+    // Only the holder of the claim may finish or abandon it.
     if (!claim.value().won)
         return batch;
     if (batch.ok())
--- a/src/entry/callerserver.cpp
+++ b/src/entry/callerserver.cpp
@@ -53,21 +53,25 @@
     set_post_routing_handler([](const httplib::Request &, httplib::Response &response) {
         response.set_header("X-Request-Id", currentRequestId);
     });
-    // Failures that the handlers send have a body; only responses that httplib itself generated are
-    // completed here.
+    // httplib calls this for every response with an error status. Failures that the handlers send
+    // have a body already; httplib's own have none and get one here, and so does a response of a
+    // service that has an error status and no body.
     set_error_handler([](const httplib::Request &, httplib::Response &response) {
         if (!response.body.empty() || response.content_provider_)
             return;
         const int status = response.status;
-        http::sendFailure(response,
-                          notRun(codeOfStatus(status), concat("refused with status ", status)),
-                          currentRequestId);
+        http::sendFailure(
+                response,
+                notRun(codeOfStatus(status),
+                       concat("the request failed without error details, with status ", status)),
+                currentRequestId);
         response.status = status;
     });
     set_exception_handler(
             [](const httplib::Request &, httplib::Response &response, const std::exception_ptr &) {
                 http::sendFailure(response,
-                                  mayHaveRun(ErrorCode::Internal, "a handler failed unexpectedly"),
+                                  mayHaveRun(ErrorCode::Internal,
+                                             "the handler of the request threw an exception"),
                                   currentRequestId);
             });
 }
--- a/src/entry/crashrecords.cpp
+++ b/src/entry/crashrecords.cpp
@@ -40,7 +40,9 @@
     if (state == m_states.end())
         return State::Recorded;
     const State result = state->second;
-    // The directory view keeps the quarantined fingerprint, so its state is no longer needed here.
+    // The state is returned only once, so that the map does not grow. A quarantined fingerprint is
+    // also listed in the directory view once the view is updated. Only the first caller learns of
+    // an unrecorded crash.
     m_states.erase(state);
     return result;
 }
--- a/src/entry/filehandler.cpp
+++ b/src/entry/filehandler.cpp
@@ -131,6 +131,8 @@
                     fileObject(id, 0, job.value().createdAtMs, "results.jsonl", "batch_output")));
         return;
     }
+    // FileStatus has neither the creation time nor the file name, so the response contains 0 and a
+    // fixed name.
     const auto response =
             m_partitions.query(file.value().partition, wire::ReadFile{id, caller->workspace});
     if (!response.ok())
--- a/src/entry/rateowner.cpp
+++ b/src/entry/rateowner.cpp
@@ -132,7 +132,9 @@
         m_receivedBuckets[rate.workspace] = {transfer.instance, transfer.memberRevision, rate.level,
                                              now};
         const auto unstarted = m_buckets.find(rate.workspace);
-        // A bucket with a negative level has granted units for the time after its start.
+        // A bucket that has not started and has granted nothing is removed, so that the next
+        // request creates it from the transferred level. A negative level means that units have
+        // been granted for the time after the start.
         if (unstarted != m_buckets.end() && now < unstarted->second.start
             && unstarted->second.tokens.level(now) >= 0)
             m_buckets.erase(unstarted);
@@ -190,6 +192,8 @@
 {
     const Membership *membership = ownedSince(workspace);
     if (membership == nullptr) {
+        // It is not known since when this entry has been the owner, so a former owner may have
+        // granted requests until now.
         const absl::Time start = now + m_options.lease + m_options.maxWait;
         return {policy::TokenBucket(rate, start), start};
     }
@@ -269,6 +273,8 @@
     while (response.granted < request.requests) {
         const policy::RateGrant grant = owned.tokens.take(now, 1, maxWait);
         if (!grant.granted) {
+            // The conversion rounds down; without the added millisecond, a retry could be too
+            // early.
             response.retryAfterMs =
                     absl::ToInt64Milliseconds(std::min(grant.wait, absl::Hours(1))) + 1;
             break;
--- a/src/entry/servicehandler.cpp
+++ b/src/entry/servicehandler.cpp
@@ -20,6 +20,8 @@
 /// selected.
 bool isAmbiguous(std::string_view decoded, std::string_view raw)
 {
+    // With the appended slash, a last segment "." or ".." matches as well. A path that ends with a
+    // slash then has an empty last segment and is ambiguous too.
     for (const std::string_view part : {"/../", "/./", "//"}) {
         if (concat(decoded, "/").find(part) != std::string::npos && decoded != "/")
             return true;
@@ -159,6 +161,7 @@
         const std::size_t attemptsBefore = excluded.size();
         ResponseOutcome next = runAttempt(route, request, excluded);
         const bool attempted = excluded.size() > attemptsBefore;
+        // When no further instance is available, the failure of the last attempt is kept.
         if (next.ok() || attempted)
             response = std::move(next);
         if (response.ok() || !attempted)
--- a/src/entry/servicetable.cpp
+++ b/src/entry/servicetable.cpp
@@ -65,6 +65,8 @@
     const double capacity = instance.load.capacity > 0 ? static_cast<double>(instance.load.capacity)
                                                        : defaultCapacity;
     const auto calls = static_cast<double>(std::max(instance.load.running, instance.ownCalls));
+    // The lower bound only prevents a division by zero: the traffic share is 0 while an instance is
+    // ejected and at least 0.1 otherwise, and ejected instances are not selected.
     const double load = (calls + 1) / capacity / std::max(instance.outlier.trafficShare(now), 0.01);
     return load + (instance.upstream.failureDomain == m_failureDomain ? 0 : remoteDomainCost);
 }
--- a/src/entry/taskdispatcher.cpp
+++ b/src/entry/taskdispatcher.cpp
@@ -273,6 +273,7 @@
             mayHaveRun(quarantined ? ErrorCode::RequestQuarantined : ErrorCode::UpstreamFailed,
                        quarantined ? "the request crashed the upstreams that ran it"
                                    : "the upstream crashed, and its crash could not be recorded");
+    // The kind Invalid, because the scheduler does not retry failures of this kind.
     endFailedAttempt(task, *engineAttempt, delivered, failure,
                      policy::AttemptFailure::Kind::Invalid);
 }
@@ -283,7 +284,7 @@
     const TaskSubmission &submission = task->submission;
     if (task->cancelled || engineAttempt.preempting())
         return notRun(ErrorCode::ClientDisconnected,
-                      "the attempt ended before the request was sent");
+                      "the task was cancelled or preempted before the attempt sent its request");
     engine::StreamRequest request;
     request.path = submission.path;
     request.body = submission.body;
