--- a/src/entry/batchdispatcher.h
+++ b/src/entry/batchdispatcher.h
@@ -92,6 +92,7 @@
     int m_nextPartition = 0;
     mutable absl::Mutex m_mutex;
     bool m_draining ABSL_GUARDED_BY(m_mutex) = false;
+    /// Task of each leased item whose result is not reported yet; 0 while it is being submitted.
     std::map<ItemKey, policy::TaskId> m_heldItems ABSL_GUARDED_BY(m_mutex);
     OutcomesByPartition m_outcomes ABSL_GUARDED_BY(m_mutex);
 };
--- a/src/entry/crashrecords.h
+++ b/src/entry/crashrecords.h
@@ -32,7 +32,8 @@
             ABSL_LOCKS_EXCLUDED(m_mutex);
     bool pending(const std::string &fingerprint) const ABSL_LOCKS_EXCLUDED(m_mutex);
     /// Waits until no report about \a fingerprint is pending, and returns the state. Returns
-    /// Unrecorded on a timeout.
+    /// Unrecorded on a timeout. A state other than Recorded is returned only once; later calls
+    /// return Recorded.
     State await(const std::string &fingerprint, absl::Duration timeout)
             ABSL_LOCKS_EXCLUDED(m_mutex);
 
