--- a/src/replication/groupdriver.cpp
+++ b/src/replication/groupdriver.cpp
@@ -18,7 +18,9 @@
 /// Maximum size of the received messages that wait for processing. Further messages are dropped;
 /// the sender resends them.
 constexpr std::int64_t maxQueuedMessageBytes = std::int64_t(64) << 20;
-/// A call without a result fails after this many election timeouts.
+/// A proposal that is not committed, and a read whose read index is not applied, fail after this
+/// many election timeouts. RaftCore itself fails the membership changes and the unconfirmed reads
+/// that it cannot complete.
 constexpr int maxCallElectionTimeouts = 25;
 
 Failure stoppedFailure(const std::optional<Failure> &reason)
--- a/src/replication/logformat.cpp
+++ b/src/replication/logformat.cpp
@@ -52,12 +52,14 @@
         return {};
     }
     }
-    return fail(notRun(ErrorCode::MalformedMessage, "unknown part of a log record"));
+    return fail(notRun(ErrorCode::MalformedMessage,
+                       "a part of a log record has an unknown tag or a wrong size"));
 }
 
 Result<LogRecord> decodeLogRecord(std::string_view bytes)
 {
     LogRecord record;
+    // Each part consists of its tag (1 byte), its size (4 bytes) and its data.
     while (!bytes.empty()) {
         if (bytes.size() < 5 || bytes.size() - 5 < uint32At(bytes, 1))
             return fail(notRun(ErrorCode::MalformedMessage, "a part of a log record is truncated"));
@@ -119,7 +121,7 @@
         return fail(corrupt(path, 0, "the checksum of the segment header is wrong"));
     if (uint32At(bytes, 4) != storageFormatVersion)
         return fail(notRun(ErrorCode::UnsupportedFormat,
-                           concat(path, ": format version ", uint32At(bytes, 4))));
+                           concat(path, ": unsupported format version ", uint32At(bytes, 4))));
     if (uint64At(bytes, 8) != sequence)
         return fail(corrupt(path, 8, "the segment number differs from the one in the file name"));
     if (uint64At(bytes, 16) != identityHash)
@@ -212,7 +214,7 @@
         return fail(corrupt(path, 0, "the checksum of the snapshot header is wrong"));
     if (uint32At(bytes, 4) != storageFormatVersion)
         return fail(notRun(ErrorCode::UnsupportedFormat,
-                           concat(path, ": format version ", uint32At(bytes, 4))));
+                           concat(path, ": unsupported format version ", uint32At(bytes, 4))));
     const std::uint64_t metaSize = uint64At(bytes, 8);
     const std::uint64_t dataSize = uint64At(bytes, 16);
     if (bytes.size() != snapshotHeaderBytes + metaSize + dataSize)
@@ -248,7 +250,8 @@
     BOOST_LEAF_AUTO(json, parseJson(line, path));
     BOOST_LEAF_AUTO(format, jsonMember<std::int64_t>(json, "format"));
     if (format != storageFormatVersion)
-        return fail(notRun(ErrorCode::UnsupportedFormat, concat(path, ": format ", format)));
+        return fail(notRun(ErrorCode::UnsupportedFormat,
+                           concat(path, ": unsupported format version ", format)));
     FolderIdentity identity;
     BOOST_LEAF_ASSIGN(identity.group, jsonMember<std::string>(json, "group"));
     BOOST_LEAF_ASSIGN(identity.replica, jsonMember<std::string>(json, "replica"));
--- a/src/replication/logformat.h
+++ b/src/replication/logformat.h
@@ -39,8 +39,8 @@
 /// \a offset is the position of the frame in the file. The checksum covers this position, so the
 /// frame is invalid at any other one.
 std::string encodeFrame(std::uint64_t sequence, std::uint64_t offset, std::string_view payload);
-/// Fails with CorruptData or UnsupportedFormat; the failure contains \a path and, when the data is
-/// corrupt, the offset.
+/// Fails with CorruptData, UnsupportedFormat, or IdentityMismatch when the segment belongs to
+/// another replica. The failure contains \a path and, when the data is corrupt, the offset.
 Result<SegmentContent> decodeSegment(const std::string &path, std::string_view bytes,
                                      std::uint64_t sequence, std::uint64_t identityHash);
 
--- a/src/replication/raftcore.h
+++ b/src/replication/raftcore.h
@@ -114,7 +114,7 @@
     /// call.
     void tick(absl::Time now);
     void step(const Message &message);
-    /// Fails with NotLeader, NoQuorum, QueueFull or DiskFull, all NotRun.
+    /// Fails with NotLeader, QueueFull or DiskFull, all NotRun.
     Outcome<EntryPosition> propose(std::string command);
     /// Linearizable read on the leader. The result appears in RaftOutput::reads.
     void readOnLeader(std::uint64_t token);
--- a/src/replication/raftcore_election.cpp
+++ b/src/replication/raftcore_election.cpp
@@ -19,6 +19,8 @@
     // candidate to depose that leader.
     if (isVote && !message.transfer && isLeaderAlive())
         return false;
+    // Pre-vote requests and granted replies have the term that the sender would start, which is not
+    // in effect yet.
     const bool isFutureTerm = message.type == MessageType::PreVote
                               || (message.type == MessageType::PreVoteReply && message.success);
     if (message.term > m_hardState.term && !isFutureTerm)
@@ -183,6 +185,7 @@
 
 void RaftCore::handleVote(const Message &message)
 {
+    // If a leader is known, a quorum has voted in this term and no other candidate can win it.
     const bool isVoteAvailable =
             m_hardState.votedFor.empty() ? m_leader.empty() : m_hardState.votedFor == message.from;
     Message reply = makeReply(message, MessageType::VoteReply);
--- a/src/replication/raftcore_replication.cpp
+++ b/src/replication/raftcore_replication.cpp
@@ -197,6 +197,7 @@
     m_nextHeartbeat = m_now + m_options.heartbeatPeriod;
     for (const auto &[id, progress] : m_progress) {
         Message heartbeat = makeMessage(id, MessageType::Heartbeat);
+        // The log of the receiver is known to match only up to matchIndex.
         heartbeat.commit = std::min(m_commitIndex, progress.matchIndex);
         heartbeat.logTerm = m_log.termAt(heartbeat.commit);
         heartbeat.context = m_heartbeatRound;
@@ -209,6 +210,8 @@
     followLeader(message);
     Message reply = makeReply(message, MessageType::AppendReply);
     reply.success = true;
+    // Committed entries are the same in the log of every later leader, so only entries after the
+    // commit index have to be compared.
     reply.index = m_commitIndex;
     if (message.index >= m_commitIndex) {
         reply.success = m_log.matches(message.index, message.logTerm);
@@ -356,6 +359,8 @@
                                std::make_shared<std::string>(std::move(m_incomingSnapshotData))};
     m_incomingSnapshot = SnapshotMeta();
     m_incomingSnapshotData.clear();
+    // If the log contains the last entry of the snapshot, it contains all of them, and the later
+    // entries must be kept.
     if (m_log.matches(meta.index, meta.term)) {
         setCommit(meta.index);
         return;
--- a/src/replication/readtracker.cpp
+++ b/src/replication/readtracker.cpp
@@ -41,6 +41,8 @@
 
 void ReadTracker::failAll(const Failure &failure)
 {
+    // Reads of followers are dropped without a reply: each follower fails its batch when the leader
+    // changes or the deadline of the batch passes.
     for (const LeaderRead &read : std::exchange(m_deferred, {})) {
         if (read.follower.empty())
             m_results.push_back({read.token, 0, failure});
--- a/src/replication/storagethread.cpp
+++ b/src/replication/storagethread.cpp
@@ -120,8 +120,8 @@
     auto part = outcomeOf([&] {
         return m_storage->readSnapshot(chunk.snapshot.index, chunk.offset, chunk.length);
     });
-    // If a newer snapshot has replaced this one, the leader restarts the transfer with it. If the
-    // read failed, the leader requests the chunk again when no reply arrives.
+    // No chunk is sent in this case. If a newer snapshot has replaced this one, RaftCore restarts
+    // the transfer with it. If the read failed, RaftCore resends the chunk when no reply arrives.
     if (!part.ok())
         return;
     chunk.data = std::move(part.value().data);
