--- a/src/directory/directorysubscriber.cpp
+++ b/src/directory/directorysubscriber.cpp
@@ -171,6 +171,8 @@
         {
             absl::MutexLock lock(&mutex);
             stopped = true;
+            // A listener that calls stop() runs inside handleResponse(), so it must not wait for
+            // the end of that function.
             const bool fromListener = handlerThread == std::this_thread::get_id();
             while (!fromListener && (activePollCalls > 0 || handlerThread != std::thread::id()))
                 idle.Wait(&mutex);
