--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -184,6 +184,8 @@
     const replication::RaftNodeStatus status = m_groups.directory().status();
     const bool canRemove =
             status.role == replication::Role::Leader && m_view.viewAge() < maxViewAge;
+    // Term 0 is no term of a leader, so it discards the heartbeats. When removal becomes possible
+    // again, each member gets a full timeout.
     const std::vector<wire::Member> expired = expiredMembers(canRemove ? status.term : 0);
     if (!canRemove)
         return;
--- a/src/control/operatorapi.cpp
+++ b/src/control/operatorapi.cpp
@@ -14,7 +14,8 @@
 namespace rattanrill::control {
 namespace {
 
-/// Longer than an election, but short enough for an operator who waits for the response.
+/// Timeout of a call to a group. Longer than an election, but short enough for an operator who
+/// waits for the response.
 constexpr absl::Duration groupCallTimeout = absl::Seconds(5);
 /// Maximum time that status() waits for a leader to confirm the directory view.
 constexpr absl::Duration statusTimeout = absl::Seconds(1);
@@ -225,6 +226,7 @@
     m_client.read(controlclient::batchGroupName(partition),
                   wire::encode(wire::BatchQueryMessage{std::move(query)}), groupCallTimeout,
                   pending.callback());
+    // Waits longer than the client, so that the client's failure, which names the cause, arrives.
     const auto bytes = pending.wait(groupCallTimeout * 2);
     if (!bytes.ok())
         return fail(readFailure(bytes.failure()));
--- a/src/control/operatorserver.cpp
+++ b/src/control/operatorserver.cpp
@@ -100,6 +100,7 @@
 {
     if (!m_thread.joinable())
         return;
+    // Server::stop() has no effect before listen_after_bind() runs.
     while (!m_server->is_running())
         std::this_thread::yield();
     m_server->stop();
