--- a/src/base/timerservice.cpp
+++ b/src/base/timerservice.cpp
@@ -83,6 +83,8 @@
                 break;
             }
         }
+        // Waits until a running callback of the timer has returned, except on the timer thread:
+        // there, the running callback is the caller itself and would wait forever.
         if (std::this_thread::get_id() == thread.get_id())
             return;
         while (running == id)
