--- a/src/fakes/enginerunner.cpp
+++ b/src/fakes/enginerunner.cpp
@@ -129,6 +129,8 @@
         m_records.markFinished(route.recordSeq, event.index);
 }
 
+/// Exchanges the event queues of pairs of running requests, one pair for each swap that the faults
+/// still request, so that each client of a pair receives the response to the other's request.
 void EngineRunner::swapAnswers()
 {
     Route *first = nullptr;
--- a/src/fakes/instancelist.cpp
+++ b/src/fakes/instancelist.cpp
@@ -35,7 +35,7 @@
     BOOST_LEAF_ASSIGN(instance.state, stateFromName(state));
     if (instance.host.empty() || port < 1 || port > 65535)
         return fail(notRun(ErrorCode::InvalidRequest,
-                           "a new instance needs \"host\" and a \"port\" from 1 to 65535"));
+                           "an instance needs a \"host\" and a \"port\" from 1 to 65535"));
     return instance;
 }
 
--- a/src/fakes/relayconnection.cpp
+++ b/src/fakes/relayconnection.cpp
@@ -74,6 +74,8 @@
 
 void RelayConnection::connect()
 {
+    // The target never learns of a connection that is attempted in mode Drop. It counts as lost
+    // data, so that apply() resets the connection instead of connecting late.
     if (m_forward.faults.mode == LinkMode::Drop)
         m_forward.lostData = m_forward.lostData || !m_connected;
     if (m_connecting || m_connected || m_forward.faults.mode != LinkMode::Pass)
@@ -104,6 +106,7 @@
 void RelayConnection::setFaults(Direction &direction, const DirectionFaults &faults)
 {
     direction.faults = faults;
+    // A pending write uses the first chunk of the queue, so finishWrite() drops the rest then.
     if (faults.mode != LinkMode::Drop || direction.queue.empty() || direction.writePending)
         return;
     direction.lostData = true;
@@ -202,6 +205,7 @@
         end(direction);
         return;
     }
+    // Drops the chunks that setFaults() had to keep while the write was pending.
     if (direction.faults.mode == LinkMode::Drop)
         setFaults(direction, direction.faults);
     deliver(direction);
--- a/src/fakes/serviceserver.cpp
+++ b/src/fakes/serviceserver.cpp
@@ -15,6 +15,8 @@
     , m_records(records)
     , m_clock(clock)
 {
+    // httplib uses the first route that matches, and the service routes match every path, so they
+    // are added last.
     addManagementRoutes();
     addServiceRoutes();
 }
