--- a/src/peer/channelcore.cpp
+++ b/src/peer/channelcore.cpp
@@ -351,6 +351,7 @@
     const std::uint64_t epoch = m_epoch;
     for (const std::string &frame : std::exchange(m_waitingPushes, {}))
         sendFrame(frame);
+    // A failed send drops the connection and fails the remaining calls, which are then skipped.
     for (const std::uint64_t id : waitingCalls) {
         if (m_state == State::Ready && m_epoch == epoch && m_calls.count(id) > 0)
             sendCall(id);
