--- a/src/policybench/baselinepolicy.cpp
+++ b/src/policybench/baselinepolicy.cpp
@@ -37,6 +37,8 @@
         if (reported.name != engine)
             continue;
         reported.load = load;
+        // The entries do not coordinate, so each of them uses an equal share of the free slots. The
+        // share is rounded up, so together they can exceed the limit.
         const double limit = static_cast<double>(load.maxBatch) * m_rules.batchFillLimit;
         const auto freeSlots = static_cast<std::int64_t>(limit) - load.running - load.waiting;
         const auto entries = static_cast<std::int64_t>(m_entries);
--- a/src/policybench/benchfleet.cpp
+++ b/src/policybench/benchfleet.cpp
@@ -10,6 +10,8 @@
 
 namespace {
 
+/// Maximum number of times that a caller sends the request that crashes engines. Other requests are
+/// not sent again after a rejection.
 constexpr int maxCallerAttempts = 8;
 /// Time to commit a small change in the batch partition or the directory, without the network delay
 /// to it.
@@ -56,7 +58,8 @@
     return std::stoi(name.substr(name.find('-') + 1));
 }
 
-/// Returns the hashes of the first 64, 128, ... 1024 bytes, which are the shared part of a prompt.
+/// Returns synthetic values in place of the hashes of the first 64, 128, ... 1024 bytes of a
+/// prompt. They are equal for all prompts of a group.
 std::vector<std::uint64_t> prefixHashes(int group)
 {
     std::vector<std::uint64_t> hashes;
@@ -349,6 +352,7 @@
     state.attempt = start.attempt;
     state.engine = engineIndex(start.engine);
     if (state.task.kind == TaskKind::Online) {
+        // Attributes the preemptions at this entry that have no online task yet to this one.
         for (auto &[id, other] : m_tasks) {
             if (other.entry == entry && !other.preemptedFor.empty()
                 && other.preemptedFor.back() == absl::InfinitePast())
@@ -444,6 +448,7 @@
 
 Task BenchFleet::batchTask(int item, TaskId id) const
 {
+    // item() has no const overload; the item is not changed here.
     const BatchItem &leased = const_cast<BenchBatchPool &>(m_batch).item(item);
     Task task;
     task.id = id;
