--- a/src/report/burn.cpp
+++ b/src/report/burn.cpp
@@ -44,6 +44,8 @@
             countBelow = cumulative;
             continue;
         }
+        // The last bucket has no upper bound, so all of its observations count as above the
+        // threshold.
         if (std::isinf(bound))
             return countBelow;
         return countBelow
--- a/src/report/repairlog.cpp
+++ b/src/report/repairlog.cpp
@@ -8,6 +8,7 @@
 namespace rattanrill::report {
 namespace {
 
+/// Number of the latest events that are kept. The counts include all events.
 constexpr std::size_t maxRetainedEvents = 200;
 
 constexpr std::array<EnumName<Repair>, 7> repairNames = {{
@@ -72,6 +73,8 @@
 std::string identityOf(const EventRule &rule, const Json &line)
 {
     std::string identity(name(rule.repair));
+    // Two kinds of events report an election, so its identity does not contain the kind: an
+    // election that both report counts once.
     if (rule.repair != Repair::Election)
         identity += concat(" ", rule.event);
     for (const std::string &key : rule.identityFields)
