--- a/src/policy/crashhistory.cpp
+++ b/src/policy/crashhistory.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Time within which crashes in a failure domain are correlated. The upstreams of a lost failure
-/// domain are detected at different times because of their connection timeouts.
+/// Time within which crashes in a failure domain are correlated. Covers the spread of the
+/// connection timeouts, within which the upstreams of a lost failure domain fail.
 constexpr absl::Duration correlationWindow = absl::Seconds(2);
 
 bool haveCommonRequest(const Crash &left, const Crash &right)
