--- a/src/control/memberwatch.cpp
+++ b/src/control/memberwatch.cpp
@@ -14,8 +14,8 @@
 /// If more time passes between two checks, this process was suspended. Heartbeats of the members
 /// may then still be unread in its sockets.
 constexpr absl::Duration suspensionThreshold = absl::Seconds(1);
-/// Maximum age of the directory view on the basis of which members are removed. In an older view, a
-/// member may have been replaced since.
+/// Members without recent heartbeats are removed only while the directory view is younger than
+/// this, because a member in an older view may have been replaced since.
 constexpr absl::Duration maxViewAge = absl::Seconds(2);
 /// Bounds the memory for incarnations that have left: the set is cleared when it reaches this size,
 /// which is far more than the number that leave within one member timeout.
@@ -184,8 +184,8 @@
     const replication::RaftNodeStatus status = m_groups.directory().status();
     const bool canRemove =
             status.role == replication::Role::Leader && m_view.viewAge() < maxViewAge;
-    // Term 0 is no term of a leader, so it discards the heartbeats. When removal becomes possible
-    // again, each member gets a full timeout.
+    // No leader has term 0. While members cannot be removed, the change to this term discards the
+    // heartbeats, so that each member gets a full timeout when removal becomes possible again.
     const std::vector<wire::Member> expired = expiredMembers(canRemove ? status.term : 0);
     if (!canRemove)
         return;
