--- a/src/batch/batchstate.cpp
+++ b/src/batch/batchstate.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view formatName = "rattanrill-batch-";
 constexpr std::string_view formatVersion = "1\n";
 constexpr std::size_t headerBytes = formatName.size() + formatVersion.size();
-/// Maximum number of bytes that an item takes in a snapshot in addition to its texts.
+/// Upper estimate of the number of bytes that an item takes in a snapshot in addition to its texts.
 constexpr std::size_t itemOverheadBytes = 24;
 
 boost::leaf::error_id failCorrupt(std::string_view reason)
@@ -282,7 +282,7 @@
 std::string BatchState::serialize() const
 {
     std::string bytes;
-    // The whole size is reserved first, because each reallocation would copy all texts.
+    // The estimated size is reserved first, because each reallocation would copy all texts.
     bytes.reserve(snapshotBytes());
     bytes.append(formatName);
     bytes.append(formatVersion);
